--- a/bench/_authority.py
+++ b/bench/_authority.py
@@ -11,7 +11,7 @@
 
 from bench._measures import Measure
 from fakes._virtual_loop import run_virtually
-from pondhatch.authority.tests._world import RouterSide, World, now
+from pondhatch.authority.tests._simulation import SimulatedRouter, Simulation, now
 
 CHANGES = 40
 #: Seconds until the first holder has settled down, and over which the change is drawn.
@@ -23,19 +23,19 @@
 
 async def _change(planned: bool, engine: str, after: float) -> float:
     """Return the seconds from the change of holder to the next order at an engine."""
-    world = World()
-    first, second = RouterSide("r0", world, [], 0), RouterSide("r1", world, [], 0)
-    first.wanted = True
+    world = Simulation()
+    first, second = SimulatedRouter("r0", world, [], 0), SimulatedRouter("r1", world, [], 0)
+    first.should_hold = True
     await asyncio.sleep(STARTED + after)
     began = now()
     if planned:
-        first.wanted = False
+        first.should_hold = False
     else:
         first.kill()
-    second.wanted = True
+    second.should_hold = True
     await asyncio.sleep(0.5)
     world.spec = replace(world.spec, version=2)
-    while not any(e.engine == engine and e.router == "r1/0" for e in world.effects):
+    while not any(e.engine == engine and e.router == "r1/0" for e in world.executed_orders):
         await asyncio.sleep(0.05)
         if now() - began > PATIENCE:
             raise RuntimeError(f"no order in {PATIENCE} s")
--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -9,7 +9,7 @@
 
 from bench._measures import Measure
 from bench._memory import account_edits, fleet_of
-from pondhatch.configuration import Change, Fleet
+from pondhatch.configuration import Change, FleetConfiguration
 from pondhatch.limits import RetryBudget
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
 from pondhatch.placement import Full
@@ -180,15 +180,15 @@
         fleet = fleet_of(accounts)
         change = Change(2, "c", "bench", 0.0, "", account_edits(1))
 
-        def apply(fleet: Fleet = fleet, change: Change = change) -> object:
+        def apply(fleet: FleetConfiguration = fleet, change: Change = change) -> object:
             return fleet.with_change(change)
 
         yield Measure(
             "configuration.one_account_changed", _timed(apply, 20) * 1e3, "ms at 3000 accounts"
         )
         started = time.perf_counter()
-        restored = Fleet.from_snapshot(fleet.snapshot())
-        if not isinstance(restored, Fleet):
+        restored = FleetConfiguration.from_snapshot(fleet.snapshot())
+        if not isinstance(restored, FleetConfiguration):
             raise RuntimeError("the snapshot does not fit")
         spent = (time.perf_counter() - started) / accounts
         yield Measure("configuration.snapshot_read", spent * 1e6, "us an account")
--- a/bench/_memory.py
+++ b/bench/_memory.py
@@ -11,7 +11,7 @@
 
 from bench._measures import Measure
 from fakes._entries import SERVICE, TEMPLATE
-from pondhatch.configuration import Change, Edit, Fleet
+from pondhatch.configuration import Change, Edit, FleetConfiguration
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
 from pondhatch.placement import SpillMemory
 from pondhatch.store import Upstream, UpstreamList
@@ -33,13 +33,13 @@
     )
 
 
-def fleet_of(count: int) -> Fleet:
+def fleet_of(count: int) -> FleetConfiguration:
     """Return a configuration with so many accounts."""
     edits = (SERVICE, TEMPLATE, *account_edits(count))
-    found = Fleet().with_change(Change(1, "first", "bench", 0.0, "", edits))
-    if not isinstance(found, Fleet):
+    found = FleetConfiguration().with_change(Change(1, "first", "bench", 0.0, "", edits))
+    if not isinstance(found, FleetConfiguration):
         raise RuntimeError(str(found))
-    return Fleet(
+    return FleetConfiguration(
         version=1,
         service_by_name=found.service_by_name,
         template_by_name=found.template_by_name,
--- a/fakes/_orders.py
+++ b/fakes/_orders.py
@@ -16,7 +16,7 @@
 from twisted.internet.defer import Deferred
 
 from fakes._faults import Faults
-from pondhatch.authority import EngineState, NotTaken, OldNumber, Taken, Wanted
+from pondhatch.authority import DesiredState, EngineState, NotTaken, OldNumber, Taken
 from pondhatch.kernel import as_deferred
 
 
@@ -24,7 +24,7 @@
     """One order as it took effect."""
 
     fencing: int
-    wanted: Wanted
+    wanted: DesiredState
     at: float
 
 
@@ -44,7 +44,7 @@
         """Return what the engine says of itself."""
         return msgspec.structs.replace(self.state, busy=now < self._busy_until)
 
-    def take(self, wanted: Wanted, fencing: int, now: float) -> Taken | OldNumber | NotTaken:
+    def take(self, wanted: DesiredState, fencing: int, now: float) -> Taken | OldNumber | NotTaken:
         """Carry an order out, or refuse it."""
         if self.checks_fencing and fencing < self.state.fencing:
             return OldNumber(self.state.fencing)
@@ -76,7 +76,7 @@
     if faults.strike("order-refused"):
         request.setResponseCode(503)
         return b""
-    wanted = msgspec.convert(told["wanted"], Wanted)
+    wanted = msgspec.convert(told["wanted"], DesiredState)
     outcome = book.take(wanted, told["fencing"], time.monotonic())
     if faults.strike("order-lost"):
         request.channel.forceAbortClient()
--- a/pondhatch/authority/__init__.py
+++ b/pondhatch/authority/__init__.py
@@ -1,24 +1,30 @@
 """Authority: who may give a service's engines orders, and which orders are due."""
 
 from pondhatch.authority._engine import (
+    DesiredState,
     EngineOrders,
     EngineState,
+    NoReply,
     NotTaken,
     OldNumber,
     OrderOutcome,
     OrderUnknown,
-    Reported,
-    Silent,
+    StateReported,
     Taken,
-    Wanted,
 )
 from pondhatch.authority._lease import LeaseKeeper
-from pondhatch.authority._lease_record import LEASE_KIND, LeaseRecord, Read, Terms, Write
+from pondhatch.authority._lease_record import (
+    LEASE_KIND,
+    LeaseRecord,
+    LeaseTimings,
+    ReadLease,
+    WriteLease,
+)
 from pondhatch.authority._orderer import Orderer, OrdererStatus
-from pondhatch.authority._orders import Due, due_orders, wanted_by_engine
+from pondhatch.authority._orders import DueOrder, desired_by_engine, due_orders
 
 __all__ = [
-    "Due",
+    "DueOrder",
     "EngineOrders",
     "EngineState",
     "LEASE_KIND",
@@ -30,13 +36,13 @@
     "OrderUnknown",
     "Orderer",
     "OrdererStatus",
-    "Read",
-    "Reported",
-    "Silent",
+    "ReadLease",
+    "StateReported",
+    "NoReply",
     "Taken",
-    "Terms",
-    "Wanted",
-    "Write",
+    "LeaseTimings",
+    "DesiredState",
+    "WriteLease",
     "due_orders",
-    "wanted_by_engine",
+    "desired_by_engine",
 ]
--- a/pondhatch/authority/_engine.py
+++ b/pondhatch/authority/_engine.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class DesiredState(msgspec.Struct, frozen=True):
     """What an engine is to hold. Absolute: ordering it twice is the same as once."""
 
     model: str
@@ -22,20 +22,20 @@
     """What an engine says of itself."""
 
     #: What it holds; None before its first order.
-    holds: Wanted | None
+    holds: DesiredState | None
     #: Whether it is still carrying out an order.
     busy: bool = False
     #: Highest fencing number that it has seen, where it looks at them.
     fencing: int = 0
 
 
-class Reported(msgspec.Struct, frozen=True):
+class StateReported(msgspec.Struct, frozen=True):
     """The engine answered."""
 
     state: EngineState
 
 
-class Silent(msgspec.Struct, frozen=True):
+class NoReply(msgspec.Struct, frozen=True):
     """The engine did not answer in time."""
 
     reason: str
@@ -69,8 +69,10 @@
 class EngineOrders(Protocol):
     """The way to engines."""
 
-    async def state(self, url: str) -> Reported | Silent:
+    async def state(self, url: str) -> StateReported | NoReply:
         """Ask an engine what it holds."""
 
-    async def order(self, url: str, wanted: Wanted, fencing: int, seconds: float) -> OrderOutcome:
+    async def order(
+        self, url: str, wanted: DesiredState, fencing: int, seconds: float
+    ) -> OrderOutcome:
         """Give one order; given up after so many seconds."""
--- a/pondhatch/authority/_lease_record.py
+++ b/pondhatch/authority/_lease_record.py
@@ -21,32 +21,32 @@
     released: bool = False
 
 
-class Terms(msgspec.Struct, frozen=True):
+class LeaseTimings(msgspec.Struct, frozen=True):
     """The times of a lease, in seconds. A holder keeps ``margin`` back for clocks that drift."""
 
     duration: float = 10.0
     renew_every: float = 3.0
     #: Between two reads of a candidate.
     read_every: float = 2.0
-    margin: float = 1.0
+    clock_margin: float = 1.0
     #: An order is given up after so long; none is begun that could outlast the lease.
-    order_seconds: float = 2.0
+    order_timeout: float = 2.0
     #: How long a new holder lets engines alone that ignore fencing numbers, after an
     #: emergency: orders of the last holder that were under way have ended by then.
-    settle: float = 4.0
+    unfenced_delay: float = 4.0
 
 
-class Read(msgspec.Struct, frozen=True):
+class ReadLease(msgspec.Struct, frozen=True):
     """Read the lease."""
 
 
-class Write(msgspec.Struct, frozen=True):
+class WriteLease(msgspec.Struct, frozen=True):
     """Write the lease, if it still has the version; None means if there is none."""
 
     record: LeaseRecord
     version: int | None
 
 
-Call = Read | Write
+LeaseCall = ReadLease | WriteLease
 WriteOutcome = Accepted | Conflict | OutcomeUnknown | Unavailable
 ReadOutcome = Found | Missing | Unavailable
--- a/pondhatch/authority/_orderer.py
+++ b/pondhatch/authority/_orderer.py
@@ -9,17 +9,23 @@
 import msgspec
 
 from pondhatch.authority._engine import (
+    DesiredState,
     EngineOrders,
     EngineState,
     OldNumber,
     OrderOutcome,
-    Reported,
+    StateReported,
     Taken,
-    Wanted,
 )
 from pondhatch.authority._lease import LeaseKeeper
-from pondhatch.authority._lease_record import LEASE_KIND, Read, ReadOutcome, Write, WriteOutcome
-from pondhatch.authority._orders import Due, due_orders, wanted_by_engine
+from pondhatch.authority._lease_record import (
+    LEASE_KIND,
+    ReadLease,
+    ReadOutcome,
+    WriteLease,
+    WriteOutcome,
+)
+from pondhatch.authority._orders import DueOrder, desired_by_engine, due_orders
 from pondhatch.configuration import OrdersSpec
 from pondhatch.observing import log_for
 from pondhatch.store import OutcomeUnknown, Platform, Unavailable, Upstream
@@ -28,14 +34,14 @@
 
 #: Seconds between two questions to engines, while some differ from what is wanted and
 #: while none does.
-BUSY_CHECK_SECONDS = 1.0
-CALM_CHECK_SECONDS = 60.0
+PENDING_CHECK_SECONDS = 1.0
+IDLE_CHECK_SECONDS = 60.0
 #: Orders kept for the state dump.
-KEPT_ORDERS = 20
+MAX_LAST_ORDERS = 20
 #: Seconds between two rounds.
 ROUND_SECONDS = 0.25
 #: Seconds until the next round after one that ended in an error, and so between its lines.
-FAILED_SECONDS = 5.0
+FAILURE_PAUSE_SECONDS = 5.0
 
 Sleep = Callable[[float], Awaitable[None]]
 
@@ -43,7 +49,7 @@
 class OrdererView(Protocol):
     """What an orderer reads of the router's state."""
 
-    def wants_to_order(self, service: str) -> bool:
+    def should_hold_lease(self, service: str) -> bool:
         """Return whether this router is the one that should hold the service's lease."""
 
     def orders_of(self, service: str) -> OrdersSpec | None:
@@ -80,29 +86,29 @@
     sleep: Sleep = asyncio.sleep
     _state_by_engine: dict[str, EngineState] = msgspec.field(default_factory=dict)
     _spec: OrdersSpec | None = None
-    _names: tuple[str, ...] = ()
-    _check_at: float = float("-inf")
-    _orders_under_way: int = 0
+    _engine_names: tuple[str, ...] = ()
+    _next_check_at: float = float("-inf")
+    _orders_in_flight: int = 0
     #: Why the lease made no sense when that was last told.
-    _told_malformed: str = ""
+    _logged_malformed: str = ""
     _last_orders: list[tuple[str, int, str]] = msgspec.field(default_factory=list)
 
     async def run(self) -> None:
         """Keep the lease and the engines, until cancelled."""
-        await asyncio.gather(self._keep(self._lease_step), self._keep(self._engine_step))
+        await asyncio.gather(self._repeat(self._lease_step), self._repeat(self._engine_step))
 
-    def holds_anything(self) -> bool:
+    def is_holder(self) -> bool:
         """Return whether the lease must still be given up before this router stops."""
         return self.keeper.is_holder()
 
     def status(self) -> OrdererStatus:
         """Return what a state dump tells."""
         record = self.keeper.record
-        wanted = self._wanted()
+        desired = self._desired()
         differing = tuple(
             name
             for name, state in sorted(self._state_by_engine.items())
-            if name in wanted and state.holds != wanted[name]
+            if name in desired and state.holds != desired[name]
         )
         return OrdererStatus(
             service=self.service,
@@ -114,7 +120,7 @@
 
     # -- the lease ------------------------------------------------------------
 
-    async def _keep(self, step: Callable[[], Awaitable[None]]) -> None:
+    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
         """Do a step round after round; one that fails must not end the others."""
         while True:
             pause = ROUND_SECONDS
@@ -122,25 +128,25 @@
                 await step()
             except Exception:
                 log.exception("A round for the engines of {} failed; more follow.", self.service)
-                pause = FAILED_SECONDS
+                pause = FAILURE_PAUSE_SECONDS
             await self.sleep(pause)
 
     async def _lease_step(self) -> None:
-        self.keeper.told_era(self.clock(), self.view.platform_era())
-        wanted = self.view.wants_to_order(self.service)
-        held = self.keeper.is_holder()
-        call = self.keeper.due(self.clock(), wanted, self._orders_under_way > 0)
+        self.keeper.observe_era(self.clock(), self.view.platform_era())
+        should_hold = self.view.should_hold_lease(self.service)
+        was_holder = self.keeper.is_holder()
+        call = self.keeper.next_call(self.clock(), should_hold, self._orders_in_flight > 0)
         if call is None:
             return
-        if isinstance(call, Read):
+        if isinstance(call, ReadLease):
             found = await self._read()
-            self.keeper.told_read(self.clock(), found)
-            self._tell_malformed()
+            self.keeper.handle_read(self.clock(), found)
+            self._log_malformed()
         else:
             written = await self._write(call)
-            self.keeper.told_write(self.clock(), written)
-        if held != self.keeper.is_holder():
-            self._changed()
+            self.keeper.handle_write(self.clock(), written)
+        if was_holder != self.keeper.is_holder():
+            self._holder_changed()
 
     async def _read(self) -> ReadOutcome:
         try:
@@ -149,7 +155,7 @@
             log.exception("The lease of {} was not read.", self.service)
             return Unavailable(str(error))
 
-    async def _write(self, call: Write) -> WriteOutcome:
+    async def _write(self, call: WriteLease) -> WriteOutcome:
         value = msgspec.to_builtins(call.record)
         try:
             if call.version is None:
@@ -160,12 +166,12 @@
             log.exception("What became of a write to the lease of {} is not known.", self.service)
             return OutcomeUnknown(str(error))
 
-    def _tell_malformed(self) -> None:
+    def _log_malformed(self) -> None:
         """Tell once that the lease makes no sense, and once that it does again."""
-        malformed = self.keeper.malformed
-        if malformed == self._told_malformed:
+        malformed = self.keeper.malformed_reason
+        if malformed == self._logged_malformed:
             return
-        self._told_malformed = malformed
+        self._logged_malformed = malformed
         if malformed:
             log.error(
                 "No orders of {} by its lease until it is whole: {}.", self.service, malformed
@@ -173,9 +179,9 @@
         else:
             log.info("The lease of service {} is whole again.", self.service)
 
-    def _changed(self) -> None:
+    def _holder_changed(self) -> None:
         self._state_by_engine.clear()
-        self._check_at = float("-inf")
+        self._next_check_at = float("-inf")
         if self.keeper.is_holder() and self.keeper.record is not None:
             number = self.keeper.record.fencing
             log.info("Orders of service {} are given here, number {}.", self.service, number)
@@ -189,59 +195,61 @@
             return
         spec = self.view.orders_of(self.service)
         names = tuple(engine.name for engine in self.view.engines_of(self.service))
-        if (spec, names) != (self._spec, self._names):
-            self._spec, self._names = spec, names
-            self._check_at = float("-inf")
-        if spec is None or self.clock() < self._check_at:
+        if (spec, names) != (self._spec, self._engine_names):
+            self._spec, self._engine_names = spec, names
+            self._next_check_at = float("-inf")
+        if spec is None or self.clock() < self._next_check_at:
             return
-        await self._ask_engines()
-        due = due_orders(self._wanted(), self._state_by_engine, spec.at_once)
-        await asyncio.gather(*(self._give(order) for order in due))
-        self._check_at = self.clock() + self._pause()
+        await self._read_engine_states()
+        due = due_orders(self._desired(), self._state_by_engine, spec.at_once)
+        await asyncio.gather(*(self._give_order(order) for order in due))
+        self._next_check_at = self.clock() + self._check_pause()
 
-    def _pause(self) -> float:
-        calm = all(
+    def _check_pause(self) -> float:
+        all_as_desired = all(
             name in self._state_by_engine
-            and self._state_by_engine[name].holds == wish
+            and self._state_by_engine[name].holds == desired
             and not self._state_by_engine[name].busy
-            for name, wish in self._wanted().items()
+            for name, desired in self._desired().items()
         )
-        return CALM_CHECK_SECONDS if calm else BUSY_CHECK_SECONDS
+        return IDLE_CHECK_SECONDS if all_as_desired else PENDING_CHECK_SECONDS
 
-    async def _ask_engines(self) -> None:
+    async def _read_engine_states(self) -> None:
         engines = self.view.engines_of(self.service)
         replies = await asyncio.gather(*(self.engines.state(each.url) for each in engines))
         self._state_by_engine = {
             engine.name: reply.state
             for engine, reply in zip(engines, replies, strict=True)
-            if isinstance(reply, Reported)
+            if isinstance(reply, StateReported)
         }
 
-    async def _give(self, due: Due) -> None:
+    async def _give_order(self, due: DueOrder) -> None:
         engine = next((e for e in self.view.engines_of(self.service) if e.name == due.engine), None)
         if engine is None or self.view.orders_of(self.service) != self._spec:
             return
-        self.keeper.told_era(self.clock(), self.view.platform_era())
-        number = self.keeper.fencing(self.clock(), engine.checks_fencing)
+        self.keeper.observe_era(self.clock(), self.view.platform_era())
+        number = self.keeper.order_fencing(self.clock(), engine.checks_fencing)
         if number is None:
             return
-        self._orders_under_way += 1
+        self._orders_in_flight += 1
         try:
-            seconds = self.keeper.order_seconds
-            outcome = await self.engines.order(engine.url, due.wanted, number, seconds)
+            seconds = self.keeper.order_timeout
+            outcome = await self.engines.order(engine.url, due.desired, number, seconds)
         finally:
-            self._orders_under_way -= 1
-        self._note(due, number, outcome)
-
-    def _note(self, due: Due, number: int, outcome: OrderOutcome) -> None:
-        told = type(outcome).__name__
-        self._last_orders = [*self._last_orders, (due.engine, number, told)][-KEPT_ORDERS:]
+            self._orders_in_flight -= 1
+        self._record_outcome(due, number, outcome)
+
+    def _record_outcome(self, due: DueOrder, number: int, outcome: OrderOutcome) -> None:
+        outcome_name = type(outcome).__name__
+        self._last_orders = [*self._last_orders, (due.engine, number, outcome_name)][
+            -MAX_LAST_ORDERS:
+        ]
         if isinstance(outcome, OldNumber):
-            self.keeper.told_number(outcome.highest)
+            self.keeper.observe_fencing(outcome.highest)
         if isinstance(outcome, Taken):
             log.info("Engine {} took order {}.", due.engine, number)
         else:
             log.warning("Engine {}, order {}: {}.", due.engine, number, outcome)
 
-    def _wanted(self) -> dict[str, Wanted]:
-        return wanted_by_engine(self._spec, self._names) if self._spec is not None else {}
+    def _desired(self) -> dict[str, DesiredState]:
+        return desired_by_engine(self._spec, self._engine_names) if self._spec is not None else {}
--- a/pondhatch/authority/_orders.py
+++ b/pondhatch/authority/_orders.py
@@ -6,21 +6,21 @@
 
 import msgspec
 
-from pondhatch.authority._engine import EngineState, Wanted
+from pondhatch.authority._engine import DesiredState, EngineState
 from pondhatch.configuration import OrdersSpec
 
 
-class Due(msgspec.Struct, frozen=True):
+class DueOrder(msgspec.Struct, frozen=True):
     """An order that an engine should be given now."""
 
     engine: str
-    wanted: Wanted
+    desired: DesiredState
 
 
-def wanted_by_engine(spec: OrdersSpec, engines: Iterable[str]) -> dict[str, Wanted]:
+def desired_by_engine(spec: OrdersSpec, engines: Iterable[str]) -> dict[str, DesiredState]:
     """Return what each engine of a service is to hold."""
     return {
-        engine: Wanted(
+        engine: DesiredState(
             model=spec.model,
             version=spec.version,
             adapters=spec.adapters,
@@ -31,16 +31,18 @@
 
 
 def due_orders(
-    wanted: Mapping[str, Wanted], reported: Mapping[str, EngineState], at_once: int
-) -> tuple[Due, ...]:
+    desired: Mapping[str, DesiredState], reported: Mapping[str, EngineState], at_once: int
+) -> tuple[DueOrder, ...]:
     """Return the orders to give now, so that at most so many engines are busy with one.
 
     An engine that did not report gets none: it may be busy, or gone.
     """
     busy = sum(state.busy for state in reported.values())
     waiting = [
-        Due(engine, wish)
-        for engine, wish in wanted.items()
-        if engine in reported and not reported[engine].busy and reported[engine].holds != wish
+        DueOrder(engine, desired_state)
+        for engine, desired_state in desired.items()
+        if engine in reported
+        and not reported[engine].busy
+        and reported[engine].holds != desired_state
     ]
     return tuple(waiting[: max(0, at_once - busy)])
--- a/pondhatch/authority/tests/_world.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -14,15 +14,15 @@
 from fakes._orders import OrderBook
 from fakes._platform_in_memory import PlatformInMemory
 from pondhatch.authority import (
+    DesiredState,
     LeaseKeeper,
+    LeaseTimings,
+    NoReply,
     NotTaken,
     Orderer,
     OrderOutcome,
     OrderUnknown,
-    Reported,
-    Silent,
-    Terms,
-    Wanted,
+    StateReported,
 )
 from pondhatch.configuration import OrdersSpec
 from pondhatch.store import (
@@ -36,7 +36,7 @@
 )
 
 SERVICE = "lang"
-TERMS = Terms()
+TERMS = LeaseTimings()
 #: What may befall one call to the platform.
 PLATFORM_FAULTS = ("none", "outage", "lost-answer", "lost-write")
 #: What may befall one order on its way.
@@ -46,7 +46,9 @@
 #: Seconds between a holder's look at its lease and the sending of an order, up to which
 #: it is promised that no older order follows a newer one at an engine that ignores
 #: numbers: how long a candidate waits beyond the lease, less how long the order travels.
-PROMISED_PAUSE = TERMS.margin + TERMS.settle + TERMS.order_seconds - ORDER_LATENESS - 0.1
+MAX_SAFE_PAUSE = (
+    TERMS.clock_margin + TERMS.unfenced_delay + TERMS.order_timeout - ORDER_LATENESS - 0.1
+)
 
 
 def now() -> float:
@@ -54,7 +56,7 @@
 
 
 @dataclass
-class Effect:
+class ExecutedOrder:
     """An order that an engine carried out."""
 
     engine: str
@@ -62,17 +64,17 @@
     fencing: int
     at: float
     #: Whether it was sent within the pause that is promised for.
-    promised: bool
+    within_safe_pause: bool
 
 
 @dataclass
-class World:
+class Simulation:
     """All that the routers share."""
 
     platform_faults: list[str] = field(default_factory=list)
     order_faults: list[str] = field(default_factory=list)
     platform: PlatformInMemory = field(default_factory=PlatformInMemory)
-    effects: list[Effect] = field(default_factory=list)
+    executed_orders: list[ExecutedOrder] = field(default_factory=list)
     spec: OrdersSpec = field(default_factory=lambda: OrdersSpec("m", 1, at_once=2))
     book_by_engine: dict[str, OrderBook] = field(
         default_factory=lambda: {
@@ -87,7 +89,7 @@
             for name, book in self.book_by_engine.items()
         )
 
-    def holds(self, engine: str) -> Wanted | None:
+    def holds(self, engine: str) -> DesiredState | None:
         return self.book_by_engine[engine].state.holds
 
 
@@ -98,7 +100,7 @@
         self._drawn = list(drawn)
         self._until = 0.0
 
-    def heal(self) -> None:
+    def stop(self) -> None:
         """Draw no more pauses; one that has begun goes on."""
         self._drawn.clear()
 
@@ -118,15 +120,15 @@
 class PausedPlatform:
     """The platform as one router reaches it; see Platform."""
 
-    def __init__(self, world: World, pauses: Pauses) -> None:
-        self._world = world
+    def __init__(self, simulation: Simulation, pauses: Pauses) -> None:
+        self._simulation = simulation
         self._pauses = pauses
 
     async def get(
         self, kind: str, name: str, may_be_old: bool = False
     ) -> Found | Missing | Unavailable:
         found: Found | Missing | Unavailable = await self._call(
-            lambda: self._world.platform.get(kind, name)
+            lambda: self._simulation.platform.get(kind, name)
         )
         return found
 
@@ -134,7 +136,7 @@
         self, kind: str, name: str, value: Any
     ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
         written: Accepted | Conflict | OutcomeUnknown | Unavailable = await self._call(
-            lambda: self._world.platform.create(kind, name, value)
+            lambda: self._simulation.platform.create(kind, name, value)
         )
         return written
 
@@ -142,7 +144,7 @@
         self, kind: str, name: str, value: Any, version: int
     ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
         written: Accepted | Conflict | OutcomeUnknown | Unavailable = await self._call(
-            lambda: self._world.platform.update(kind, name, value, version)
+            lambda: self._simulation.platform.update(kind, name, value, version)
         )
         return written
 
@@ -155,12 +157,12 @@
     async def _call(self, call: Callable[[], Any]) -> Any:
         await self._pauses.step()
         await asyncio.sleep(0.005)
-        faults = self._world.platform_faults
+        faults = self._simulation.platform_faults
         fault = faults.pop(0) if faults else "none"
         if fault != "none":
-            self._world.platform.faults.arm(fault)
+            self._simulation.platform.faults.arm(fault)
         outcome = await call()
-        self._world.platform.faults.by_name.clear()
+        self._simulation.platform.faults.by_name.clear()
         await asyncio.sleep(0.005)
         await self._pauses.step()
         return outcome
@@ -169,85 +171,89 @@
 class PausedEngines:
     """Engines as one router reaches them; see EngineOrders."""
 
-    def __init__(self, world: World, router: str, pauses: Pauses) -> None:
-        self._world = world
+    def __init__(self, simulation: Simulation, router: str, pauses: Pauses) -> None:
+        self._simulation = simulation
         self._router = router
         self._pauses = pauses
 
-    async def state(self, url: str) -> Reported | Silent:
+    async def state(self, url: str) -> StateReported | NoReply:
         await self._pauses.step()
-        return Reported(self._world.book_by_engine[url].told(now()))
+        return StateReported(self._simulation.book_by_engine[url].told(now()))
 
-    async def order(self, url: str, wanted: Wanted, fencing: int, seconds: float) -> OrderOutcome:
-        asked = now()
+    async def order(
+        self, url: str, wanted: DesiredState, fencing: int, seconds: float
+    ) -> OrderOutcome:
+        asked_at = now()
         await self._pauses.step()
-        promised = now() - asked <= PROMISED_PAUSE
-        faults = self._world.order_faults
+        within_safe_pause = now() - asked_at <= MAX_SAFE_PAUSE
+        faults = self._simulation.order_faults
         fault = faults.pop(0) if faults else "none"
         if fault == "unreachable":
             return NotTaken("unreachable")
         await asyncio.sleep(ORDER_LATENESS if fault == "late" else 0.005)
-        outcome = self._world.book_by_engine[url].take(wanted, fencing, now())
-        if len(self._world.book_by_engine[url].orders) > self._effects_at(url):
-            effect = Effect(url, self._router, fencing, now(), promised)
-            self._world.effects.append(effect)
+        outcome = self._simulation.book_by_engine[url].take(wanted, fencing, now())
+        if len(self._simulation.book_by_engine[url].orders) > self._executed_count(url):
+            executed = ExecutedOrder(url, self._router, fencing, now(), within_safe_pause)
+            self._simulation.executed_orders.append(executed)
         await self._pauses.step()
         return OrderUnknown("lost") if fault == "answer-lost" else outcome
 
-    def _effects_at(self, url: str) -> int:
-        return sum(effect.engine == url for effect in self._world.effects)
+    def _executed_count(self, url: str) -> int:
+        return sum(effect.engine == url for effect in self._simulation.executed_orders)
 
 
-class RouterSide:
+class SimulatedRouter:
     """One router's orderer; a restart makes a new one under the same name."""
 
-    def __init__(self, name: str, world: World, pauses: list[float], seed: int) -> None:
+    def __init__(self, name: str, simulation: Simulation, pauses: list[float], seed: int) -> None:
         self.name = name
         #: Whether this router believes that it should be the holder.
-        self.wanted = False
-        self._world = world
+        self.should_hold = False
+        self._simulation = simulation
         rng = random.Random(f"{name} {seed}")
         self.pauses = Pauses(pauses)
         self.orderer = Orderer(
             SERVICE,
             self,
-            PausedPlatform(world, self.pauses),
-            PausedEngines(world, f"{name}/{seed}", self.pauses),
+            PausedPlatform(simulation, self.pauses),
+            PausedEngines(simulation, f"{name}/{seed}", self.pauses),
             LeaseKeeper(name, TERMS, lambda: f"{rng.getrandbits(64):016x}"),
             now,
             self.pauses.sleep,
         )
         self.task = asyncio.ensure_future(self.orderer.run())
 
-    def wants_to_order(self, service: str) -> bool:
-        return self.wanted
+    def should_hold_lease(self, service: str) -> bool:
+        return self.should_hold
 
     def orders_of(self, service: str) -> OrdersSpec | None:
-        return self._world.spec
+        return self._simulation.spec
 
     def platform_era(self) -> int:
         return 0  # Nobody hears of it but by calls of its own.
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
-        return self._world.engines()
+        return self._simulation.engines()
 
     def kill(self) -> None:
         self.task.cancel()
 
 
-def violations(world: World) -> list[str]:
+def violations(simulation: Simulation) -> list[str]:
     """Return every promise that the order of effects breaks."""
-    found = []
+    broken_promises = []
     routers_by_number: dict[int, set[str]] = {}
-    for effect in world.effects:
-        routers_by_number.setdefault(effect.fencing, set()).add(effect.router)
+    for executed in simulation.executed_orders:
+        routers_by_number.setdefault(executed.fencing, set()).add(executed.router)
     for number, routers in routers_by_number.items():
         if len(routers) > 1:
-            found.append(f"number {number} was used by {sorted(routers)}")
-    for engine in world.book_by_engine:
+            broken_promises.append(f"number {number} was used by {sorted(routers)}")
+    for engine in simulation.book_by_engine:
         highest = 0
-        for effect in (each for each in world.effects if each.engine == engine):
-            if effect.fencing < highest and (effect.promised or engine == "checking"):
-                found.append(f"{engine} obeyed {effect.fencing} after {highest} at {effect.at}")
-            highest = max(highest, effect.fencing)
-    return found
+        for executed in (each for each in simulation.executed_orders if each.engine == engine):
+            if executed.fencing < highest and (executed.within_safe_pause or engine == "checking"):
+                broken_promises.append(
+                    f"{engine} obeyed {executed.fencing} after {highest} at {executed.at}"
+                )
+            highest = max(highest, executed.fencing)
+    return broken_promises
--- a/pondhatch/authority/tests/test_eras.py
+++ b/pondhatch/authority/tests/test_eras.py
@@ -5,10 +5,10 @@
 import unittest
 
 from pondhatch.authority import LeaseKeeper
-from pondhatch.authority._lease_record import LeaseRecord, Read, Terms, Write
+from pondhatch.authority._lease_record import LeaseRecord, LeaseTimings, ReadLease, WriteLease
 from pondhatch.store import Accepted, Conflict, Found, Missing, StoredObject, position_of
 
-TERMS = Terms()
+TERMS = LeaseTimings()
 
 
 def keeper(name: str = "r0") -> LeaseKeeper:
@@ -16,122 +16,131 @@
     return LeaseKeeper(name, TERMS, lambda: f"{name} {next(nonces)}")
 
 
-def found(record: dict[str, object], era: int, revision: int) -> Found:
+def found_record(record: dict[str, object], era: int, revision: int) -> Found:
     return Found(StoredObject("pondhatch-lease", "s", position_of(era, revision), record))
 
 
-def record(holder: str, fencing: int, released: bool = False) -> dict[str, object]:
+def record_value(holder: str, fencing: int, released: bool = False) -> dict[str, object]:
     return {"holder": holder, "fencing": fencing, "nonce": "n", "released": released}
 
 
-def holder(era: int = 1) -> tuple[LeaseKeeper, float]:
+def new_holder(era: int = 1) -> tuple[LeaseKeeper, float]:
     """Return the holder of a lease that nobody held before, and when it became so."""
     held = keeper()
-    held.told_era(0.0, era)
+    held.observe_era(0.0, era)
     at = TERMS.duration
-    assert isinstance(held.due(at, True, False), Read)
-    held.told_read(at, Missing(position_of(era, 5)))
-    assert isinstance(held.due(at, True, False), Write)
-    held.told_write(at, Accepted(position_of(era, 6)))
+    assert isinstance(held.next_call(at, True, False), ReadLease)
+    held.handle_read(at, Missing(position_of(era, 5)))
+    assert isinstance(held.next_call(at, True, False), WriteLease)
+    held.handle_write(at, Accepted(position_of(era, 6)))
     return held, at
 
 
 class HolderTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.keeper, self.at = holder()
+        self.keeper, self.at = new_holder()
 
-    def test_it_orders_until_it_hears_of_the_new_era_from_whomever(self) -> None:
-        self.assertIsNotNone(self.keeper.fencing(self.at + 1, True))
-        self.keeper.told_era(self.at + 1, 2)
+    def test_it_stops_giving_orders_once_it_learns_of_a_new_era(self) -> None:
+        self.assertIsNotNone(self.keeper.order_fencing(self.at + 1, True))
+        self.keeper.observe_era(self.at + 1, 2)
         self.assertFalse(self.keeper.is_holder())
-        self.assertIsNone(self.keeper.fencing(self.at + 1, True))
+        self.assertIsNone(self.keeper.order_fencing(self.at + 1, True))
 
-    def test_its_own_record_in_the_copy_does_not_make_it_the_holder(self) -> None:
+    def test_its_own_record_in_the_restored_copy_does_not_make_it_the_holder(self) -> None:
         written = self.keeper.record
         assert written is not None
-        told = record(written.holder, written.fencing) | {"nonce": written.nonce}
-        self.keeper.told_read(self.at + 1, found(told, 2, 6))
+        value = record_value(written.holder, written.fencing) | {"nonce": written.nonce}
+        self.keeper.handle_read(self.at + 1, found_record(value, 2, 6))
         self.assertFalse(self.keeper.is_holder())
 
-    def test_a_write_that_crossed_the_return_does_not_either(self) -> None:
-        due = self.keeper.due(self.at + TERMS.renew_every, True, False)
-        self.assertIsInstance(due, Write)
-        self.keeper.told_write(self.at + TERMS.renew_every, Accepted(position_of(2, 7)))
+    def test_a_write_accepted_in_a_new_era_does_not_make_it_the_holder(self) -> None:
+        call = self.keeper.next_call(self.at + TERMS.renew_every, True, False)
+        self.assertIsInstance(call, WriteLease)
+        self.keeper.handle_write(self.at + TERMS.renew_every, Accepted(position_of(2, 7)))
         self.assertFalse(self.keeper.is_holder())
-        self.assertIsInstance(self.keeper.due(self.at + TERMS.renew_every, True, False), Read)
+        self.assertIsInstance(
+            self.keeper.next_call(self.at + TERMS.renew_every, True, False), ReadLease
+        )
 
-    def test_an_answer_of_an_era_that_is_over_says_nothing(self) -> None:
-        self.keeper.told_era(self.at + 1, 2)
-        self.keeper.told_read(self.at + 1, Missing(position_of(1, 9)))
+    def test_a_reply_from_an_earlier_era_is_ignored(self) -> None:
+        self.keeper.observe_era(self.at + 1, 2)
+        self.keeper.handle_read(self.at + 1, Missing(position_of(1, 9)))
         later = self.at + 1 + TERMS.duration
-        self.assertIsInstance(self.keeper.due(later, True, False), Read)
+        self.assertIsInstance(self.keeper.next_call(later, True, False), ReadLease)
 
 
 class CandidateTest(unittest.TestCase):
-    def claims_at(self, candidate: LeaseKeeper, told: Found | Missing, at: float) -> bool:
-        candidate.told_read(at, told)
-        return isinstance(candidate.due(at + TERMS.read_every, True, False), Write)
+    def claims_at(self, candidate: LeaseKeeper, outcome: Found | Missing, at: float) -> bool:
+        candidate.handle_read(at, outcome)
+        return isinstance(candidate.next_call(at + TERMS.read_every, True, False), WriteLease)
 
-    def test_it_claims_nothing_for_a_leases_time_whatever_the_copy_shows(self) -> None:
-        shown = (
+    def test_it_claims_nothing_for_one_lease_duration_after_a_restore(self) -> None:
+        outcomes = (
             Missing(position_of(2, 5)),
-            found(record("gone", 3, released=True), 2, 5),
-            found(record("gone", 3), 2, 5),
+            found_record(record_value("gone", 3, released=True), 2, 5),
+            found_record(record_value("gone", 3), 2, 5),
         )
-        for told in shown:
+        for outcome in outcomes:
             for remembers in (False, True):
-                with self.subTest(told=told, remembers=remembers):
+                with self.subTest(told=outcome, remembers=remembers):
                     candidate = keeper("r1")
                     if remembers:
-                        candidate.told_era(0.0, 1)
-                    candidate.due(50.0, True, False)
-                    self.assertFalse(self.claims_at(candidate, told, 50.0))
-                    self.assertTrue(self.claims_at(candidate, told, 50.0 + TERMS.duration))
-
-    def test_its_number_is_above_all_that_were_used_though_it_remembers_none(self) -> None:
-        former, at = holder()
-        used = former.fencing(at, True)
+                        candidate.observe_era(0.0, 1)
+                    candidate.next_call(50.0, True, False)
+                    self.assertFalse(self.claims_at(candidate, outcome, 50.0))
+                    self.assertTrue(self.claims_at(candidate, outcome, 50.0 + TERMS.duration))
+
+    def test_its_fencing_number_is_above_those_of_earlier_eras(self) -> None:
+        former, at = new_holder()
+        used = former.order_fencing(at, True)
         candidate = keeper("r1")
-        candidate.told_era(at, 2)
+        candidate.observe_era(at, 2)
         at += TERMS.duration
-        candidate.due(at, True, False)
-        candidate.told_read(at, Missing(position_of(2, 1)))
-        claim = candidate.due(at + TERMS.read_every, True, False)
-        assert isinstance(claim, Write) and used is not None
+        candidate.next_call(at, True, False)
+        candidate.handle_read(at, Missing(position_of(2, 1)))
+        claim = candidate.next_call(at + TERMS.read_every, True, False)
+        assert isinstance(claim, WriteLease) and used is not None
         self.assertGreater(claim.record.fencing, used)
 
-    def test_it_leaves_engines_that_ignore_numbers_alone_as_after_an_emergency(self) -> None:
+    def test_a_new_era_delays_orders_to_engines_that_ignore_fencing(self) -> None:
         candidate = keeper("r1")
-        candidate.told_era(0.0, 2)
+        candidate.observe_era(0.0, 2)
         at = TERMS.duration
-        candidate.due(at, True, False)
-        candidate.told_read(at, found(record("gone", 3), 2, 5))
+        candidate.next_call(at, True, False)
+        candidate.handle_read(at, found_record(record_value("gone", 3), 2, 5))
         at += TERMS.duration
-        candidate.due(at, True, False)
-        candidate.told_write(at, Accepted(position_of(2, 6)))
-        self.assertIsNone(candidate.fencing(at, checks_fencing=False))
-        self.assertIsNotNone(candidate.fencing(at, checks_fencing=True))
-
-    def test_nor_does_a_record_that_is_gone_or_given_up_show_that_it_was_planned(self) -> None:
-        for told in (Missing(position_of(2, 5)), found(record("gone", 3, released=True), 2, 5)):
-            with self.subTest(told=told):
+        candidate.next_call(at, True, False)
+        candidate.handle_write(at, Accepted(position_of(2, 6)))
+        self.assertIsNone(candidate.order_fencing(at, checks_fencing=False))
+        self.assertIsNotNone(candidate.order_fencing(at, checks_fencing=True))
+
+    def test_a_missing_or_released_record_in_a_new_era_delays_them_too(self) -> None:
+        for outcome in (
+            Missing(position_of(2, 5)),
+            found_record(record_value("gone", 3, released=True), 2, 5),
+        ):
+            with self.subTest(told=outcome):
                 candidate = keeper("r1")
-                candidate.told_era(0.0, 2)
+                candidate.observe_era(0.0, 2)
                 at = TERMS.duration
-                candidate.due(at, True, False)
-                candidate.told_read(at, told)
-                self.assertIsInstance(candidate.due(at + TERMS.read_every, True, False), Write)
+                candidate.next_call(at, True, False)
+                candidate.handle_read(at, outcome)
+                self.assertIsInstance(
+                    candidate.next_call(at + TERMS.read_every, True, False), WriteLease
+                )
                 at += TERMS.read_every
-                candidate.told_write(at, Accepted(position_of(2, 6)))
-                self.assertIsNone(candidate.fencing(at, checks_fencing=False))
-                self.assertIsNotNone(candidate.fencing(at + TERMS.settle, checks_fencing=False))
+                candidate.handle_write(at, Accepted(position_of(2, 6)))
+                self.assertIsNone(candidate.order_fencing(at, checks_fencing=False))
+                self.assertIsNotNone(
+                    candidate.order_fencing(at + TERMS.unfenced_delay, checks_fencing=False)
+                )
 
-    def test_a_platform_without_eras_is_as_it_was(self) -> None:
+    def test_a_platform_without_eras_can_be_claimed_at_once(self) -> None:
         candidate = keeper("r1")
-        candidate.due(0.0, True, False)
-        candidate.told_read(0.0, Missing())
-        claim = candidate.due(0.0, True, False)
-        assert isinstance(claim, Write)
+        candidate.next_call(0.0, True, False)
+        candidate.handle_read(0.0, Missing())
+        claim = candidate.next_call(0.0, True, False)
+        assert isinstance(claim, WriteLease)
         self.assertEqual(claim.record, LeaseRecord("r1", 1, claim.record.nonce))
-        candidate.told_write(0.0, Conflict())
-        self.assertIsInstance(candidate.due(0.0, True, False), Read)
+        candidate.handle_write(0.0, Conflict())
+        self.assertIsInstance(candidate.next_call(0.0, True, False), ReadLease)
--- a/pondhatch/cli/_change_commands.py
+++ b/pondhatch/cli/_change_commands.py
@@ -13,13 +13,13 @@
     CHANGES_PER_SNAPSHOT,
     Change,
     Edit,
-    Fleet,
+    FleetConfiguration,
     Published,
-    checked,
-    differences,
+    changed_edits,
+    checked_configuration,
     publish,
+    read_configuration,
     read_files,
-    read_fleet,
     write_snapshot,
 )
 from pondhatch.store import Platform
@@ -31,7 +31,7 @@
     :param files: YAML files, or folders of them
     """
     sources = read_files(files)
-    fleet = checked(Fleet(), sources, sources.edits)
+    fleet = checked_configuration(FleetConfiguration(), sources, sources.edits)
     services, accounts = len(fleet.service_by_name), len(fleet.policy_by_account)
     print(f"ok: {services} services, {len(fleet.template_by_name)} templates, {accounts} accounts")
     return EXIT_DONE
@@ -66,9 +66,9 @@
     """
     sources = read_files(files)
 
-    async def work(store: Platform, fleet: Fleet) -> int:
-        edits = differences(fleet, sources, prune)
-        edited = checked(fleet, sources, edits)
+    async def work(store: Platform, fleet: FleetConfiguration) -> int:
+        edits = changed_edits(fleet, sources, prune)
+        edited = checked_configuration(fleet, sources, edits)
         print_edits(edits, fleet, edited)
         if dry_run or not edits:
             return EXIT_DONE
@@ -85,19 +85,19 @@
     :param author: who takes it back
     """
 
-    async def work(store: Platform, fleet: Fleet) -> int:
-        undone = next((each for each in fleet.recent if each.version == version), None)
+    async def work(store: Platform, fleet: FleetConfiguration) -> int:
+        undone = next((each for each in fleet.recent_changes if each.version == version), None)
         if undone is None:
             print(
                 f"change {version} is not among those kept since the last snapshot", file=sys.stderr
             )
             return EXIT_INPUT
-        before = await read_fleet(store, Fleet(), until=version - 1)
-        if not isinstance(before, Fleet):
+        before = await read_configuration(store, FleetConfiguration(), until_version=version - 1)
+        if not isinstance(before, FleetConfiguration):
             return unreadable(before)
         edits = _inverse(before, undone)
         edited = fleet.with_edits(edits)
-        if not isinstance(edited, Fleet):
+        if not isinstance(edited, FleetConfiguration):
             print(f"cannot take back change {version}: {edited}", file=sys.stderr)
             return EXIT_INPUT
         print_edits(edits, fleet, edited)
@@ -107,11 +107,11 @@
     return run_on_fleet(platform, work)
 
 
-def _change(fleet: Fleet, edits: tuple[Edit, ...], author: str, note: str) -> Change:
+def _change(fleet: FleetConfiguration, edits: tuple[Edit, ...], author: str, note: str) -> Change:
     return Change(fleet.version + 1, uuid.uuid4().hex, author, time.time(), note, edits)
 
 
-def _inverse(before: Fleet, undone: Change) -> tuple[Edit, ...]:
+def _inverse(before: FleetConfiguration, undone: Change) -> tuple[Edit, ...]:
     """Return edits that restore what stood before a change."""
     return tuple(
         Edit(edit.kind, edit.name, before.value_or_none(edit.kind, edit.name))
@@ -119,7 +119,7 @@
     )
 
 
-async def _publish(store: Platform, change: Change, edited: Fleet) -> int:
+async def _publish(store: Platform, change: Change, edited: FleetConfiguration) -> int:
     """Publish a change, print what became of it, and return the exit code."""
     outcome = await publish(store, change)
     if isinstance(outcome, Published):
@@ -127,9 +127,9 @@
     return report(outcome)
 
 
-async def _snapshot_if_due(store: Platform, edited: Fleet, version: int) -> None:
+async def _snapshot_if_due(store: Platform, edited: FleetConfiguration, version: int) -> None:
     if version % CHANGES_PER_SNAPSHOT != 0:
         return
-    fleet = await read_fleet(store, Fleet())
-    if isinstance(fleet, Fleet) and fleet.version >= version:
+    fleet = await read_configuration(store, FleetConfiguration())
+    if isinstance(fleet, FleetConfiguration) and fleet.version >= version:
         await write_snapshot(store, fleet.snapshot())
--- a/pondhatch/cli/_own_state.py
+++ b/pondhatch/cli/_own_state.py
@@ -46,7 +46,7 @@
         retries=RetryBudgets(_allowance(settings.retries)),
         halls=HallStates(settings.regions or {}),
         cold_paces=ColdPaces(_cold_allowance(settings.cold)),
-        held=HeldBytes(settings.held_bytes),
+        held=HeldBytes(settings.held_bytes_bound),
         engine_queue=settings.service_defaults.engine_queue,
         load_management=load_management,
     )
--- a/pondhatch/cli/_reports.py
+++ b/pondhatch/cli/_reports.py
@@ -5,10 +5,10 @@
 import sys
 
 from pondhatch.configuration import (
-    Beaten,
-    Broken,
     Edit,
-    Fleet,
+    FleetConfiguration,
+    Inconsistent,
+    LostRace,
     NotWritten,
     Published,
     PublishOutcome,
@@ -22,7 +22,9 @@
 EXIT_UNKNOWN = 5
 
 
-def print_edits(edits: tuple[Edit, ...], before: Fleet, after: Fleet) -> None:
+def print_edits(
+    edits: tuple[Edit, ...], before: FleetConfiguration, after: FleetConfiguration
+) -> None:
     """Print what edits change, and every account that they touch."""
     for edit in edits:
         known = (edit.kind, edit.name) in before.raw_by_entry
@@ -44,8 +46,8 @@
     if isinstance(outcome, Published):
         print(f"accepted as version {outcome.version}")
         return EXIT_DONE
-    if isinstance(outcome, Beaten):
-        theirs = outcome.theirs
+    if isinstance(outcome, LostRace):
+        theirs = outcome.winner
         print(f"conflict: {theirs.author} made change {theirs.version} first:", file=sys.stderr)
         for edit in theirs.edits:
             print(f"  {edit.kind} {edit.name}: {edit.value}", file=sys.stderr)
@@ -54,7 +56,7 @@
     if isinstance(outcome, NotWritten):
         print(f"nothing was applied: {outcome.reason}", file=sys.stderr)
         return EXIT_UNREACHABLE
-    if isinstance(outcome, Broken):
+    if isinstance(outcome, Inconsistent):
         print(f"nothing was applied: {outcome.reason}", file=sys.stderr)
         return EXIT_INPUT
     print(
@@ -65,7 +67,7 @@
     return EXIT_UNKNOWN
 
 
-def unreadable(found: Unavailable | Broken) -> int:
+def unreadable(found: Unavailable | Inconsistent) -> int:
     """Print why the configuration cannot be read; return the exit code."""
     print(f"cannot read the configuration: {found.reason}", file=sys.stderr)
     return EXIT_UNREACHABLE if isinstance(found, Unavailable) else EXIT_INPUT
--- a/pondhatch/cli/_view_commands.py
+++ b/pondhatch/cli/_view_commands.py
@@ -7,7 +7,7 @@
 
 from pondhatch.cli._platform_work import run_on_fleet
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT
-from pondhatch.configuration import Fleet
+from pondhatch.configuration import FleetConfiguration
 from pondhatch.store import Platform
 
 
@@ -18,7 +18,7 @@
     :param name: show only this account
     """
 
-    async def work(_: Platform, fleet: Fleet) -> int:
+    async def work(_: Platform, fleet: FleetConfiguration) -> int:
         print(f"version {fleet.version}")
         for account, policy in sorted(fleet.policy_by_account.items()):
             if name in ("", account):
@@ -37,8 +37,8 @@
     :param platform: the platform's URL
     """
 
-    async def work(_: Platform, fleet: Fleet) -> int:
-        for change in fleet.recent:
+    async def work(_: Platform, fleet: FleetConfiguration) -> int:
+        for change in fleet.recent_changes:
             at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(change.made_at))
             what = ", ".join(f"{edit.kind} {edit.name}" for edit in change.edits)
             print(f"{change.version}  {at} UTC  {change.author}  {change.note or '-'}: {what}")
--- a/pondhatch/configuration/__init__.py
+++ b/pondhatch/configuration/__init__.py
@@ -1,43 +1,39 @@
 """Configuration: settings, templates, accounts, and the log of changes."""
 
 from pondhatch.configuration._changes import (
-    KINDS,
-    UNREADABLE,
+    ENTRY_KINDS,
+    UNREADABLE_KEY,
     Change,
     Difference,
     Edit,
     EntryKey,
     Snapshot,
     Update,
-    change_name,
+    change_object_name,
 )
 from pondhatch.configuration._editing import CALLER_BOUNDS
-from pondhatch.configuration._files import Sources, checked, differences, read_files
-from pondhatch.configuration._fit import Misfit, fit, told
-from pondhatch.configuration._fleet import Fleet, Gap, Rejected
-from pondhatch.configuration._following import (
-    ChangeLog,
-    ConfigurationSource,
-    News,
-)
-from pondhatch.configuration._following import (
-    Document as ConfigurationDocument,
+from pondhatch.configuration._files import (
+    FileEntries,
+    changed_edits,
+    checked_configuration,
+    read_files,
 )
+from pondhatch.configuration._fleet import FleetConfiguration, Rejected, VersionGap
 from pondhatch.configuration._problems import ConfigurationError, Problem
 from pondhatch.configuration._publishing import (
     CHANGE_KIND,
     CHANGES_PER_SNAPSHOT,
-    Beaten,
-    Broken,
+    Inconsistent,
+    LostRace,
     NotWritten,
     Published,
     PublishOutcome,
     Unresolved,
     publish,
-    read_fleet,
+    read_configuration,
     write_snapshot,
 )
-from pondhatch.configuration._routes import Route, RouteTable, Withheld
+from pondhatch.configuration._routes import Route, RouteTable, UnusableRoute
 from pondhatch.configuration._schema import (
     AccountPolicy,
     AccountSpec,
@@ -70,7 +66,14 @@
     load_fleet_key,
     load_settings,
 )
-from pondhatch.configuration._yaml import Document, load, parse
+from pondhatch.configuration._sources import (
+    ChangeLog,
+    ConfigurationDocument,
+    ConfigurationEvent,
+    ConfigurationSource,
+)
+from pondhatch.configuration._validation import Misfit, format_misfits, validate
+from pondhatch.configuration._yaml import YamlDocument, load_yaml, parse_yaml
 
 __all__ = [
     "RegionNames",
@@ -84,7 +87,7 @@
     "ChangeLog",
     "ConfigurationDocument",
     "ConfigurationSource",
-    "News",
+    "ConfigurationEvent",
     "CALLER_BOUNDS",
     "CallerBounds",
     "Repeats",
@@ -94,23 +97,23 @@
     "RouteTarget",
     "CHANGES_PER_SNAPSHOT",
     "CHANGE_KIND",
-    "KINDS",
+    "ENTRY_KINDS",
     "AccountPolicy",
     "AccountSpec",
-    "Beaten",
-    "Broken",
+    "LostRace",
+    "Inconsistent",
     "CallerEndpoint",
     "CallerLimits",
     "Change",
     "Difference",
     "ConfigurationError",
-    "Document",
+    "YamlDocument",
     "Edit",
     "EntryKey",
     "PeerEndpoint",
-    "Fleet",
+    "FleetConfiguration",
     "FleetFile",
-    "Gap",
+    "VersionGap",
     "LogSettings",
     "MemorySettings",
     "Misfit",
@@ -123,25 +126,25 @@
     "ServiceSpec",
     "Settings",
     "Snapshot",
-    "Sources",
+    "FileEntries",
     "StatsdEndpoint",
     "TemplateSpec",
-    "UNREADABLE",
-    "Withheld",
+    "UNREADABLE_KEY",
+    "UnusableRoute",
     "Unresolved",
     "Update",
     "VmSettings",
-    "change_name",
-    "checked",
-    "differences",
-    "fit",
-    "load",
+    "change_object_name",
+    "checked_configuration",
+    "changed_edits",
+    "validate",
+    "load_yaml",
     "load_fleet_key",
     "load_settings",
-    "parse",
-    "told",
+    "parse_yaml",
+    "format_misfits",
     "publish",
     "read_files",
-    "read_fleet",
+    "read_configuration",
     "write_snapshot",
 ]
--- a/pondhatch/configuration/_account_editing.py
+++ b/pondhatch/configuration/_account_editor.py
@@ -7,26 +7,26 @@
 import msgspec
 from msgspec.structs import replace
 
-from pondhatch.configuration._fit import Misfit
-from pondhatch.configuration._misfit_notes import MisfitNotes
+from pondhatch.configuration._misfit_collector import MisfitCollector
 from pondhatch.configuration._schema import AccountPolicy, AccountSpec, ServiceSpec, TemplateSpec
 from pondhatch.configuration._templates import fill_in, undefined_services
+from pondhatch.configuration._validation import Misfit
 
 
-class AccountEditing:
+class AccountEditor:
     """Policies by account and accounts by key, as edits change them."""
 
     def __init__(
         self,
         policies: Mapping[str, AccountPolicy],
         account_by_key_hash: Mapping[str, str],
-        notes: MisfitNotes,
+        misfits: MisfitCollector,
     ) -> None:
         self.policies = dict(policies)
         self.account_by_key_hash = dict(account_by_key_hash)
-        self._notes = notes
+        self._misfits = misfits
 
-    def forget(self, account: str, raw: bytes | None) -> None:
+    def remove(self, account: str, raw: bytes | None) -> None:
         """Forget an account and the keys that it had as it was written before."""
         self.policies.pop(account, None)
         for key_hash in _key_hashes(raw):
@@ -43,27 +43,29 @@
         """Put an account in force, with the services that are there."""
         policy = fill_in(spec, template)
         if not isinstance(policy, AccountPolicy):
-            self._notes.note_all("account", account, policy)
+            self._misfits.add_all("account", account, policy)
             return
-        self._notes.note_all("account", account, undefined_services(policy, services))
+        self._misfits.add_all("account", account, undefined_services(policy, services))
         defined = tuple(each for each in policy.services if each in services)
         self.policies[account] = replace(policy, services=defined)
-        for at, key_hash in enumerate(spec.key_hashes):
-            self._claim(account, at, key_hash)
+        for index, key_hash in enumerate(spec.key_hashes):
+            self._assign_key(account, index, key_hash)
 
-    def _claim(self, account: str, at: int, key_hash: str) -> None:
+    def _assign_key(self, account: str, index: int, key_hash: str) -> None:
         """Give a key to an account; of two that claim it, to the first by name."""
         other = self.account_by_key_hash.get(key_hash, account)
         winner, loser = sorted((account, other))
         self.account_by_key_hash[key_hash] = winner
         if winner == loser:
             return
-        wrong = Misfit(("key_hashes", at), _another_key(other))
+        misfit = Misfit(("key_hashes", index), _duplicate_key_text(other))
         if loser == account:
-            self._notes.note("account", account, wrong)
+            self._misfits.add("account", account, misfit)
             return
-        self._notes.keep("account", loser, Misfit(("key_hashes",), _another_key(winner)))
-        self._notes.blame("account", account, wrong)
+        self._misfits.add_affected(
+            "account", loser, Misfit(("key_hashes",), _duplicate_key_text(winner))
+        )
+        self._misfits.add_cause("account", account, misfit)
 
 
 def _key_hashes(raw: bytes | None) -> list[str]:
@@ -73,5 +75,5 @@
     return [each for each in hashes if isinstance(each, str)] if isinstance(hashes, list) else []
 
 
-def _another_key(other: str) -> str:
+def _duplicate_key_text(other: str) -> str:
     return f"expected a key of its own, found that of account {other!r}"
--- a/pondhatch/configuration/_changes.py
+++ b/pondhatch/configuration/_changes.py
@@ -12,12 +12,12 @@
 import msgspec
 
 #: Kinds of entries, in the order in which they are checked.
-KINDS = ("service", "route", "bounds", "template", "account")
+ENTRY_KINDS = ("service", "route", "bounds", "template", "account")
 
 
 #: Field of an entry that could not be read in full where it came from: why. Its other fields
 #: are what could be read of it; where they are enough for an entry, that is in force.
-UNREADABLE = "unreadable"
+UNREADABLE_KEY = "unreadable"
 #: (kind, name) of an entry.
 EntryKey = tuple[str, str]
 
@@ -71,6 +71,6 @@
     difference: Difference | None = None
 
 
-def change_name(version: int) -> str:
+def change_object_name(version: int) -> str:
     """Return the name of a change's object; names sort as versions do."""
     return f"{version:012d}"
--- a/pondhatch/configuration/_claims.py
+++ b/pondhatch/configuration/_cross_checks.py
@@ -7,17 +7,17 @@
 
 from msgspec.structs import replace
 
-from pondhatch.configuration._fit import Misfit
-from pondhatch.configuration._misfit_notes import MisfitNotes
-from pondhatch.configuration._routes import Place
+from pondhatch.configuration._misfit_collector import MisfitCollector
+from pondhatch.configuration._routes import RouteKey
 from pondhatch.configuration._schema import RouteSpec, ServiceSpec
+from pondhatch.configuration._validation import Misfit
 
 #: Prefix of all paths of a host.
-WHOLE_HOST = "/"
+ROOT_PREFIX = "/"
 
 
 def usable_routes(
-    written: Mapping[str, RouteSpec], services: Mapping[str, ServiceSpec], notes: MisfitNotes
+    declared: Mapping[str, RouteSpec], services: Mapping[str, ServiceSpec], misfits: MisfitCollector
 ) -> dict[str, RouteSpec]:
     """Return the routes that can be used, by name.
 
@@ -25,26 +25,26 @@
     there is left out, and a route with no other as well.
     """
     usable: dict[str, RouteSpec] = {}
-    claimed: dict[Place, str] = {}
-    for name, route in sorted(written.items()):
+    claimed: dict[RouteKey, str] = {}
+    for name, route in sorted(declared.items()):
         other = claimed.setdefault((route.host.lower(), route.path_prefix), name)
         if other != name:
-            wrong = f"expected a host and prefix of its own, found those of route {other!r}"
-            notes.note("route", name, Misfit(("path_prefix",), wrong))
+            expected = f"expected a host and prefix of its own, found those of route {other!r}"
+            misfits.add("route", name, Misfit(("path_prefix",), expected))
             continue
-        found = _with_defined_targets(name, route, services, notes)
-        if found is not None:
-            usable[name] = found
+        usable_route = _with_defined_targets(name, route, services, misfits)
+        if usable_route is not None:
+            usable[name] = usable_route
     return usable
 
 
 def _with_defined_targets(
-    name: str, route: RouteSpec, services: Mapping[str, ServiceSpec], notes: MisfitNotes
+    name: str, route: RouteSpec, services: Mapping[str, ServiceSpec], misfits: MisfitCollector
 ) -> RouteSpec | None:
-    for at, target in enumerate(route.targets):
+    for index, target in enumerate(route.targets):
         if target.service not in services:
-            wrong = f"undefined service {target.service!r}"
-            notes.note("route", name, Misfit(("targets", at, "service"), wrong))
+            expected = f"undefined service {target.service!r}"
+            misfits.add("route", name, Misfit(("targets", index, "service"), expected))
     defined = tuple(each for each in route.targets if each.service in services)
     if defined == route.targets:
         return route
@@ -52,7 +52,7 @@
 
 
 def check_services(
-    services: Mapping[str, ServiceSpec], routes: Mapping[str, RouteSpec], notes: MisfitNotes
+    services: Mapping[str, ServiceSpec], routes: Mapping[str, RouteSpec], misfits: MisfitCollector
 ) -> None:
     """Note services that claim the same as another, or that nothing reaches."""
     claimed: dict[str, str] = {}
@@ -60,21 +60,21 @@
         claims = [*spec.models, *([spec.prefix] if spec.prefix else [])]
         if not claims and not routes:
             # Harmless where it was accepted; whoever writes it is told.
-            notes.blame("service", name, Misfit((), "expected models, a prefix or a route"))
+            misfits.add_cause("service", name, Misfit((), "expected models, a prefix or a route"))
         for claim in claims:
             other = claimed.setdefault(claim, name)
             if other != name:
-                wrong = f"{claim!r} is already served by service {other!r}"
-                notes.note("service", name, Misfit((), wrong))
+                expected = f"{claim!r} is already served by service {other!r}"
+                misfits.add("service", name, Misfit((), expected))
 
 
-def withheld_place(value: Any) -> Place | None:
+def readable_route_key(value: Any) -> RouteKey | None:
     """Return the place that a route would have, as far as it can be read."""
     if not isinstance(value, dict) or not isinstance(host := value.get("host"), str):
         return None
     prefix = value.get("path_prefix")
     if not isinstance(prefix, str):
-        return host, WHOLE_HOST
+        return host, ROOT_PREFIX
     # Prefixes are looked up from slash to slash.
     inner = prefix.strip("/")
-    return host, f"/{inner}/" if inner else WHOLE_HOST
+    return host, f"/{inner}/" if inner else ROOT_PREFIX
--- a/pondhatch/configuration/_latest.py
+++ b/pondhatch/configuration/_entry_versions.py
@@ -15,10 +15,10 @@
 #: Entries whose last change is kept at most. A day of the users' plan has 6,700 changes, most
 #: of one entry; with 0.2 KB each that is below 1 MB. Peers that are further behind are given
 #: the whole configuration.
-MOST_KEPT = 4096
+MAX_ENTRIES = 4096
 
 
-class LatestChanges(msgspec.Struct, frozen=True):
+class EntryVersions(msgspec.Struct, frozen=True):
     """The version of the last change of each entry that changed. Never changed in place."""
 
     #: The version from which on every change is known.
@@ -26,18 +26,18 @@
     #: Of removed entries too.
     version_by_entry: Mapping[EntryKey, int] = {}
 
-    def followed_by(self, entries: Iterable[EntryKey], version: int) -> LatestChanges:
+    def with_changed(self, entries: Iterable[EntryKey], version: int) -> EntryVersions:
         """Return what is known after a change of some entries."""
-        latest = {**self.version_by_entry, **dict.fromkeys(entries, version)}
-        if len(latest) <= MOST_KEPT:
-            return LatestChanges(self.since, latest)
+        versions = {**self.version_by_entry, **dict.fromkeys(entries, version)}
+        if len(versions) <= MAX_ENTRIES:
+            return EntryVersions(self.since, versions)
         # Whole versions are forgotten, the oldest first: what is known must be all of it.
-        oldest_first = sorted(latest.values())
-        since = oldest_first[len(latest) - MOST_KEPT - 1]
-        kept = {key: at for key, at in latest.items() if at > since}
-        return LatestChanges(since, kept)
+        oldest_first = sorted(versions.values())
+        since = oldest_first[len(versions) - MAX_ENTRIES - 1]
+        kept = {key: at for key, at in versions.items() if at > since}
+        return EntryVersions(since, kept)
 
-    def after(self, version: int) -> frozenset[EntryKey] | None:
+    def changed_since(self, version: int) -> frozenset[EntryKey] | None:
         """Return the entries that changed after a version, or None where that is not known."""
         if version < self.since:
             return None
--- a/pondhatch/configuration/_files.py
+++ b/pondhatch/configuration/_files.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from pondhatch.configuration._changes import Edit, EntryKey
-from pondhatch.configuration._fit import fit
-from pondhatch.configuration._fleet import Fleet, Rejected
+from pondhatch.configuration._fleet import FleetConfiguration, Rejected
 from pondhatch.configuration._problems import ConfigurationError, Problem
 from pondhatch.configuration._schema import FleetFile
-from pondhatch.configuration._yaml import Document, FieldPath, load
+from pondhatch.configuration._validation import validate
+from pondhatch.configuration._yaml import FieldPath, YamlDocument, load_yaml
 
 #: Section of a file by kind of entry.
 SECTION_BY_KIND = {
@@ -23,11 +23,11 @@
 }
 
 
-class Sources(msgspec.Struct, frozen=True):
+class FileEntries(msgspec.Struct, frozen=True):
     """Entries read from files, and the document that each stands in."""
 
     edits: tuple[Edit, ...]
-    document_by_entry: dict[EntryKey, Document]
+    document_by_entry: dict[EntryKey, YamlDocument]
 
     def problem(self, entry: EntryKey, path: FieldPath, expected: str) -> Problem:
         """Return a problem at a field of an entry, with its file and line."""
@@ -39,22 +39,22 @@
         return document.problem(whole_path, expected)
 
 
-def read_files(paths: Iterable[Path]) -> Sources:
+def read_files(paths: Iterable[Path]) -> FileEntries:
     """Read YAML files, or folders of them. Raises ConfigurationError with every problem."""
     problems: list[Problem] = []
     edits: list[Edit] = []
-    document_by_entry: dict[EntryKey, Document] = {}
-    for path in _expanded(paths):
+    document_by_entry: dict[EntryKey, YamlDocument] = {}
+    for path in _expand_folders(paths):
         try:
-            document = load(path)
+            document = load_yaml(path)
         except ConfigurationError as error:
             problems.extend(error.problems)
             continue
-        fitted = fit(FleetFile, document.data)
-        if not isinstance(fitted, FleetFile):
-            problems.extend(document.problem(each.path, each.expected) for each in fitted)
+        validated = validate(FleetFile, document.data)
+        if not isinstance(validated, FleetFile):
+            problems.extend(document.problem(each.path, each.expected) for each in validated)
             continue
-        for edit in _entries(document):
+        for edit in _document_edits(document):
             first = document_by_entry.setdefault((edit.kind, edit.name), document)
             if first is not document:
                 where = (SECTION_BY_KIND[edit.kind], edit.name)
@@ -62,44 +62,46 @@
             edits.append(edit)
     if problems:
         raise ConfigurationError(tuple(problems))
-    return Sources(tuple(edits), document_by_entry)
+    return FileEntries(tuple(edits), document_by_entry)
 
 
-def checked(fleet: Fleet, sources: Sources, edits: Iterable[Edit]) -> Fleet:
+def checked_configuration(
+    fleet: FleetConfiguration, entries: FileEntries, edits: Iterable[Edit]
+) -> FleetConfiguration:
     """Return the configuration with edits; raise ConfigurationError with files and lines."""
     edited = fleet.with_edits(edits)
     if isinstance(edited, Rejected):
         raise ConfigurationError(
             tuple(
-                sources.problem(entry, misfit.path, misfit.expected)
+                entries.problem(entry, misfit.path, misfit.expected)
                 for entry, misfit in edited.misfits
             )
         )
     return edited
 
 
-def differences(fleet: Fleet, sources: Sources, prune: bool) -> tuple[Edit, ...]:
+def changed_edits(fleet: FleetConfiguration, entries: FileEntries, prune: bool) -> tuple[Edit, ...]:
     """Return only the edits that change something; with ``prune`` also the removals."""
     changed = [
         edit
-        for edit in sources.edits
+        for edit in entries.edits
         if fleet.raw_by_entry.get((edit.kind, edit.name)) != msgspec.json.encode(edit.value)
     ]
     if not prune:
         return tuple(changed)
-    kept = {(edit.kind, edit.name) for edit in sources.edits}
+    kept = {(edit.kind, edit.name) for edit in entries.edits}
     removed = [Edit(kind, name) for kind, name in fleet.raw_by_entry if (kind, name) not in kept]
     return (*changed, *removed)
 
 
-def _expanded(paths: Iterable[Path]) -> list[Path]:
+def _expand_folders(paths: Iterable[Path]) -> list[Path]:
     files: list[Path] = []
     for path in paths:
         files.extend(sorted(path.glob("*.yaml")) if path.is_dir() else [path])
     return files
 
 
-def _entries(document: Document) -> list[Edit]:
+def _document_edits(document: YamlDocument) -> list[Edit]:
     return [
         Edit(kind, name, value)
         for kind, section in SECTION_BY_KIND.items()
--- a/pondhatch/configuration/_fleet.py
+++ b/pondhatch/configuration/_fleet.py
@@ -9,9 +9,8 @@
 from msgspec.structs import replace
 
 from pondhatch.configuration._changes import Change, Difference, Edit, EntryKey, Snapshot
-from pondhatch.configuration._editing import with_edits
-from pondhatch.configuration._fit import Misfit, told
-from pondhatch.configuration._latest import LatestChanges
+from pondhatch.configuration._editing import apply_edits
+from pondhatch.configuration._entry_versions import EntryVersions
 from pondhatch.configuration._routes import RouteTable
 from pondhatch.configuration._schema import (
     AccountPolicy,
@@ -19,9 +18,10 @@
     ServiceSpec,
     TemplateSpec,
 )
+from pondhatch.configuration._validation import Misfit, format_misfits
 
 #: Changes kept in memory for peers that are a little behind.
-KEPT_CHANGES = 512
+MAX_RECENT_CHANGES = 512
 
 
 class Rejected(msgspec.Struct, frozen=True):
@@ -32,18 +32,18 @@
 
     def __str__(self) -> str:
         return "; ".join(
-            f"{kind} {name}: {told((misfit,))}" for (kind, name), misfit in self.misfits
+            f"{kind} {name}: {format_misfits((misfit,))}" for (kind, name), misfit in self.misfits
         )
 
 
-class Gap(msgspec.Struct, frozen=True):
+class VersionGap(msgspec.Struct, frozen=True):
     """A change does not follow the version in force; the ones between are missing."""
 
-    in_force: int
+    current: int
     offered: int
 
 
-class Fleet(msgspec.Struct, frozen=True):
+class FleetConfiguration(msgspec.Struct, frozen=True):
     """A configuration as of one version. Never changed in place."""
 
     version: int = 0
@@ -58,13 +58,13 @@
     raw_by_entry: dict[EntryKey, bytes] = msgspec.field(default_factory=dict)
     #: Entries that are not in force as they stand, or only in part, each with what is wrong.
     misfits_by_entry: Mapping[EntryKey, tuple[Misfit, ...]] = msgspec.field(default_factory=dict)
-    recent: tuple[Change, ...] = ()
+    recent_changes: tuple[Change, ...] = ()
     #: When entries changed last, for peers that are behind.
-    latest: LatestChanges = msgspec.field(default_factory=LatestChanges)
+    entry_versions: EntryVersions = msgspec.field(default_factory=EntryVersions)
     #: Equal where all entries are as written, whatever steps they came in.
     fingerprint: int = 0
 
-    def is_whole(self, kind: str) -> bool:
+    def is_fully_applied(self, kind: str) -> bool:
         """Return whether every entry of a kind is in force as it stands."""
         return not any(of == kind for of, _ in self.misfits_by_entry)
 
@@ -100,58 +100,64 @@
         """Return the changes after a version, or None where some are no longer kept."""
         if version >= self.version:
             return ()
-        wanted = tuple(change for change in self.recent if change.version > version)
+        wanted = tuple(change for change in self.recent_changes if change.version > version)
         return wanted if len(wanted) == self.version - version else None
 
-    def with_change(self, change: Change) -> Fleet | Rejected | Gap:
+    def with_change(self, change: Change) -> FleetConfiguration | Rejected | VersionGap:
         """Return the configuration after the next change; never a lower version."""
         if change.version != self.version + 1:
-            return Gap(self.version, change.version)
+            return VersionGap(self.version, change.version)
         edited = self.with_edits(change.edits)
         if isinstance(edited, Rejected):
             return edited
         entries = [(edit.kind, edit.name) for edit in change.edits]
-        return edited._as_of(change.version, self, entries)._with_recent(self, change)
+        return edited._at_version(change.version, self, entries)._with_recent(self, change)
 
-    def voided(self, change: Change) -> Fleet:
+    def with_skipped_change(self, change: Change) -> FleetConfiguration:
         """Return the configuration after a rejected change: a version on, nothing else.
 
         Every router voids the same change, so a bad one never holds up the log.
         """
-        return self._as_of(change.version, self, ())._with_recent(self, change)
+        return self._at_version(change.version, self, ())._with_recent(self, change)
 
-    def _with_recent(self, base: Fleet, change: Change) -> Fleet:
-        return replace(self, recent=(*base.recent, change)[-KEPT_CHANGES:])
+    def _with_recent(self, base: FleetConfiguration, change: Change) -> FleetConfiguration:
+        return replace(self, recent_changes=(*base.recent_changes, change)[-MAX_RECENT_CHANGES:])
 
-    def _as_of(self, version: int, base: Fleet, entries: Iterable[EntryKey]) -> Fleet:
+    def _at_version(
+        self, version: int, base: FleetConfiguration, entries: Iterable[EntryKey]
+    ) -> FleetConfiguration:
         """Return this configuration as a version; ``entries`` may differ from those of ``base``."""
         raw, before = self.raw_by_entry, base.raw_by_entry
-        differ = [key for key in entries if raw.get(key) != before.get(key)]
+        changed = [key for key in entries if raw.get(key) != before.get(key)]
         # Who had nothing before cannot tell peers what differs from it.
-        begins = base.version == 0
-        latest = LatestChanges(version) if begins else base.latest.followed_by(differ, version)
-        return replace(self, version=version, recent=(), latest=latest)
+        is_first = base.version == 0
+        entry_versions = (
+            EntryVersions(version)
+            if is_first
+            else base.entry_versions.with_changed(changed, version)
+        )
+        return replace(self, version=version, recent_changes=(), entry_versions=entry_versions)
 
-    def with_edits(self, edits: Iterable[Edit]) -> Fleet | Rejected:
+    def with_edits(self, edits: Iterable[Edit]) -> FleetConfiguration | Rejected:
         """Return the configuration with edits taken in, at the same version: all, or none.
 
         For changes that are checked before they are accepted.
         """
         edits = tuple(edits)
-        edited = with_edits(self, edits)
-        if not edited.blamed:
+        edited = apply_edits(self, edits)
+        if not edited.causes:
             return edited.fleet
         # What was wrong before is not these edits' fault, and must not hold them back.
-        touched = {(edit.kind, edit.name) for edit in edits}
-        before = {(key, misfit.path) for key, misfit in with_edits(self, ()).blamed}
+        edited_entries = {(edit.kind, edit.name) for edit in edits}
+        known_causes = {(key, misfit.path) for key, misfit in apply_edits(self, ()).causes}
         misfits = tuple(
             (key, misfit)
-            for key, misfit in edited.blamed
-            if key in touched or (key, misfit.path) not in before
+            for key, misfit in edited.causes
+            if key in edited_entries or (key, misfit.path) not in known_causes
         )
         return Rejected(misfits) if misfits else edited.fleet
 
-    def replaced_by(self, whole: Snapshot) -> Fleet:
+    def with_snapshot(self, snapshot: Snapshot) -> FleetConfiguration:
         """Return the configuration that a snapshot holds; only what differs is checked anew.
 
         Who wrote it has accepted it. So what cannot be used of it is left out and told, and
@@ -159,27 +165,28 @@
         and a router that starts would serve nobody.
         """
         encoded = {
-            (edit.kind, edit.name): (edit, msgspec.json.encode(edit.value)) for edit in whole.edits
+            (edit.kind, edit.name): (edit, msgspec.json.encode(edit.value))
+            for edit in snapshot.edits
         }
         edits = [edit for key, (edit, raw) in encoded.items() if self.raw_by_entry.get(key) != raw]
         edits += [Edit(kind, name) for kind, name in self.raw_by_entry.keys() - encoded.keys()]
-        return self._after(edits, whole.version)
+        return self._with_accepted_edits(edits, snapshot.version)
 
-    def _after(self, edits: Iterable[Edit], version: int) -> Fleet:
+    def _with_accepted_edits(self, edits: Iterable[Edit], version: int) -> FleetConfiguration:
         """Return the configuration after edits that were accepted, as far as they can be used."""
         edits = tuple(edits)
         entries = [(edit.kind, edit.name) for edit in edits]
-        return with_edits(self, edits).fleet._as_of(version, self, entries)
+        return apply_edits(self, edits).fleet._at_version(version, self, entries)
 
     def difference_since(self, version: int) -> Difference | None:
         """Return the entries that changed after a version, or None where that is not known."""
-        changed = self.latest.after(version)
+        changed = self.entry_versions.changed_since(version)
         if changed is None:
             return None
         edits = tuple(Edit(*key, self.value_or_none(*key)) for key in sorted(changed))
         return Difference(version, self.version, edits, self.fingerprint)
 
-    def with_difference(self, difference: Difference) -> Fleet | None:
+    def with_difference(self, difference: Difference) -> FleetConfiguration | None:
         """Return the configuration with what differs taken in; None where it does not fit.
 
         What was accepted is taken, as of a whole. It does not fit an older version than it was
@@ -187,10 +194,10 @@
         """
         if self.version < difference.since:
             return None
-        following = self._after(difference.edits, difference.version)
+        following = self._with_accepted_edits(difference.edits, difference.version)
         return following if following.fingerprint == difference.fingerprint else None
 
     @classmethod
-    def from_snapshot(cls, snapshot: Snapshot) -> Fleet:
+    def from_snapshot(cls, snapshot: Snapshot) -> FleetConfiguration:
         """Return the configuration that a snapshot holds."""
-        return cls().replaced_by(snapshot)
+        return cls().with_snapshot(snapshot)
--- a/pondhatch/configuration/_publishing.py
+++ b/pondhatch/configuration/_publishing.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from pondhatch.configuration._changes import Change, Edit, Snapshot, change_name
-from pondhatch.configuration._fleet import Fleet
+from pondhatch.configuration._changes import Change, Edit, Snapshot, change_object_name
+from pondhatch.configuration._fleet import FleetConfiguration
 from pondhatch.observing import log_for
 from pondhatch.store import (
     Accepted,
@@ -26,14 +26,14 @@
 CHANGE_KIND = "pondhatch-change"
 #: Kind of the objects that hold parts of snapshots, and the pointer to the latest.
 SNAPSHOT_KIND = "pondhatch-snapshot"
-LATEST = "latest"
+POINTER_NAME = "latest"
 #: A snapshot is written after this many changes, so that no reader folds more.
 CHANGES_PER_SNAPSHOT = 64
 #: Bytes of entries in one part of a snapshot; the platform holds up to a megabyte.
 SNAPSHOT_PART_BYTES = 512 * 1024
 #: Tries to learn what became of a write whose answer was lost.
 READ_BACK_TRIES = 5
-READ_BACK_PAUSE = 0.3
+READ_BACK_SECONDS = 0.3
 
 
 class SnapshotPointer(msgspec.Struct, frozen=True):
@@ -49,10 +49,10 @@
     version: int
 
 
-class Beaten(msgspec.Struct, frozen=True):
+class LostRace(msgspec.Struct, frozen=True):
     """Another change took the version first; nothing of ours is in force."""
 
-    theirs: Change
+    winner: Change
 
 
 class Unresolved(msgspec.Struct, frozen=True):
@@ -69,39 +69,43 @@
     reason: str
 
 
-class Broken(msgspec.Struct, frozen=True):
+class Inconsistent(msgspec.Struct, frozen=True):
     """What the platform holds does not fit together."""
 
     reason: str
 
 
-PublishOutcome = Published | Beaten | Unresolved | NotWritten | Broken
+PublishOutcome = Published | LostRace | Unresolved | NotWritten | Inconsistent
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
-async def read_fleet(
-    platform: Platform, fleet: Fleet, until: int | None = None
-) -> Fleet | Unavailable | Broken:
+async def read_configuration(
+    platform: Platform, configuration: FleetConfiguration, until_version: int | None = None
+) -> FleetConfiguration | Unavailable | Inconsistent:
     """Return the configuration at the platform, starting from one already known.
 
     ``until`` asks for an older version, as far back as the latest snapshot.
     """
-    if fleet.version == 0:
+    if configuration.version == 0:
         start = await _read_snapshot(platform)
-        if not isinstance(start, Fleet):
+        if not isinstance(start, FleetConfiguration):
             return start
-        fleet = start
-    while until is None or fleet.version < until:
-        found = await platform.get(CHANGE_KIND, change_name(fleet.version + 1))
+        configuration = start
+    while until_version is None or configuration.version < until_version:
+        found = await platform.get(CHANGE_KIND, change_object_name(configuration.version + 1))
         if isinstance(found, Missing):
-            return fleet
+            return configuration
         if isinstance(found, Unavailable):
             return found
-        change = read_change(fleet.version + 1, found.object.value)
-        following = fleet.with_change(change)
-        fleet = following if isinstance(following, Fleet) else fleet.voided(change)
-    return fleet
+        change = read_change(configuration.version + 1, found.object.value)
+        following = configuration.with_change(change)
+        configuration = (
+            following
+            if isinstance(following, FleetConfiguration)
+            else configuration.with_skipped_change(change)
+        )
+    return configuration
 
 
 def read_change(version: int, value: Any) -> Change:
@@ -128,31 +132,31 @@
     platform: Platform, change: Change, sleep: Sleep = asyncio.sleep
 ) -> PublishOutcome:
     """Create a change; where the answer is lost, read back and recognise the own one."""
-    name = change_name(change.version)
+    name = change_object_name(change.version)
     outcome = await platform.create(CHANGE_KIND, name, msgspec.to_builtins(change))
     if isinstance(outcome, Accepted):
         return Published(change.version)
     if isinstance(outcome, Unavailable):
         return NotWritten(outcome.reason)
-    unsure = isinstance(outcome, OutcomeUnknown)
+    outcome_unknown = isinstance(outcome, OutcomeUnknown)
     reason = outcome.reason if isinstance(outcome, OutcomeUnknown) else "conflict"
     for _ in range(READ_BACK_TRIES):
         found = await platform.get(CHANGE_KIND, name)
         if isinstance(found, Found):
-            theirs = read_change(change.version, found.object.value)
-            own = theirs.change_id == change.change_id
-            return Published(change.version) if own else Beaten(theirs)
-        if isinstance(found, Missing) and unsure:
+            stored = read_change(change.version, found.object.value)
+            is_own = stored.change_id == change.change_id
+            return Published(change.version) if is_own else LostRace(stored)
+        if isinstance(found, Missing) and outcome_unknown:
             outcome = await platform.create(CHANGE_KIND, name, msgspec.to_builtins(change))
             if isinstance(outcome, Accepted):
                 return Published(change.version)
-        await sleep(READ_BACK_PAUSE)
+        await sleep(READ_BACK_SECONDS)
     return Unresolved(change.change_id, change.version, reason)
 
 
 async def write_snapshot(platform: Platform, snapshot: Snapshot) -> bool:
     """Write a snapshot's parts, then point to it; return whether the pointer is at least there."""
-    parts = _parts(snapshot.edits)
+    parts = _split_parts(snapshot.edits)
     for number, part in enumerate(parts):
         value = [msgspec.to_builtins(edit) for edit in part]
         outcome = await platform.create(SNAPSHOT_KIND, _part_name(snapshot.version, number), value)
@@ -164,23 +168,23 @@
 
 async def _move_pointer(platform: Platform, pointer: SnapshotPointer) -> bool:
     value: Any = msgspec.to_builtins(pointer)
-    found = await platform.get(SNAPSHOT_KIND, LATEST)
+    found = await platform.get(SNAPSHOT_KIND, POINTER_NAME)
     if isinstance(found, Unavailable):
         return False
     if isinstance(found, Missing):
-        return isinstance(await platform.create(SNAPSHOT_KIND, LATEST, value), Accepted)
+        return isinstance(await platform.create(SNAPSHOT_KIND, POINTER_NAME, value), Accepted)
     if msgspec.convert(found.object.value, SnapshotPointer).version >= pointer.version:
         return True
-    outcome = await platform.update(SNAPSHOT_KIND, LATEST, value, found.object.version)
+    outcome = await platform.update(SNAPSHOT_KIND, POINTER_NAME, value, found.object.version)
     return isinstance(outcome, Accepted)
 
 
-async def _read_snapshot(platform: Platform) -> Fleet | Unavailable | Broken:
-    found = await platform.get(SNAPSHOT_KIND, LATEST)
+async def _read_snapshot(platform: Platform) -> FleetConfiguration | Unavailable | Inconsistent:
+    found = await platform.get(SNAPSHOT_KIND, POINTER_NAME)
     if isinstance(found, Unavailable):
         return found
     if isinstance(found, Missing):
-        return Fleet()
+        return FleetConfiguration()
     pointer = msgspec.convert(found.object.value, SnapshotPointer)
     edits: list[Edit] = []
     for number in range(pointer.parts):
@@ -188,9 +192,9 @@
         if isinstance(part, Unavailable):
             return part
         if isinstance(part, Missing):
-            return Broken(f"part {number} of snapshot {pointer.version} is missing")
+            return Inconsistent(f"part {number} of snapshot {pointer.version} is missing")
         edits.extend(_readable_edits(pointer.version, part.object.value))
-    return Fleet.from_snapshot(Snapshot(pointer.version, tuple(edits)))
+    return FleetConfiguration.from_snapshot(Snapshot(pointer.version, tuple(edits)))
 
 
 def _readable_edits(version: int, part: Any) -> Iterator[Edit]:
@@ -203,18 +207,18 @@
 
 
 def _part_name(version: int, number: int) -> str:
-    return f"{change_name(version)}-{number:03d}"
+    return f"{change_object_name(version)}-{number:03d}"
 
 
-def _parts(edits: tuple[Edit, ...]) -> list[list[Edit]]:
+def _split_parts(edits: tuple[Edit, ...]) -> list[list[Edit]]:
     """Split entries into parts, each within the platform's size of a value."""
     parts: list[list[Edit]] = [[]]
     size = 0
     for edit in edits:
-        weight = len(msgspec.json.encode(edit))
-        if parts[-1] and size + weight > SNAPSHOT_PART_BYTES:
+        edit_size = len(msgspec.json.encode(edit))
+        if parts[-1] and size + edit_size > SNAPSHOT_PART_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(edit)
-        size += weight
+        size += edit_size
     return parts
--- a/pondhatch/configuration/_routes.py
+++ b/pondhatch/configuration/_routes.py
@@ -15,23 +15,23 @@
     name: str
     spec: RouteSpec
 
-    def service(self, drawn: float) -> str:
+    def choose_service(self, fraction: float) -> str:
         """Return the service of one request; ``drawn`` is uniform in 0 to 1."""
         targets = self.spec.targets
-        left = drawn * sum(target.weight for target in targets)
+        remaining = fraction * sum(target.weight for target in targets)
         for target in targets:
-            left -= target.weight
-            if left < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         # Rounding, a draw of 1, or no target with a share.
         return max(reversed(targets), key=lambda target: target.weight > 0).service
 
 
 #: A host and the prefix of its paths.
-Place = tuple[str, str]
+RouteKey = tuple[str, str]
 
 
-class Withheld(msgspec.Struct, frozen=True):
+class UnusableRoute(msgspec.Struct, frozen=True):
     """The place of a route that cannot be used."""
 
     host: str
@@ -43,23 +43,25 @@
 
     by_name: Mapping[str, RouteSpec] = msgspec.field(default_factory=dict)
     #: Places of the routes that cannot be used.
-    withheld: frozenset[Place] = frozenset()
+    unusable: frozenset[RouteKey] = frozenset()
     #: Routes by host in lower case, then by path prefix.
-    _by_host: Mapping[str, Mapping[str, Route | Withheld]] = msgspec.field(default_factory=dict)
+    _by_host: Mapping[str, Mapping[str, Route | UnusableRoute]] = msgspec.field(
+        default_factory=dict
+    )
 
     @classmethod
     def of(
-        cls, by_name: Mapping[str, RouteSpec], withheld: frozenset[Place] = frozenset()
+        cls, by_name: Mapping[str, RouteSpec], unusable: frozenset[RouteKey] = frozenset()
     ) -> RouteTable:
         """Return the table of routes by name, and of places where there is none to be used."""
-        by_host: dict[str, dict[str, Route | Withheld]] = {}
-        for host, prefix in withheld:
-            by_host.setdefault(host.lower(), {})[prefix] = Withheld(host, prefix)
+        by_host: dict[str, dict[str, Route | UnusableRoute]] = {}
+        for host, prefix in unusable:
+            by_host.setdefault(host.lower(), {})[prefix] = UnusableRoute(host, prefix)
         for name, spec in by_name.items():
             by_host.setdefault(spec.host.lower(), {})[spec.path_prefix] = Route(name, spec)
-        return cls(by_name, withheld, by_host)
+        return cls(by_name, unusable, by_host)
 
-    def find(self, host: str, path: str) -> Route | Withheld | None:
+    def find(self, host: str, path: str) -> Route | UnusableRoute | None:
         """Return the route with the longest prefix of a path, or None.
 
         ``host`` may carry a port and ``path`` a query; both are left out.
--- a/pondhatch/configuration/_schema.py
+++ b/pondhatch/configuration/_schema.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from pondhatch.configuration._fit import NAME_PATTERN
+from pondhatch.configuration._validation import NAME_PATTERN
 
 Name = Annotated[str, Meta(pattern=NAME_PATTERN)]
 KeyHash = Annotated[str, Meta(pattern=r"^[0-9a-f]{64}$")]
--- a/pondhatch/configuration/_settings.py
+++ b/pondhatch/configuration/_settings.py
@@ -9,16 +9,16 @@
 import msgspec
 from msgspec import Meta
 
-from pondhatch.configuration._fit import fit
 from pondhatch.configuration._problems import ConfigurationError
-from pondhatch.configuration._yaml import Document, load
+from pondhatch.configuration._validation import validate
+from pondhatch.configuration._yaml import YamlDocument, load_yaml
 
 #: Characters of a router's and a hall's name. Routers tell each other of 20 routers in one
 #: packet of at most 65,507 bytes, and a character may take 4 of them: 20 * 2 * 255 * 4 are 40,800.
-LONGEST_NAME = 255
+MAX_NAME_LENGTH = 255
 #: A name that the platform gives. It takes any form: routers compare and hash names, and those
 #: that write one into a path or a metric's name escape it.
-GivenName = Annotated[str, Meta(min_length=1, max_length=LONGEST_NAME)]
+ExternalName = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 #: A number as JSON writes it and YAML 1.1 does not read it, such as 1e-05.
 EXPONENT_PATTERN = re.compile(r"-?[0-9]+(\.[0-9]+)?[eE][+-]?[0-9]+")
 #: Bytes of a megabyte, as memory is counted.
@@ -140,7 +140,7 @@
 
 
 class MemorySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the router may hold in memory for callers and engines; see ``Settings.held_bytes``.
+    """Memory for callers and engines; see ``Settings.held_bytes_bound``.
 
     Left out, or left empty by a platform that does not say, there is no bound.
     """
@@ -187,8 +187,8 @@
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One router process."""
 
-    name: GivenName
-    hall: GivenName
+    name: ExternalName
+    hall: ExternalName
     callers: CallerEndpoint
     #: TCP for routers' calls, and UDP on the same number for gossip.
     peers: PeerEndpoint
@@ -224,7 +224,7 @@
     log: LogSettings = msgspec.field(default_factory=LogSettings)
 
     @property
-    def held_bytes(self) -> int | None:
+    def held_bytes_bound(self) -> int | None:
         """Bytes that the router may hold for callers and engines; None where there is no bound."""
         megabytes, share = self.memory.megabytes, self.memory.held_share
         if megabytes is None or share is None:
@@ -233,22 +233,22 @@
 
 
 #: Sections whose numbers a platform fills in.
-FILLED_IN = ("retries", "cold", "memory", "vm")
+NUMERIC_SECTIONS = ("retries", "cold", "memory", "vm")
 
 #: Shortest fleet key that is taken, in bytes.
-MINIMUM_FLEET_KEY = 16
+MIN_FLEET_KEY_BYTES = 16
 
 
 def load_settings(path: Path) -> Settings:
     """Read a settings file. Raises ConfigurationError with every problem."""
-    document = load(path)
-    fitted = fit(Settings, _with_numbers(_with_split_addresses(document.data)))
-    if not isinstance(fitted, Settings):
+    document = load_yaml(path)
+    settings = validate(Settings, _with_parsed_numbers(_with_split_addresses(document.data)))
+    if not isinstance(settings, Settings):
         raise ConfigurationError(
-            tuple(document.problem(each.path, each.expected) for each in fitted)
+            tuple(document.problem(each.path, each.expected) for each in settings)
         )
-    _check_tls(document, fitted)
-    return fitted
+    _check_tls(document, settings)
+    return settings
 
 
 def _with_split_addresses(data: Any) -> Any:
@@ -267,18 +267,18 @@
     return {"host": host.strip("[]"), "port": int(port), **others}
 
 
-def _with_numbers(data: Any) -> Any:
+def _with_parsed_numbers(data: Any) -> Any:
     """Return settings in which numbers with an exponent, as JSON has them, are read."""
-    sections = {name: data.get(name) for name in FILLED_IN} if isinstance(data, dict) else {}
-    read = {
-        section: {name: _number(value) for name, value in values.items()}
+    sections = {name: data.get(name) for name in NUMERIC_SECTIONS} if isinstance(data, dict) else {}
+    parsed = {
+        section: {name: _parse_exponent_number(value) for name, value in values.items()}
         for section, values in sections.items()
         if isinstance(values, dict)
     }
-    return {**data, **read} if read else data
+    return {**data, **parsed} if parsed else data
 
 
-def _number(value: Any) -> Any:
+def _parse_exponent_number(value: Any) -> Any:
     is_number = isinstance(value, str) and EXPONENT_PATTERN.fullmatch(value)
     return float(value) if is_number else value
 
@@ -294,13 +294,13 @@
     try:
         key = path.read_bytes().strip()
     except OSError as error:
-        raise _key_problem(settings, f"expected a readable file, {error.strerror}") from error
-    if len(key) < MINIMUM_FLEET_KEY:
-        raise _key_problem(settings, f"expected at least {MINIMUM_FLEET_KEY} bytes in {path}")
+        raise _fleet_key_error(settings, f"expected a readable file, {error.strerror}") from error
+    if len(key) < MIN_FLEET_KEY_BYTES:
+        raise _fleet_key_error(settings, f"expected at least {MIN_FLEET_KEY_BYTES} bytes in {path}")
     return key
 
 
-def _check_tls(document: Document, settings: Settings) -> None:
+def _check_tls(document: YamlDocument, settings: Settings) -> None:
     callers = settings.callers
     if (callers.certificate is None) != (callers.private_key is None):
         problem = document.problem(("callers",), "expected both certificate and private_key")
@@ -312,6 +312,6 @@
         raise ConfigurationError((document.problem(("peers",), expected),))
 
 
-def _key_problem(settings: Settings, expected: str) -> ConfigurationError:
-    document = Document(settings.name, {}, {(): 0})
+def _fleet_key_error(settings: Settings, expected: str) -> ConfigurationError:
+    document = YamlDocument(settings.name, {}, {(): 0})
     return ConfigurationError((document.problem(("fleet_key_file",), expected),))
--- a/pondhatch/configuration/_following.py
+++ b/pondhatch/configuration/_sources.py
@@ -12,18 +12,25 @@
 import msgspec
 
 from pondhatch.configuration._changes import Change, Snapshot
-from pondhatch.configuration._fit import Misfit
-from pondhatch.configuration._fleet import Fleet, Rejected
-from pondhatch.configuration._publishing import CHANGE_KIND, Broken, read_change, read_fleet
+from pondhatch.configuration._fleet import FleetConfiguration, Rejected
+from pondhatch.configuration._publishing import (
+    CHANGE_KIND,
+    Inconsistent,
+    read_change,
+    read_configuration,
+)
+from pondhatch.configuration._validation import Misfit
 from pondhatch.store import Platform, PlatformLost, Unavailable
 
-News = Change | Fleet | Rejected | Broken
+ConfigurationEvent = Change | FleetConfiguration | Rejected | Inconsistent
 
 
 class ConfigurationSource(Protocol):
     """Where a fleet's configuration is kept."""
 
-    def follow(self, in_force: Callable[[], Fleet]) -> AsyncIterator[News]:
+    def follow(
+        self, current: Callable[[], FleetConfiguration]
+    ) -> AsyncIterator[ConfigurationEvent]:
         """Yield what is newer than what is in force, as it comes.
 
         Raises PlatformLost or TooOld.
@@ -36,20 +43,22 @@
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
-    async def follow(self, in_force: Callable[[], Fleet]) -> AsyncIterator[News]:
+    async def follow(
+        self, current: Callable[[], FleetConfiguration]
+    ) -> AsyncIterator[ConfigurationEvent]:
         """Yield each change, or the whole where some were missed."""
         async for event in self._platform.watch(CHANGE_KIND, None):
             if event.type == "set":
                 yield read_change(int(event.name), event.value)
-            missed = event.type == "set" and int(event.name) > in_force().version
-            if event.type == "bookmark" or missed:
-                fleet = await read_fleet(self._platform, in_force())
+            is_ahead = event.type == "set" and int(event.name) > current().version
+            if event.type == "bookmark" or is_ahead:
+                fleet = await read_configuration(self._platform, current())
                 if isinstance(fleet, Unavailable):
                     raise PlatformLost(fleet.reason)
                 yield fleet
 
 
-class Document:
+class ConfigurationDocument:
     """One object that holds the whole configuration; see ConfigurationSource."""
 
     def __init__(
@@ -61,23 +70,25 @@
         #: Turns the object into entries; raises msgspec.ValidationError.
         self._decode = decode
 
-    async def follow(self, in_force: Callable[[], Fleet]) -> AsyncIterator[News]:
+    async def follow(
+        self, current: Callable[[], FleetConfiguration]
+    ) -> AsyncIterator[ConfigurationEvent]:
         """Yield the configuration that each newer version of the document makes."""
         listed = await self._platform.list(self._kind)
         if isinstance(listed, Unavailable):
             raise PlatformLost(listed.reason)
         for each in listed.objects:
             if each.name == self._name:
-                yield self._replaced(in_force(), each.value)
+                yield self._apply(current(), each.value)
         async for event in self._platform.watch(self._kind, listed.version):
             if event.type == "set" and event.name == self._name:
-                yield self._replaced(in_force(), event.value)
+                yield self._apply(current(), event.value)
 
-    def _replaced(self, fleet: Fleet, value: Any) -> Fleet | Rejected:
+    def _apply(self, fleet: FleetConfiguration, value: Any) -> FleetConfiguration | Rejected:
         try:
-            whole = self._decode(value)
+            snapshot = self._decode(value)
         except msgspec.ValidationError as error:
             return Rejected(((("document", self._name), Misfit((), str(error))),))
-        if whole.version <= fleet.version:
+        if snapshot.version <= fleet.version:
             return fleet
-        return fleet.replaced_by(whole)
+        return fleet.with_snapshot(snapshot)
--- a/pondhatch/configuration/_templates.py
+++ b/pondhatch/configuration/_templates.py
@@ -5,7 +5,6 @@
 from collections.abc import Mapping
 from typing import Any
 
-from pondhatch.configuration._fit import Misfit, fit
 from pondhatch.configuration._schema import (
     AccountPolicy,
     AccountSpec,
@@ -14,6 +13,7 @@
     ServiceSpec,
     TemplateSpec,
 )
+from pondhatch.configuration._validation import Misfit, validate
 
 #: Mark of a parameter in a template's body.
 REFERENCE_MARK = "$"
@@ -35,9 +35,9 @@
         name: account.parameters.get(name, spec.default)
         for name, spec in template.parameters.items()
     }
-    policy = fit(AccountPolicy, _substituted(template.account, values))
+    policy = validate(AccountPolicy, _substituted(template.account, values))
     if not isinstance(policy, AccountPolicy):
-        return tuple(_blame(misfit, account, template) for misfit in policy)
+        return tuple(_relocate_to_account(misfit, account, template) for misfit in policy)
     return policy
 
 
@@ -60,9 +60,9 @@
             known = ", ".join(sorted(template.parameters)) or "none"
             misfits.append(Misfit(path, f"undefined parameter {name!r}; expected one of: {known}"))
     for name, spec in template.parameters.items():
-        wrong = _wrong_value(spec, spec.default) if spec.default is not None else None
-        if wrong:
-            misfits.append(Misfit(("parameters", name, "default"), wrong))
+        error = _value_error(spec, spec.default) if spec.default is not None else None
+        if error:
+            misfits.append(Misfit(("parameters", name, "default"), error))
     return tuple(misfits)
 
 
@@ -72,35 +72,38 @@
         spec = template.parameters.get(name)
         if spec is None:
             known = ", ".join(sorted(template.parameters)) or "none"
-            wrong: str | None = f"unknown parameter; expected one of: {known}"
+            error: str | None = f"unknown parameter; expected one of: {known}"
         else:
-            wrong = _wrong_value(spec, value)
-        if wrong:
-            misfits.append(Misfit(("parameters", name), wrong))
+            error = _value_error(spec, value)
+        if error:
+            misfits.append(Misfit(("parameters", name), error))
     for name, spec in template.parameters.items():
         if name not in account.parameters and spec.default is None:
             misfits.append(
-                Misfit(("parameters",), f"missing parameter {name!r}; expected {_range(spec)}")
+                Misfit(
+                    ("parameters",),
+                    f"missing parameter {name!r}; expected {_describe_allowed(spec)}",
+                )
             )
     return tuple(misfits)
 
 
-def _wrong_value(spec: ParameterSpec, value: Scalar) -> str | None:
+def _value_error(spec: ParameterSpec, value: Scalar) -> str | None:
     boolean_as_number = isinstance(value, bool) and spec.type != "boolean"
     if boolean_as_number or not isinstance(value, _TYPES[spec.type]):
-        return f"expected {_range(spec)}, found {value!r}"
+        return f"expected {_describe_allowed(spec)}, found {value!r}"
     if spec.choices and value not in spec.choices:
-        return f"expected {_range(spec)}, found {value!r}"
+        return f"expected {_describe_allowed(spec)}, found {value!r}"
     if isinstance(value, str):
         return None
     too_small = spec.minimum is not None and value < spec.minimum
     too_large = spec.maximum is not None and value > spec.maximum
     if too_small or too_large:
-        return f"expected {_range(spec)}, found {value!r}"
+        return f"expected {_describe_allowed(spec)}, found {value!r}"
     return None
 
 
-def _range(spec: ParameterSpec) -> str:
+def _describe_allowed(spec: ParameterSpec) -> str:
     parts = [f"{'an' if spec.type == 'integer' else 'a'} {spec.type}"]
     if spec.minimum is not None:
         parts.append(f"at least {spec.minimum:g}")
@@ -133,7 +136,7 @@
     return []
 
 
-def _blame(misfit: Misfit, account: AccountSpec, template: TemplateSpec) -> Misfit:
+def _relocate_to_account(misfit: Misfit, account: AccountSpec, template: TemplateSpec) -> Misfit:
     """Point at the account's parameter behind a field of the template's body."""
     value: Any = template.account
     for part in misfit.path:
--- a/pondhatch/configuration/_fit.py
+++ b/pondhatch/configuration/_validation.py
@@ -20,17 +20,17 @@
 
 from pondhatch.configuration._yaml import FieldPath
 
-Shape = TypeVar("Shape")
+Schema = TypeVar("Schema")
 
 #: What was expected where a key is one too many, and where one is missing.
 UNKNOWN_KEY = "unknown key; expected one that docs/OPERATIONS.md lists"
 MISSING = "missing; expected a value"
 #: Characters of a value that a misfit quotes: a URL or two names, and a log line stays short.
-LONGEST_FOUND = 80
+MAX_QUOTED_CHARS = 80
 #: Names of what the configuration holds.
 NAME_PATTERN = r"^[a-z0-9][a-z0-9-]{0,62}$"
 #: What msgspec writes, and what people read, the longer ones first.
-WORDS = (
+MESSAGE_REPLACEMENTS = (
     (">=", "greater than or equal to"),
     ("<=", "less than or equal to"),
     (">", "greater than"),
@@ -47,7 +47,7 @@
     expected: str
 
 
-def told(misfits: Iterable[Misfit]) -> str:
+def format_misfits(misfits: Iterable[Misfit]) -> str:
     """Return misfits of one entry as one line of text."""
     return "; ".join(
         f"{'.'.join(map(str, misfit.path))}: {misfit.expected}" if misfit.path else misfit.expected
@@ -55,120 +55,130 @@
     )
 
 
-def fit(shape: type[Shape], data: Any) -> Shape | tuple[Misfit, ...]:
+def validate(schema: type[Schema], data: Any) -> Schema | tuple[Misfit, ...]:
     """Return the data in its shape, or every misfit.
 
     What fits is taken as a whole, 3 us a route; only what does not is walked, 87 us, to find all
     that is wrong with it. A router that starts reads all routes in one go.
     """
     with contextlib.suppress(msgspec.ValidationError):
-        return msgspec.convert(data, shape)
-    return _walk(shape, data)
+        return msgspec.convert(data, schema)
+    return _validate_by_parts(schema, data)
 
 
-def _walk(shape: type[Shape], data: Any) -> Shape | tuple[Misfit, ...]:
+def _validate_by_parts(schema: type[Schema], data: Any) -> Schema | tuple[Misfit, ...]:
     """Return the data in its shape, or every misfit, found part by part."""
     misfits: set[Misfit] = set()
-    fitted: Shape = _fit(shape, data, (), misfits)
+    converted: Schema = _validate_part(schema, data, (), misfits)
     if misfits:
         return tuple(sorted(misfits, key=lambda misfit: tuple(map(str, misfit.path))))
-    return fitted
+    return converted
 
 
-def _fit(shape: Any, data: Any, path: FieldPath, misfits: set[Misfit]) -> Any:
+def _validate_part(schema: Any, data: Any, path: FieldPath, misfits: set[Misfit]) -> Any:
     """Return the data in its shape; where it does not fit, misfits are added instead."""
-    bare, constraints = _parts(shape)
-    if isinstance(bare, type) and issubclass(bare, msgspec.Struct):
-        return _fit_fields(bare, data, path, misfits)
-    origin, inner = get_origin(bare), get_args(bare)
+    plain_type, constraints = _split_constraints(schema)
+    if isinstance(plain_type, type) and issubclass(plain_type, msgspec.Struct):
+        return _validate_struct(plain_type, data, path, misfits)
+    origin, inner = get_origin(plain_type), get_args(plain_type)
     if origin in (Union, types.UnionType) and type(None) in inner:
-        return None if data is None else _fit(_without_none(bare), data, path, misfits)
+        return (
+            None if data is None else _validate_part(_without_none(plain_type), data, path, misfits)
+        )
     if origin is dict and isinstance(data, Mapping):
-        return _fit_mapping(inner, data, path, misfits)
+        return _validate_mapping(inner, data, path, misfits)
     if origin is tuple and isinstance(data, list | tuple):
-        items = [_fit(inner[0], each, (*path, at), misfits) for at, each in enumerate(data)]
-        _fit_value(constraints, items, path, misfits)
+        items = [
+            _validate_part(inner[0], each, (*path, at), misfits) for at, each in enumerate(data)
+        ]
+        _validate_value(constraints, items, path, misfits)
         return tuple(items)
-    return _fit_value(shape, data, path, misfits)
+    return _validate_value(schema, data, path, misfits)
 
 
-def _fit_fields(shape: Any, data: Any, path: FieldPath, misfits: set[Misfit]) -> Any:
+def _validate_struct(schema: Any, data: Any, path: FieldPath, misfits: set[Misfit]) -> Any:
     if not isinstance(data, Mapping):
-        misfits.add(Misfit(path, f"expected an object, found {_found(data)}"))
+        misfits.add(Misfit(path, f"expected an object, found {_format_found(data)}"))
         return None
     before = len(misfits)
-    fields = _fields(shape)
+    fields = _fields(schema)
     known = {each.name for each in fields}
     misfits |= {Misfit((*path, key), UNKNOWN_KEY) for key in data if key not in known}
     values = {}
     for each in fields:
         if each.name in data:
-            values[each.name] = _fit(each.type, data[each.name], (*path, each.name), misfits)
+            values[each.name] = _validate_part(
+                each.type, data[each.name], (*path, each.name), misfits
+            )
         elif each.required:
             misfits.add(Misfit((*path, each.name), MISSING))
-    return shape(**values) if len(misfits) == before else None
+    return schema(**values) if len(misfits) == before else None
 
 
-def _fit_mapping(
+def _validate_mapping(
     inner: tuple[Any, ...], data: Mapping[Any, Any], path: FieldPath, misfits: set[Misfit]
 ) -> dict[Any, Any]:
-    key_shape, value_shape = inner
+    key_schema, value_schema = inner
     for key in data:
-        _fit_value(key_shape, key, (*path, key), misfits)
-    return {key: _fit(value_shape, each, (*path, key), misfits) for key, each in data.items()}
+        _validate_value(key_schema, key, (*path, key), misfits)
+    return {
+        key: _validate_part(value_schema, each, (*path, key), misfits) for key, each in data.items()
+    }
 
 
-def _fit_value(shape: Any, data: Any, path: FieldPath, misfits: set[Misfit]) -> Any:
+def _validate_value(schema: Any, data: Any, path: FieldPath, misfits: set[Misfit]) -> Any:
     """Have msgspec check a single value, or the constraints on a list as a whole."""
     try:
-        return msgspec.convert(data, shape)
+        return msgspec.convert(data, schema)
     except msgspec.ValidationError as error:
-        misfits.add(Misfit(path, f"{_expected(shape, str(error))}, found {_found(data)}"))
+        misfits.add(
+            Misfit(path, f"{_format_expected(schema, str(error))}, found {_format_found(data)}")
+        )
         return None
 
 
-def _expected(shape: Any, message: str) -> str:
+def _format_expected(schema: Any, message: str) -> str:
     """Return what was expected, as the shape or else msgspec's message says it."""
-    bare, _ = _parts(shape)
-    if get_origin(bare) is Literal:
-        return "expected " + " or ".join(repr(each) for each in get_args(bare))
+    plain_type, _ = _split_constraints(schema)
+    if get_origin(plain_type) is Literal:
+        return "expected " + " or ".join(repr(each) for each in get_args(plain_type))
     if NAME_PATTERN in message:
         return f"expected a name that matches {NAME_PATTERN}"
     expected = message.replace("`", "").partition(" - at ")[0].partition(", got ")[0]
-    for written, read in WORDS:
-        expected = expected.replace(written, read)
+    for msgspec_text, plain_text in MESSAGE_REPLACEMENTS:
+        expected = expected.replace(msgspec_text, plain_text)
     return expected[0].lower() + expected[1:]
 
 
-def _found(data: Any) -> str:
+def _format_found(data: Any) -> str:
     """Return how to write what was found, short enough for a line of a log."""
     if data is None:
         return "nothing"
-    written = repr(data)
-    if len(written) <= LONGEST_FOUND:
-        return written
+    text = repr(data)
+    if len(text) <= MAX_QUOTED_CHARS:
+        return text
     if isinstance(data, list | tuple):
         return f"a list of {len(data)}"
-    return f"{written[:LONGEST_FOUND]}..."
+    return f"{text[:MAX_QUOTED_CHARS]}..."
 
 
 @functools.cache
-def _fields(shape: type[msgspec.Struct]) -> tuple[msgspec.structs.FieldInfo, ...]:
+def _fields(schema: type[msgspec.Struct]) -> tuple[msgspec.structs.FieldInfo, ...]:
     """Return the fields of a data class, their types with the constraints on them."""
-    return msgspec.structs.fields(shape)
+    return msgspec.structs.fields(schema)
 
 
 @functools.cache
-def _parts(shape: Any) -> tuple[Any, Any]:
+def _split_constraints(schema: Any) -> tuple[Any, Any]:
     """Return a shape without its constraints, and the constraints as a shape of any list."""
-    if get_origin(shape) is not Annotated:
-        return shape, list
-    bare, *constraints = get_args(shape)
-    return bare, Annotated[(list, *constraints)]
+    if get_origin(schema) is not Annotated:
+        return schema, list
+    plain_type, *constraints = get_args(schema)
+    return plain_type, Annotated[(list, *constraints)]
 
 
 @functools.cache
-def _without_none(shape: Any) -> Any:
+def _without_none(schema: Any) -> Any:
     """Return what a shape that may be None is otherwise."""
-    others = [each for each in get_args(shape) if each is not type(None)]
+    others = [each for each in get_args(schema) if each is not type(None)]
     return functools.reduce(operator.or_, others)
--- a/pondhatch/configuration/_yaml.py
+++ b/pondhatch/configuration/_yaml.py
@@ -19,7 +19,7 @@
     return ".".join(str(part) for part in path)
 
 
-class Document(msgspec.Struct, frozen=True):
+class YamlDocument(msgspec.Struct, frozen=True):
     """A parsed file and where each of its fields stands."""
 
     file: str
@@ -61,7 +61,7 @@
             key = str(key_node.value)
             inner = (*path, key)
             if key in built:
-                self._note(key_node, inner, "expected each key once, found it again")
+                self._add_problem(key_node, inner, "expected each key once, found it again")
             self.line_by_path[inner] = key_node.start_mark.line + 1
             built[key] = self.build(value_node, inner)
         return built
@@ -70,15 +70,15 @@
         try:
             return self._scalars.construct_object(node)
         except (yaml.YAMLError, ValueError):
-            self._note(node, path, "expected a plain value of YAML")
+            self._add_problem(node, path, "expected a plain value of YAML")
             return None
 
-    def _note(self, node: yaml.Node, path: FieldPath, expected: str) -> None:
+    def _add_problem(self, node: yaml.Node, path: FieldPath, expected: str) -> None:
         line = node.start_mark.line + 1
         self.problems.append(Problem(self._file, line, dotted(path), expected))
 
 
-def parse(text: str, file: str) -> Document:
+def parse_yaml(text: str, file: str) -> YamlDocument:
     """Parse one YAML document. Raises ConfigurationError."""
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
@@ -89,19 +89,19 @@
     except yaml.YAMLError as error:
         raise ConfigurationError((Problem(file, 1, "", f"expected YAML, {error}"),)) from error
     if node is None:
-        return Document(file, {}, {(): 1})
+        return YamlDocument(file, {}, {(): 1})
     builder = _Builder(file)
     data = builder.build(node, ())
     if builder.problems:
         raise ConfigurationError(tuple(builder.problems))
-    return Document(file, data, builder.line_by_path)
+    return YamlDocument(file, data, builder.line_by_path)
 
 
-def load(path: Path) -> Document:
+def load_yaml(path: Path) -> YamlDocument:
     """Read and parse a file. Raises ConfigurationError, also where it cannot be read."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         problem = Problem(str(path), 0, "", f"expected a readable UTF-8 file, {error}")
         raise ConfigurationError((problem,)) from error
-    return parse(text, str(path))
+    return parse_yaml(text, str(path))
--- a/pondhatch/configuration/tests/test_files.py
+++ b/pondhatch/configuration/tests/test_files.py
@@ -11,17 +11,17 @@
     ColdSettings,
     ConfigurationError,
     Edit,
-    Fleet,
+    FleetConfiguration,
     RetrySettings,
     Settings,
     VmSettings,
-    checked,
-    differences,
+    changed_edits,
+    checked_configuration,
     load_fleet_key,
     load_settings,
     read_files,
 )
-from pondhatch.configuration._settings import LONGEST_NAME
+from pondhatch.configuration._settings import MAX_NAME_LENGTH
 from pondhatch.membership import Address, Alive, MembershipLimits, Phase, Seal
 from pondhatch.membership._datagrams import datagram_to
 from pondhatch.membership._records import Sync
@@ -29,7 +29,7 @@
 #: Bytes that a UDP packet holds over IPv4.
 UDP_BYTES = 65_507
 
-GOOD = """\
+VALID = """\
 services:
   lang:
     kind: model
@@ -62,7 +62,7 @@
 """
 
 #: (replaced, by what, line, field, part of what is said)
-WRONG_FILES = [
+INVALID_FILES = [
     ("models: [writer]", "models: [writer]\n    colour: red", 5, "services.lang.colour", "unknown"),
     ("models: [writer]", "models: writer", 4, "services.lang.models", "valid"),
     ("kind: model", "kind: modal", 3, "services.lang.kind", "'model' or 'plain'"),
@@ -89,58 +89,58 @@
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
 
-    def check(self, text: str) -> Fleet:
+    def apply(self, text: str) -> FleetConfiguration:
         path = self.folder / "fleet.yaml"
         path.write_text(text)
-        sources = read_files([path])
-        return checked(Fleet(), sources, sources.edits)
+        entries = read_files([path])
+        return checked_configuration(FleetConfiguration(), entries, entries.edits)
 
-    def test_a_good_file(self) -> None:
-        fleet = self.check(GOOD)
+    def test_a_valid_file(self) -> None:
+        fleet = self.apply(VALID)
         self.assertEqual(fleet.account_of("a" * 64), "atelier")
         self.assertEqual(fleet.policy_by_account["atelier"].requests_per_second, 5)
         self.assertIsNone(fleet.account_of("b" * 64))
 
-    def test_each_wrong_thing_is_one_line_that_names_its_place(self) -> None:
-        for old, new, line, field, told in WRONG_FILES:
+    def test_each_problem_is_one_line_with_file_line_and_field(self) -> None:
+        for old, new, line, field, expected_text in INVALID_FILES:
             with self.subTest(new=new):
-                self.assertIn(old, GOOD)
+                self.assertIn(old, VALID)
                 with self.assertRaises(ConfigurationError) as raised:
-                    self.check(GOOD.replace(old, new, 1))
+                    self.apply(VALID.replace(old, new, 1))
                 problems = raised.exception.problems
                 self.assertEqual(len(problems), 1, problems)
                 self.assertEqual(Path(problems[0].file).name, "fleet.yaml")
                 self.assertEqual((problems[0].line, problems[0].field), (line, field))
-                self.assertIn(told, problems[0].expected)
+                self.assertIn(expected_text, problems[0].expected)
                 self.assertEqual(len(str(problems[0]).splitlines()), 1)
 
-    def test_every_problem_is_told_at_once(self) -> None:
-        wrong = GOOD.replace("kind: model", "kind: x").replace("burst: 5", "burst: 5\n      y: 1")
+    def test_all_problems_are_reported_at_once(self) -> None:
+        wrong = VALID.replace("kind: model", "kind: x").replace("burst: 5", "burst: 5\n      y: 1")
         with self.assertRaises(ConfigurationError) as raised:
-            self.check(wrong.replace("key_hashes", "keys"))
+            self.apply(wrong.replace("key_hashes", "keys"))
         self.assertEqual(len(raised.exception.problems), 3)
 
     def test_an_entry_defined_in_two_files(self) -> None:
         for name in ("one.yaml", "two.yaml"):
-            (self.folder / name).write_text(GOOD)
+            (self.folder / name).write_text(VALID)
         with self.assertRaisesRegex(ConfigurationError, "already defined in"):
             read_files([self.folder])
 
     def test_two_accounts_with_one_key(self) -> None:
-        second = GOOD[GOOD.index("  atelier") :].replace("atelier", "another")
+        second = VALID[VALID.index("  atelier") :].replace("atelier", "another")
         with self.assertRaisesRegex(ConfigurationError, "a key of its own, found that of"):
-            self.check(GOOD + second)
+            self.apply(VALID + second)
 
     def test_a_missing_file(self) -> None:
         with self.assertRaisesRegex(ConfigurationError, "expected a readable"):
             read_files([self.folder / "none.yaml"])
 
-    def test_only_differences_become_edits(self) -> None:
-        fleet = self.check(GOOD)
-        sources = read_files([self.folder / "fleet.yaml"])
-        self.assertEqual(differences(fleet, sources, prune=True), ())
-        (self.folder / "fleet.yaml").write_text(GOOD[: GOOD.index("accounts:")])
-        pruned = differences(fleet, read_files([self.folder / "fleet.yaml"]), prune=True)
+    def test_only_changed_entries_become_edits(self) -> None:
+        fleet = self.apply(VALID)
+        entries = read_files([self.folder / "fleet.yaml"])
+        self.assertEqual(changed_edits(fleet, entries, prune=True), ())
+        (self.folder / "fleet.yaml").write_text(VALID[: VALID.index("accounts:")])
+        pruned = changed_edits(fleet, read_files([self.folder / "fleet.yaml"]), prune=True)
         self.assertEqual(pruned, (Edit("account", "atelier"),))
 
 
@@ -153,7 +153,7 @@
         path.write_text(text)
         return load_settings(path)
 
-    def test_wrong_settings(self) -> None:
+    def test_invalid_settings(self) -> None:
         cases = [
             ("hall: h1", "", "hall", "missing"),
             ("port: 8000", "port: 99999", "callers.port", "less than or equal to 65535"),
@@ -176,21 +176,21 @@
             ("name: r1", "name: r1\nregions: {h1: 3}", "regions.h1", "str"),
             ("name: r1", "name: r1\nregions: north", "regions", "expected"),
         ]
-        for old, new, field, told in cases:
+        for old, new, field, expected_text in cases:
             with self.subTest(new=new), self.assertRaises(ConfigurationError) as raised:
                 self.load(SETTINGS.replace(old, new, 1))
             problems = raised.exception.problems
             self.assertEqual([problem.field for problem in problems], [field])
-            self.assertIn(told, problems[0].expected)
+            self.assertIn(expected_text, problems[0].expected)
 
-    def test_bounds_that_a_platform_leaves_empty_have_their_defaults(self) -> None:
+    def test_settings_left_empty_take_their_defaults(self) -> None:
         left_empty = "\nretries:\n  share:\n  slack: 56\ncold:\n  overshoot:\n  slack:\nregions:\n"
         settings = self.load(SETTINGS + left_empty)
         assert isinstance(settings, Settings)
         self.assertEqual(settings.retries, RetrySettings(None, 56.0))
         self.assertEqual((settings.cold, settings.regions), (ColdSettings(), None))
 
-    def test_held_bytes_are_a_share_of_the_memory_that_a_platform_fills_in(self) -> None:
+    def test_the_held_bytes_bound_is_a_share_of_the_memory(self) -> None:
         for megabytes, share, expected in (
             ("512", "0.125", 64 * 1024 * 1024),
             ("1e+3", "1", 1000 * 1024 * 1024),
@@ -203,9 +203,9 @@
                 filled = f"\nmemory:\n  megabytes: {megabytes}\n  held_share: {share}\n"
                 settings = self.load(SETTINGS + filled)
                 assert isinstance(settings, Settings)
-                self.assertEqual(settings.held_bytes, expected)
+                self.assertEqual(settings.held_bytes_bound, expected)
 
-    def test_a_platform_fills_in_what_it_knows_of_the_vm(self) -> None:
+    def test_vm_settings_may_be_filled_in_or_left_empty(self) -> None:
         for quota, cores, link, expected in (
             ("0.5", "2.15", "100", VmSettings(0.5, 2.15, 100.0)),
             ("5e-01", "", "", VmSettings(0.5)),
@@ -217,7 +217,7 @@
                 assert isinstance(settings, Settings)
                 self.assertEqual(settings.vm, expected)
 
-    def test_names_that_a_platform_gives_are_taken_as_they_are(self) -> None:
+    def test_router_and_hall_names_take_any_form(self) -> None:
         for name in ("Edge_1", "edge.1", "Boa Viagem", "s\u00e3o", "e" * 64, "\u6771" * 255, "-"):
             with self.subTest(name=name):
                 written = json.dumps(name)
@@ -226,7 +226,7 @@
                 assert isinstance(settings, Settings)
                 self.assertEqual((settings.name, settings.hall), (name, name))
 
-    def test_bounds_that_a_platform_gives_are_taken_as_they_are(self) -> None:
+    def test_numbers_are_read_in_any_json_form(self) -> None:
         for number in (0, 0.2, 1.5, 1e-05, 1e9, 1e22):
             with self.subTest(number=number):
                 written = json.dumps(number)
@@ -238,7 +238,7 @@
                 self.assertEqual(settings.cold, ColdSettings(number, number))
 
     def test_the_longest_names_fit_the_packets_between_routers(self) -> None:
-        longest = "\U0001d11e" * LONGEST_NAME
+        longest = "\U0001d11e" * MAX_NAME_LENGTH
         limits = MembershipLimits()
         big = 1 << 62
         alive = Alive((1 << 32) - 1, big, Phase.LIVE, longest, "ff" * 20, 65535, longest)
--- a/pondhatch/configuration/tests/test_fleet.py
+++ b/pondhatch/configuration/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from fakes._entries import SERVICE, TEMPLATE
-from pondhatch.configuration import Change, Edit, Fleet, Gap, Rejected
+from pondhatch.configuration import Change, Edit, FleetConfiguration, Rejected, VersionGap
 
 
 def account(name: str, rate: float = 1.0, key: str = "") -> Edit:
@@ -19,52 +19,52 @@
     return Change(version, f"id-{version}", "ana", 0.0, "", edits)
 
 
-def followed(fleet: Fleet, *changes: Change) -> Fleet:
+def with_changes(fleet: FleetConfiguration, *changes: Change) -> FleetConfiguration:
     for each in changes:
         following = fleet.with_change(each)
-        if not isinstance(following, Fleet):
+        if not isinstance(following, FleetConfiguration):
             raise AssertionError(following)
         fleet = following
     return fleet
 
 
-START = followed(Fleet(), change(1, SERVICE, TEMPLATE, account("a")))
+START = with_changes(FleetConfiguration(), change(1, SERVICE, TEMPLATE, account("a")))
 
 
-class FleetTest(unittest.TestCase):
+class FleetConfigurationTest(unittest.TestCase):
     def test_a_change_is_all_or_nothing(self) -> None:
         rejected = START.with_change(change(2, account("b"), account("c", rate=-1.0)))
         self.assertIsInstance(rejected, Rejected)
         self.assertEqual(set(START.policy_by_account), {"a"})
 
-    def test_a_rejected_change_is_voided_and_the_next_one_follows(self) -> None:
-        voided = START.voided(change(2, account("c", rate=-1.0)))
-        later = followed(voided, change(3, account("d")))
+    def test_a_rejected_change_is_skipped_and_the_next_one_follows(self) -> None:
+        skipped = START.with_skipped_change(change(2, account("c", rate=-1.0)))
+        later = with_changes(skipped, change(3, account("d")))
         self.assertEqual((later.version, set(later.policy_by_account)), (3, {"a", "d"}))
 
-    def test_versions_follow_one_another(self) -> None:
+    def test_a_change_that_skips_or_repeats_a_version_is_a_gap(self) -> None:
         for version in (1, 3):
-            self.assertEqual(START.with_change(change(version)), Gap(1, version))
+            self.assertEqual(START.with_change(change(version)), VersionGap(1, version))
 
-    def test_a_template_change_touches_its_accounts(self) -> None:
+    def test_a_template_change_applies_to_its_accounts(self) -> None:
         assert isinstance(TEMPLATE.value, dict)
         body = {**TEMPLATE.value["account"], "burst": 9}
-        later = followed(
+        later = with_changes(
             START, change(2, Edit("template", "studio", {**TEMPLATE.value, "account": body}))
         )
         self.assertEqual(later.policy_by_account["a"].burst, 9)
 
-    def test_what_others_need_cannot_be_removed(self) -> None:
+    def test_an_entry_that_others_refer_to_cannot_be_removed(self) -> None:
         for edit in (Edit("template", "studio"), Edit("service", "lang")):
             with self.subTest(edit=edit):
                 self.assertIsInstance(START.with_change(change(2, edit)), Rejected)
 
     def test_a_key_may_move_between_accounts_in_one_change(self) -> None:
-        later = followed(START, change(2, account("a", key="new"), account("b", key="a")))
+        later = with_changes(START, change(2, account("a", key="new"), account("b", key="a")))
         self.assertEqual(later.account_of(b"a".hex().ljust(64, "0")), "b")
 
     def test_a_removed_account_loses_its_key(self) -> None:
-        later = followed(START, change(2, Edit("account", "a")))
+        later = with_changes(START, change(2, Edit("account", "a")))
         self.assertEqual((later.policy_by_account, later.account_by_key_hash), ({}, {}))
 
     def test_two_services_cannot_claim_one_model(self) -> None:
@@ -72,20 +72,22 @@
         self.assertIsInstance(START.with_change(change(2, twin)), Rejected)
 
     @given(st.lists(st.tuples(st.sampled_from("abcd"), st.floats(0.5, 9)), max_size=12))
-    def test_a_snapshot_holds_what_the_changes_made(self, steps: list[tuple[str, float]]) -> None:
+    def test_a_snapshot_restores_the_configuration_after_changes(
+        self, steps: list[tuple[str, float]]
+    ) -> None:
         fleet = START
         for name, rate in steps:
-            fleet = followed(fleet, change(fleet.version + 1, account(name, rate)))
-        restored = Fleet.from_snapshot(fleet.snapshot())
-        assert isinstance(restored, Fleet)
+            fleet = with_changes(fleet, change(fleet.version + 1, account(name, rate)))
+        restored = FleetConfiguration.from_snapshot(fleet.snapshot())
+        assert isinstance(restored, FleetConfiguration)
         self.assertEqual(restored.version, fleet.version)
         self.assertEqual(restored.policy_by_account, fleet.policy_by_account)
         self.assertEqual(restored.account_by_key_hash, fleet.account_by_key_hash)
 
-    def test_peers_get_just_what_they_lack(self) -> None:
-        later = followed(START, change(2, account("b")), change(3, account("c")))
+    def test_changes_since_a_version_are_those_after_it(self) -> None:
+        later = with_changes(START, change(2, account("b")), change(3, account("c")))
         self.assertEqual([c.version for c in later.changes_since(1) or ()], [2, 3])
         self.assertEqual(later.changes_since(3), ())
-        restored = Fleet.from_snapshot(later.snapshot())
-        assert isinstance(restored, Fleet)
+        restored = FleetConfiguration.from_snapshot(later.snapshot())
+        assert isinstance(restored, FleetConfiguration)
         self.assertIsNone(restored.changes_since(1))
--- a/pondhatch/configuration/tests/test_publishing.py
+++ b/pondhatch/configuration/tests/test_publishing.py
@@ -14,17 +14,17 @@
 from fakes._platform_in_memory import PlatformInMemory
 from pondhatch.configuration import (
     CHANGE_KIND,
-    Beaten,
     Change,
     Edit,
-    Fleet,
+    FleetConfiguration,
+    LostRace,
     NotWritten,
     Published,
     Snapshot,
     Unresolved,
-    change_name,
+    change_object_name,
     publish,
-    read_fleet,
+    read_configuration,
     write_snapshot,
 )
 from pondhatch.configuration.tests.test_fleet import account
@@ -47,31 +47,31 @@
         self.platform = PlatformInMemory()
         await publish(self.platform, FIRST, no_pause)
 
-    async def fleet(self) -> Fleet:
-        found = await read_fleet(self.platform, Fleet())
-        assert isinstance(found, Fleet), found
+    async def fleet(self) -> FleetConfiguration:
+        found = await read_configuration(self.platform, FleetConfiguration())
+        assert isinstance(found, FleetConfiguration), found
         return found
 
-    async def test_of_two_who_race_one_is_told_of_the_other(self) -> None:
+    async def test_of_two_racing_changes_one_is_published(self) -> None:
         outcomes = await asyncio.gather(
             publish(self.platform, change(2, "ana"), no_pause),
             publish(self.platform, change(2, "bento"), no_pause),
         )
-        self.assertEqual(outcomes, [Published(2), Beaten(change(2, "ana"))])
+        self.assertEqual(outcomes, [Published(2), LostRace(change(2, "ana"))])
         self.assertEqual(set((await self.fleet()).policy_by_account), {"ana"})
 
-    async def test_a_change_that_cannot_be_read_holds_no_other_up(self) -> None:
+    async def test_an_unreadable_change_does_not_block_later_ones(self) -> None:
         rows: tuple[Any, ...] = ({"version": "two"}, None, msgspec.to_builtins(change(7, "x")))
         for at, value in enumerate(rows):
             version = 2 + 2 * at
-            await self.platform.create(CHANGE_KIND, change_name(version), value)
+            await self.platform.create(CHANGE_KIND, change_object_name(version), value)
             later = change(version + 1, f"ana{at}")
             self.assertEqual(await publish(self.platform, later, no_pause), Published(version + 1))
         fleet = await self.fleet()
         self.assertEqual(fleet.version, 7)
         self.assertEqual(set(fleet.policy_by_account), {"ana0", "ana1", "ana2"})
 
-    async def test_a_snapshot_with_an_entry_that_cannot_be_used_is_read(self) -> None:
+    async def test_a_snapshot_with_an_invalid_entry_is_read(self) -> None:
         wrong = Edit("account", "x", {"template": "none", "key_hashes": ["0" * 64]})
         edits = (SERVICE, TEMPLATE, account("a"), wrong)
         self.assertTrue(await write_snapshot(self.platform, Snapshot(1, edits)))
@@ -79,46 +79,46 @@
         self.assertEqual(set(fleet.policy_by_account), {"a"})
         self.assertEqual(set(fleet.misfits_by_entry), {("account", "x")})
 
-    async def test_a_lost_answer_is_resolved_by_recognising_the_own_change(self) -> None:
+    async def test_a_lost_reply_is_resolved_by_recognising_the_own_change(self) -> None:
         self.platform.faults.arm("lost-answer")
         self.assertEqual(await publish(self.platform, change(2, "ana"), no_pause), Published(2))
         self.assertEqual((await self.fleet()).version, 2)
 
-    async def test_a_lost_write_is_made_again(self) -> None:
+    async def test_a_lost_write_is_retried(self) -> None:
         self.platform.faults.arm("lost-write")
         self.assertEqual(await publish(self.platform, change(2, "ana"), no_pause), Published(2))
 
-    async def test_a_lost_answer_under_which_another_won(self) -> None:
+    async def test_a_lost_reply_after_which_another_change_holds_the_version(self) -> None:
         await publish(self.platform, change(2, "bento"), no_pause)
         self.platform.faults.arm("lost-answer")
         outcome = await publish(self.platform, change(2, "ana"), no_pause)
-        self.assertEqual(outcome, Beaten(change(2, "bento")))
+        self.assertEqual(outcome, LostRace(change(2, "bento")))
 
-    async def test_an_outage_before_the_write_says_that_nothing_was_written(self) -> None:
+    async def test_an_outage_before_the_write_is_reported_as_not_written(self) -> None:
         self.platform.faults.arm("outage")
         outcome = await publish(self.platform, change(2, "ana"), no_pause)
         self.assertIsInstance(outcome, NotWritten)
         self.assertEqual((await self.fleet()).version, 1)
 
-    async def test_an_outage_after_a_lost_answer_is_said_to_be_unknown(self) -> None:
+    async def test_an_outage_after_a_lost_reply_is_reported_as_unresolved(self) -> None:
         platform = self.platform
         platform.faults.arm("lost-answer")
 
-        class ThenOutage(PlatformInMemory):
+        class OutagePlatform(PlatformInMemory):
             def _out(self) -> bool:
                 return platform.faults.strike("outage") is not None
 
-        broken = ThenOutage()
-        broken.store, broken.faults = platform.store, platform.faults
-        task = asyncio.ensure_future(publish(broken, change(2, "ana"), no_pause))
+        outage_platform = OutagePlatform()
+        outage_platform.store, outage_platform.faults = platform.store, platform.faults
+        task = asyncio.ensure_future(publish(outage_platform, change(2, "ana"), no_pause))
         platform.faults.arm("outage", count=0)
-        real_get = broken.get
+        real_get = outage_platform.get
 
-        async def out(kind: str, name: str) -> object:
+        async def get_during_outage(kind: str, name: str) -> object:
             platform.faults.arm("outage")
             return await real_get(kind, name)
 
-        broken.get = out  # type: ignore[method-assign, assignment]
+        outage_platform.get = get_during_outage  # type: ignore[method-assign, assignment]
         outcome = await task
         self.assertIsInstance(outcome, Unresolved)
         self.assertEqual((await self.fleet()).version, 2)
@@ -142,9 +142,11 @@
         self.assertTrue(await write_snapshot(self.platform, old))
         self.assertEqual((await self.fleet()).version, 2)
 
-    async def test_an_outage_while_reading_is_told(self) -> None:
+    async def test_an_outage_while_reading_is_returned(self) -> None:
         self.platform.faults.arm("outage")
-        self.assertIsInstance(await read_fleet(self.platform, Fleet()), Unavailable)
+        self.assertIsInstance(
+            await read_configuration(self.platform, FleetConfiguration()), Unavailable
+        )
 
 
 class RacingOperatorsTest(unittest.TestCase):
@@ -165,8 +167,8 @@
         refused: list[str] = []
 
         async def operate(at: int, author: str) -> None:
-            known = await read_fleet(platform, Fleet())
-            if not isinstance(known, Fleet):
+            known = await read_configuration(platform, FleetConfiguration())
+            if not isinstance(known, FleetConfiguration):
                 return
             own = Change(known.version + 1, f"{author}-{at}", author, 0.0, "", (account(author),))
             if at < len(faults) and faults[at] != "none":
@@ -174,14 +176,14 @@
             outcome = await publish(platform, own, no_pause)
             if isinstance(outcome, Published):
                 accepted.append((own.change_id, outcome.version))
-            elif isinstance(outcome, Beaten | NotWritten):
+            elif isinstance(outcome, LostRace | NotWritten):
                 refused.append(own.change_id)
 
         await asyncio.gather(*(operate(at, author) for at, author in enumerate(authors)))
         platform.faults.by_name.clear()
-        final = await read_fleet(platform, Fleet())
-        assert isinstance(final, Fleet)
-        in_force = {each.change_id: each.version for each in final.recent}
+        final = await read_configuration(platform, FleetConfiguration())
+        assert isinstance(final, FleetConfiguration)
+        in_force = {each.change_id: each.version for each in final.recent_changes}
         for change_id, version in accepted:
             self.assertEqual(in_force.get(change_id), version)
         self.assertFalse(set(refused) & set(in_force))
--- a/pondhatch/configuration/tests/test_routes.py
+++ b/pondhatch/configuration/tests/test_routes.py
@@ -4,7 +4,7 @@
 
 from pondhatch.configuration import (
     Edit,
-    Fleet,
+    FleetConfiguration,
     Rejected,
     Route,
     RouteSpec,
@@ -29,7 +29,7 @@
         }
     )
 
-    def test_the_longest_prefix_decides(self) -> None:
+    def test_the_longest_matching_prefix_is_chosen(self) -> None:
         rows = (
             ("a.example", "/notes/1", "notes"),
             ("a.example", "/notes/", "notes"),
@@ -50,20 +50,20 @@
                 found = self.table.find(host, path)
                 self.assertEqual(found.name if isinstance(found, Route) else None, name)
 
-    def test_every_draw_hits_a_target_and_shares_follow_the_weights(self) -> None:
+    def test_services_are_chosen_in_proportion_to_the_weights(self) -> None:
         found = RouteTable.of({"r": route("a", "/", ("x", 1), ("y", 3))}).find("a", "/")
         assert isinstance(found, Route)
-        drawn = [found.service(at / 1000) for at in range(1000)]
+        drawn = [found.choose_service(at / 1000) for at in range(1000)]
         self.assertEqual((drawn.count("x"), drawn.count("y")), (250, 750))
-        self.assertEqual(found.service(1.0), "y")
+        self.assertEqual(found.choose_service(1.0), "y")
 
-    def test_a_target_without_a_share_gets_nothing(self) -> None:
+    def test_a_target_of_weight_zero_gets_no_requests(self) -> None:
         found = RouteTable.of({"r": route("a", "/", ("x", 1), ("y", 0))}).find("a", "/")
         assert isinstance(found, Route)
-        drawn = [found.service(at / 1000) for at in range(1001)]
+        drawn = [found.choose_service(at / 1000) for at in range(1001)]
         self.assertEqual(drawn.count("x"), 1001)
 
-    def test_a_place_that_is_withheld_goes_to_no_shorter_prefix(self) -> None:
+    def test_an_unusable_route_does_not_fall_back_to_a_shorter_prefix(self) -> None:
         routes = {"root": route("a", "/"), "deep": route("a", "/n/deep/")}
         table = RouteTable.of(routes, frozenset({("A", "/n/"), ("a", "/n/deep/")}))
         rows = (("/x", "root"), ("/n/1", None), ("/n/deep/1", "deep"))
@@ -83,7 +83,7 @@
 
 
 class RoutesInAConfigurationTest(unittest.TestCase):
-    def test_what_is_wrong_is_told_by_its_entry_and_field(self) -> None:
+    def test_a_misfit_names_the_entry_and_field(self) -> None:
         rows = (
             ((route_edit("r", targets=[{"service": "x"}]),), ("route", "r"), "service"),
             ((route_edit("r", path_prefix="n"),), ("route", "r"), "path_prefix"),
@@ -93,18 +93,20 @@
         )
         for edits, entry, field in rows:
             with self.subTest(entry=entry, field=field):
-                found = Fleet().with_edits((SERVICE, *edits))
+                found = FleetConfiguration().with_edits((SERVICE, *edits))
                 assert isinstance(found, Rejected)
                 self.assertEqual(found.misfits[0][0], entry)
                 self.assertIn(field, str(found))
 
-    def test_a_whole_that_replaces_another_keeps_nothing_of_it(self) -> None:
-        first = Fleet().replaced_by(
+    def test_a_snapshot_replaces_all_entries_before_it(self) -> None:
+        first = FleetConfiguration().with_snapshot(
             Snapshot(3, (SERVICE, route_edit("r"), route_edit("s", host="b")))
         )
-        assert isinstance(first, Fleet)
-        second = first.replaced_by(Snapshot(8, (SERVICE, route_edit("s", host="b"))))
-        assert isinstance(second, Fleet)
+        assert isinstance(first, FleetConfiguration)
+        second = first.with_snapshot(Snapshot(8, (SERVICE, route_edit("s", host="b"))))
+        assert isinstance(second, FleetConfiguration)
         self.assertEqual((second.version, set(second.routes.by_name)), (8, {"s"}))
         self.assertIsNone(second.routes.find("a.example", "/n/"))
-        self.assertIs(first.replaced_by(Snapshot(9, second.snapshot().edits)).__class__, Fleet)
+        self.assertIs(
+            first.with_snapshot(Snapshot(9, second.snapshot().edits)).__class__, FleetConfiguration
+        )
--- a/pondhatch/configuration/tests/test_fit.py
+++ b/pondhatch/configuration/tests/test_validation.py
@@ -11,8 +11,14 @@
 from hypothesis import strategies as st
 from msgspec import Meta
 
-from pondhatch.configuration import _fit, _schema, _settings
-from pondhatch.configuration._fit import MISSING, UNKNOWN_KEY, Misfit, _walk, fit
+from pondhatch.configuration import _schema, _settings, _validation
+from pondhatch.configuration._validation import (
+    MISSING,
+    UNKNOWN_KEY,
+    Misfit,
+    _validate_by_parts,
+    validate,
+)
 
 Short = Annotated[str, Meta(pattern=r"^[a-z]{1,3}$")]
 
@@ -32,8 +38,8 @@
     values: dict[str, bool | int | float | str] = msgspec.field(default_factory=dict)
 
 
-class FitTest(unittest.TestCase):
-    def test_what_fits(self) -> None:
+class ValidationTest(unittest.TestCase):
+    def test_valid_data_is_converted(self) -> None:
         data: dict[str, Any] = {
             "name": "abc",
             "share": 2,
@@ -46,12 +52,12 @@
         several = (Inner(1), Inner(9))
         values: dict[str, bool | int | float | str] = {"a": True, "b": 1, "c": 1.5, "d": "text"}
         expected = Outer("abc", 2.0, "a", inner, several, {"k": Inner(4)}, values)
-        fitted = fit(Outer, data)
-        self.assertEqual(fitted, expected)
-        self.assertIsInstance(getattr(fitted, "share", None), float)
-        self.assertIs(getattr(fitted, "values", {})["a"], True)
+        validated = validate(Outer, data)
+        self.assertEqual(validated, expected)
+        self.assertIsInstance(getattr(validated, "share", None), float)
+        self.assertIs(getattr(validated, "values", {})["a"], True)
 
-    def test_each_misfit_is_told_with_its_place(self) -> None:
+    def test_each_misfit_has_its_path_and_expectation(self) -> None:
         rows: tuple[tuple[dict[str, Any], tuple[str | int, ...], str], ...] = (
             ({"name": "long"}, ("name",), "must match"),
             ({"name": 1}, ("name",), "expected str, found 1"),
@@ -75,35 +81,35 @@
             ({"share": "x" * 90}, ("share",), f"found '{'x' * 79}..."),
             ({"surname": 1}, ("surname",), UNKNOWN_KEY),
         )
-        for changes, path, told in rows:
+        for changes, path, expected_text in rows:
             with self.subTest(changes=changes):
-                found = fit(Outer, {"name": "abc", **changes})
-                assert isinstance(found, tuple)
-                self.assertEqual([misfit.path for misfit in found], [path])
-                self.assertIn(told, found[0].expected)
-
-    def test_all_are_told_at_once_in_order(self) -> None:
-        found = fit(Outer, {"share": -1, "inner": {"number": 0, "note": "LONG"}, "x": 1})
-        assert isinstance(found, tuple)
-        paths = [misfit.path for misfit in found]
+                misfits = validate(Outer, {"name": "abc", **changes})
+                assert isinstance(misfits, tuple)
+                self.assertEqual([misfit.path for misfit in misfits], [path])
+                self.assertIn(expected_text, misfits[0].expected)
+
+    def test_all_misfits_are_returned_in_order_of_their_paths(self) -> None:
+        misfits = validate(Outer, {"share": -1, "inner": {"number": 0, "note": "LONG"}, "x": 1})
+        assert isinstance(misfits, tuple)
+        paths = [misfit.path for misfit in misfits]
         expected = [("inner", "note"), ("inner", "number"), ("name",), ("share",), ("x",)]
         self.assertEqual(paths, expected)
 
-    def test_no_object_at_all(self) -> None:
+    def test_data_that_is_not_an_object(self) -> None:
         several: tuple[Any, ...] = (None, [], "text", 3)
         for data in several:
             with self.subTest(data=data):
-                found = fit(Outer, data)
-                assert isinstance(found, tuple)
-                self.assertEqual([each.path for each in found], [()])
-        self.assertEqual(fit(Outer, None), (Misfit((), "expected an object, found nothing"),))
+                misfits = validate(Outer, data)
+                assert isinstance(misfits, tuple)
+                self.assertEqual([each.path for each in misfits], [()])
+        self.assertEqual(validate(Outer, None), (Misfit((), "expected an object, found nothing"),))
 
 
-class WholeTest(unittest.TestCase):
+class FastPathTest(unittest.TestCase):
     """What is taken as a whole is what the walk through its parts takes."""
 
-    def test_each_shape_forbids_what_it_does_not_know(self) -> None:
-        shapes = [
+    def test_each_schema_forbids_unknown_fields(self) -> None:
+        schemas = [
             each
             for module in (_schema, _settings)
             for each in vars(module).values()
@@ -111,10 +117,10 @@
             and issubclass(each, msgspec.Struct)
             and each.__module__ == module.__name__
         ]
-        self.assertGreater(len(shapes), 15)
-        for shape in shapes:
-            with self.subTest(shape=shape.__name__):
-                self.assertTrue(shape.__struct_config__.forbid_unknown_fields)
+        self.assertGreater(len(schemas), 15)
+        for schema in schemas:
+            with self.subTest(shape=schema.__name__):
+                self.assertTrue(schema.__struct_config__.forbid_unknown_fields)
 
     @given(
         values=st.dictionaries(
@@ -133,10 +139,12 @@
             ),
         )
     )
-    def test_it_is_the_same_as_walked(self, values: dict[str, Any]) -> None:
+    def test_it_returns_the_same_as_validation_by_parts(self, values: dict[str, Any]) -> None:
         data = {"name": "abc", **values}
-        self.assertEqual(fit(Outer, data), _walk(Outer, data))
+        self.assertEqual(validate(Outer, data), _validate_by_parts(Outer, data))
 
-    def test_what_fits_is_not_walked(self) -> None:
-        with mock.patch.object(_fit, "_walk", side_effect=AssertionError("walked")):
-            self.assertEqual(fit(Inner, {"number": 3}), Inner(3))
+    def test_valid_data_is_not_validated_by_parts(self) -> None:
+        with mock.patch.object(
+            _validation, "_validate_by_parts", side_effect=AssertionError("walked")
+        ):
+            self.assertEqual(validate(Inner, {"number": 3}), Inner(3))
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -10,7 +10,7 @@
 
 from pondhatch.configuration import (
     CALLER_BOUNDS,
-    UNREADABLE,
+    UNREADABLE_KEY,
     Edit,
     RegionNames,
     ServiceDefaults,
@@ -206,7 +206,7 @@
     try:
         read = read_entry(_Limits, value)
     except msgspec.ValidationError as error:
-        return [Edit("bounds", CALLER_BOUNDS, {UNREADABLE: str(error)})]
+        return [Edit("bounds", CALLER_BOUNDS, {UNREADABLE_KEY: str(error)})]
     limits = read.entry
     times = {"header_seconds": limits.header_timeout_ms, "idle_seconds": limits.idle_timeout_ms}
     bounds: dict[str, Any] = {
@@ -261,7 +261,7 @@
 def _account(tenant: _Tenant) -> dict[str, Any]:
     if not tenant.name.isprintable():
         # Engines are told it in a header, and no header holds a line break.
-        return {UNREADABLE: "Name: expected one that can stand in a header"}
+        return {UNREADABLE_KEY: "Name: expected one that can stand in a header"}
     # The keys themselves go no further than this.
     hashes = [hashlib.sha256(key.encode()).hexdigest() for key in tenant.api_keys]
     binding = _binding(tenant.allowed_regions)
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondhatch.authority import NotTaken, Silent, Wanted
+from pondhatch.authority import DesiredState, NoReply, NotTaken
 from pondhatch.observing import LogThrottle, log_for
 from pondhatch.placement import NOTHING_SAID, Notice
 from pondhatch.platform import _names as names
@@ -196,10 +196,10 @@
 class NoOrders:
     """Engines here are told what to hold by others; see EngineOrders."""
 
-    async def state(self, url: str) -> Silent:
+    async def state(self, url: str) -> NoReply:
         """Say that nothing can be asked."""
-        return Silent("this platform's engines take no orders from routers")
+        return NoReply("this platform's engines take no orders from routers")
 
-    async def order(self, url: str, wanted: Wanted, fencing: int, seconds: float) -> NotTaken:
+    async def order(self, url: str, wanted: DesiredState, fencing: int, seconds: float) -> NotTaken:
         """Say that nothing was done."""
         return NotTaken("this platform's engines take no orders from routers")
--- a/pondhatch/platform/_entries.py
+++ b/pondhatch/platform/_entries.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondhatch.configuration import UNREADABLE, Edit
+from pondhatch.configuration import UNREADABLE_KEY, Edit
 
 
 class Wire(msgspec.Struct, rename="pascal", frozen=True):
@@ -154,9 +154,9 @@
         name = fields.get("Name")
         # Numbered, for its name may be another's, or none.
         unique = f"{name if isinstance(name, str) else ''}#{len(self.unreadable) + 1}"
-        self.unreadable.append(Edit(self._kind, unique, {**entry, UNREADABLE: reason}))
+        self.unreadable.append(Edit(self._kind, unique, {**entry, UNREADABLE_KEY: reason}))
 
 
 def marked(entry: dict[str, Any], wrong: str) -> dict[str, Any]:
     """Return an entry with why some of it could not be read, where that is so."""
-    return {**entry, UNREADABLE: wrong} if wrong else entry
+    return {**entry, UNREADABLE_KEY: wrong} if wrong else entry
--- a/pondhatch/platform/tests/test_accepted.py
+++ b/pondhatch/platform/tests/test_accepted.py
@@ -23,7 +23,7 @@
 import unittest
 from typing import Any
 
-from pondhatch.configuration import Fleet, Route
+from pondhatch.configuration import FleetConfiguration, Route
 from pondhatch.platform.tests._wire import CONFIGURATION
 from pondhatch.platform.tests.test_configuration import fleet_of, key_hash
 
@@ -43,7 +43,7 @@
 
 
 class AcceptedTest(unittest.TestCase):
-    def assert_in_force(self, fleet: Fleet) -> None:
+    def assert_in_force(self, fleet: FleetConfiguration) -> None:
         """Check that the configuration's other entries are in force."""
         self.assertEqual(fleet.version, 12)
         for path, name in (("/added/1", "r-added"), ("/notes/1", "r-notes")):
@@ -73,7 +73,7 @@
         for changes in rows:
             with self.subTest(changes=changes):
                 before = fleet_of(CONFIGURATION)
-                for base in (before, Fleet()):
+                for base in (before, FleetConfiguration()):
                     fleet = fleet_of(following(changes), base)
                     self.assert_in_force(fleet)
                     if "Tenants" in changes:
@@ -104,5 +104,5 @@
         )
         for changes in rows:
             with self.subTest(changes=changes):
-                for base in (fleet_of(CONFIGURATION), Fleet()):
+                for base in (fleet_of(CONFIGURATION), FleetConfiguration()):
                     self.assert_in_force(fleet_of(following(changes), base))
--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondhatch.configuration import Fleet, Route, ServiceDefaults, Withheld
+from pondhatch.configuration import FleetConfiguration, Route, ServiceDefaults, UnusableRoute
 from pondhatch.platform._configuration import ConfigurationReader, decode_configuration
 from pondhatch.platform._entries import read_entry
 from pondhatch.platform.tests._wire import CONFIGURATION
@@ -16,8 +16,8 @@
 DEFAULTS = ServiceDefaults(load_bound=1.7, load_slack=3)
 
 
-def fleet_of(value: Any, base: Fleet | None = None) -> Fleet:
-    return (base or Fleet()).replaced_by(decode_configuration(value, DEFAULTS))
+def fleet_of(value: Any, base: FleetConfiguration | None = None) -> FleetConfiguration:
+    return (base or FleetConfiguration()).with_snapshot(decode_configuration(value, DEFAULTS))
 
 
 def key_hash(key: str) -> str:
@@ -99,7 +99,7 @@
     def test_weights_share_a_routes_requests(self) -> None:
         route = self.fleet.routes.find("desk.example", "/briefs/")
         assert isinstance(route, Route)
-        drawn = [route.service(at / 100) for at in range(100)]
+        drawn = [route.choose_service(at / 100) for at in range(100)]
         self.assertEqual(drawn.count("lang"), 90)
 
     def test_keys_are_known_by_their_hashes_alone(self) -> None:
@@ -155,7 +155,7 @@
         self.assertEqual(set(fleet.misfits_by_entry), {("route", "r-notes")})
         self.assertNotIn("r-notes", fleet.routes.by_name)
         # Nor does the route of a shorter prefix get its requests.
-        self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), Withheld)
+        self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), UnusableRoute)
         others = {name for name in fleet_of(CONFIGURATION).routes.by_name if name != "r-notes"}
         self.assertEqual(set(fleet.routes.by_name), others)
 
@@ -169,13 +169,13 @@
         fleet = fleet_of(self.changed, fleet_of(CONFIGURATION))
         (misfit,) = fleet.misfits_by_entry["route", "r-notes#1"]
         self.assertIn("sometimes", misfit.expected)
-        self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), Withheld)
+        self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), UnusableRoute)
         self.assertNotIn("r-notes", fleet.routes.by_name)
 
     def test_one_whose_place_is_not_told_withholds_its_host(self) -> None:
         self.changed["Routes"].append({"Name": "x", "Host": "other.example"})
         fleet = fleet_of(self.changed)
-        self.assertIsInstance(fleet.routes.find("other.example", "/any/1"), Withheld)
+        self.assertIsInstance(fleet.routes.find("other.example", "/any/1"), UnusableRoute)
         self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), Route)
 
     def test_an_unreadable_entry_that_is_mended_is_in_force(self) -> None:
@@ -220,7 +220,7 @@
     def test_a_prefix_that_lacks_its_slash_is_withheld_as_if_it_had_it(self) -> None:
         self.changed["Routes"][2]["PathPrefix"] = "/proofs"
         fleet = fleet_of(self.changed)
-        self.assertIsInstance(fleet.routes.find("desk.example", "/proofs/a"), Withheld)
+        self.assertIsInstance(fleet.routes.find("desk.example", "/proofs/a"), UnusableRoute)
         self.assertIsInstance(fleet.routes.find("desk.example", "/x"), Route)
 
     def test_a_name_that_no_header_holds_serves_nobody(self) -> None:
@@ -240,7 +240,7 @@
 class IntakeTest(unittest.TestCase):
     """What binds requests to regions, and what cold engines bear."""
 
-    def edited(self, kind: str, at: int, **fields: Any) -> Fleet:
+    def edited(self, kind: str, at: int, **fields: Any) -> FleetConfiguration:
         configuration = copy.deepcopy(CONFIGURATION)
         configuration[kind][at].update(fields)
         return fleet_of(configuration)
@@ -261,10 +261,10 @@
         for value in ([], "north", [3], [""], {"north": True}, 7):
             with self.subTest(value=value):
                 fleet = self.edited("Routes", 0, AllowedRegions=value)
-                self.assertIsInstance(fleet.routes.find("desk.example", "/notes/a"), Withheld)
+                self.assertIsInstance(fleet.routes.find("desk.example", "/notes/a"), UnusableRoute)
                 fleet = self.edited("Tenants", 0, AllowedRegions=value)
                 self.assertIsNone(fleet.account_of(key_hash("key-1")))
-                self.assertFalse(fleet.is_whole("account"))
+                self.assertFalse(fleet.is_fully_applied("account"))
 
     def test_no_binding_at_all_is_no_misfit(self) -> None:
         fleet = self.edited("Routes", 0, AllowedRegions=None)
--- a/pondhatch/router/_authority.py
+++ b/pondhatch/router/_authority.py
@@ -11,9 +11,9 @@
 from pondhatch.authority import (
     EngineOrders,
     LeaseKeeper,
+    LeaseTimings,
     Orderer,
     OrdererStatus,
-    Terms,
 )
 from pondhatch.kernel import Tasks
 from pondhatch.router._order_duties import OrderDuties
@@ -42,7 +42,7 @@
         platform: Platform,
         engines: EngineOrders,
         rng: random.Random,
-        terms: Terms = Terms(),  # noqa: B008
+        terms: LeaseTimings = LeaseTimings(),  # noqa: B008
     ) -> None:
         self._state = state
         self._duties = OrderDuties(state)
@@ -65,7 +65,7 @@
 
     def holds_anything(self) -> bool:
         """Return whether a lease must still be given up before this router stops."""
-        return any(each.orderer.holds_anything() for each in self._running_by_service.values())
+        return any(each.orderer.is_holder() for each in self._running_by_service.values())
 
     def statuses(self) -> Iterable[OrdererStatus]:
         """Return what a state dump tells."""
@@ -73,14 +73,14 @@
 
     def _start_wanted(self) -> None:
         for service in self._duties.services():
-            if service not in self._running_by_service and self._duties.wants_to_order(service):
+            if service not in self._running_by_service and self._duties.should_hold_lease(service):
                 orderer = self._new_orderer(service)
                 task = self._tasks.start(orderer.run())
                 self._running_by_service[service] = _Running(orderer, task)
 
     def _end_unwanted(self) -> None:
         for service, running in tuple(self._running_by_service.items()):
-            if self._duties.wants_to_order(service) or running.orderer.holds_anything():
+            if self._duties.should_hold_lease(service) or running.orderer.is_holder():
                 continue
             running.task.cancel()
             del self._running_by_service[service]
--- a/pondhatch/router/_beliefs.py
+++ b/pondhatch/router/_beliefs.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pondhatch.configuration import EntryKey, Misfit, told
+from pondhatch.configuration import EntryKey, Misfit, format_misfits
 from pondhatch.membership import Member
 from pondhatch.observing import Believed, Records
 from pondhatch.placement import Notice
@@ -98,7 +98,7 @@
             return []
         before, self._misfits_by_entry = self._misfits_by_entry, misfits_by_entry
         version = self.state.fleet.version
-        wrong = {key: told(found) for key, found in misfits_by_entry.items()}
+        wrong = {key: format_misfits(found) for key, found in misfits_by_entry.items()}
         changed = [key for key in wrong if before.get(key) != misfits_by_entry[key]]
         mended = sorted(before.keys() - wrong.keys())
         return [
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from pondhatch.configuration import Fleet
+from pondhatch.configuration import FleetConfiguration
 from pondhatch.limits import (
     AccountGate,
     AccountLimits,
@@ -36,7 +36,7 @@
 class FleetLimits:
     """Holds accounts to their limits, together with the other routers."""
 
-    def __init__(self, name: str, gossip: Gossip, fleet: Callable[[], Fleet]) -> None:
+    def __init__(self, name: str, gossip: Gossip, fleet: Callable[[], FleetConfiguration]) -> None:
         self.gate = AccountGate()
         self.user = ShareUser()
         self.home = ShareHome()
--- a/pondhatch/router/_order_duties.py
+++ b/pondhatch/router/_order_duties.py
@@ -20,7 +20,7 @@
         specs = self.state.fleet.service_by_name.items()
         return tuple(name for name, spec in specs if spec.orders is not None)
 
-    def wants_to_order(self, service: str) -> bool:
+    def should_hold_lease(self, service: str) -> bool:
         """Return whether this router is the one that should give a service's orders."""
         if self.orders_of(service) is None or self.state.stopping():
             return False
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -13,11 +13,11 @@
 from pondhatch.configuration import (
     Change,
     Difference,
-    Fleet,
-    Gap,
+    FleetConfiguration,
     LoadManagement,
     Rejected,
     Update,
+    VersionGap,
 )
 from pondhatch.limits import HeldBytes, LimitVerdict, RetryBudgets
 from pondhatch.membership import (
@@ -86,7 +86,7 @@
     clock: Callable[[], float]
     #: Returns the way to another router.
     connect: Callable[[Member], KeyHolder]
-    fleet: Fleet = field(default_factory=Fleet)
+    fleet: FleetConfiguration = field(default_factory=FleetConfiguration)
     upstreams: UpstreamList = field(default_factory=UpstreamList)
     #: Those whose entries went a short while ago.
     vanished: Vanished = field(default_factory=Vanished)
@@ -402,7 +402,7 @@
 
     # -- configuration ------------------------------------------------------
 
-    def take_change(self, change: Change, source: str = PLATFORM) -> Rejected | Gap | None:
+    def take_change(self, change: Change, source: str = PLATFORM) -> Rejected | VersionGap | None:
         """Put the next change in force; None where it is in force now or was before.
 
         A rejected change is voided: its version passes, nothing of it is in force.
@@ -410,22 +410,22 @@
         if change.version <= self.fleet.version:
             return None
         following = self.fleet.with_change(change)
-        if isinstance(following, Gap):
+        if isinstance(following, VersionGap):
             return following
         if isinstance(following, Rejected):
-            self._put_in_force(self.fleet.voided(change), source)
+            self._put_in_force(self.fleet.with_skipped_change(change), source)
             return following
         self._put_in_force(following, source)
         return None
 
-    def take_fleet(self, fleet: Fleet, source: str = PLATFORM) -> bool:
+    def take_fleet(self, fleet: FleetConfiguration, source: str = PLATFORM) -> bool:
         """Put a configuration in force if it is newer; return whether it was."""
         if fleet.version <= self.fleet.version:
             return False
         self._put_in_force(fleet, source)
         return True
 
-    def _put_in_force(self, fleet: Fleet, source: str) -> None:
+    def _put_in_force(self, fleet: FleetConfiguration, source: str) -> None:
         self.fleet = fleet
         self.in_force_from = source
         self.wants_whole = False
@@ -439,12 +439,12 @@
         Where it is not, what a caller names may be in the part that is not, and "there is no
         such thing" would be false.
         """
-        return self.refused is None and self.fleet.is_whole(kind)
+        return self.refused is None and self.fleet.is_fully_applied(kind)
 
-    def take_update(self, update: Update, source: str = PLATFORM) -> Rejected | Gap | None:
+    def take_update(self, update: Update, source: str = PLATFORM) -> Rejected | VersionGap | None:
         """Take in what a peer says that this router lacks."""
         if update.snapshot is not None and update.snapshot.version > self.fleet.version:
-            self.take_fleet(self.fleet.replaced_by(update.snapshot), source)
+            self.take_fleet(self.fleet.with_snapshot(update.snapshot), source)
         if update.difference is not None:
             self._take_difference(update.difference, source)
         wrongs = [self.take_change(change, source) for change in update.changes]
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -13,13 +13,13 @@
 from typing import Protocol
 
 from pondhatch.configuration import (
-    Broken,
     Change,
+    ConfigurationEvent,
     ConfigurationSource,
-    Gap,
-    News,
+    Inconsistent,
     Rejected,
     Update,
+    VersionGap,
 )
 from pondhatch.kernel import Backoff, Tasks
 from pondhatch.membership import Member, Versions
@@ -209,12 +209,12 @@
             self._state.platform_lost = ""
             await self._has_met_peers.wait()
 
-    def _take_news(self, news: News) -> None:
+    def _take_news(self, news: ConfigurationEvent) -> None:
         if isinstance(news, Change):
             self._take_change(news)
         elif isinstance(news, Rejected):
             self._state.refused = news
-        elif isinstance(news, Broken):
+        elif isinstance(news, Inconsistent):
             log.error("Configuration cannot be read: {}.", news.reason)
         else:
             # Also where it is not newer: what was refused is gone then.
@@ -384,6 +384,6 @@
                 return [each for each in ahead if version_of(held[each.name]) == best]
         return []
 
-    def _log_void(self, wrong: Rejected | Gap | None) -> None:
+    def _log_void(self, wrong: Rejected | VersionGap | None) -> None:
         if isinstance(wrong, Rejected):
             log.error("Change {} is void: {}.", self._state.fleet.version, wrong)
--- a/pondhatch/router/tests/test_beliefs.py
+++ b/pondhatch/router/tests/test_beliefs.py
@@ -10,7 +10,7 @@
 from fakes._entries import SERVICE, TEMPLATE
 from fakes._platform_in_memory import PlatformInMemory
 from fakes._virtual_loop import run_virtually
-from pondhatch.configuration import Edit, Fleet, Misfit, Rejected, Snapshot, publish
+from pondhatch.configuration import Edit, FleetConfiguration, Misfit, Rejected, Snapshot, publish
 from pondhatch.configuration.tests.test_fleet import account, change
 from pondhatch.observing import Believed, Record
 from pondhatch.observing._records import _sentence
@@ -67,7 +67,7 @@
         self.assertEqual(self.looked(), [("configuration", "", "refused", 0)])
         self.state.refused = Rejected(((("document", "main"), Misfit((), "none at all")),))
         self.assertEqual(self.looked(), [])
-        self.state.take_fleet(Fleet(version=5))
+        self.state.take_fleet(FleetConfiguration(version=5))
         self.assertEqual(
             self.looked(),
             [("configuration", "", "in force", 5), ("configuration", "", "taken again", 0)],
@@ -75,7 +75,9 @@
 
     def test_an_entry_that_is_not_in_force_as_it_stands(self) -> None:
         wrong = Edit("account", "a", {"template": "none", "key_hashes": ["0" * 64]})
-        self.state.take_fleet(Fleet.from_snapshot(Snapshot(3, (SERVICE, TEMPLATE, wrong))))
+        self.state.take_fleet(
+            FleetConfiguration.from_snapshot(Snapshot(3, (SERVICE, TEMPLATE, wrong)))
+        )
         self.assertEqual(
             self.looked(),
             [("configuration", "", "in force", 3), ("entry", "account a", "misfit", 3)],
@@ -83,7 +85,7 @@
         (told,) = [each for each in self.kept.records if getattr(each, "about", "") == "entry"]
         self.assertIn("undefined template 'none'", str(told))
         self.assertEqual(self.looked(), [])
-        self.state.take_fleet(Fleet.from_snapshot(Snapshot(4, (SERVICE, TEMPLATE))))
+        self.state.take_fleet(FleetConfiguration.from_snapshot(Snapshot(4, (SERVICE, TEMPLATE))))
         self.assertEqual(
             self.looked(),
             [("configuration", "", "in force", 4), ("entry", "account a", "mended or gone", 4)],
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -25,7 +25,7 @@
 from unittest.mock import patch
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.configuration import Fleet, ServiceDefaults, Update
+from pondhatch.configuration import FleetConfiguration, ServiceDefaults, Update
 from pondhatch.membership import Member
 from pondhatch.platform._configuration import ConfigurationReader
 from pondhatch.platform.tests._wire import CONFIGURATION
@@ -60,7 +60,7 @@
     """Let a router read versions of the document as the platform's watch brings them."""
     reader = ConfigurationReader(ServiceDefaults())
     for document in documents:
-        state.take_fleet(state.fleet.replaced_by(reader.decode(document)))
+        state.take_fleet(state.fleet.with_snapshot(reader.decode(document)))
 
 
 class OneAccountBesideManyRoutesTest(unittest.TestCase):
@@ -95,7 +95,9 @@
 
     def test_who_takes_it_compares_only_what_changed(self) -> None:
         given = self.given()
-        with patch.object(Fleet, "replaced_by", side_effect=AssertionError("compared whole")):
+        with patch.object(
+            FleetConfiguration, "with_snapshot", side_effect=AssertionError("compared whole")
+        ):
             self.taker.take_update(given)
         self.assertEqual(self.taker.fleet.version, 6)
         self.assertEqual(self.taker.fleet.raw_by_entry, self.giver.fleet.raw_by_entry)
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -18,11 +18,11 @@
     Change,
     ChangeLog,
     Edit,
-    Fleet,
-    Gap,
+    FleetConfiguration,
     Misfit,
     Rejected,
     Update,
+    VersionGap,
     publish,
 )
 from pondhatch.configuration.tests.test_fleet import account, change
@@ -160,20 +160,20 @@
 
     async def test_one_far_behind_gets_a_snapshot(self) -> None:
         peer, state = router("r1"), router("r0")
-        restored = Fleet.from_snapshot(self.fleet_with(9).snapshot())
-        assert isinstance(restored, Fleet)
+        restored = FleetConfiguration.from_snapshot(self.fleet_with(9).snapshot())
+        assert isinstance(restored, FleetConfiguration)
         peer.take_fleet(restored)
         update = peer.update_since(0)
         self.assertIsNotNone(update.snapshot)
         self.assertIsNone(state.take_update(update))
         self.assertEqual(state.fleet.version, 9)
 
-    def fleet_with(self, version: int) -> Fleet:
-        fleet = Fleet().with_change(FIRST)
-        assert isinstance(fleet, Fleet)
+    def fleet_with(self, version: int) -> FleetConfiguration:
+        fleet = FleetConfiguration().with_change(FIRST)
+        assert isinstance(fleet, FleetConfiguration)
         for at in range(2, version + 1):
             following = fleet.with_change(change(at, account(f"a{at}")))
-            assert isinstance(following, Fleet)
+            assert isinstance(following, FleetConfiguration)
             fleet = following
         return fleet
 
@@ -181,10 +181,12 @@
 class Told:
     """A configuration that is told as listed, one news after the other."""
 
-    def __init__(self, *news: Fleet | Rejected) -> None:
+    def __init__(self, *news: FleetConfiguration | Rejected) -> None:
         self._news = news
 
-    async def follow(self, in_force: Callable[[], Fleet]) -> AsyncIterator[Fleet | Rejected]:
+    async def follow(
+        self, in_force: Callable[[], FleetConfiguration]
+    ) -> AsyncIterator[FleetConfiguration | Rejected]:
         for each in self._news:
             yield each
         await asyncio.Event().wait()
@@ -195,7 +197,7 @@
 
     REFUSED = Rejected(((("document", "main"), Misfit((), "none at all")),))
 
-    async def after(self, *news: Fleet | Rejected) -> RouterState:
+    async def after(self, *news: FleetConfiguration | Rejected) -> RouterState:
         state = router("r0")
         state.refresh()
         sync = syncing(state, PlatformInMemory(), None)
@@ -208,12 +210,14 @@
         return state
 
     async def test_the_older_one_stays_in_force_and_nothing_is_refused_for_good(self) -> None:
-        state = await self.after(Fleet(version=3), self.REFUSED)
+        state = await self.after(FleetConfiguration(version=3), self.REFUSED)
         self.assertEqual((state.fleet.version, state.refused), (3, self.REFUSED))
         self.assertFalse(state.knows_all("route"))
 
     async def test_the_same_version_put_back_ends_it(self) -> None:
-        state = await self.after(Fleet(version=3), self.REFUSED, Fleet(version=3))
+        state = await self.after(
+            FleetConfiguration(version=3), self.REFUSED, FleetConfiguration(version=3)
+        )
         self.assertIsNone(state.refused)
         self.assertTrue(state.knows_all("route"))
 
@@ -224,8 +228,8 @@
         for each in (FIRST, change(2, account("a")), change(3, account("a", 7.0))):
             state.take_change(each)
         before = state.fleet
-        stale = Fleet().with_change(FIRST)
-        assert isinstance(stale, Fleet)
+        stale = FleetConfiguration().with_change(FIRST)
+        assert isinstance(stale, FleetConfiguration)
         self.assertFalse(state.take_fleet(stale))
         self.assertIsNone(state.take_change(change(2, account("a", 1.0))))
         self.assertIsNone(state.take_update(Update(snapshot=stale.snapshot())))
@@ -234,7 +238,7 @@
     def test_a_gap_is_seen_and_nothing_is_skipped(self) -> None:
         state = router("r0")
         state.take_change(FIRST)
-        self.assertEqual(state.take_change(change(3, account("a"))), Gap(1, 3))
+        self.assertEqual(state.take_change(change(3, account("a"))), VersionGap(1, 3))
         self.assertEqual(state.fleet.version, 1)
 
     def test_a_change_that_fails_its_check_is_void_and_the_log_goes_on(self) -> None:
--- a/pondhatch/standard/_orders.py
+++ b/pondhatch/standard/_orders.py
@@ -14,15 +14,15 @@
 import treq
 
 from pondhatch.authority import (
+    DesiredState,
     EngineState,
+    NoReply,
     NotTaken,
     OldNumber,
     OrderOutcome,
     OrderUnknown,
-    Reported,
-    Silent,
+    StateReported,
     Taken,
-    Wanted,
 )
 from pondhatch.kernel import as_future
 from pondhatch.standard._platform import NOT_SENT
@@ -37,7 +37,7 @@
 class _Order(msgspec.Struct, frozen=True):
     """The body of an order."""
 
-    wanted: Wanted
+    wanted: DesiredState
     fencing: int
 
 
@@ -50,19 +50,21 @@
 class HttpEngineOrders:
     """Engines reached by HTTP; see EngineOrders."""
 
-    async def state(self, url: str) -> Reported | Silent:
+    async def state(self, url: str) -> StateReported | NoReply:
         """Ask an engine what it holds."""
         try:
             async with asyncio.timeout(STATE_SECONDS):
                 response = await _request("GET", url)
                 content = await as_future(response.content())
             if response.code != OK:
-                return Silent(f"answered {response.code}")
-            return Reported(msgspec.json.decode(content, type=EngineState))
+                return NoReply(f"answered {response.code}")
+            return StateReported(msgspec.json.decode(content, type=EngineState))
         except Exception as error:
-            return Silent(f"{type(error).__name__}: {error}")
+            return NoReply(f"{type(error).__name__}: {error}")
 
-    async def order(self, url: str, wanted: Wanted, fencing: int, seconds: float) -> OrderOutcome:
+    async def order(
+        self, url: str, wanted: DesiredState, fencing: int, seconds: float
+    ) -> OrderOutcome:
         """Give one order; given up after so many seconds."""
         body = msgspec.json.encode(_Order(wanted, fencing))
         try:
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -11,7 +11,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET
 
-from pondhatch.configuration import CallerLimits, Route, RouteSpec, Withheld
+from pondhatch.configuration import CallerLimits, Route, RouteSpec, UnusableRoute
 from pondhatch.limits import HeldCounter, Limited
 from pondhatch.observing import RequestEnded, log_for
 from pondhatch.requests import (
@@ -209,7 +209,7 @@
         host = _host(request)
         path = request.uri.decode("latin-1")
         route = self._state.fleet.routes.find(host, path)
-        if isinstance(route, Withheld):
+        if isinstance(route, UnusableRoute):
             return not_in_force("route")
         if route is None:
             return if_all_known(self._state, "route", NO_ROUTE)
@@ -233,7 +233,7 @@
         headers: Headers,
         body: ReplayableBody,
     ) -> Work | NotRun:
-        service = route.service(self._rng.random())
+        service = route.choose_service(self._rng.random())
         admitted = admit_routed(self._state, account, route.spec, service, facts.wait)
         if isinstance(admitted, NotRun):
             return admitted
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from pondhatch.configuration import CallerLimits, Edit, Fleet, Snapshot
+from pondhatch.configuration import CallerLimits, Edit, FleetConfiguration, Snapshot
 from pondhatch.kernel import Tasks
 from pondhatch.observing import NoMetrics
 from pondhatch.requests import CallerGone, Ended, Headers, Opened, Ways
@@ -40,14 +40,14 @@
 }
 
 
-def _fleet() -> Fleet:
+def _fleet() -> FleetConfiguration:
     hashes = [hashlib.sha256(key.encode()).hexdigest() for key in KEYS]
     edits = (
         Edit("service", "portal", {"kind": "plain", "prefix": "/portal/"}),
         Edit("template", "small", {"account": LIMITS}),
         Edit("account", "pina", {"template": "small", "key_hashes": hashes}),
     )
-    return Fleet.from_snapshot(Snapshot(50, edits))
+    return FleetConfiguration.from_snapshot(Snapshot(50, edits))
 
 
 class OpenAiCallersTest(RoutedCallersTest):
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -14,7 +14,13 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from pondhatch.configuration import CallerLimits, Fleet, Misfit, Rejected, ServiceDefaults
+from pondhatch.configuration import (
+    CallerLimits,
+    FleetConfiguration,
+    Misfit,
+    Rejected,
+    ServiceDefaults,
+)
 from pondhatch.kernel import Tasks
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
 from pondhatch.observing import NoMetrics, Record
@@ -160,7 +166,9 @@
 
 
 def put_in_force(state: RouterState, configuration: Any) -> None:
-    state.take_fleet(Fleet().replaced_by(decode_configuration(configuration, ServiceDefaults())))
+    state.take_fleet(
+        FleetConfiguration().with_snapshot(decode_configuration(configuration, ServiceDefaults()))
+    )
     state.take_listed_evacuations(Listed(1, ()))
 
 
@@ -248,7 +256,7 @@
         self.assertEqual(self.upstreams.sent, [])
 
     async def test_before_any_configuration_callers_are_told_to_come_back(self) -> None:
-        self.state.fleet = Fleet()
+        self.state.fleet = FleetConfiguration()
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 503"))
         self.assertIn(b"Retry-After: 0.500", told)
@@ -606,7 +614,7 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.fleet, self.state.fleet = self.state.fleet, Fleet()
+        self.fleet, self.state.fleet = self.state.fleet, FleetConfiguration()
         self.held = Held(self.state)
         self.callers._starting = self.held
 
