--- a/pondhatch/configuration/__init__.py
+++ b/pondhatch/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: settings, templates, accounts, and the log of changes."""
+"""Router settings, the fleet's configuration, and the log of its changes."""
 
 from pondhatch.configuration._changes import (
     ENTRY_KINDS,
--- a/pondhatch/configuration/_account_editor.py
+++ b/pondhatch/configuration/_account_editor.py
@@ -1,4 +1,4 @@
-"""Accounts while edits are taken in: their policies, and whose their keys are."""
+"""Account policies and API keys while edits are applied."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AccountEditor:
-    """Policies by account and accounts by key, as edits change them."""
+    """Working copies of the policies by account and the accounts by key hash."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._misfits = misfits
 
     def remove(self, account: str, raw: bytes | None) -> None:
-        """Forget an account and the keys that it had as it was written before."""
+        """Remove an account and the keys of its previous entry (``raw``, JSON)."""
         self.policies.pop(account, None)
         for key_hash in _key_hashes(raw):
             if self.account_by_key_hash.get(key_hash) == account:
@@ -40,7 +40,7 @@
         template: TemplateSpec,
         services: Mapping[str, ServiceSpec],
     ) -> None:
-        """Put an account in force, with the services that are there."""
+        """Apply an account, with those of its services that are defined."""
         policy = fill_in(spec, template)
         if not isinstance(policy, AccountPolicy):
             self._misfits.add_all("account", account, policy)
@@ -52,7 +52,7 @@
             self._assign_key(account, index, key_hash)
 
     def _assign_key(self, account: str, index: int, key_hash: str) -> None:
-        """Give a key to an account; of two that claim it, to the first by name."""
+        """Assign a key to an account; where two name it, to the first by account name."""
         other = self.account_by_key_hash.get(key_hash, account)
         winner, loser = sorted((account, other))
         self.account_by_key_hash[key_hash] = winner
@@ -69,7 +69,7 @@
 
 
 def _key_hashes(raw: bytes | None) -> list[str]:
-    """Return the hashes of an account's keys as written, whatever else it says."""
+    """Return the key hashes in an account's entry, even where the entry is invalid."""
     value = msgspec.json.decode(raw) if raw is not None else None
     hashes = value.get("key_hashes") if isinstance(value, dict) else None
     return [each for each in hashes if isinstance(each, str)] if isinstance(hashes, list) else []
--- a/pondhatch/configuration/_cross_checks.py
+++ b/pondhatch/configuration/_cross_checks.py
@@ -1,4 +1,4 @@
-"""What stands once for several entries: places of routes, and what services answer to."""
+"""Checks across entries: duplicate routes and models, and references to services."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pondhatch.configuration._schema import RouteSpec, ServiceSpec
 from pondhatch.configuration._validation import Misfit
 
-#: Prefix of all paths of a host.
+#: Path prefix that matches every path of a host.
 ROOT_PREFIX = "/"
 
 
@@ -21,8 +21,8 @@
 ) -> dict[str, RouteSpec]:
     """Return the routes that can be used, by name.
 
-    Of two at one place, the one whose name sorts first stays. A target whose service is not
-    there is left out, and a route with no other as well.
+    Of two routes with the same host and path prefix, the one whose name sorts first is kept.
+    Targets whose service is undefined are dropped, and so are routes left without a target.
     """
     usable: dict[str, RouteSpec] = {}
     claimed: dict[RouteKey, str] = {}
@@ -54,12 +54,12 @@
 def check_services(
     services: Mapping[str, ServiceSpec], routes: Mapping[str, RouteSpec], misfits: MisfitCollector
 ) -> None:
-    """Note services that claim the same as another, or that nothing reaches."""
+    """Record services that share a model or prefix with another, or that cannot be reached."""
     claimed: dict[str, str] = {}
     for name, spec in sorted(services.items()):
         claims = [*spec.models, *([spec.prefix] if spec.prefix else [])]
         if not claims and not routes:
-            # Harmless where it was accepted; whoever writes it is told.
+            # Rejected in a new change; harmless in an entry that is accepted already.
             misfits.add_cause("service", name, Misfit((), "expected models, a prefix or a route"))
         for claim in claims:
             other = claimed.setdefault(claim, name)
@@ -69,12 +69,15 @@
 
 
 def readable_route_key(value: Any) -> RouteKey | None:
-    """Return the place that a route would have, as far as it can be read."""
+    """Return the host and path prefix of an invalid route, or None without a readable host.
+
+    A route whose prefix cannot be read counts for the whole host.
+    """
     if not isinstance(value, dict) or not isinstance(host := value.get("host"), str):
         return None
     prefix = value.get("path_prefix")
     if not isinstance(prefix, str):
         return host, ROOT_PREFIX
-    # Prefixes are looked up from slash to slash.
+    # Lookup uses prefixes that begin and end with a slash.
     inner = prefix.strip("/")
     return host, f"/{inner}/" if inner else ROOT_PREFIX
--- a/pondhatch/configuration/_editing.py
+++ b/pondhatch/configuration/_editing.py
@@ -1,4 +1,4 @@
-"""Taking edits into a configuration: each entry they touch is checked, and what it depends on."""
+"""Applies edits to a configuration; validates the edited entries and those that depend on them."""
 
 from __future__ import annotations
 
@@ -31,32 +31,31 @@
 
 Schema = TypeVar("Schema")
 
-#: Name of the one entry that bounds what callers may send.
+#: Name of the only entry of kind "bounds", which limits what callers may send.
 CALLER_BOUNDS = "callers"
 
 
 class EditResult(msgspec.Struct, frozen=True):
-    """A configuration after edits, at the version before them."""
+    """A configuration after edits, still with the version before them."""
 
-    #: With every entry in force that can be used, or the part of it that can.
+    #: Holds every valid entry, and the valid part of those that are invalid in part.
     fleet: FleetConfiguration
-    #: What is wrong, with the entry to blame for it: of two that claim the same, the one that
-    #: was edited.
+    #: Each misfit with the entry that causes it: of two entries that conflict, the edited one.
     causes: tuple[tuple[EntryKey, Misfit], ...]
 
 
 def apply_edits(base: FleetConfiguration, edits: Iterable[Edit]) -> EditResult:
-    """Take edits into a configuration.
+    """Apply edits to a configuration.
 
-    The same entries make the same configuration in whatever steps they came: what is not in
-    force as it stands is checked anew each time, and of two that claim the same the one whose
-    name sorts first has it.
+    The result depends on the entries only, not on the steps in which they came: entries with
+    misfits are validated again each time, and of two conflicting entries the one whose name
+    sorts first wins.
     """
     return _Editor(base, tuple(edits)).run()
 
 
 class _Editor:
-    """Checks edits on top of a configuration; only entries they touch are checked anew."""
+    """Applies edits to a configuration; validates only the entries that they affect."""
 
     def __init__(self, base: FleetConfiguration, edits: tuple[Edit, ...]) -> None:
         self._base = base
@@ -73,7 +72,7 @@
         self._accounts = AccountEditor(
             base.policy_by_account, base.account_by_key_hash, self._misfits
         )
-        #: Templates that are wrong themselves; their accounts are not blamed for it.
+        #: Templates with misfits of their own, which are not attributed to the accounts using them.
         self._invalid_templates: set[str] = set()
 
     def run(self) -> EditResult:
@@ -89,8 +88,8 @@
         for account in accounts:
             self._apply_account(account)
         if self._affects("route", "service"):
-            # What is wrong with a route depends on these alone, and going through all of them
-            # costs 6 ms at 1,700.
+            # Misfits of routes depend on routes and services only, and checking 1,700 routes
+            # takes 6 ms.
             self._routes = usable_routes(self._routes, self._services, self._misfits)
         check_services(self._services, self._routes, self._misfits)
         return EditResult(self._result_configuration(), tuple(self._misfits.causes))
@@ -98,7 +97,7 @@
     def _result_configuration(self) -> FleetConfiguration:
         return replace(
             self._base,
-            # Sorted, so that of two that claim the same the same one is found everywhere.
+            # Sorted, so that every router finds the same one of two services with one model.
             service_by_name=dict(sorted(self._services.items())),
             routes=self._route_table(),
             caller_bounds=self._bounds.get(CALLER_BOUNDS),
@@ -111,10 +110,10 @@
         )
 
     def _route_table(self) -> RouteTable:
-        """Return the routes; one that cannot be used keeps its place.
+        """Return the route table; an unusable route keeps its host and path prefix.
 
-        Its requests would go to the route of a shorter prefix else, and to a service that the
-        operator never meant for them.
+        Otherwise its requests would fall back to a route with a shorter prefix, and so reach a
+        service that the operator did not choose for them.
         """
         unusable_keys = [
             readable_route_key(msgspec.json.decode(self._raw[kind, name]))
@@ -130,7 +129,7 @@
     # -- entries as written -------------------------------------------------
 
     def _entries_to_recheck(self) -> list[Edit]:
-        """Return entries that were not in force as they stand; they may be now."""
+        """Return unedited entries that have misfits; the edits may resolve these."""
         entries = self._base.misfits_by_entry.keys() - self._edited_entries
         return [Edit(*key, self._base.entry(*key)) for key in sorted(entries)]
 
@@ -141,14 +140,14 @@
             self._fingerprint ^= _fingerprint(key, before)
         if edit.value is None:
             return
-        # Kept even if it cannot be used: routers that come later may know better.
+        # Kept even if invalid here: a router with a newer release may be able to use it.
         self._raw[key] = msgspec.json.encode(edit.value)
         self._fingerprint ^= _fingerprint(key, self._raw[key])
         if edit.kind not in ENTRY_KINDS:
             self._misfits.add(edit.kind, edit.name, Misfit((), "unknown kind of entry"))
 
     def _affects(self, *kinds: str) -> bool:
-        """Return whether an entry of these kinds is set, removed or checked anew."""
+        """Return whether an entry of these kinds is set, removed or validated again."""
         return any(edit.kind in kinds for edit in self._edits)
 
     def _apply_all(self, kind: str, apply_one: Callable[[Edit], object]) -> None:
@@ -168,7 +167,7 @@
     def _validate_entry(
         self, kind: str, name: str, schema: type[Schema], value: Any
     ) -> Schema | None:
-        """Return an entry in its shape, or None where it cannot be used; note what is wrong."""
+        """Return an entry converted to its schema, or None if invalid; record its misfits."""
         reason = value.get(UNREADABLE_KEY) if isinstance(value, dict) else None
         if reason is None:
             validated = validate(schema, value)
@@ -194,7 +193,10 @@
     # -- accounts -----------------------------------------------------------
 
     def _affected_accounts(self) -> tuple[str, ...]:
-        """Return edited accounts, and all accounts where a shared entry was edited."""
+        """Return the edited accounts, and those that depend on an edited template.
+
+        Where a service is removed, all accounts are returned.
+        """
         edited = {edit.name for edit in self._edits if edit.kind == "account"}
         service_removed = any(edit.kind == "service" and edit.value is None for edit in self._edits)
         templates = {edit.name for edit in self._edits if edit.kind == "template"}
@@ -222,7 +224,7 @@
             self._accounts.set(account, spec, template, self._services)
 
     def _usable_template(self, account: str, spec: AccountSpec) -> TemplateSpec | None:
-        """Return an account's template, or None, noted, where it cannot be used."""
+        """Return an account's template; record a misfit and return None if it is unusable."""
         if spec.template in self._invalid_templates:
             expected = f"template {spec.template!r} cannot be used"
             self._misfits.add_affected("account", account, Misfit(("template",), expected))
@@ -236,5 +238,5 @@
 
 
 def _fingerprint(key: EntryKey, raw: bytes) -> int:
-    """Return one entry's part of a configuration's fingerprint."""
+    """Return the hash of one entry; a configuration's fingerprint is the XOR of all of them."""
     return xxhash.xxh64_intdigest(raw, seed=xxhash.xxh32_intdigest("\0".join(key).encode()))
--- a/pondhatch/configuration/_entry_versions.py
+++ b/pondhatch/configuration/_entry_versions.py
@@ -1,7 +1,7 @@
-"""At which version each entry of a configuration changed last, as far back as a router knows.
+"""The version at which each entry of a configuration changed last, as far back as known.
 
-With it a router tells a peer what differs since any version that it has followed, in one step
-and whichever versions the peer skipped.
+From it a router computes, in one step, what differs for a peer at any version since
+``EntryVersions.since``, whichever versions the peer skipped.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 
 from pondhatch.configuration._changes import EntryKey
 
-#: Entries whose last change is kept at most. A day of the users' plan has 6,700 changes, most
-#: of one entry; with 0.2 KB each that is below 1 MB. Peers that are further behind are given
-#: the whole configuration.
+#: Most entries whose last change is kept, about 0.2 KB each and so below 1 MB in all. A day
+#: brings about 6,700 changes, most of them to one entry. Peers that are further behind get a
+#: snapshot.
 MAX_ENTRIES = 4096
 
 
 class EntryVersions(msgspec.Struct, frozen=True):
-    """The version of the last change of each entry that changed. Never changed in place."""
+    """The version of the last change of each changed entry. Immutable."""
 
-    #: The version from which on every change is known.
+    #: Every change after this version is known.
     since: int = 0
-    #: Of removed entries too.
+    #: Includes removed entries.
     version_by_entry: Mapping[EntryKey, int] = {}
 
     def with_changed(self, entries: Iterable[EntryKey], version: int) -> EntryVersions:
-        """Return what is known after a change of some entries."""
+        """Return the versions after the entries changed at ``version``."""
         versions = {**self.version_by_entry, **dict.fromkeys(entries, version)}
         if len(versions) <= MAX_ENTRIES:
             return EntryVersions(self.since, versions)
-        # Whole versions are forgotten, the oldest first: what is known must be all of it.
+        # Drops whole versions, oldest first, so that every change after ``since`` stays known.
         oldest_first = sorted(versions.values())
         since = oldest_first[len(versions) - MAX_ENTRIES - 1]
         kept = {key: at for key, at in versions.items() if at > since}
         return EntryVersions(since, kept)
 
     def changed_since(self, version: int) -> frozenset[EntryKey] | None:
-        """Return the entries that changed after a version, or None where that is not known."""
+        """Return the entries that changed after a version, or None if it is before ``since``."""
         if version < self.since:
             return None
         return frozenset(key for key, at in self.version_by_entry.items() if at > version)
--- a/pondhatch/configuration/_files.py
+++ b/pondhatch/configuration/_files.py
@@ -1,4 +1,4 @@
-"""Operators' files: read, held to their schema, and turned into edits."""
+"""Reads operators' YAML files, validates them and turns them into edits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pondhatch.configuration._validation import validate
 from pondhatch.configuration._yaml import FieldPath, YamlDocument, load_yaml
 
-#: Section of a file by kind of entry.
+#: Top-level section of a file for each kind of entry.
 SECTION_BY_KIND = {
     "service": "services",
     "route": "routes",
@@ -24,13 +24,13 @@
 
 
 class FileEntries(msgspec.Struct, frozen=True):
-    """Entries read from files, and the document that each stands in."""
+    """Entries read from files, and the document that each was read from."""
 
     edits: tuple[Edit, ...]
     document_by_entry: dict[EntryKey, YamlDocument]
 
     def problem(self, entry: EntryKey, path: FieldPath, expected: str) -> Problem:
-        """Return a problem at a field of an entry, with its file and line."""
+        """Return a problem at a field of an entry, with its file and line if it has them."""
         kind, name = entry
         whole_path = (SECTION_BY_KIND.get(kind, kind), name, *path)
         document = self.document_by_entry.get(entry)
@@ -40,7 +40,10 @@
 
 
 def read_files(paths: Iterable[Path]) -> FileEntries:
-    """Read YAML files, or folders of them. Raises ConfigurationError with every problem."""
+    """Read YAML files, or all ``*.yaml`` in folders.
+
+    Raises ConfigurationError with every problem.
+    """
     problems: list[Problem] = []
     edits: list[Edit] = []
     document_by_entry: dict[EntryKey, YamlDocument] = {}
@@ -68,7 +71,10 @@
 def checked_configuration(
     fleet: FleetConfiguration, entries: FileEntries, edits: Iterable[Edit]
 ) -> FleetConfiguration:
-    """Return the configuration with edits; raise ConfigurationError with files and lines."""
+    """Return the configuration with the edits applied.
+
+    Raises ConfigurationError, with files and lines, if they are rejected.
+    """
     edited = fleet.with_edits(edits)
     if isinstance(edited, Rejected):
         raise ConfigurationError(
@@ -81,7 +87,10 @@
 
 
 def changed_edits(fleet: FleetConfiguration, entries: FileEntries, prune: bool) -> tuple[Edit, ...]:
-    """Return only the edits that change something; with ``prune`` also the removals."""
+    """Return the edits that change an entry.
+
+    With ``prune``, entries that the files do not hold are removed.
+    """
     changed = [
         edit
         for edit in entries.edits
--- a/pondhatch/configuration/_fleet.py
+++ b/pondhatch/configuration/_fleet.py
@@ -1,4 +1,4 @@
-"""The configuration in force: services, templates and accounts, checked as a whole."""
+"""A validated configuration: services, routes, templates and accounts at one version."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 )
 from pondhatch.configuration._validation import Misfit, format_misfits
 
-#: Changes kept in memory for peers that are a little behind.
+#: Changes kept in memory for peers that are a few versions behind.
 MAX_RECENT_CHANGES = 512
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """A change does not pass its check; nothing of it is in force."""
+    """The change is invalid; none of it is applied."""
 
-    #: Misfits by (kind, name) of the entry.
+    #: Pairs of entry and misfit.
     misfits: tuple[tuple[EntryKey, Misfit], ...]
 
     def __str__(self) -> str:
@@ -37,43 +37,43 @@
 
 
 class VersionGap(msgspec.Struct, frozen=True):
-    """A change does not follow the version in force; the ones between are missing."""
+    """The change does not directly follow the current version; others are missing between."""
 
     current: int
     offered: int
 
 
 class FleetConfiguration(msgspec.Struct, frozen=True):
-    """A configuration as of one version. Never changed in place."""
+    """A fleet's configuration at one version. Immutable."""
 
     version: int = 0
     service_by_name: dict[str, ServiceSpec] = msgspec.field(default_factory=dict)
     routes: RouteTable = msgspec.field(default_factory=RouteTable)
-    #: What callers may send; None where the settings of each router say so.
+    #: Limits on what callers send; None leaves them to the settings of each router.
     caller_bounds: CallerBounds | None = None
     template_by_name: dict[str, TemplateSpec] = msgspec.field(default_factory=dict)
     policy_by_account: dict[str, AccountPolicy] = msgspec.field(default_factory=dict)
     account_by_key_hash: dict[str, str] = msgspec.field(default_factory=dict)
-    #: Entries as written, encoded as JSON, by (kind, name).
+    #: Entries as written, encoded as JSON, including invalid ones.
     raw_by_entry: dict[EntryKey, bytes] = msgspec.field(default_factory=dict)
-    #: Entries that are not in force as they stand, or only in part, each with what is wrong.
+    #: Entries that are not applied, or only in part, each with the reasons.
     misfits_by_entry: Mapping[EntryKey, tuple[Misfit, ...]] = msgspec.field(default_factory=dict)
     recent_changes: tuple[Change, ...] = ()
-    #: When entries changed last, for peers that are behind.
+    #: Versions at which entries changed last, for peers that are behind.
     entry_versions: EntryVersions = msgspec.field(default_factory=EntryVersions)
-    #: Equal where all entries are as written, whatever steps they came in.
+    #: Hash of all entries as written, independent of the steps in which they came.
     fingerprint: int = 0
 
     def is_fully_applied(self, kind: str) -> bool:
-        """Return whether every entry of a kind is in force as it stands."""
+        """Return whether every entry of a kind is applied in full."""
         return not any(of == kind for of, _ in self.misfits_by_entry)
 
     def account_of(self, key_hash: str) -> str | None:
-        """Return the account an API key's hash belongs to, or None."""
+        """Return the account that an API key's hash belongs to, or None."""
         return self.account_by_key_hash.get(key_hash)
 
     def entry(self, kind: str, name: str) -> Any:
-        """Return an entry as written, as plain data. Raises KeyError."""
+        """Return an entry as written, as plain data. Raises KeyError if there is none."""
         return msgspec.json.decode(self.raw_by_entry[kind, name])
 
     def value_or_none(self, kind: str, name: str) -> Any | None:
@@ -89,7 +89,7 @@
         return None
 
     def snapshot(self) -> Snapshot:
-        """Return all entries as of this version."""
+        """Return all entries at this version."""
         edits = tuple(
             Edit(kind, name, msgspec.json.decode(raw))
             for (kind, name), raw in self.raw_by_entry.items()
@@ -97,14 +97,14 @@
         return Snapshot(self.version, edits)
 
     def changes_since(self, version: int) -> tuple[Change, ...] | None:
-        """Return the changes after a version, or None where some are no longer kept."""
+        """Return the changes after a version, or None if some are no longer kept."""
         if version >= self.version:
             return ()
         wanted = tuple(change for change in self.recent_changes if change.version > version)
         return wanted if len(wanted) == self.version - version else None
 
     def with_change(self, change: Change) -> FleetConfiguration | Rejected | VersionGap:
-        """Return the configuration after the next change; never a lower version."""
+        """Return the configuration after the next change in the log."""
         if change.version != self.version + 1:
             return VersionGap(self.version, change.version)
         edited = self.with_edits(change.edits)
@@ -114,9 +114,9 @@
         return edited._at_version(change.version, self, entries)._with_recent(self, change)
 
     def with_skipped_change(self, change: Change) -> FleetConfiguration:
-        """Return the configuration after a rejected change: a version on, nothing else.
+        """Return the configuration with a rejected change skipped: only the version increases.
 
-        Every router voids the same change, so a bad one never holds up the log.
+        Every router skips the same change, so that an invalid one does not block the log.
         """
         return self._at_version(change.version, self, ())._with_recent(self, change)
 
@@ -126,10 +126,10 @@
     def _at_version(
         self, version: int, base: FleetConfiguration, entries: Iterable[EntryKey]
     ) -> FleetConfiguration:
-        """Return this configuration as a version; ``entries`` may differ from those of ``base``."""
+        """Return this configuration at a version; only ``entries`` may differ from ``base``."""
         raw, before = self.raw_by_entry, base.raw_by_entry
         changed = [key for key in entries if raw.get(key) != before.get(key)]
-        # Who had nothing before cannot tell peers what differs from it.
+        # There are no differences to an empty configuration, so none are known before this.
         is_first = base.version == 0
         entry_versions = (
             EntryVersions(version)
@@ -139,15 +139,15 @@
         return replace(self, version=version, recent_changes=(), entry_versions=entry_versions)
 
     def with_edits(self, edits: Iterable[Edit]) -> FleetConfiguration | Rejected:
-        """Return the configuration with edits taken in, at the same version: all, or none.
+        """Return the configuration with all edits applied, at the same version, or Rejected.
 
-        For changes that are checked before they are accepted.
+        For edits that are validated before they are accepted.
         """
         edits = tuple(edits)
         edited = apply_edits(self, edits)
         if not edited.causes:
             return edited.fleet
-        # What was wrong before is not these edits' fault, and must not hold them back.
+        # Misfits that existed before these edits must not reject them.
         edited_entries = {(edit.kind, edit.name) for edit in edits}
         known_causes = {(key, misfit.path) for key, misfit in apply_edits(self, ()).causes}
         misfits = tuple(
@@ -158,11 +158,11 @@
         return Rejected(misfits) if misfits else edited.fleet
 
     def with_snapshot(self, snapshot: Snapshot) -> FleetConfiguration:
-        """Return the configuration that a snapshot holds; only what differs is checked anew.
+        """Return the configuration of a snapshot; only entries that differ are validated.
 
-        Who wrote it has accepted it. So what cannot be used of it is left out and told, and
-        the rest is in force: refused whole, one entry would keep every other from its callers,
-        and a router that starts would serve nobody.
+        The snapshot is accepted already, so invalid entries are left out, with misfits, and the
+        rest applies. If it were rejected whole, one invalid entry would block all the others,
+        and a starting router could serve no requests.
         """
         encoded = {
             (edit.kind, edit.name): (edit, msgspec.json.encode(edit.value))
@@ -173,13 +173,13 @@
         return self._with_accepted_edits(edits, snapshot.version)
 
     def _with_accepted_edits(self, edits: Iterable[Edit], version: int) -> FleetConfiguration:
-        """Return the configuration after edits that were accepted, as far as they can be used."""
+        """Return the configuration after accepted edits; invalid entries are left out."""
         edits = tuple(edits)
         entries = [(edit.kind, edit.name) for edit in edits]
         return apply_edits(self, edits).fleet._at_version(version, self, entries)
 
     def difference_since(self, version: int) -> Difference | None:
-        """Return the entries that changed after a version, or None where that is not known."""
+        """Return the difference since a version, or None if its changes are not all known."""
         changed = self.entry_versions.changed_since(version)
         if changed is None:
             return None
@@ -187,10 +187,11 @@
         return Difference(version, self.version, edits, self.fingerprint)
 
     def with_difference(self, difference: Difference) -> FleetConfiguration | None:
-        """Return the configuration with what differs taken in; None where it does not fit.
+        """Return the configuration with a difference applied, or None if it does not apply.
 
-        What was accepted is taken, as of a whole. It does not fit an older version than it was
-        worked out for, nor entries that another version of pondhatch reads in another way.
+        As in a snapshot, invalid entries are left out. A difference does not apply to a version
+        before its base, nor where the fingerprints differ afterwards, as when the two
+        routers hold different entries.
         """
         if self.version < difference.since:
             return None
@@ -199,5 +200,5 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> FleetConfiguration:
-        """Return the configuration that a snapshot holds."""
+        """Return the configuration of a snapshot, starting from an empty one."""
         return cls().with_snapshot(snapshot)
--- a/pondhatch/configuration/_misfit_collector.py
+++ b/pondhatch/configuration/_misfit_collector.py
@@ -1,4 +1,4 @@
-"""What is wrong with entries, noted while edits are taken in."""
+"""Collects the misfits of entries while edits are applied."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class MisfitCollector:
-    """Misfits by entry, and which entries are to blame for them."""
+    """Misfits by entry, and the entries that cause them."""
 
     def __init__(self) -> None:
         self.by_entry: dict[EntryKey, list[Misfit]] = {}
-        #: Of two entries that claim the same, the one that was edited is to blame.
+        #: Each misfit with its cause: of two conflicting entries, the edited one.
         self.causes: list[tuple[EntryKey, Misfit]] = []
 
     def add(self, kind: str, name: str, misfit: Misfit) -> None:
-        """Note a misfit of an entry, which is to blame for it."""
+        """Record a misfit that the entry itself causes."""
         self.add_affected(kind, name, misfit)
         self.add_cause(kind, name, misfit)
 
     def add_all(self, kind: str, name: str, misfits: Iterable[Misfit]) -> None:
-        """Note misfits of an entry, which is to blame for them."""
+        """Record misfits that the entry itself causes."""
         for misfit in misfits:
             self.add(kind, name, misfit)
 
     def add_affected(self, kind: str, name: str, misfit: Misfit) -> None:
-        """Note that an entry is not in force as it stands, and not by its own fault."""
+        """Record a misfit that another entry causes; the entry is not applied in full."""
         self.by_entry.setdefault((kind, name), []).append(misfit)
 
     def add_cause(self, kind: str, name: str, misfit: Misfit) -> None:
-        """Note what is wrong for whoever writes an entry; accepted, it is in force."""
+        """Record a misfit that rejects new edits but leaves an accepted entry applied."""
         self.causes.append(((kind, name), misfit))
--- a/pondhatch/configuration/_problems.py
+++ b/pondhatch/configuration/_problems.py
@@ -1,4 +1,4 @@
-"""What is wrong in a file, one line each: file, line, field, what was expected."""
+"""Problems found in files, each reported on one line."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """One thing wrong in one place."""
+    """One problem at one place in a file."""
 
     file: str
-    #: Counted from 1; 0 where the place is not in a file.
+    #: Counted from 1; 0 if the problem has no line in a file.
     line: int
     #: Path of the field, such as "accounts.atelier.parameters.rate".
     field: str
@@ -20,7 +20,7 @@
 
 
 class ConfigurationError(Exception):
-    """Carries every problem found; nothing was applied."""
+    """Raised with every problem found; nothing was applied."""
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
         super().__init__("\n".join(str(problem) for problem in problems))
--- a/pondhatch/configuration/_publishing.py
+++ b/pondhatch/configuration/_publishing.py
@@ -1,4 +1,4 @@
-"""Getting a change accepted by the platform, and reading what was accepted."""
+"""Publishes changes and snapshots to the platform, and reads them back."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
 
 #: Kind of the platform's objects that hold changes.
 CHANGE_KIND = "pondhatch-change"
-#: Kind of the objects that hold parts of snapshots, and the pointer to the latest.
+#: Kind of the objects that hold parts of snapshots, and of the pointer to the latest one.
 SNAPSHOT_KIND = "pondhatch-snapshot"
 POINTER_NAME = "latest"
-#: A snapshot is written after this many changes, so that no reader folds more.
+#: A snapshot is written after this many changes, so that no reader applies more of them.
 CHANGES_PER_SNAPSHOT = 64
-#: Bytes of entries in one part of a snapshot; the platform holds up to a megabyte.
+#: Bytes of entries in one part of a snapshot; the platform accepts objects of up to 1 MB.
 SNAPSHOT_PART_BYTES = 512 * 1024
-#: Tries to learn what became of a write whose answer was lost.
+#: Attempts to read back a write whose reply was lost, and seconds between them.
 READ_BACK_TRIES = 5
 READ_BACK_SECONDS = 0.3
 
 
 class SnapshotPointer(msgspec.Struct, frozen=True):
-    """Names the latest whole snapshot."""
+    """Points to the latest complete snapshot."""
 
     version: int
     parts: int
 
 
 class Published(msgspec.Struct, frozen=True):
-    """The change is accepted at this version; the snapshot due after it is written or not."""
+    """The change is accepted at this version; a due snapshot may or may not be written."""
 
     version: int
 
 
 class LostRace(msgspec.Struct, frozen=True):
-    """Another change took the version first; nothing of ours is in force."""
+    """Another change has the version; none of this one is applied."""
 
     winner: Change
 
 
 class Unresolved(msgspec.Struct, frozen=True):
-    """The platform could not tell; the change may be accepted under this id."""
+    """The outcome is unknown: the change may be accepted, under this id."""
 
     change_id: str
     version: int
@@ -70,7 +70,7 @@
 
 
 class Inconsistent(msgspec.Struct, frozen=True):
-    """What the platform holds does not fit together."""
+    """The objects at the platform are inconsistent, as when part of a snapshot is missing."""
 
     reason: str
 
@@ -85,7 +85,8 @@
 ) -> FleetConfiguration | Unavailable | Inconsistent:
     """Return the configuration at the platform, starting from one already known.
 
-    ``until`` asks for an older version, as far back as the latest snapshot.
+    ``until_version`` asks for an older version; from an empty configuration, the oldest
+    available one is that of the latest snapshot.
     """
     if configuration.version == 0:
         start = await _read_snapshot(platform)
@@ -109,10 +110,10 @@
 
 
 def read_change(version: int, value: Any) -> Change:
-    """Return what the log holds under a version; an empty change where that is none.
+    """Return the change that the log holds at a version; an empty one if it is unreadable.
 
-    It was accepted under its version, and every router passes over it alike: else it would
-    hold up all changes after it, and routers that start would know no configuration.
+    Every router skips an unreadable change in the same way. Otherwise it would block all later
+    changes, and starting routers would get no configuration.
     """
     try:
         change = msgspec.convert(value, Change)
@@ -131,7 +132,7 @@
 async def publish(
     platform: Platform, change: Change, sleep: Sleep = asyncio.sleep
 ) -> PublishOutcome:
-    """Create a change; where the answer is lost, read back and recognise the own one."""
+    """Create a change; if the reply is lost, read it back and compare the change ids."""
     name = change_object_name(change.version)
     outcome = await platform.create(CHANGE_KIND, name, msgspec.to_builtins(change))
     if isinstance(outcome, Accepted):
@@ -155,7 +156,10 @@
 
 
 async def write_snapshot(platform: Platform, snapshot: Snapshot) -> bool:
-    """Write a snapshot's parts, then point to it; return whether the pointer is at least there."""
+    """Write a snapshot's parts, then the pointer to it.
+
+    Returns whether the pointer names this snapshot or a newer one.
+    """
     parts = _split_parts(snapshot.edits)
     for number, part in enumerate(parts):
         value = [msgspec.to_builtins(edit) for edit in part]
@@ -198,7 +202,7 @@
 
 
 def _readable_edits(version: int, part: Any) -> Iterator[Edit]:
-    """Yield the entries in a part of a snapshot; one that is none holds no other back."""
+    """Yield the entries in a part of a snapshot; unreadable ones are logged and left out."""
     for value in part:
         try:
             yield msgspec.convert(value, Edit)
@@ -211,7 +215,7 @@
 
 
 def _split_parts(edits: tuple[Edit, ...]) -> list[list[Edit]]:
-    """Split entries into parts, each within the platform's size of a value."""
+    """Split entries into parts, each within the platform's limit on the size of an object."""
     parts: list[list[Edit]] = [[]]
     size = 0
     for edit in edits:
--- a/pondhatch/configuration/_routes.py
+++ b/pondhatch/configuration/_routes.py
@@ -1,4 +1,4 @@
-"""Routes: which one a request takes, by its host and the longest prefix of its path."""
+"""Looks up routes by a request's host and the longest matching prefix of its path."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """A route under its name."""
+    """A route and its name."""
 
     name: str
     spec: RouteSpec
 
     def choose_service(self, fraction: float) -> str:
-        """Return the service of one request; ``drawn`` is uniform in 0 to 1."""
+        """Return the service for one request; ``fraction`` is a random number from 0 to 1."""
         targets = self.spec.targets
         remaining = fraction * sum(target.weight for target in targets)
         for target in targets:
             remaining -= target.weight
             if remaining < 0:
                 return target.service
-        # Rounding, a draw of 1, or no target with a share.
+        # Reached by rounding, by a fraction of 1, or if no target has a weight.
         return max(reversed(targets), key=lambda target: target.weight > 0).service
 
 
-#: A host and the prefix of its paths.
+#: Host and path prefix that a route matches.
 RouteKey = tuple[str, str]
 
 
 class UnusableRoute(msgspec.Struct, frozen=True):
-    """The place of a route that cannot be used."""
+    """Host and path prefix of a route that cannot be used."""
 
     host: str
     path_prefix: str
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """All routes of a configuration. Never changed in place."""
+    """All routes of a configuration. Immutable."""
 
     by_name: Mapping[str, RouteSpec] = msgspec.field(default_factory=dict)
-    #: Places of the routes that cannot be used.
+    #: Hosts and path prefixes of routes that cannot be used.
     unusable: frozenset[RouteKey] = frozenset()
     #: Routes by host in lower case, then by path prefix.
     _by_host: Mapping[str, Mapping[str, Route | UnusableRoute]] = msgspec.field(
@@ -53,7 +53,7 @@
     def of(
         cls, by_name: Mapping[str, RouteSpec], unusable: frozenset[RouteKey] = frozenset()
     ) -> RouteTable:
-        """Return the table of routes by name, and of places where there is none to be used."""
+        """Return a table of routes by name and of the keys of unusable routes."""
         by_host: dict[str, dict[str, Route | UnusableRoute]] = {}
         for host, prefix in unusable:
             by_host.setdefault(host.lower(), {})[prefix] = UnusableRoute(host, prefix)
@@ -62,9 +62,9 @@
         return cls(by_name, unusable, by_host)
 
     def find(self, host: str, path: str) -> Route | UnusableRoute | None:
-        """Return the route with the longest prefix of a path, or None.
+        """Return the route with the longest prefix that matches a path, or None.
 
-        ``host`` may carry a port and ``path`` a query; both are left out.
+        ``host`` may include a port and ``path`` a query; both are ignored.
         """
         by_prefix = self._by_host.get(host.lower()) or self._by_host.get(_without_port(host))
         if not by_prefix:
