--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -36,7 +36,7 @@
 )
 
 SERVICE = "lang"
-TERMS = LeaseTimings()
+TIMINGS = LeaseTimings()
 #: What may befall one call to the platform.
 PLATFORM_FAULTS = ("none", "outage", "lost-answer", "lost-write")
 #: What may befall one order on its way.
@@ -47,7 +47,7 @@
 #: it is promised that no older order follows a newer one at an engine that ignores
 #: numbers: how long a candidate waits beyond the lease, less how long the order travels.
 MAX_SAFE_PAUSE = (
-    TERMS.clock_margin + TERMS.unfenced_delay + TERMS.order_timeout - ORDER_LATENESS - 0.1
+    TIMINGS.clock_margin + TIMINGS.unfenced_delay + TIMINGS.order_timeout - ORDER_LATENESS - 0.1
 )
 
 
@@ -217,7 +217,7 @@
             self,
             PausedPlatform(simulation, self.pauses),
             PausedEngines(simulation, f"{name}/{seed}", self.pauses),
-            LeaseKeeper(name, TERMS, lambda: f"{rng.getrandbits(64):016x}"),
+            LeaseKeeper(name, TIMINGS, lambda: f"{rng.getrandbits(64):016x}"),
             now,
             self.pauses.sleep,
         )
--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -20,7 +20,7 @@
     ORDER_FAULTS,
     PLATFORM_FAULTS,
     SERVICE,
-    TERMS,
+    TIMINGS,
     SimulatedRouter,
     Simulation,
     now,
@@ -44,7 +44,9 @@
 #: Seconds after the last fault within which engines hold what is wanted: a pause that had
 #: begun, a lease that must lapse, a look at engines that an older holder may have
 #: overwritten, and a few rounds.
-RECOVERY_SECONDS = LONGEST_PAUSE + TERMS.duration + TERMS.unfenced_delay + IDLE_CHECK_SECONDS + 15.0
+RECOVERY_SECONDS = (
+    LONGEST_PAUSE + TIMINGS.duration + TIMINGS.unfenced_delay + IDLE_CHECK_SECONDS + 15.0
+)
 
 
 def setUpModule() -> None:
@@ -118,7 +120,7 @@
             )
             return now() - STARTUP_SECONDS
 
-        self.assertLess(run_virtually(main()), TERMS.read_every + 1.0)
+        self.assertLess(run_virtually(main()), TIMINGS.read_every + 1.0)
 
     def test_a_holder_releases_the_lease_only_after_its_last_order_ended(self) -> None:
         async def main() -> list[str]:
@@ -145,9 +147,9 @@
             return checking, checking + await self.wait_until_held(simulation, V2, "ignoring")
 
         checking, ignoring = run_virtually(main())
-        self.assertGreaterEqual(checking, TERMS.duration - TERMS.renew_every)
-        self.assertGreaterEqual(ignoring - checking, TERMS.unfenced_delay - 1.0)
-        self.assertLess(ignoring, TERMS.duration + TERMS.unfenced_delay + 8.0)
+        self.assertGreaterEqual(checking, TIMINGS.duration - TIMINGS.renew_every)
+        self.assertGreaterEqual(ignoring - checking, TIMINGS.unfenced_delay - 1.0)
+        self.assertLess(ignoring, TIMINGS.duration + TIMINGS.unfenced_delay + 8.0)
 
     def test_no_orders_in_a_long_outage_and_the_same_holder_after_it(self) -> None:
         async def main() -> list[int]:
@@ -218,9 +220,9 @@
                 e.within_safe_pause for e in simulation.executed_orders
             ][:2]
 
-        routers, promised = run_virtually(main())
+        routers, within_safe_pause = run_virtually(main())
         self.assertEqual(routers, ["r1/0", "r0/0"])
-        self.assertEqual(promised, [True, False])
+        self.assertEqual(within_safe_pause, [True, False])
 
 
 class MalformedLeaseTest(unittest.TestCase):
@@ -246,13 +248,15 @@
             self.overwrite_lease(simulation, value)
             routers = [SimulatedRouter(name, simulation, [], 0) for name in NAMES[:2]]
             routers[0].should_hold = True
-            await asyncio.sleep(2 * (TERMS.duration + TERMS.unfenced_delay))
+            await asyncio.sleep(2 * (TIMINGS.duration + TIMINGS.unfenced_delay))
             self.assertEqual(simulation.executed_orders, [])
             self.assertEqual(len(self.lines), 1, self.lines)
             self.overwrite_lease(simulation, {"holder": "gone", "fencing": 7, "nonce": "a"})
             repaired_at = now()
-            await asyncio.sleep(2 * (TERMS.duration + TERMS.unfenced_delay))
-            self.assertGreaterEqual(simulation.executed_orders[0].at, repaired_at + TERMS.duration)
+            await asyncio.sleep(2 * (TIMINGS.duration + TIMINGS.unfenced_delay))
+            self.assertGreaterEqual(
+                simulation.executed_orders[0].at, repaired_at + TIMINGS.duration
+            )
             return [effect.fencing for effect in simulation.executed_orders]
 
         for value in self.MALFORMED:
@@ -267,7 +271,7 @@
             holder.should_hold = True
             await asyncio.sleep(STARTUP_SECONDS)
             self.overwrite_lease(simulation, None)
-            await asyncio.sleep(TERMS.renew_every + 1.0)
+            await asyncio.sleep(TIMINGS.renew_every + 1.0)
             given = len(simulation.executed_orders)
             simulation.spec = replace(simulation.spec, version=2)
             await asyncio.sleep(30)
@@ -290,7 +294,7 @@
 
             setattr(simulation.platform, method, failing)
             holder.should_hold = True
-            await asyncio.sleep(2 * (TERMS.duration + TERMS.unfenced_delay))
+            await asyncio.sleep(2 * (TIMINGS.duration + TIMINGS.unfenced_delay))
             simulation.spec = replace(simulation.spec, version=2)
             await asyncio.sleep(2 * IDLE_CHECK_SECONDS)
             return simulation.holds("checking")
--- a/pondhatch/authority/tests/test_eras.py
+++ b/pondhatch/authority/tests/test_eras.py
@@ -8,12 +8,12 @@
 from pondhatch.authority._lease_record import LeaseRecord, LeaseTimings, ReadLease, WriteLease
 from pondhatch.store import Accepted, Conflict, Found, Missing, StoredObject, position_of
 
-TERMS = LeaseTimings()
+TIMINGS = LeaseTimings()
 
 
 def keeper(name: str = "r0") -> LeaseKeeper:
     nonces = iter(range(1000))
-    return LeaseKeeper(name, TERMS, lambda: f"{name} {next(nonces)}")
+    return LeaseKeeper(name, TIMINGS, lambda: f"{name} {next(nonces)}")
 
 
 def found_record(record: dict[str, object], era: int, revision: int) -> Found:
@@ -28,7 +28,7 @@
     """Return the holder of a lease that nobody held before, and when it became so."""
     held = keeper()
     held.observe_era(0.0, era)
-    at = TERMS.duration
+    at = TIMINGS.duration
     assert isinstance(held.next_call(at, True, False), ReadLease)
     held.handle_read(at, Missing(position_of(era, 5)))
     assert isinstance(held.next_call(at, True, False), WriteLease)
@@ -54,25 +54,25 @@
         self.assertFalse(self.keeper.is_holder())
 
     def test_a_write_accepted_in_a_new_era_does_not_make_it_the_holder(self) -> None:
-        call = self.keeper.next_call(self.at + TERMS.renew_every, True, False)
+        call = self.keeper.next_call(self.at + TIMINGS.renew_every, True, False)
         self.assertIsInstance(call, WriteLease)
-        self.keeper.handle_write(self.at + TERMS.renew_every, Accepted(position_of(2, 7)))
+        self.keeper.handle_write(self.at + TIMINGS.renew_every, Accepted(position_of(2, 7)))
         self.assertFalse(self.keeper.is_holder())
         self.assertIsInstance(
-            self.keeper.next_call(self.at + TERMS.renew_every, True, False), ReadLease
+            self.keeper.next_call(self.at + TIMINGS.renew_every, True, False), ReadLease
         )
 
     def test_a_reply_from_an_earlier_era_is_ignored(self) -> None:
         self.keeper.observe_era(self.at + 1, 2)
         self.keeper.handle_read(self.at + 1, Missing(position_of(1, 9)))
-        later = self.at + 1 + TERMS.duration
+        later = self.at + 1 + TIMINGS.duration
         self.assertIsInstance(self.keeper.next_call(later, True, False), ReadLease)
 
 
 class CandidateTest(unittest.TestCase):
     def claims_at(self, candidate: LeaseKeeper, outcome: Found | Missing, at: float) -> bool:
         candidate.handle_read(at, outcome)
-        return isinstance(candidate.next_call(at + TERMS.read_every, True, False), WriteLease)
+        return isinstance(candidate.next_call(at + TIMINGS.read_every, True, False), WriteLease)
 
     def test_it_claims_nothing_for_one_lease_duration_after_a_restore(self) -> None:
         outcomes = (
@@ -88,27 +88,27 @@
                         candidate.observe_era(0.0, 1)
                     candidate.next_call(50.0, True, False)
                     self.assertFalse(self.claims_at(candidate, outcome, 50.0))
-                    self.assertTrue(self.claims_at(candidate, outcome, 50.0 + TERMS.duration))
+                    self.assertTrue(self.claims_at(candidate, outcome, 50.0 + TIMINGS.duration))
 
     def test_its_fencing_number_is_above_those_of_earlier_eras(self) -> None:
         former, at = new_holder()
         used = former.order_fencing(at, True)
         candidate = keeper("r1")
         candidate.observe_era(at, 2)
-        at += TERMS.duration
+        at += TIMINGS.duration
         candidate.next_call(at, True, False)
         candidate.handle_read(at, Missing(position_of(2, 1)))
-        claim = candidate.next_call(at + TERMS.read_every, True, False)
+        claim = candidate.next_call(at + TIMINGS.read_every, True, False)
         assert isinstance(claim, WriteLease) and used is not None
         self.assertGreater(claim.record.fencing, used)
 
     def test_a_new_era_delays_orders_to_engines_that_ignore_fencing(self) -> None:
         candidate = keeper("r1")
         candidate.observe_era(0.0, 2)
-        at = TERMS.duration
+        at = TIMINGS.duration
         candidate.next_call(at, True, False)
         candidate.handle_read(at, found_record(record_value("gone", 3), 2, 5))
-        at += TERMS.duration
+        at += TIMINGS.duration
         candidate.next_call(at, True, False)
         candidate.handle_write(at, Accepted(position_of(2, 6)))
         self.assertIsNone(candidate.order_fencing(at, checks_fencing=False))
@@ -122,17 +122,17 @@
             with self.subTest(told=outcome):
                 candidate = keeper("r1")
                 candidate.observe_era(0.0, 2)
-                at = TERMS.duration
+                at = TIMINGS.duration
                 candidate.next_call(at, True, False)
                 candidate.handle_read(at, outcome)
                 self.assertIsInstance(
-                    candidate.next_call(at + TERMS.read_every, True, False), WriteLease
+                    candidate.next_call(at + TIMINGS.read_every, True, False), WriteLease
                 )
-                at += TERMS.read_every
+                at += TIMINGS.read_every
                 candidate.handle_write(at, Accepted(position_of(2, 6)))
                 self.assertIsNone(candidate.order_fencing(at, checks_fencing=False))
                 self.assertIsNotNone(
-                    candidate.order_fencing(at + TERMS.unfenced_delay, checks_fencing=False)
+                    candidate.order_fencing(at + TIMINGS.unfenced_delay, checks_fencing=False)
                 )
 
     def test_a_platform_without_eras_can_be_claimed_at_once(self) -> None:
--- a/pondhatch/configuration/_editing.py
+++ b/pondhatch/configuration/_editing.py
@@ -39,7 +39,7 @@
     """A configuration after edits, still with the version before them."""
 
     #: Holds every valid entry, and the valid part of those that are invalid in part.
-    fleet: FleetConfiguration
+    configuration: FleetConfiguration
     #: Each misfit with the entry that causes it: of two entries that conflict, the edited one.
     causes: tuple[tuple[EntryKey, Misfit], ...]
 
@@ -120,7 +120,7 @@
             for kind, name in self._misfits.by_entry
             if kind == "route" and name not in self._routes
         ]
-        unusable = frozenset(place for place in unusable_keys if place is not None)
+        unusable = frozenset(key for key in unusable_keys if key is not None)
         before = self._base.routes
         if self._routes == before.by_name and unusable == before.unusable:
             return before
--- a/pondhatch/configuration/_fleet.py
+++ b/pondhatch/configuration/_fleet.py
@@ -66,7 +66,7 @@
 
     def is_fully_applied(self, kind: str) -> bool:
         """Return whether every entry of a kind is applied in full."""
-        return not any(of == kind for of, _ in self.misfits_by_entry)
+        return not any(entry_kind == kind for entry_kind, _ in self.misfits_by_entry)
 
     def account_of(self, key_hash: str) -> str | None:
         """Return the account that an API key's hash belongs to, or None."""
@@ -146,7 +146,7 @@
         edits = tuple(edits)
         edited = apply_edits(self, edits)
         if not edited.causes:
-            return edited.fleet
+            return edited.configuration
         # Misfits that existed before these edits must not reject them.
         edited_entries = {(edit.kind, edit.name) for edit in edits}
         known_causes = {(key, misfit.path) for key, misfit in apply_edits(self, ()).causes}
@@ -155,7 +155,7 @@
             for key, misfit in edited.causes
             if key in edited_entries or (key, misfit.path) not in known_causes
         )
-        return Rejected(misfits) if misfits else edited.fleet
+        return Rejected(misfits) if misfits else edited.configuration
 
     def with_snapshot(self, snapshot: Snapshot) -> FleetConfiguration:
         """Return the configuration of a snapshot; only entries that differ are validated.
@@ -176,7 +176,7 @@
         """Return the configuration after accepted edits; invalid entries are left out."""
         edits = tuple(edits)
         entries = [(edit.kind, edit.name) for edit in edits]
-        return apply_edits(self, edits).fleet._at_version(version, self, entries)
+        return apply_edits(self, edits).configuration._at_version(version, self, entries)
 
     def difference_since(self, version: int) -> Difference | None:
         """Return the difference since a version, or None if its changes are not all known."""
