--- a/pondhatch/authority/__init__.py
+++ b/pondhatch/authority/__init__.py
@@ -1,4 +1,4 @@
-"""Authority: who may give a service's engines orders, and which orders are due."""
+"""Authority: which router may give orders to a service's engines, and which orders are due."""
 
 from pondhatch.authority._engine import (
     DesiredState,
--- a/pondhatch/authority/_engine.py
+++ b/pondhatch/authority/_engine.py
@@ -1,4 +1,4 @@
-"""What an engine can be ordered to hold, what it reports, and how an order may end."""
+"""The state that an engine can be ordered to hold, its reports, and outcomes of orders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DesiredState(msgspec.Struct, frozen=True):
-    """What an engine is to hold. Absolute: ordering it twice is the same as once."""
+    """What an engine is to hold. Orders are idempotent, since each names the whole state."""
 
     model: str
     #: Version of the weights.
@@ -19,46 +19,46 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine says of itself."""
+    """What an engine reports about itself."""
 
-    #: What it holds; None before its first order.
+    #: What it holds now; None before its first order.
     holds: DesiredState | None
     #: Whether it is still carrying out an order.
     busy: bool = False
-    #: Highest fencing number that it has seen, where it looks at them.
+    #: Highest fencing number that it has seen, if it checks them.
     fencing: int = 0
 
 
 class StateReported(msgspec.Struct, frozen=True):
-    """The engine answered."""
+    """The engine reported its state."""
 
     state: EngineState
 
 
 class NoReply(msgspec.Struct, frozen=True):
-    """The engine did not answer in time."""
+    """The engine did not report its state in time."""
 
     reason: str
 
 
 class Taken(msgspec.Struct, frozen=True):
-    """The engine carries the order out."""
+    """The engine accepted the order and carries it out."""
 
 
 class OldNumber(msgspec.Struct, frozen=True):
-    """The engine has seen a higher fencing number; it did nothing."""
+    """The engine refused the order, because it has seen a higher fencing number."""
 
     highest: int
 
 
 class NotTaken(msgspec.Struct, frozen=True):
-    """The engine did nothing, for another reason."""
+    """The engine did not carry the order out, for another reason."""
 
     reason: str
 
 
 class OrderUnknown(msgspec.Struct, frozen=True):
-    """The answer was lost; the engine may carry the order out. Ordering again is safe."""
+    """The reply was lost, so the engine may carry the order out. Repeating it is safe."""
 
     reason: str
 
@@ -67,7 +67,7 @@
 
 
 class EngineOrders(Protocol):
-    """The way to engines."""
+    """Client for giving orders to engines."""
 
     async def state(self, url: str) -> StateReported | NoReply:
         """Ask an engine what it holds."""
@@ -75,4 +75,4 @@
     async def order(
         self, url: str, wanted: DesiredState, fencing: int, seconds: float
     ) -> OrderOutcome:
-        """Give one order; given up after so many seconds."""
+        """Give one order, with a timeout of ``seconds``."""
--- a/pondhatch/authority/_lease.py
+++ b/pondhatch/authority/_lease.py
@@ -1,16 +1,16 @@
-"""One router's part in one lease at the platform, as a machine without I/O.
-
-A lease is an object that its holder rewrites every few seconds. Nobody compares
-clocks: a holder counts from before the call that renewed it, a candidate from
-after the read that first showed the renewal, so a candidate always waits longer.
-Each new holder raises the fencing number by one, in the write that makes it the
-holder.
-
-A planned change of holder is told from an emergency: a holder that steps down
-first stops giving orders, then marks the lease as released, and the next one
-takes it at once. Where a holder was lost, the next one waits for the lease to
-lapse, and longer still before it orders engines that ignore fencing numbers.
-The split is that of Vitess's planned and emergency reparenting.
+"""One router's part in one lease at the platform, without I/O.
+
+A lease is an object that its holder rewrites every few seconds. No clocks are
+compared between routers: a holder measures the duration from before the call
+that renewed the lease, a candidate from after the read that first showed the
+renewal, so the candidate always waits longer. Each new holder raises the
+fencing number by at least one, in the write that makes it the holder.
+
+A planned change of holder differs from an emergency. A holder that steps down
+stops giving orders and then marks the lease as released, and the next one
+claims it at once. After a holder was lost, the next one waits for the lease to
+expire, and longer still before it orders engines that ignore fencing numbers.
+Vitess distinguishes planned and emergency reparenting in the same way.
 """
 
 from __future__ import annotations
@@ -41,30 +41,37 @@
 
 
 class LeaseKeeper:
-    """See the module; call ``due``, make the call it asks for, and tell what came of it."""
+    """Decides on the calls for one lease; see the module.
+
+    Make the call that ``next_call`` returns, and pass its outcome to ``handle_read`` or
+    ``handle_write``.
+    """
 
     def __init__(self, router: str, timings: LeaseTimings, new_nonce: Callable[[], str]) -> None:
         self._facts = LeaseFacts(router, timings, new_nonce)
         self._state = new_lease_state()
-        #: Why the lease as last read makes no sense; empty where it does.
+        #: Why the lease as last read could not be decoded; empty if it could.
         self.malformed_reason = ""
 
     @property
     def record(self) -> LeaseRecord | None:
-        """The lease as last seen."""
+        """The lease as last read or written; None if there is none or it is unknown."""
         return self._facts.record
 
     @property
     def order_timeout(self) -> float:
-        """Seconds after which an order is to be given up."""
+        """Timeout of an order, in seconds."""
         return self._facts.timings.order_timeout
 
     def is_holder(self) -> bool:
-        """Return whether this router is the holder, as far as it knows; see fencing."""
+        """Return whether this router is the holder, as far as it knows; see ``order_fencing``."""
         return self._state.is_holder()
 
     def order_fencing(self, now: float, checks_fencing: bool) -> int | None:
-        """Return the number under which an order may be begun now, or None."""
+        """Return the fencing number for an order sent now, or None if none may be sent.
+
+        ``checks_fencing`` says whether the engine refuses old fencing numbers.
+        """
         facts = self._facts
         if facts.record is None or not self._state.may_order():
             return None
@@ -77,7 +84,10 @@
         return facts.record.fencing
 
     def next_call(self, now: float, should_hold: bool, orders_in_flight: bool) -> LeaseCall | None:
-        """Return the call to make now, if any; ``wanted`` says whether to be the holder."""
+        """Return the call to make now, if any.
+
+        ``should_hold`` says whether this router should be the holder.
+        """
         facts = self._facts
         if not should_hold and self._state.may_order():
             self._state.step_down()
@@ -91,12 +101,12 @@
         return facts.start_call(facts.claim(), now, facts.timings.read_every)
 
     def observe_era(self, now: float, era: int) -> None:
-        """Take in the platform's era, from whomever it was heard; a new one ends all orders."""
+        """Apply the platform's era, from any source; in a new one this router holds no lease."""
         if self._facts.observe_era(era, now):
             self._state.lost()
 
     def handle_read(self, now: float, outcome: ReadOutcome) -> None:
-        """Take in what a read showed."""
+        """Apply the outcome of a read."""
         facts = self._facts
         if isinstance(outcome, Unavailable):
             return
@@ -112,7 +122,7 @@
             return
         record = self._decode_record(outcome)
         if record is None:
-            # Who holds it, and under which number, is not known: nobody gives orders by it.
+            # The holder and the fencing number are unknown, so no router may give orders.
             facts.set_malformed()
             self._state.lost()
             return
@@ -121,20 +131,20 @@
         if record.holder != facts.router or started_at is None or record.released:
             facts.started_by_nonce.clear()
             self._state.lost()
-            # Who stepped down need not be waited for.
+            # A released lease can be claimed at once.
             facts.next_call_at = now if record.released else facts.next_call_at
             return
         self._acquired(record, outcome.object.version, started_at)
 
     def handle_write(self, now: float, outcome: WriteOutcome) -> None:
-        """Take in what came of a write."""
+        """Apply the outcome of a write."""
         facts = self._facts
         written = facts.pending_write
         if written is None:
-            raise ValueError("no write was under way")
+            raise ValueError("no write is in flight")
         facts.pending_write = None
         if isinstance(outcome, Accepted) and era_of(outcome.version) != facts.era:
-            # Decided by what was known of another era.
+            # The write was based on what was known in another era.
             self.observe_era(now, era_of(outcome.version))
             facts.require_read(now)
             return
@@ -146,21 +156,21 @@
                 self._acquired(written, outcome.version, facts.call_started_at)
             return
         if isinstance(outcome, Conflict | OutcomeUnknown):
-            # Read back, and recognise the own write by its nonce.
+            # Read the lease back; the nonce shows whether this write took effect.
             facts.require_read(now)
         if isinstance(outcome, Conflict):
             facts.valid_until = float("-inf")
 
     def observe_fencing(self, highest: int) -> None:
-        """Take in that an engine has seen a higher fencing number than this router's.
+        """Apply a fencing number seen by an engine, which is higher than this router's.
 
-        A holder whose lease is its own still raises its number above; for another,
-        that write conflicts, and it learns that it is the holder no longer.
+        A router that still holds the lease then raises its own number above it. For one that
+        has lost the lease, that write conflicts, and so it learns of the loss.
         """
         self._facts.highest_fencing = max(self._facts.highest_fencing, highest)
 
     def _decode_record(self, found: Found) -> LeaseRecord | None:
-        """Return the lease as read, None where it makes no sense."""
+        """Return the lease as read, or None if it cannot be decoded."""
         self.malformed_reason = ""
         try:
             return msgspec.convert(found.object.value, LeaseRecord)
@@ -177,7 +187,7 @@
                 else None
             )
         if facts.record is None:
-            raise ValueError("a holder knows its record")
+            raise ValueError("the holder has no record of its lease")
         if not self._state.may_order():
             if orders_in_flight or now < facts.next_call_at:
                 return None
@@ -188,7 +198,7 @@
         return facts.start_call(facts.renewal(facts.record), now, facts.timings.renew_every)
 
     def _acquired(self, record: LeaseRecord, version: int, started_at: float) -> None:
-        """Take in that a write of ours, begun at a moment, is the lease's last."""
+        """Apply that a write of this router, started at ``started_at``, holds the lease."""
         if not self._state.is_holder():
             self._facts.set_unfenced_from(started_at)
         self._state.acquired()
--- a/pondhatch/authority/_lease_facts.py
+++ b/pondhatch/authority/_lease_facts.py
@@ -1,4 +1,4 @@
-"""What a router knows of one lease, and the writes that follow from it."""
+"""What a router knows about one lease, and the writes that it makes from that."""
 
 from __future__ import annotations
 
@@ -9,46 +9,47 @@
 from pondhatch.authority._lease_record import LeaseCall, LeaseRecord, LeaseTimings, WriteLease
 from pondhatch.store import NO_ERA, Position, position_of
 
-#: Own writes that are recognised when they turn out to have taken effect late.
+#: Own writes remembered so that they are recognised if they took effect late.
 MAX_NONCES = 8
 
 
 class LeaseFacts(msgspec.Struct):
-    """What a keeper remembers besides its state: what it saw, wrote, and may rely on."""
+    """What a LeaseKeeper knows besides its state; times are in seconds of its own clock."""
 
     router: str
     timings: LeaseTimings
     new_nonce: Callable[[], str]
-    #: The record as last read or written, its version, and when it was first seen so.
+    #: The record as last read or written, its version, and when that version was first seen;
+    #: infinity means that the lease must be read.
     record: LeaseRecord | None = None
     version: Position | None = None
     seen_at: float = float("inf")
-    #: When the next call is due.
+    #: Time at which the next call is due.
     next_call_at: float = float("-inf")
-    #: When the call that is under way was begun, and what it writes.
+    #: Start of the last call, and the record that it is writing, if any.
     call_started_at: float = 0.0
     pending_write: LeaseRecord | None = None
-    #: When each of our writes that may have taken effect was begun, by nonce.
+    #: Start of each of this router's writes that may have taken effect, by nonce.
     started_by_nonce: dict[str, float] = msgspec.field(default_factory=dict)
-    #: Highest fencing number that the lease had, or that an engine told of.
+    #: Highest fencing number seen in the lease or reported by an engine.
     highest_fencing: int = 0
-    #: Until when this router holds the lease by its own clock, margin taken off.
+    #: Time until which this router may use the lease, with the clock margin subtracted.
     valid_until: float = float("-inf")
-    #: From when on engines that ignore fencing numbers may be ordered.
+    #: Time from which engines that ignore fencing numbers may be given orders.
     unfenced_from: float = float("-inf")
-    #: How often the platform had come back from an older copy, and since when that is known.
+    #: How often the platform was restored from an older copy, and since when that is known.
     era: int = NO_ERA
     era_since: float = float("-inf")
 
     def needs_read(self) -> bool:
-        """Return whether the lease has to be read before anything is decided."""
+        """Return whether the lease must be read before anything is decided."""
         return self.seen_at == float("inf")
 
     def observe_era(self, era: int, now: float) -> bool:
-        """Take in the platform's era; return whether it has begun since the last word.
+        """Apply the platform's era; return whether it is a new one.
 
-        What the platform then holds of the lease is older than what was known, and says nothing:
-        not that nobody holds it, and not that this router does.
+        In a new era the lease at the platform is older than what was known. It shows neither
+        that the lease is free nor that this router holds it.
         """
         if era <= self.era:
             return False
@@ -60,14 +61,14 @@
         return True
 
     def require_read(self, now: float) -> None:
-        """Have the lease read at once."""
+        """Make a read of the lease due at once."""
         self.seen_at = float("inf")
         self.next_call_at = now
 
     def set_observed(
         self, record: LeaseRecord | None, version: Position | None, now: float
     ) -> None:
-        """Take in the lease as read, or as given up by a write; None where there is none."""
+        """Set the lease as read, or as released by a write; None if there is none."""
         if version != self.version or self.needs_read():
             self.seen_at = now
         self.record, self.version = record, version
@@ -75,36 +76,36 @@
             self.highest_fencing = max(self.highest_fencing, record.fencing)
 
     def set_malformed(self) -> None:
-        """Take in that the lease as read makes no sense: nothing is known of it, but its numbers.
+        """Forget the lease, since it cannot be decoded; the highest fencing number is kept.
 
-        It counts as unread, so that nobody claims it; once it is whole again its time is
-        counted from there.
+        The lease counts as unread, so that it is not claimed. Once it is valid again, its
+        duration is measured from then.
         """
         self.record, self.version = None, None
         self.seen_at = float("inf")
         self.started_by_nonce.clear()
 
     def set_held(self, record: LeaseRecord, version: Position, started_at: float) -> None:
-        """Take in that a write of ours, begun at a moment, is the lease's last."""
+        """Set the lease as held by this router, by a write started at ``started_at``."""
         self.record, self.version, self.seen_at = record, version, started_at
         self.valid_until = started_at + self.timings.duration - self.timings.clock_margin
 
     def set_unfenced_from(self, started_at: float) -> None:
-        """Work out from when on a new holder may order engines that ignore fencing numbers."""
+        """Set the time from which a new holder may order engines that ignore fencing numbers."""
         planned = self.record is None or self.record.released
-        # Of an era that began just now, nobody knows whether the last holder stepped down; its
-        # orders have ended once a lease's time and then this have passed.
+        # Soon after a new era began, it is unknown whether the last holder stepped down. Its
+        # orders have ended after the lease duration and then the unfenced delay.
         planned = planned and started_at >= self.old_leases_end_at() + self.timings.unfenced_delay
         self.unfenced_from = float("-inf") if planned else started_at + self.timings.unfenced_delay
 
     def old_leases_end_at(self) -> float:
-        """Return from when on no lease of an era before can be held any more."""
+        """Return the time from which no lease of an earlier era is valid."""
         if self.era == NO_ERA:
             return float("-inf")
         return self.era_since + self.timings.duration
 
     def may_be_claimed(self, now: float) -> bool:
-        """Return whether nobody holds the lease any more."""
+        """Return whether the lease is free to be claimed."""
         if now < self.old_leases_end_at():
             return False
         if self.record is None or self.record.released:
@@ -114,23 +115,23 @@
     def claim(self) -> WriteLease:
         """Return the write that makes this router the holder."""
         last_fencing = self.record.fencing if self.record is not None else 0
-        # Above all numbers of the eras before, also those that this router never heard of.
+        # Above all fencing numbers of earlier eras, including those unknown to this router.
         fencing = max(last_fencing, self.highest_fencing, position_of(self.era, 0)) + 1
         return WriteLease(LeaseRecord(self.router, fencing, self.new_nonce()), self.version)
 
     def renewal(self, held: LeaseRecord) -> WriteLease:
-        """Return the write that renews a held lease, its number above all that were seen."""
+        """Return the write that renews a held lease; raises its fencing number if it is too low."""
         fencing = self.highest_fencing + 1 if self.highest_fencing > held.fencing else held.fencing
         renewed = msgspec.structs.replace(held, nonce=self.new_nonce(), fencing=fencing)
         return WriteLease(renewed, self.version)
 
     def release(self, held: LeaseRecord) -> WriteLease:
-        """Return the write that gives a held lease up."""
+        """Return the write that releases a held lease."""
         released = msgspec.structs.replace(held, nonce=self.new_nonce(), released=True)
         return WriteLease(released, self.version)
 
     def start_call(self, call: LeaseCall, now: float, pause: float) -> LeaseCall:
-        """Note that a call begins, the next one due after a pause; return the call."""
+        """Record the start of a call, set the next one due after a pause, and return the call."""
         self.call_started_at = now
         self.next_call_at = now + pause
         if isinstance(call, WriteLease):
--- a/pondhatch/authority/_lease_record.py
+++ b/pondhatch/authority/_lease_record.py
@@ -1,4 +1,4 @@
-"""A lease as data: its record, its times, and the calls to the platform with their outcomes."""
+"""Data of a lease: its record, its timings, and the calls to the platform with outcomes."""
 
 from __future__ import annotations
 
@@ -6,33 +6,36 @@
 
 from pondhatch.store import Accepted, Conflict, Found, Missing, OutcomeUnknown, Unavailable
 
-#: Kind of the platform's objects that are leases.
+#: Kind of the objects at the platform that hold leases.
 LEASE_KIND = "pondhatch-lease"
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """A lease as it lies at the platform."""
+    """A lease as stored at the platform."""
 
     holder: str
     fencing: int
-    #: Tells a write from every other write, so that a writer recognises its own.
+    #: Unique per write, so that a writer recognises its own.
     nonce: str
-    #: Whether the holder stepped down.
+    #: Whether the holder stepped down and released the lease.
     released: bool = False
 
 
 class LeaseTimings(msgspec.Struct, frozen=True):
-    """The times of a lease, in seconds. A holder keeps ``margin`` back for clocks that drift."""
+    """The timings of a lease, in seconds.
+
+    A holder stops using the lease ``clock_margin`` early, because clocks drift.
+    """
 
     duration: float = 10.0
     renew_every: float = 3.0
-    #: Between two reads of a candidate.
+    #: Interval between two reads by a candidate.
     read_every: float = 2.0
     clock_margin: float = 1.0
-    #: An order is given up after so long; none is begun that could outlast the lease.
+    #: Timeout of an order; no order is sent that could outlast the lease.
     order_timeout: float = 2.0
-    #: How long a new holder lets engines alone that ignore fencing numbers, after an
-    #: emergency: orders of the last holder that were under way have ended by then.
+    #: Delay after an emergency before a new holder orders engines that ignore fencing numbers:
+    #: by then the last holder's orders in flight have ended.
     unfenced_delay: float = 4.0
 
 
@@ -41,7 +44,7 @@
 
 
 class WriteLease(msgspec.Struct, frozen=True):
-    """Write the lease, if it still has the version; None means if there is none."""
+    """Write the lease if it still has this version; None means if there is no lease."""
 
     record: LeaseRecord
     version: int | None
--- a/pondhatch/authority/_lease_state.py
+++ b/pondhatch/authority/_lease_state.py
@@ -1,4 +1,4 @@
-"""Whether a router holds a lease, as a state machine: following, holding, stepping down."""
+"""State machine of a router's part in a lease: following, holding or stepping down."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     """Whether this router holds the lease."""
 
     def acquired(self) -> None:
-        """A write that makes this router the holder took effect."""
+        """A write of this router that makes it the holder, or renews its lease, took effect."""
 
     def lost(self) -> None:
-        """Another router holds the lease, or nobody."""
+        """Another router holds the lease, or none does."""
 
     def step_down(self) -> None:
-        """Begin to give the lease up: no new orders."""
+        """Stop giving new orders, before the lease is released."""
 
     def may_order(self) -> bool:
-        """Return whether orders may be given, if the lease is valid."""
+        """Return whether orders may be given while the lease is valid."""
 
     def is_holder(self) -> bool:
         """Return whether the lease is this router's to renew or release."""
 
 
 class _NoData(msgspec.Struct):
-    """The machine itself remembers nothing more."""
+    """The state machine has no data beyond its state."""
 
 
 _builder = TypeMachineBuilder(LeaseState, _NoData)
@@ -55,5 +55,5 @@
 
 
 def new_lease_state() -> LeaseState:
-    """Return a machine that does not hold the lease."""
+    """Return a state machine in its first state, following."""
     return _build_machine(_NoData())
--- a/pondhatch/authority/_orderer.py
+++ b/pondhatch/authority/_orderer.py
@@ -1,4 +1,4 @@
-"""Keeps the engines of one service at what the configuration wants, under the lease."""
+"""Keeps the engines of one service in their configured state, while holding the lease."""
 
 from __future__ import annotations
 
@@ -32,50 +32,50 @@
 
 log = log_for("authority")
 
-#: Seconds between two questions to engines, while some differ from what is wanted and
-#: while none does.
+#: Seconds between two checks of the engines' states: while some differ from the desired state,
+#: and while none does.
 PENDING_CHECK_SECONDS = 1.0
 IDLE_CHECK_SECONDS = 60.0
 #: Orders kept for the state dump.
 MAX_LAST_ORDERS = 20
-#: Seconds between two rounds.
+#: Seconds between two steps.
 ROUND_SECONDS = 0.25
-#: Seconds until the next round after one that ended in an error, and so between its lines.
+#: Seconds until the next step after one that raised; this also limits how often it is logged.
 FAILURE_PAUSE_SECONDS = 5.0
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
 class OrdererView(Protocol):
-    """What an orderer reads of the router's state."""
+    """The part of the router's state that an orderer reads."""
 
     def should_hold_lease(self, service: str) -> bool:
         """Return whether this router is the one that should hold the service's lease."""
 
     def orders_of(self, service: str) -> OrdersSpec | None:
-        """Return what the service's engines are to hold, or None where nobody said."""
+        """Return what the service's engines are to hold, or None if not configured."""
 
     def platform_era(self) -> int:
-        """Return how often the platform came back from an older copy, as any router heard."""
+        """Return how often the platform was restored from an older copy, as known to any router."""
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
-        """Return the service's engines, those that leave left out."""
+        """Return the service's engines without those that are leaving."""
 
 
 class OrdererStatus(msgspec.Struct, frozen=True):
-    """What a state dump tells of an orderer."""
+    """The state of an orderer as shown in a state dump."""
 
     service: str
     holder: str | None
     fencing: int
-    #: Engines that differ from what is wanted, as last reported here.
+    #: Engines whose last state reported here differs from the desired one.
     differing: tuple[str, ...]
-    #: The last orders given here: engine, fencing number and outcome.
+    #: The last orders given by this router: engine, fencing number and outcome.
     last_orders: tuple[tuple[str, int, str], ...]
 
 
 class Orderer(msgspec.Struct):
-    """One service's orders at one router."""
+    """Gives orders to the engines of one service from one router."""
 
     service: str
     view: OrdererView
@@ -89,20 +89,20 @@
     _engine_names: tuple[str, ...] = ()
     _next_check_at: float = float("-inf")
     _orders_in_flight: int = 0
-    #: Why the lease made no sense when that was last told.
+    #: Why the lease was malformed when that was last logged; empty if it was valid.
     _logged_malformed: str = ""
     _last_orders: list[tuple[str, int, str]] = msgspec.field(default_factory=list)
 
     async def run(self) -> None:
-        """Keep the lease and the engines, until cancelled."""
+        """Keep the lease and the states of the engines, until cancelled."""
         await asyncio.gather(self._repeat(self._lease_step), self._repeat(self._engine_step))
 
     def is_holder(self) -> bool:
-        """Return whether the lease must still be given up before this router stops."""
+        """Return whether this router holds the lease, and must release it before it stops."""
         return self.keeper.is_holder()
 
     def status(self) -> OrdererStatus:
-        """Return what a state dump tells."""
+        """Return the status for a state dump."""
         record = self.keeper.record
         desired = self._desired()
         differing = tuple(
@@ -121,13 +121,16 @@
     # -- the lease ------------------------------------------------------------
 
     async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Do a step round after round; one that fails must not end the others."""
+        """Repeat a step forever; one that raises is logged and does not end the loop."""
         while True:
             pause = ROUND_SECONDS
             try:
                 await step()
             except Exception:
-                log.exception("A round for the engines of {} failed; more follow.", self.service)
+                log.exception(
+                    "A step for the engines of service {} failed; it will be repeated.",
+                    self.service,
+                )
                 pause = FAILURE_PAUSE_SECONDS
             await self.sleep(pause)
 
@@ -152,7 +155,7 @@
         try:
             return await self.platform.get(LEASE_KIND, self.service)
         except Exception as error:
-            log.exception("The lease of {} was not read.", self.service)
+            log.exception("Reading the lease of service {} failed.", self.service)
             return Unavailable(str(error))
 
     async def _write(self, call: WriteLease) -> WriteOutcome:
@@ -162,22 +165,26 @@
                 return await self.platform.create(LEASE_KIND, self.service, value)
             return await self.platform.update(LEASE_KIND, self.service, value, call.version)
         except Exception as error:
-            # The keeper waits for what came of each write; an error does not say.
-            log.exception("What became of a write to the lease of {} is not known.", self.service)
+            # The keeper needs an outcome for each write, and an exception does not tell it.
+            log.exception(
+                "The outcome of a write to the lease of service {} is unknown.", self.service
+            )
             return OutcomeUnknown(str(error))
 
     def _log_malformed(self) -> None:
-        """Tell once that the lease makes no sense, and once that it does again."""
+        """Log once when the lease becomes malformed, and once when it is valid again."""
         malformed = self.keeper.malformed_reason
         if malformed == self._logged_malformed:
             return
         self._logged_malformed = malformed
         if malformed:
             log.error(
-                "No orders of {} by its lease until it is whole: {}.", self.service, malformed
+                "The lease of service {} is malformed, so no orders are given: {}.",
+                self.service,
+                malformed,
             )
         else:
-            log.info("The lease of service {} is whole again.", self.service)
+            log.info("The lease of service {} is valid again.", self.service)
 
     def _holder_changed(self) -> None:
         self._state_by_engine.clear()
--- a/pondhatch/authority/_orders.py
+++ b/pondhatch/authority/_orders.py
@@ -1,4 +1,4 @@
-"""Which orders are due: what engines are to hold against what they report."""
+"""Computes the orders that are due, from the desired and the reported states of engines."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class DueOrder(msgspec.Struct, frozen=True):
-    """An order that an engine should be given now."""
+    """An order to give to an engine now."""
 
     engine: str
     desired: DesiredState
 
 
 def desired_by_engine(spec: OrdersSpec, engines: Iterable[str]) -> dict[str, DesiredState]:
-    """Return what each engine of a service is to hold."""
+    """Return the desired state of each engine of a service."""
     return {
         engine: DesiredState(
             model=spec.model,
@@ -33,9 +33,9 @@
 def due_orders(
     desired: Mapping[str, DesiredState], reported: Mapping[str, EngineState], at_once: int
 ) -> tuple[DueOrder, ...]:
-    """Return the orders to give now, so that at most so many engines are busy with one.
+    """Return the orders to give now, so that at most ``at_once`` engines are busy with one.
 
-    An engine that did not report gets none: it may be busy, or gone.
+    An engine that did not report gets no order, since it may be busy or gone.
     """
     busy = sum(state.busy for state in reported.values())
     waiting = [
--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -1,6 +1,6 @@
-"""Routers that share one lease, a platform that fails, engines that obey or refuse.
+"""Simulated routers that share one lease, with a failing platform and two kinds of engines.
 
-A router may be paused at every step; while it is, nothing of it moves.
+A router may be paused at every step; a paused router does nothing at all.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 SERVICE = "lang"
 TIMINGS = LeaseTimings()
-#: What may befall one call to the platform.
+#: Faults of one call to the platform.
 PLATFORM_FAULTS = ("none", "outage", "lost-answer", "lost-write")
-#: What may befall one order on its way.
+#: Faults of one order on its way to an engine.
 ORDER_FAULTS = ("none", "unreachable", "answer-lost", "late")
-#: Seconds by which a late order is behind; within what a holder waits for it.
+#: Delay of a late order, in seconds; shorter than the holder's timeout of an order.
 ORDER_LATENESS = 1.5
-#: Seconds between a holder's look at its lease and the sending of an order, up to which
-#: it is promised that no older order follows a newer one at an engine that ignores
-#: numbers: how long a candidate waits beyond the lease, less how long the order travels.
+#: Longest pause, in seconds, between a holder's check of its lease and the sending of an order
+#: for which an engine that ignores fencing numbers never gets an older order after a newer one:
+#: the time that a candidate waits beyond the lease, less the time that the order travels.
 MAX_SAFE_PAUSE = (
     TIMINGS.clock_margin + TIMINGS.unfenced_delay + TIMINGS.order_timeout - ORDER_LATENESS - 0.1
 )
@@ -63,13 +63,13 @@
     router: str
     fencing: int
     at: float
-    #: Whether it was sent within the pause that is promised for.
+    #: Whether it was sent after a pause of at most MAX_SAFE_PAUSE.
     within_safe_pause: bool
 
 
 @dataclass
 class Simulation:
-    """All that the routers share."""
+    """The state that all simulated routers share."""
 
     platform_faults: list[str] = field(default_factory=list)
     order_faults: list[str] = field(default_factory=list)
@@ -94,18 +94,18 @@
 
 
 class Pauses:
-    """One router's pauses, step by step, as drawn."""
+    """One router's pauses: one drawn duration per step, in seconds."""
 
     def __init__(self, drawn: list[float]) -> None:
         self._drawn = list(drawn)
         self._until = 0.0
 
     def stop(self) -> None:
-        """Draw no more pauses; one that has begun goes on."""
+        """Draw no more pauses; a pause that has begun continues."""
         self._drawn.clear()
 
     async def step(self) -> None:
-        """Pause the whole router where one is drawn, and wait while it is paused."""
+        """Pause the whole router if a pause is drawn, and wait while it is paused."""
         drawn = self._drawn.pop(0) if self._drawn else 0.0
         self._until = max(self._until, now() + drawn)
         while now() < self._until:
@@ -203,11 +203,11 @@
 
 
 class SimulatedRouter:
-    """One router's orderer; a restart makes a new one under the same name."""
+    """One router with its orderer; a restart makes a new one with the same name."""
 
     def __init__(self, name: str, simulation: Simulation, pauses: list[float], seed: int) -> None:
         self.name = name
-        #: Whether this router believes that it should be the holder.
+        #: Whether this router takes itself to be the one that should hold the lease.
         self.should_hold = False
         self._simulation = simulation
         rng = random.Random(f"{name} {seed}")
@@ -230,7 +230,7 @@
         return self._simulation.spec
 
     def platform_era(self) -> int:
-        return 0  # Nobody hears of it but by calls of its own.
+        return 0  # A router learns the era from its own calls only.
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
         return self._simulation.engines()
@@ -240,7 +240,7 @@
 
 
 def violations(simulation: Simulation) -> list[str]:
-    """Return every promise that the order of effects breaks."""
+    """Return every violation of fencing in the order in which engines executed orders."""
     broken_promises = []
     routers_by_number: dict[int, set[str]] = {}
     for executed in simulation.executed_orders:
--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -1,4 +1,4 @@
-"""Leases and orders: changes of holder, lost answers, pauses at every step."""
+"""Leases and orders: changes of holder, lost replies, pauses at every step."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 )
 NAMES = ("r0", "r1", "r2")
 V1, V2 = DesiredState("m", 1), DesiredState("m", 2)
-#: When a test's routers have settled down, in seconds from its start.
+#: Seconds from the start of a test until the first holder has given its orders.
 STARTUP_SECONDS = 8.0
 #: Longest pause, in seconds.
 LONGEST_PAUSE = 30.0
-#: Seconds after the last fault within which engines hold what is wanted: a pause that had
-#: begun, a lease that must lapse, a look at engines that an older holder may have
-#: overwritten, and a few rounds.
+#: Seconds after the last fault within which engines reach the desired state: the rest of a pause,
+#: the expiry of a lease, a check of engines that an older holder may have ordered since, and a few
+#: steps.
 RECOVERY_SECONDS = (
     LONGEST_PAUSE + TIMINGS.duration + TIMINGS.unfenced_delay + IDLE_CHECK_SECONDS + 15.0
 )
@@ -86,7 +86,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    """Single events, whose outcome is known."""
+    """Single events with a known outcome."""
 
     async def start(self, simulation: Simulation, count: int = 2) -> list[SimulatedRouter]:
         routers = [SimulatedRouter(name, simulation, [], 0) for name in NAMES[:count]]
@@ -203,12 +203,12 @@
         self.assertEqual(fencing, 41)
 
     def test_an_engine_that_ignores_fencing_may_obey_a_router_paused_too_long(self) -> None:
-        """An engine that ignores numbers can obey a router that slept over its own lease."""
+        """The pause is above MAX_SAFE_PAUSE, so the older order reaches the engine last."""
 
         async def main() -> tuple[list[str], list[bool]]:
             simulation = Simulation(spec=OrdersSpec("m", 1, at_once=1))
             del simulation.book_by_engine["checking"]
-            # Steps: read, claim (two each), the engine's state, then the order itself.
+            # Steps: read and claim (two steps each), the engine's state, then the order.
             paused = SimulatedRouter("r0", simulation, [0, 0, 0, 0, 0, 40.0], 0)
             paused.should_hold = True
             await asyncio.sleep(5)
@@ -226,7 +226,7 @@
 
 
 class MalformedLeaseTest(unittest.TestCase):
-    """A lease that cannot be read, and calls to the platform that raise."""
+    """A lease that cannot be decoded, and calls that raise."""
 
     MALFORMED: tuple[object, ...] = (None, "r0", {}, {"holder": "r0", "fencing": "1", "nonce": "a"})
     KEY = (LEASE_KIND, SERVICE)
@@ -239,7 +239,7 @@
         self.addCleanup(logger.remove, number)
 
     def overwrite_lease(self, simulation: Simulation, value: object) -> None:
-        """Overwrite the lease, as an operator could."""
+        """Overwrite the lease, as an operator could do."""
         simulation.platform.store.put(*self.KEY, value, None, new=False)
 
     def test_no_router_gives_orders_until_the_lease_is_valid_again(self) -> None:
@@ -325,17 +325,17 @@
 
 PAUSE = st.one_of(st.just(0.0), st.just(0.0), st.floats(0.0, LONGEST_PAUSE))
 EVENT = st.tuples(
-    st.floats(0.0, 8.0),  # seconds after the event before
+    st.floats(0.0, 8.0),  # seconds after the previous event
     st.sampled_from(("want", "unwant", "kill", "change")),
-    st.sampled_from((0, 1, 2)),  # the router it happens to
+    st.sampled_from((0, 1, 2)),  # index of the affected router
 )
-#: What befalls each router, the platform and the orders.
+#: Pauses of each router, and faults of the platform and of orders.
 FAULTS = (
     st.tuples(*(st.lists(PAUSE, max_size=25) for _ in NAMES)),
     st.lists(st.sampled_from(PLATFORM_FAULTS), max_size=25),
     st.lists(st.sampled_from(ORDER_FAULTS), max_size=8),
 )
-#: A drill takes the platform back to the event before.
+#: A drill restores the platform to its state at the previous event.
 EVENT_OR_RESTORE = st.tuples(
     st.floats(0.0, 8.0),
     st.sampled_from(("want", "unwant", "kill", "change", "drill", "drill")),
--- a/pondhatch/authority/tests/test_eras.py
+++ b/pondhatch/authority/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""A lease at a platform that comes back from an older copy."""
+"""A lease at a platform that is restored from an older copy, which begins a new era."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def new_holder(era: int = 1) -> tuple[LeaseKeeper, float]:
-    """Return the holder of a lease that nobody held before, and when it became so."""
+    """Return the first holder of a lease, and the time at which it became the holder."""
     held = keeper()
     held.observe_era(0.0, era)
     at = TIMINGS.duration
--- a/pondhatch/configuration/_settings.py
+++ b/pondhatch/configuration/_settings.py
@@ -196,8 +196,8 @@
     admin: AdminEndpoint
     #: The platform's object API.
     platform: Url
-    #: File with the fleet's shared key, at least 16 bytes; without it, the routers share a key
-    #: through an object at the platform.
+    #: File with the fleet's shared key, at least 16 bytes; without it, the routers agree on
+    #: one through an object at the platform.
     fleet_key_file: str | None = None
     #: Plug-in of kind "interface" with the protocols of callers, upstreams and the platform.
     interface: str = "openai"
--- a/pondhatch/configuration/tests/test_misfits.py
+++ b/pondhatch/configuration/tests/test_misfits.py
@@ -51,7 +51,7 @@
 
 
 def content(fleet: FleetConfiguration) -> dict[str, Any]:
-    """Return everything that a configuration holds, without its version."""
+    """Return the applied entries, the entries as written and the misfits, without versions."""
     return {
         "services": list(fleet.service_by_name.items()),
         "routes": fleet.routes,
