--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -199,7 +199,7 @@
         return OrderUnknown("lost") if fault == "answer-lost" else outcome
 
     def _executed_count(self, url: str) -> int:
-        return sum(effect.engine == url for effect in self._simulation.executed_orders)
+        return sum(executed.engine == url for executed in self._simulation.executed_orders)
 
 
 class SimulatedRouter:
@@ -241,19 +241,19 @@
 
 def violations(simulation: Simulation) -> list[str]:
     """Return every violation of fencing in the order in which engines executed orders."""
-    broken_promises = []
+    found_violations = []
     routers_by_number: dict[int, set[str]] = {}
     for executed in simulation.executed_orders:
         routers_by_number.setdefault(executed.fencing, set()).add(executed.router)
     for number, routers in routers_by_number.items():
         if len(routers) > 1:
-            broken_promises.append(f"number {number} was used by {sorted(routers)}")
+            found_violations.append(f"number {number} was used by {sorted(routers)}")
     for engine in simulation.book_by_engine:
         highest = 0
         for executed in (each for each in simulation.executed_orders if each.engine == engine):
             if executed.fencing < highest and (executed.within_safe_pause or engine == "checking"):
-                broken_promises.append(
+                found_violations.append(
                     f"{engine} obeyed {executed.fencing} after {highest} at {executed.at}"
                 )
             highest = max(highest, executed.fencing)
-    return broken_promises
+    return found_violations
