--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -185,7 +185,7 @@
         self._news = news
 
     async def follow(
-        self, in_force: Callable[[], FleetConfiguration]
+        self, current: Callable[[], FleetConfiguration]
     ) -> AsyncIterator[FleetConfiguration | Rejected]:
         for each in self._news:
             yield each
