--- a/pondhatch/authority/_orderer.py
+++ b/pondhatch/authority/_orderer.py
@@ -1,4 +1,4 @@
-"""Keeps the engines of one service at what the configuration wants, under the lease."""
+"""Keeps the engines of one service in their configured state, while holding the lease."""
 
 from __future__ import annotations
 
@@ -9,67 +9,73 @@
 import msgspec
 
 from pondhatch.authority._engine import (
+    DesiredState,
     EngineOrders,
     EngineState,
     OldNumber,
     OrderOutcome,
-    Reported,
+    StateReported,
     Taken,
-    Wanted,
 )
 from pondhatch.authority._lease import LeaseKeeper
-from pondhatch.authority._lease_record import LEASE_KIND, Read, ReadOutcome, Write, WriteOutcome
-from pondhatch.authority._orders import Due, due_orders, wanted_by_engine
+from pondhatch.authority._lease_record import (
+    LEASE_KIND,
+    ReadLease,
+    ReadOutcome,
+    WriteLease,
+    WriteOutcome,
+)
+from pondhatch.authority._orders import DueOrder, desired_by_engine, due_orders
 from pondhatch.configuration import OrdersSpec
 from pondhatch.observing import log_for
 from pondhatch.store import OutcomeUnknown, Platform, Unavailable, Upstream
 
 log = log_for("authority")
 
-#: Seconds between two questions to engines, while some differ from what is wanted and
-#: while none does.
-BUSY_CHECK_SECONDS = 1.0
-CALM_CHECK_SECONDS = 60.0
+#: Seconds between two checks of the engines' states: while some differ from the desired state,
+#: and while none does.
+PENDING_CHECK_SECONDS = 1.0
+IDLE_CHECK_SECONDS = 60.0
 #: Orders kept for the state dump.
-KEPT_ORDERS = 20
-#: Seconds between two rounds.
+MAX_LAST_ORDERS = 20
+#: Seconds between two steps.
 ROUND_SECONDS = 0.25
-#: Seconds until the next round after one that ended in an error, and so between its lines.
-FAILED_SECONDS = 5.0
+#: Seconds until the next step after one that raised; this also limits how often it is logged.
+FAILURE_PAUSE_SECONDS = 5.0
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
 class OrdererView(Protocol):
-    """What an orderer reads of the router's state."""
+    """The part of the router's state that an orderer reads."""
 
-    def wants_to_order(self, service: str) -> bool:
+    def should_hold_lease(self, service: str) -> bool:
         """Return whether this router is the one that should hold the service's lease."""
 
     def orders_of(self, service: str) -> OrdersSpec | None:
-        """Return what the service's engines are to hold, or None where nobody said."""
+        """Return what the service's engines are to hold, or None if not configured."""
 
     def platform_era(self) -> int:
-        """Return how often the platform came back from an older copy, as any router heard."""
+        """Return how often the platform was restored from an older copy, as known to any router."""
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
-        """Return the service's engines, those that leave left out."""
+        """Return the service's engines without those that are leaving."""
 
 
 class OrdererStatus(msgspec.Struct, frozen=True):
-    """What a state dump tells of an orderer."""
+    """The state of an orderer as shown in a state dump."""
 
     service: str
     holder: str | None
     fencing: int
-    #: Engines that differ from what is wanted, as last reported here.
+    #: Engines whose last state reported here differs from the desired one.
     differing: tuple[str, ...]
-    #: The last orders given here: engine, fencing number and outcome.
+    #: The last orders given by this router: engine, fencing number and outcome.
     last_orders: tuple[tuple[str, int, str], ...]
 
 
 class Orderer(msgspec.Struct):
-    """One service's orders at one router."""
+    """Gives orders to the engines of one service from one router."""
 
     service: str
     view: OrdererView
@@ -80,29 +86,29 @@
     sleep: Sleep = asyncio.sleep
     _state_by_engine: dict[str, EngineState] = msgspec.field(default_factory=dict)
     _spec: OrdersSpec | None = None
-    _names: tuple[str, ...] = ()
-    _check_at: float = float("-inf")
-    _orders_under_way: int = 0
-    #: Why the lease made no sense when that was last told.
-    _told_malformed: str = ""
+    _engine_names: tuple[str, ...] = ()
+    _next_check_at: float = float("-inf")
+    _orders_in_flight: int = 0
+    #: Why the lease was malformed when that was last logged; empty if it was valid.
+    _logged_malformed: str = ""
     _last_orders: list[tuple[str, int, str]] = msgspec.field(default_factory=list)
 
     async def run(self) -> None:
-        """Keep the lease and the engines, until cancelled."""
-        await asyncio.gather(self._keep(self._lease_step), self._keep(self._engine_step))
+        """Keep the lease and the states of the engines, until cancelled."""
+        await asyncio.gather(self._repeat(self._lease_step), self._repeat(self._engine_step))
 
-    def holds_anything(self) -> bool:
-        """Return whether the lease must still be given up before this router stops."""
+    def is_holder(self) -> bool:
+        """Return whether this router holds the lease, and must release it before it stops."""
         return self.keeper.is_holder()
 
     def status(self) -> OrdererStatus:
-        """Return what a state dump tells."""
+        """Return the status for a state dump."""
         record = self.keeper.record
-        wanted = self._wanted()
+        desired = self._desired()
         differing = tuple(
             name
             for name, state in sorted(self._state_by_engine.items())
-            if name in wanted and state.holds != wanted[name]
+            if name in desired and state.holds != desired[name]
         )
         return OrdererStatus(
             service=self.service,
@@ -114,68 +120,75 @@
 
     # -- the lease ------------------------------------------------------------
 
-    async def _keep(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Do a step round after round; one that fails must not end the others."""
+    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Repeat a step forever; one that raises is logged and does not end the loop."""
         while True:
             pause = ROUND_SECONDS
             try:
                 await step()
             except Exception:
-                log.exception("A round for the engines of {} failed; more follow.", self.service)
-                pause = FAILED_SECONDS
+                log.exception(
+                    "A step for the engines of service {} failed; it will be repeated.",
+                    self.service,
+                )
+                pause = FAILURE_PAUSE_SECONDS
             await self.sleep(pause)
 
     async def _lease_step(self) -> None:
-        self.keeper.told_era(self.clock(), self.view.platform_era())
-        wanted = self.view.wants_to_order(self.service)
-        held = self.keeper.is_holder()
-        call = self.keeper.due(self.clock(), wanted, self._orders_under_way > 0)
+        self.keeper.observe_era(self.clock(), self.view.platform_era())
+        should_hold = self.view.should_hold_lease(self.service)
+        was_holder = self.keeper.is_holder()
+        call = self.keeper.next_call(self.clock(), should_hold, self._orders_in_flight > 0)
         if call is None:
             return
-        if isinstance(call, Read):
+        if isinstance(call, ReadLease):
             found = await self._read()
-            self.keeper.told_read(self.clock(), found)
-            self._tell_malformed()
+            self.keeper.handle_read(self.clock(), found)
+            self._log_malformed()
         else:
             written = await self._write(call)
-            self.keeper.told_write(self.clock(), written)
-        if held != self.keeper.is_holder():
-            self._changed()
+            self.keeper.handle_write(self.clock(), written)
+        if was_holder != self.keeper.is_holder():
+            self._holder_changed()
 
     async def _read(self) -> ReadOutcome:
         try:
             return await self.platform.get(LEASE_KIND, self.service)
         except Exception as error:
-            log.exception("The lease of {} was not read.", self.service)
+            log.exception("Reading the lease of service {} failed.", self.service)
             return Unavailable(str(error))
 
-    async def _write(self, call: Write) -> WriteOutcome:
+    async def _write(self, call: WriteLease) -> WriteOutcome:
         value = msgspec.to_builtins(call.record)
         try:
             if call.version is None:
                 return await self.platform.create(LEASE_KIND, self.service, value)
             return await self.platform.update(LEASE_KIND, self.service, value, call.version)
         except Exception as error:
-            # The keeper waits for what came of each write; an error does not say.
-            log.exception("What became of a write to the lease of {} is not known.", self.service)
+            # The keeper needs an outcome for each write, and an exception does not tell it.
+            log.exception(
+                "The outcome of a write to the lease of service {} is unknown.", self.service
+            )
             return OutcomeUnknown(str(error))
 
-    def _tell_malformed(self) -> None:
-        """Tell once that the lease makes no sense, and once that it does again."""
-        malformed = self.keeper.malformed
-        if malformed == self._told_malformed:
+    def _log_malformed(self) -> None:
+        """Log once when the lease becomes malformed, and once when it is valid again."""
+        malformed = self.keeper.malformed_reason
+        if malformed == self._logged_malformed:
             return
-        self._told_malformed = malformed
+        self._logged_malformed = malformed
         if malformed:
             log.error(
-                "No orders of {} by its lease until it is whole: {}.", self.service, malformed
+                "The lease of service {} is malformed, so no orders are given: {}.",
+                self.service,
+                malformed,
             )
         else:
-            log.info("The lease of service {} is whole again.", self.service)
+            log.info("The lease of service {} is valid again.", self.service)
 
-    def _changed(self) -> None:
+    def _holder_changed(self) -> None:
         self._state_by_engine.clear()
-        self._check_at = float("-inf")
+        self._next_check_at = float("-inf")
         if self.keeper.is_holder() and self.keeper.record is not None:
             number = self.keeper.record.fencing
             log.info("Orders of service {} are given here, number {}.", self.service, number)
@@ -189,59 +202,61 @@
             return
         spec = self.view.orders_of(self.service)
         names = tuple(engine.name for engine in self.view.engines_of(self.service))
-        if (spec, names) != (self._spec, self._names):
-            self._spec, self._names = spec, names
-            self._check_at = float("-inf")
-        if spec is None or self.clock() < self._check_at:
+        if (spec, names) != (self._spec, self._engine_names):
+            self._spec, self._engine_names = spec, names
+            self._next_check_at = float("-inf")
+        if spec is None or self.clock() < self._next_check_at:
             return
-        await self._ask_engines()
-        due = due_orders(self._wanted(), self._state_by_engine, spec.at_once)
-        await asyncio.gather(*(self._give(order) for order in due))
-        self._check_at = self.clock() + self._pause()
+        await self._read_engine_states()
+        due = due_orders(self._desired(), self._state_by_engine, spec.at_once)
+        await asyncio.gather(*(self._give_order(order) for order in due))
+        self._next_check_at = self.clock() + self._check_pause()
 
-    def _pause(self) -> float:
-        calm = all(
+    def _check_pause(self) -> float:
+        all_as_desired = all(
             name in self._state_by_engine
-            and self._state_by_engine[name].holds == wish
+            and self._state_by_engine[name].holds == desired
             and not self._state_by_engine[name].busy
-            for name, wish in self._wanted().items()
+            for name, desired in self._desired().items()
         )
-        return CALM_CHECK_SECONDS if calm else BUSY_CHECK_SECONDS
+        return IDLE_CHECK_SECONDS if all_as_desired else PENDING_CHECK_SECONDS
 
-    async def _ask_engines(self) -> None:
+    async def _read_engine_states(self) -> None:
         engines = self.view.engines_of(self.service)
         replies = await asyncio.gather(*(self.engines.state(each.url) for each in engines))
         self._state_by_engine = {
             engine.name: reply.state
             for engine, reply in zip(engines, replies, strict=True)
-            if isinstance(reply, Reported)
+            if isinstance(reply, StateReported)
         }
 
-    async def _give(self, due: Due) -> None:
+    async def _give_order(self, due: DueOrder) -> None:
         engine = next((e for e in self.view.engines_of(self.service) if e.name == due.engine), None)
         if engine is None or self.view.orders_of(self.service) != self._spec:
             return
-        self.keeper.told_era(self.clock(), self.view.platform_era())
-        number = self.keeper.fencing(self.clock(), engine.checks_fencing)
+        self.keeper.observe_era(self.clock(), self.view.platform_era())
+        number = self.keeper.order_fencing(self.clock(), engine.checks_fencing)
         if number is None:
             return
-        self._orders_under_way += 1
+        self._orders_in_flight += 1
         try:
-            seconds = self.keeper.order_seconds
-            outcome = await self.engines.order(engine.url, due.wanted, number, seconds)
+            seconds = self.keeper.order_timeout
+            outcome = await self.engines.order(engine.url, due.desired, number, seconds)
         finally:
-            self._orders_under_way -= 1
-        self._note(due, number, outcome)
-
-    def _note(self, due: Due, number: int, outcome: OrderOutcome) -> None:
-        told = type(outcome).__name__
-        self._last_orders = [*self._last_orders, (due.engine, number, told)][-KEPT_ORDERS:]
+            self._orders_in_flight -= 1
+        self._record_outcome(due, number, outcome)
+
+    def _record_outcome(self, due: DueOrder, number: int, outcome: OrderOutcome) -> None:
+        outcome_name = type(outcome).__name__
+        self._last_orders = [*self._last_orders, (due.engine, number, outcome_name)][
+            -MAX_LAST_ORDERS:
+        ]
         if isinstance(outcome, OldNumber):
-            self.keeper.told_number(outcome.highest)
+            self.keeper.observe_fencing(outcome.highest)
         if isinstance(outcome, Taken):
             log.info("Engine {} took order {}.", due.engine, number)
         else:
             log.warning("Engine {}, order {}: {}.", due.engine, number, outcome)
 
-    def _wanted(self) -> dict[str, Wanted]:
-        return wanted_by_engine(self._spec, self._names) if self._spec is not None else {}
+    def _desired(self) -> dict[str, DesiredState]:
+        return desired_by_engine(self._spec, self._engine_names) if self._spec is not None else {}
--- a/pondhatch/configuration/_publishing.py
+++ b/pondhatch/configuration/_publishing.py
@@ -1,4 +1,4 @@
-"""Getting a change accepted by the platform, and reading what was accepted."""
+"""Publishes changes and snapshots to the platform, and reads them back."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from pondhatch.configuration._changes import Change, Edit, Snapshot, change_name
-from pondhatch.configuration._fleet import Fleet
+from pondhatch.configuration._changes import Change, Edit, Snapshot, change_object_name
+from pondhatch.configuration._fleet import FleetConfiguration
 from pondhatch.observing import log_for
 from pondhatch.store import (
     Accepted,
@@ -24,39 +24,39 @@
 
 #: Kind of the platform's objects that hold changes.
 CHANGE_KIND = "pondhatch-change"
-#: Kind of the objects that hold parts of snapshots, and the pointer to the latest.
+#: Kind of the objects that hold parts of snapshots, and of the pointer to the latest one.
 SNAPSHOT_KIND = "pondhatch-snapshot"
-LATEST = "latest"
-#: A snapshot is written after this many changes, so that no reader folds more.
+POINTER_NAME = "latest"
+#: A snapshot is written after this many changes, so that no reader applies more of them.
 CHANGES_PER_SNAPSHOT = 64
-#: Bytes of entries in one part of a snapshot; the platform holds up to a megabyte.
+#: Bytes of entries in one part of a snapshot; the platform accepts objects of up to 1 MB.
 SNAPSHOT_PART_BYTES = 512 * 1024
-#: Tries to learn what became of a write whose answer was lost.
+#: Attempts to read back a write whose reply was lost, and seconds between them.
 READ_BACK_TRIES = 5
-READ_BACK_PAUSE = 0.3
+READ_BACK_SECONDS = 0.3
 
 
 class SnapshotPointer(msgspec.Struct, frozen=True):
-    """Names the latest whole snapshot."""
+    """Points to the latest complete snapshot."""
 
     version: int
     parts: int
 
 
 class Published(msgspec.Struct, frozen=True):
-    """The change is accepted at this version; the snapshot due after it is written or not."""
+    """The change is accepted at this version; a due snapshot may or may not be written."""
 
     version: int
 
 
-class Beaten(msgspec.Struct, frozen=True):
-    """Another change took the version first; nothing of ours is in force."""
+class LostRace(msgspec.Struct, frozen=True):
+    """Another change has the version; none of this one is applied."""
 
-    theirs: Change
+    winner: Change
 
 
 class Unresolved(msgspec.Struct, frozen=True):
-    """The platform could not tell; the change may be accepted under this id."""
+    """The outcome is unknown: the change may be accepted, under this id."""
 
     change_id: str
     version: int
@@ -69,46 +69,51 @@
     reason: str
 
 
-class Broken(msgspec.Struct, frozen=True):
-    """What the platform holds does not fit together."""
+class Inconsistent(msgspec.Struct, frozen=True):
+    """The objects at the platform are inconsistent, as when part of a snapshot is missing."""
 
     reason: str
 
 
-PublishOutcome = Published | Beaten | Unresolved | NotWritten | Broken
+PublishOutcome = Published | LostRace | Unresolved | NotWritten | Inconsistent
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
-async def read_fleet(
-    platform: Platform, fleet: Fleet, until: int | None = None
-) -> Fleet | Unavailable | Broken:
+async def read_configuration(
+    platform: Platform, configuration: FleetConfiguration, until_version: int | None = None
+) -> FleetConfiguration | Unavailable | Inconsistent:
     """Return the configuration at the platform, starting from one already known.
 
-    ``until`` asks for an older version, as far back as the latest snapshot.
+    ``until_version`` asks for an older version; from an empty configuration, the oldest
+    available one is that of the latest snapshot.
     """
-    if fleet.version == 0:
+    if configuration.version == 0:
         start = await _read_snapshot(platform)
-        if not isinstance(start, Fleet):
+        if not isinstance(start, FleetConfiguration):
             return start
-        fleet = start
-    while until is None or fleet.version < until:
-        found = await platform.get(CHANGE_KIND, change_name(fleet.version + 1))
+        configuration = start
+    while until_version is None or configuration.version < until_version:
+        found = await platform.get(CHANGE_KIND, change_object_name(configuration.version + 1))
         if isinstance(found, Missing):
-            return fleet
+            return configuration
         if isinstance(found, Unavailable):
             return found
-        change = read_change(fleet.version + 1, found.object.value)
-        following = fleet.with_change(change)
-        fleet = following if isinstance(following, Fleet) else fleet.voided(change)
-    return fleet
+        change = read_change(configuration.version + 1, found.object.value)
+        following = configuration.with_change(change)
+        configuration = (
+            following
+            if isinstance(following, FleetConfiguration)
+            else configuration.with_skipped_change(change)
+        )
+    return configuration
 
 
 def read_change(version: int, value: Any) -> Change:
-    """Return what the log holds under a version; an empty change where that is none.
+    """Return the change that the log holds at a version; an empty one if it is unreadable.
 
-    It was accepted under its version, and every router passes over it alike: else it would
-    hold up all changes after it, and routers that start would know no configuration.
+    Every router skips an unreadable change in the same way. Otherwise it would block all later
+    changes, and starting routers would get no configuration.
     """
     try:
         change = msgspec.convert(value, Change)
@@ -127,32 +132,35 @@
 async def publish(
     platform: Platform, change: Change, sleep: Sleep = asyncio.sleep
 ) -> PublishOutcome:
-    """Create a change; where the answer is lost, read back and recognise the own one."""
-    name = change_name(change.version)
+    """Create a change; if the reply is lost, read it back and compare the change ids."""
+    name = change_object_name(change.version)
     outcome = await platform.create(CHANGE_KIND, name, msgspec.to_builtins(change))
     if isinstance(outcome, Accepted):
         return Published(change.version)
     if isinstance(outcome, Unavailable):
         return NotWritten(outcome.reason)
-    unsure = isinstance(outcome, OutcomeUnknown)
+    outcome_unknown = isinstance(outcome, OutcomeUnknown)
     reason = outcome.reason if isinstance(outcome, OutcomeUnknown) else "conflict"
     for _ in range(READ_BACK_TRIES):
         found = await platform.get(CHANGE_KIND, name)
         if isinstance(found, Found):
-            theirs = read_change(change.version, found.object.value)
-            own = theirs.change_id == change.change_id
-            return Published(change.version) if own else Beaten(theirs)
-        if isinstance(found, Missing) and unsure:
+            stored = read_change(change.version, found.object.value)
+            is_own = stored.change_id == change.change_id
+            return Published(change.version) if is_own else LostRace(stored)
+        if isinstance(found, Missing) and outcome_unknown:
             outcome = await platform.create(CHANGE_KIND, name, msgspec.to_builtins(change))
             if isinstance(outcome, Accepted):
                 return Published(change.version)
-        await sleep(READ_BACK_PAUSE)
+        await sleep(READ_BACK_SECONDS)
     return Unresolved(change.change_id, change.version, reason)
 
 
 async def write_snapshot(platform: Platform, snapshot: Snapshot) -> bool:
-    """Write a snapshot's parts, then point to it; return whether the pointer is at least there."""
-    parts = _parts(snapshot.edits)
+    """Write a snapshot's parts, then the pointer to it.
+
+    Returns whether the pointer names this snapshot or a newer one.
+    """
+    parts = _split_parts(snapshot.edits)
     for number, part in enumerate(parts):
         value = [msgspec.to_builtins(edit) for edit in part]
         outcome = await platform.create(SNAPSHOT_KIND, _part_name(snapshot.version, number), value)
@@ -164,23 +172,23 @@
 
 async def _move_pointer(platform: Platform, pointer: SnapshotPointer) -> bool:
     value: Any = msgspec.to_builtins(pointer)
-    found = await platform.get(SNAPSHOT_KIND, LATEST)
+    found = await platform.get(SNAPSHOT_KIND, POINTER_NAME)
     if isinstance(found, Unavailable):
         return False
     if isinstance(found, Missing):
-        return isinstance(await platform.create(SNAPSHOT_KIND, LATEST, value), Accepted)
+        return isinstance(await platform.create(SNAPSHOT_KIND, POINTER_NAME, value), Accepted)
     if msgspec.convert(found.object.value, SnapshotPointer).version >= pointer.version:
         return True
-    outcome = await platform.update(SNAPSHOT_KIND, LATEST, value, found.object.version)
+    outcome = await platform.update(SNAPSHOT_KIND, POINTER_NAME, value, found.object.version)
     return isinstance(outcome, Accepted)
 
 
-async def _read_snapshot(platform: Platform) -> Fleet | Unavailable | Broken:
-    found = await platform.get(SNAPSHOT_KIND, LATEST)
+async def _read_snapshot(platform: Platform) -> FleetConfiguration | Unavailable | Inconsistent:
+    found = await platform.get(SNAPSHOT_KIND, POINTER_NAME)
     if isinstance(found, Unavailable):
         return found
     if isinstance(found, Missing):
-        return Fleet()
+        return FleetConfiguration()
     pointer = msgspec.convert(found.object.value, SnapshotPointer)
     edits: list[Edit] = []
     for number in range(pointer.parts):
@@ -188,13 +196,13 @@
         if isinstance(part, Unavailable):
             return part
         if isinstance(part, Missing):
-            return Broken(f"part {number} of snapshot {pointer.version} is missing")
+            return Inconsistent(f"part {number} of snapshot {pointer.version} is missing")
         edits.extend(_readable_edits(pointer.version, part.object.value))
-    return Fleet.from_snapshot(Snapshot(pointer.version, tuple(edits)))
+    return FleetConfiguration.from_snapshot(Snapshot(pointer.version, tuple(edits)))
 
 
 def _readable_edits(version: int, part: Any) -> Iterator[Edit]:
-    """Yield the entries in a part of a snapshot; one that is none holds no other back."""
+    """Yield the entries in a part of a snapshot; unreadable ones are logged and left out."""
     for value in part:
         try:
             yield msgspec.convert(value, Edit)
@@ -203,18 +211,18 @@
 
 
 def _part_name(version: int, number: int) -> str:
-    return f"{change_name(version)}-{number:03d}"
+    return f"{change_object_name(version)}-{number:03d}"
 
 
-def _parts(edits: tuple[Edit, ...]) -> list[list[Edit]]:
-    """Split entries into parts, each within the platform's size of a value."""
+def _split_parts(edits: tuple[Edit, ...]) -> list[list[Edit]]:
+    """Split entries into parts, each within the platform's limit on the size of an object."""
     parts: list[list[Edit]] = [[]]
     size = 0
     for edit in edits:
-        weight = len(msgspec.json.encode(edit))
-        if parts[-1] and size + weight > SNAPSHOT_PART_BYTES:
+        edit_size = len(msgspec.json.encode(edit))
+        if parts[-1] and size + edit_size > SNAPSHOT_PART_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(edit)
-        size += weight
+        size += edit_size
     return parts
