--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -120,7 +120,7 @@
     for at in range(routers - 1):
         name = f"router-{at}"
         alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{at % 11}")
-        gossip.membership.table.take_alive(alive, 0.0)
+        gossip.membership.table.apply_alive(alive, 0.0)
 
     state = RouterState("self", "hall-0", gossip, time.monotonic, lambda _: NoHolder())
     state.take_fleet(fleet_of(10))
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -137,7 +137,7 @@
 
 
 def _load_known(core: Gossip, now: float) -> int:
-    return sum(core.load_elsewhere(f"service-{at}", now) for at in range(19))
+    return sum(core.in_flight_elsewhere(f"service-{at}", now) for at in range(19))
 
 
 def _news(bench: _Bench) -> float:
@@ -159,12 +159,12 @@
 def _tell(bench: _Bench, at: int) -> None:
     core = bench.cores[at]
     core.publish(Phase.LIVE, 2, 1, ())
-    bench.send(at, core.news())
+    bench.send(at, core.announcements())
 
 
 def _detection(bench: _Bench) -> float:
     frozen = len(bench.cores) - 1
-    name = bench.cores[frozen].membership.own.name
+    name = bench.cores[frozen].membership.own_record.name
     bench.frozen.add(frozen)
     started = bench.now
     while bench.now - started < 120:
--- a/bench/_memory.py
+++ b/bench/_memory.py
@@ -13,7 +13,7 @@
 from fakes._entries import SERVICE, TEMPLATE
 from pondhatch.configuration import Change, Edit, Fleet
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
-from pondhatch.placement import SpillMemory
+from pondhatch.placement import ContextLocations
 from pondhatch.store import Upstream, UpstreamList
 
 
@@ -49,8 +49,8 @@
     )
 
 
-def _chats(count: int) -> SpillMemory:
-    memory = SpillMemory(limit=count)
+def _chats(count: int) -> ContextLocations:
+    memory = ContextLocations(limit=count)
     rng = random.Random(1)
     names = [f"engine-{at}" for at in range(110)]
     for _ in range(count):
@@ -72,7 +72,7 @@
     for at in range(count):
         name = f"router-{at}"
         alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{at % 11}")
-        gossip.membership.table.take_alive(alive, 0.0)
+        gossip.membership.table.apply_alive(alive, 0.0)
     gossip.members(0.0)
     return gossip
 
--- a/bench/_placement.py
+++ b/bench/_placement.py
@@ -17,13 +17,13 @@
 from pondhatch.placement import (
     YOUNG_SECONDS,
     Ask,
+    ContextLocations,
     EngineCount,
     Exhausted,
     Full,
     Gate,
     Granted,
     Plan,
-    SpillMemory,
     admission_ceiling,
     context_engine,
     winner,
@@ -108,20 +108,20 @@
     """The policy that serves: plan, gates of the owners, memory of spilled chats."""
 
     def __init__(self) -> None:
-        self._memory = SpillMemory()
+        self._memory = ContextLocations()
         self._gate = Gate()
 
     def __call__(self, world: World, chat: int) -> Chosen:
         """Walk the plan as an entry router does."""
         plan = Plan(str(chat), tuple(world.engines))
-        while not isinstance(step := plan.next(), Exhausted):
-            if step.engine == plan.home and not step.insist and chat in world.seen:
+        while not isinstance(step := plan.next_step(), Exhausted):
+            if step.engine == plan.home and not step.is_forced and chat in world.seen:
                 young = world.is_young(step.engine)
                 believed = context_engine(
-                    self._memory, chat, step.engine, plan.settled(world.is_young), young
+                    self._memory, chat, step.engine, plan.first_established(world.is_young), young
                 )
                 if believed != step.engine:
-                    plan.context_elsewhere(believed)
+                    plan.record_context_elsewhere(believed)
                     continue
             chosen = self._ask(world, plan, step)
             if chosen is not None:
@@ -135,18 +135,18 @@
         if isinstance(verdict, Granted):
             return Chosen(ask.engine)
         ending = world.engines[ask.engine].endings[0]
-        if ask.context and ending - world.now <= CONTEXT_WAIT:
+        if ask.has_context and ending - world.now <= CONTEXT_WAIT:
             freed = self._verdict(world, plan, ask.engine, 1)
             if isinstance(freed, Granted):
                 return Chosen(ask.engine, ending - world.now)
-        plan.full(verdict.in_flight, verdict.ceiling)
+        plan.record_owner_full(verdict.in_flight, verdict.ceiling)
         return None
 
     def _verdict(self, world: World, plan: Plan, name: str, ended: int) -> Granted | Full:
         held = world.engines[name].in_flight - ended
         self._gate.by_engine[name] = EngineCount(granted=held)
-        others = max(world.late_total() - held, plan.seen_elsewhere(name), 0)
-        return self._gate.ask(name, world.now, world.bound, others, len(world.engines))
+        others = max(world.late_total() - held, plan.in_flight_seen_elsewhere(name), 0)
+        return self._gate.try_grant(name, world.now, world.bound, others, len(world.engines))
 
     def _note(self, plan: Plan, chat: int, engine: str) -> None:
         if engine == plan.home:
--- a/bench/_quarantine.py
+++ b/bench/_quarantine.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from bench._measures import Measure
-from pondhatch.quarantine import MOST_SUSPECTS, Evidence, EvidencePacket, Suspects
+from pondhatch.quarantine import MAX_SUSPECTS, Evidence, EvidencePacket, Suspects
 from pondhatch.requests import digest_of
 
 ROUNDS = 20_000
@@ -33,10 +33,10 @@
 def _full() -> Suspects:
     """Return what a router holds at the most: engine after engine ended under 64 requests."""
     suspects = Suspects()
-    for at in range(MOST_SUSPECTS):
-        suspects.take(Evidence(at, f"i-{at // FALLEN:010x}", 0), 0.0)
+    for at in range(MAX_SUSPECTS):
+        suspects.add(Evidence(at, f"i-{at // FALLEN:010x}", 0), 0.0)
     for engine in range(3):
-        suspects.take(Evidence(0, f"i-{engine:010x}", 0), 0.0)
+        suspects.add(Evidence(0, f"i-{engine:010x}", 0), 0.0)
     return suspects
 
 
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -15,7 +15,7 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.limits import RetryBudget
 from pondhatch.membership import short_id
-from pondhatch.placement import OPEN, Gate, Health, Regions, SpillMemory
+from pondhatch.placement import OPEN, ContextLocations, Gate, Health, Regions
 from pondhatch.requests import (
     BodySource,
     Delivery,
@@ -142,7 +142,7 @@
     clock = asyncio.get_running_loop().time
     gate = Gate()
     view = _View(gate)
-    owner = LocalOwner("r0", view, gate, SpillMemory(), clock, Health())
+    owner = LocalOwner("r0", view, gate, ContextLocations(), clock, Health())
     ways = Ways(EntryGrants("r0", short_id("r0"), owner, lambda *_: None, 0), _Engines(rng))
     budget = RetryBudget()
     answered: Counter[str] = Counter()
--- a/fakes/_many_routers.py
+++ b/fakes/_many_routers.py
@@ -6,7 +6,7 @@
 
 from pondhatch.membership import Address, Alive, Gossip, Member, MembershipLimits, Phase, short_id
 from pondhatch.membership._datagrams import datagram_to
-from pondhatch.membership._records import News, Versions
+from pondhatch.membership._records import Announcement, Versions
 from pondhatch.requests import KeyHolder
 from pondhatch.router import RouterState
 from pondhatch.store import Listed, StoredObject
@@ -30,19 +30,21 @@
 
     def hear(self, at: int, incarnation: int, phase: Phase = Phase.LIVE) -> None:
         """Take in another router's word on itself, and do what is due with each packet."""
-        self.receive(News(short_id("r1"), Versions(), (_word(f"r{at}", at, incarnation, phase),)))
+        self.receive(
+            Announcement(short_id("r1"), Versions(), (_word(f"r{at}", at, incarnation, phase),))
+        )
         self.state.tick()
 
     def hear_nothing_new(self) -> None:
         """Take in a packet that says nothing new."""
-        self.receive(News(short_id("r1"), Versions(), ()))
+        self.receive(Announcement(short_id("r1"), Versions(), ()))
 
-    def receive(self, message: News) -> None:
+    def receive(self, message: Announcement) -> None:
         """Take in a packet, as a router does."""
         payload = datagram_to(SOMEBODY, message).payload
         self.state.gossip.receive(payload, SOMEBODY, 0.0)
         self.state.refresh()
-        self.state.gossip.ahead()
+        self.state.gossip.routers_ahead()
 
 
 def hall_of(at: int) -> str:
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -25,7 +25,7 @@
 
     def levels(self) -> dict[str, int]:
         """Return what statsd is told now and then, by metric."""
-        notices = self.state.notices.in_force(self.state.clock()).values()
+        notices = self.state.notices.current(self.state.clock()).values()
         return {
             "routers.known": len(self.state.members()),
             "requests.in_flight": self.callers.in_flight,
@@ -39,10 +39,12 @@
             "upstreams.said_leaving": sum(notice.is_leaving for notice in notices),
             "upstreams.resting": sum(notice.rest > 0 for notice in notices),
             "engines.slow": self.state.paces.count_slow(self.state.clock()),
-            "engines.memory-full": self.state.tokens.refused,
+            "engines.memory-full": self.state.tokens.refusals,
             "halls.evacuated": len(self.state.halls.evacuations.halls),
             "requests.suspected": len(self.state.suspects.suspect_by_digest),
-            "requests.quarantined": len(list(self.state.suspects.quarantined(self.state.clock()))),
+            "requests.quarantined": len(
+                list(self.state.suspects.quarantined_digests(self.state.clock()))
+            ),
             "chats.spilled": len(self.state.memory.engine_by_chat),
             "queue.refused-in-vain": self.granting.owner.refused_in_vain,
             "control.bytes_sent": self.gossip_port.bytes_sent,
--- a/pondhatch/cli/_own_state.py
+++ b/pondhatch/cli/_own_state.py
@@ -24,7 +24,7 @@
     capacity_of,
     short_id,
 )
-from pondhatch.placement import ColdAllowance, ColdPaces
+from pondhatch.placement import ColdAllowance, ColdPacer
 from pondhatch.router import HallStates, RouterState
 from pondhatch.transport import Interface
 
@@ -45,7 +45,7 @@
         connections.to,
         retries=RetryBudgets(_allowance(settings.retries)),
         halls=HallStates(settings.regions or {}),
-        cold_paces=ColdPaces(_cold_allowance(settings.cold)),
+        cold_paces=ColdPacer(_cold_allowance(settings.cold)),
         held=HeldBytes(settings.held_bytes),
         engine_queue=settings.service_defaults.engine_queue,
         load_management=load_management,
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -252,7 +252,7 @@
         answers = self.state.gossip.receive(payload, source, self.state.clock())
         self.state.refresh()
         self._granting.follow_members()
-        if self.state.gossip.ahead():
+        if self.state.gossip.routers_ahead():
             self._tasks.start(self._sync.heard_news())
         return answers
 
--- a/pondhatch/cli/_spreading.py
+++ b/pondhatch/cli/_spreading.py
@@ -36,4 +36,4 @@
             self._tell()
 
     def _tell(self) -> None:
-        self._gossip_port.send(self._state.gossip.news())
+        self._gossip_port.send(self._state.gossip.announcements())
--- a/pondhatch/cli/tests/test_levels.py
+++ b/pondhatch/cli/tests/test_levels.py
@@ -15,7 +15,7 @@
     def test_slow_engines_are_counted_while_their_pace_holds(self) -> None:
         state = router("r0")
         for engine, pace, read_at in (("e0", 250, 0.0), ("e1", 90, 0.0), ("e2", 250, -5.0)):
-            state.paces.hear(engine, pace, read_at)
+            state.paces.record(engine, pace, read_at)
         part: Any = mock.Mock()
         levels = Figures(state, part, part, part, part).levels()
         self.assertEqual(levels["engines.slow"], 1)
--- a/pondhatch/configuration/tests/test_files.py
+++ b/pondhatch/configuration/tests/test_files.py
@@ -242,8 +242,8 @@
         limits = MembershipLimits()
         big = 1 << 62
         alive = Alive((1 << 32) - 1, big, Phase.LIVE, longest, "ff" * 20, 65535, longest)
-        part = Sync(alive.router, True, (alive,) * limits.sync_part)
-        sealed = Seal(b"k" * 16).close(datagram_to(Address("", 0), part).payload)
+        part = Sync(alive.router, True, (alive,) * limits.sync_part_rumors)
+        sealed = Seal(b"k" * 16).sign(datagram_to(Address("", 0), part).payload)
         self.assertLessEqual(len(sealed), UDP_BYTES)
 
     def test_a_short_or_missing_fleet_key(self) -> None:
--- a/pondhatch/membership/__init__.py
+++ b/pondhatch/membership/__init__.py
@@ -3,7 +3,8 @@
 from pondhatch.membership._capacity import USUAL_CAPACITY, capacity_of
 from pondhatch.membership._datagrams import Datagram
 from pondhatch.membership._gossip import Gossip
-from pondhatch.membership._loads import FleetLoadView, speaking_order
+from pondhatch.membership._load_aggregation import FleetLoadView, aggregation_order
+from pondhatch.membership._member_table import Address, MemberTable
 from pondhatch.membership._members import Member
 from pondhatch.membership._membership_limits import MembershipLimits
 from pondhatch.membership._ownership import live_by_hall, owner_of, watchers
@@ -22,7 +23,6 @@
 )
 from pondhatch.membership._seal import Seal
 from pondhatch.membership._swim import Membership
-from pondhatch.membership._table import Address, Table
 
 __all__ = [
     "Address",
@@ -42,13 +42,13 @@
     "Seal",
     "ServiceLoad",
     "Status",
-    "Table",
+    "MemberTable",
     "USUAL_CAPACITY",
     "Versions",
     "capacity_of",
     "live_by_hall",
     "owner_of",
     "short_id",
-    "speaking_order",
+    "aggregation_order",
     "watchers",
 ]
--- a/pondhatch/membership/_capacity.py
+++ b/pondhatch/membership/_capacity.py
@@ -10,8 +10,8 @@
 USUAL_CAPACITY = 1.0
 #: Bounds of what counts: the smallest router still owns something, and none owns nearly all
 #: because of a wrong entry.
-LEAST_CAPACITY = 0.1
-MOST_CAPACITY = 10.0
+MIN_CAPACITY = 0.1
+MAX_CAPACITY = 10.0
 #: Link, in Mbit/s, from which on the processor alone decides.
 AMPLE_LINK_MBPS = 10.0
 
@@ -32,4 +32,4 @@
 def bounded_capacity(capacity: float) -> float:
     """Return a capacity within the bounds; what is no number counts as the least."""
     # NaN compares as false, so that max() keeps its first argument.
-    return min(MOST_CAPACITY, max(LEAST_CAPACITY, capacity))
+    return min(MAX_CAPACITY, max(MIN_CAPACITY, capacity))
--- a/pondhatch/membership/_datagrams.py
+++ b/pondhatch/membership/_datagrams.py
@@ -6,8 +6,8 @@
 from msgspec.structs import astuple
 
 from pondhatch.kernel import without_defaults
-from pondhatch.membership._records import Ack, Alive, News, Packet, Ping, Sync
-from pondhatch.membership._table import Address
+from pondhatch.membership._member_table import Address
+from pondhatch.membership._records import Ack, Alive, Announcement, Packet, Ping, Sync
 
 _ENCODER = msgspec.msgpack.Encoder()
 
@@ -26,7 +26,7 @@
 
 def _encode(message: Packet) -> bytes:
     """Return a message's bytes; rumors stand last in those that carry any."""
-    if not isinstance(message, (Ping, Ack, News, Sync)) or not message.rumors:
+    if not isinstance(message, (Ping, Ack, Announcement, Sync)) or not message.rumors:
         return _ENCODER.encode(message)
     rumors = [
         without_defaults(rumor, "capacity") if isinstance(rumor, Alive) else rumor
--- a/pondhatch/membership/_dissemination.py
+++ b/pondhatch/membership/_dissemination.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from pondhatch.membership._datagrams import Datagram, datagram_to
+from pondhatch.membership._member_table import MemberTable
 from pondhatch.membership._members import MemberView
 from pondhatch.membership._membership_limits import MembershipLimits
-from pondhatch.membership._records import Alive, Fault, News, Phase, Rumor, Versions
-from pondhatch.membership._rumors import Rumors
-from pondhatch.membership._table import Table
+from pondhatch.membership._records import Alive, Announcement, Fault, Phase, Rumor, Versions
+from pondhatch.membership._rumors import RumorQueue
 
 
 class Dissemination:
@@ -21,80 +21,82 @@
     def __init__(
         self,
         own: Alive,
-        table: Table,
+        table: MemberTable,
         view: MemberView,
         limits: MembershipLimits,
         rng: random.Random,
     ) -> None:
         #: What this router says of itself.
-        self.own = own
+        self.own_record = own
         #: The versions that this router holds.
         self.versions = Versions()
         self._table = table
         self._view = view
         self._rng = rng
-        self._news_fanout = limits.news_fanout
-        self._rumors = Rumors(table, limits.rumors, limits.retellings)
+        self._announcement_fanout = limits.announcement_fanout
+        self._rumors = RumorQueue(table, limits.max_rumors, limits.rumor_repeats)
 
     def publish(self, phase: Phase, versions: Versions, sees_platform: bool = True) -> None:
         """Set what this router says of itself; what its peers act by raises its incarnation."""
         self.versions = versions
-        if (phase, sees_platform) != (self.own.phase, self.own.sees_platform):
-            self.own = msgspec.structs.replace(self.own, sees_platform=sees_platform)
-            self._raise_own(self.own.incarnation + 1, phase)
+        if (phase, sees_platform) != (self.own_record.phase, self.own_record.sees_platform):
+            self.own_record = msgspec.structs.replace(self.own_record, sees_platform=sees_platform)
+            self._raise_incarnation(self.own_record.incarnation + 1, phase)
 
     def fingerprint(self) -> int:
         """Return the fingerprint of this router's view of the fleet."""
-        return self._table.view(self.own)
+        return self._table.view_fingerprint(self.own_record)
 
-    def rumors(self) -> tuple[Rumor, ...]:
+    def next_rumors(self) -> tuple[Rumor, ...]:
         """Return a packet's rumors and count them as told."""
-        return self._rumors.take(self.own)
+        return self._rumors.next_batch(self.own_record)
 
-    def rumors_for(self, receiver: int) -> tuple[Rumor, ...]:
+    def next_rumors_for(self, receiver: int) -> tuple[Rumor, ...]:
         """Return a packet's rumors, with what is said of the receiver if it must answer that."""
-        return self._rumors.take_for(receiver, self.own)
+        return self._rumors.next_batch_for(receiver, self.own_record)
 
-    def news(self) -> list[Datagram]:
+    def announcements(self) -> list[Datagram]:
         """Return packets that tell some peers at once what this router holds now."""
-        message = News(self.own.router, self.versions, self.rumors())
-        peers = self._view.sample(self._news_fanout, self._rng)
+        message = Announcement(self.own_record.router, self.versions, self.next_rumors())
+        peers = self._view.sample(self._announcement_fanout, self._rng)
         return [datagram_to(address, message) for address in peers]
 
-    def take_rumors(self, rumors: Iterable[Rumor], now: float) -> bool:
+    def apply_rumors(self, rumors: Iterable[Rumor], now: float) -> bool:
         """Take in rumors; return whether any was news."""
-        news = False
+        has_changed = False
         for rumor in rumors:
-            about_own = rumor.router == self.own.router
-            taken = self._answer_rumor(rumor) if about_own else self.take_rumor(rumor, now)
-            news = news or taken
-        return news
+            is_about_self = rumor.router == self.own_record.router
+            is_new = self._refute(rumor) if is_about_self else self.apply_rumor(rumor, now)
+            has_changed = has_changed or is_new
+        return has_changed
 
-    def take_rumor(self, rumor: Rumor, now: float) -> bool:
+    def apply_rumor(self, rumor: Rumor, now: float) -> bool:
         """Take in a rumor on another router and pass it on if it was news; return whether."""
-        taken = (
-            self._table.take_alive(rumor, now)
+        is_new = (
+            self._table.apply_alive(rumor, now)
             if isinstance(rumor, Alive)
-            else self._table.take_fault(rumor, now)
+            else self._table.apply_fault(rumor, now)
         )
-        if taken:
-            self._rumors.tell(rumor.router)
-        return taken
+        if is_new:
+            self._rumors.enqueue(rumor.router)
+        return is_new
 
     def spread_fault(self, fault: Fault, now: float) -> list[Datagram]:
         """Take in a fault that this router found; return packets that tell of it if it is news."""
-        return self.news() if self.take_rumor(fault, now) else []
+        return self.announcements() if self.apply_rumor(fault, now) else []
 
-    def _answer_rumor(self, rumor: Rumor) -> bool:
+    def _refute(self, rumor: Rumor) -> bool:
         """Contradict a rumor that this router is gone, or one of an earlier life."""
-        if rumor.incarnation < self.own.incarnation:
+        if rumor.incarnation < self.own_record.incarnation:
             return False
-        if isinstance(rumor, Alive) and rumor.incarnation == self.own.incarnation:
+        if isinstance(rumor, Alive) and rumor.incarnation == self.own_record.incarnation:
             return False
-        self._raise_own(rumor.incarnation + 1, Phase(self.own.phase))
+        self._raise_incarnation(rumor.incarnation + 1, Phase(self.own_record.phase))
         return True
 
-    def _raise_own(self, incarnation: int, phase: Phase) -> None:
-        self.own = msgspec.structs.replace(self.own, incarnation=incarnation, phase=phase)
+    def _raise_incarnation(self, incarnation: int, phase: Phase) -> None:
+        self.own_record = msgspec.structs.replace(
+            self.own_record, incarnation=incarnation, phase=phase
+        )
         self._table.revision += 1
-        self._rumors.tell(self.own.router)
+        self._rumors.enqueue(self.own_record.router)
--- a/pondhatch/membership/_failure_detection.py
+++ b/pondhatch/membership/_failure_detection.py
@@ -12,15 +12,15 @@
 
 from pondhatch.membership._datagrams import Datagram, datagram_to
 from pondhatch.membership._dissemination import Dissemination
+from pondhatch.membership._member_table import Address, MemberTable
 from pondhatch.membership._members import MemberView
 from pondhatch.membership._membership_limits import MembershipLimits
-from pondhatch.membership._pinging import Probe, Relays, Round
-from pondhatch.membership._records import Ack, Fault, Ping, PingFor, Status
-from pondhatch.membership._table import Address, Table
+from pondhatch.membership._pinging import PingRotation, Probe, Relays
+from pondhatch.membership._records import Ack, Fault, Ping, PingRequest, Status
 
 #: Share of the ping interval after which a router that did not answer is suspected: before
 #: the next ping is due.
-ANSWER_SHARE = 0.95
+ACK_SHARE = 0.95
 
 
 class FailureDetector:
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        table: Table,
+        table: MemberTable,
         view: MemberView,
         dissemination: Dissemination,
         limits: MembershipLimits,
@@ -39,19 +39,19 @@
         self._dissemination = dissemination
         self._limits = limits
         self._rng = rng
-        self._round = Round(table, rng)
+        self._rotation = PingRotation(table, rng)
         #: Number of the last ping sent.
         self._number = 0
         self._probe: Probe | None = None
         self._relays = Relays()
 
-    def put_first(self, router: int) -> None:
+    def ping_soon(self, router: int) -> None:
         """Have a router pinged next."""
-        self._round.put_first(router)
+        self._rotation.put_first(router)
 
     def ping_next(self, now: float) -> list[Datagram]:
         """Return the ping to the next router in turn; none where no other is there."""
-        target = self._round.next()
+        target = self._rotation.next()
         if target is None:
             return []
         self._number += 1
@@ -64,59 +64,69 @@
         if probe is None:
             return []
         waited = now - probe.sent_at
-        if waited >= self._limits.ping_interval * ANSWER_SHARE:
+        if waited >= self._limits.ping_interval * ACK_SHARE:
             self._probe = None
             return self._suspect(probe.target, now)
-        if waited < self._limits.direct_timeout or probe.helped:
+        if waited < self._limits.direct_timeout or probe.is_indirect:
             return []
-        probe.helped = True
-        asked = PingFor(self._dissemination.own.router, probe.number, probe.target)
-        helpers = self._view.sample(self._limits.helpers, self._rng, but=probe.target)
-        return [datagram_to(helper, asked) for helper in helpers]
-
-    def bury_suspects(self, now: float) -> None:
+        probe.is_indirect = True
+        ping_request = PingRequest(
+            self._dissemination.own_record.router, probe.number, probe.target
+        )
+        helpers = self._view.sample(self._limits.indirect_pings, self._rng, excluding=probe.target)
+        return [datagram_to(helper, ping_request) for helper in helpers]
+
+    def expire_suspects(self, now: float) -> None:
         """Count those as dead that were suspected for too long."""
         suspects = [self._table.entry_by_id[router] for router in self._table.suspects]
-        overdue = [entry for entry in suspects if now - entry.since > self._limits.suspicion]
+        overdue = [
+            entry for entry in suspects if now - entry.status_since > self._limits.suspicion_timeout
+        ]
         for entry in overdue:
             fault = Fault(entry.alive.router, entry.alive.incarnation, Status.DEAD)
-            self._dissemination.take_rumor(fault, now)
+            self._dissemination.apply_rumor(fault, now)
 
-    def take_ack(self, ack: Ack) -> bool:
+    def match_ack(self, ack: Ack) -> bool:
         """Take in an answer; return whether it is the one that this router waits for."""
         probe = self._probe
         if probe is None or probe.number != ack.number:
             return False
         self._probe = None
-        if not probe.helped:
-            self._view.reached(ack.sender)
+        if not probe.is_indirect:
+            self._view.mark_reachable(ack.sender)
         return True
 
-    def ping_for(self, asked: PingFor, source: Address, now: float) -> list[Datagram]:
+    def ping_on_behalf(self, request: PingRequest, source: Address, now: float) -> list[Datagram]:
         """Ping a router for another one that got no answer from it."""
-        entry = self._table.get(asked.target)
+        entry = self._table.get(request.target)
         if entry is None:
             return []
         self._number += 1
-        self._relays.note(self._number, source, asked.number, now)
+        self._relays.record(self._number, source, request.number, now)
         return [self._ping(entry.address, self._number)]
 
     def relay(self, ack: Ack, now: float) -> Datagram | None:
         """Return the answer passed on to whom it was asked for; None if it was for this router."""
-        relayed = self._relays.answered(ack.number, now)
+        relayed = self._relays.take_answered(ack.number, now)
         if relayed is None:
             return None
-        passed_on = msgspec.structs.replace(ack, number=relayed.number)
-        return datagram_to(relayed.asker, passed_on)
+        forwarded = msgspec.structs.replace(ack, number=relayed.number)
+        return datagram_to(relayed.asker, forwarded)
 
     def _suspect(self, router: int, now: float) -> list[Datagram]:
         entry = self._table.get(router)
-        if entry is None or not entry.there:
+        if entry is None or not entry.is_present:
             return []
         fault = Fault(router, entry.alive.incarnation, Status.SUSPECT)
         return self._dissemination.spread_fault(fault, now)
 
     def _ping(self, address: Address, number: int) -> Datagram:
-        own = self._dissemination
-        ping = Ping(own.own.router, number, own.versions, own.fingerprint(), own.rumors())
+        dissemination = self._dissemination
+        ping = Ping(
+            dissemination.own_record.router,
+            number,
+            dissemination.versions,
+            dissemination.fingerprint(),
+            dissemination.next_rumors(),
+        )
         return datagram_to(address, ping)
--- a/pondhatch/membership/_full_sync.py
+++ b/pondhatch/membership/_full_sync.py
@@ -6,9 +6,9 @@
 
 from pondhatch.membership._datagrams import Datagram, datagram_to
 from pondhatch.membership._dissemination import Dissemination
+from pondhatch.membership._member_table import Address, MemberTable
 from pondhatch.membership._membership_limits import MembershipLimits
 from pondhatch.membership._records import Sync
-from pondhatch.membership._table import Address, Table
 
 
 class FullSync:
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        table: Table,
+        table: MemberTable,
         dissemination: Dissemination,
         limits: MembershipLimits,
         rng: random.Random,
@@ -27,20 +27,20 @@
         self._rng = rng
         self._next_sync = float("-inf")
 
-    def exchange_if_due(self, view: int, address: Address, now: float) -> list[Datagram]:
+    def exchange_if_due(self, fingerprint: int, address: Address, now: float) -> list[Datagram]:
         """Exchange whole views where the fingerprints differ, but not often."""
-        if view == self._dissemination.fingerprint() or now < self._next_sync:
+        if fingerprint == self._dissemination.fingerprint() or now < self._next_sync:
             return []
         self._next_sync = now + self._limits.sync_interval * self._rng.uniform(0.5, 1.5)
-        return self.send(address, wanted=True)
+        return self.send(address, wants_reply=True)
 
-    def send(self, address: Address, wanted: bool) -> list[Datagram]:
+    def send(self, address: Address, wants_reply: bool) -> list[Datagram]:
         """Return the packets with the whole view; ``wanted`` asks for the receiver's."""
-        own = self._dissemination.own
-        rumors = [own, *(entry.rumor() for entry in self._table)]
-        size = self._limits.sync_part
+        own_record = self._dissemination.own_record
+        rumors = [own_record, *(entry.rumor() for entry in self._table)]
+        size = self._limits.sync_part_rumors
         parts = [tuple(rumors[at : at + size]) for at in range(0, len(rumors), size)]
         return [
-            datagram_to(address, Sync(own.router, wanted and at == 0, part))
+            datagram_to(address, Sync(own_record.router, wants_reply and at == 0, part))
             for at, part in enumerate(parts)
         ]
--- a/pondhatch/membership/_gossip.py
+++ b/pondhatch/membership/_gossip.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from pondhatch.membership._datagrams import Datagram, datagram_to
-from pondhatch.membership._loads import FleetLoadView
+from pondhatch.membership._load_aggregation import FleetLoadView
+from pondhatch.membership._member_table import Address
 from pondhatch.membership._members import Member
 from pondhatch.membership._membership_limits import MembershipLimits
 from pondhatch.membership._records import (
@@ -18,15 +19,14 @@
     LimitDemands,
     LimitMessage,
     LimitShares,
-    OwnLoads,
     Packet,
     Phase,
+    RouterLoads,
     ServiceLoad,
     Versions,
     short_id,
 )
 from pondhatch.membership._swim import Membership
-from pondhatch.membership._table import Address
 
 
 class Gossip:
@@ -87,13 +87,13 @@
         """Return the newest version of the configuration that any router was heard to hold."""
         return self.membership.newest_configuration()
 
-    def ahead(self) -> tuple[str, ...]:
+    def routers_ahead(self) -> tuple[str, ...]:
         """Return the routers that hold something newer than this one."""
-        return self.membership.ahead()
+        return self.membership.routers_ahead()
 
-    def news(self) -> list[Datagram]:
+    def announcements(self) -> list[Datagram]:
         """Return packets that tell some peers at once of something new."""
-        return self.membership.news()
+        return self.membership.announcements()
 
     def receive(self, payload: bytes, source: Address, now: float) -> list[Datagram]:
         """Take in a packet and return the answers; one that does not parse is dropped."""
@@ -103,7 +103,7 @@
             return []
         if isinstance(message, LimitDemands | LimitShares):
             return self.on_limits(message, source) if self.on_limits is not None else []
-        if isinstance(message, OwnLoads | HallLoads | FleetLoads):
+        if isinstance(message, RouterLoads | HallLoads | FleetLoads):
             return self._loads.receive(message, now, self.membership.members(now))
         return self.membership.receive(message, source, now)
 
@@ -111,23 +111,23 @@
         """Return a packet that carries demands or shares."""
         return datagram_to(to, message)
 
-    def unreachable(self, name: str, now: float) -> None:
+    def mark_unreachable(self, name: str, now: float) -> None:
         """Note a failed call: the router gets no work for a while."""
-        self.membership.unreachable(name, now)
+        self.membership.mark_unreachable(name, now)
 
-    def heard_from(self, name: str) -> None:
+    def mark_reachable(self, name: str) -> None:
         """Note a word of a router itself: it can be reached again."""
-        self.membership.heard_from(name)
+        self.membership.mark_reachable(name)
 
     def members(self, now: float) -> tuple[Member, ...]:
         """Return this router and all others that are there and can be reached, by name."""
         return self.membership.members(now)
 
-    def address(self, name: str) -> Address | None:
+    def address_of(self, name: str) -> Address | None:
         """Return where another router hears packets, reachable or not; None if unknown."""
         entry = self.membership.table.get(short_id(name))
         return entry.address if entry is not None else None
 
-    def load_elsewhere(self, service: str, now: float) -> int:
+    def in_flight_elsewhere(self, service: str, now: float) -> int:
         """Return a service's requests in flight at the other routers' engines."""
-        return self._loads.elsewhere_of(short_id(service), now)
+        return self._loads.in_flight_elsewhere(short_id(service), now)
--- a/pondhatch/membership/_loads.py
+++ b/pondhatch/membership/_load_aggregation.py
@@ -19,8 +19,8 @@
     FleetLoads,
     HallLoads,
     LoadMessage,
-    OwnLoads,
     Phase,
+    RouterLoads,
     ServiceLoad,
     short_id,
 )
@@ -31,31 +31,31 @@
 #: Seconds between two reports of a router in a large fleet, and at least. A sum that is
 #: old lets an engine be granted more than its share while the fleet's load falls; the
 #: bytes of reports leave room for more of them where few routers send any.
-REPORT_INTERVAL = 1.0
-SHORTEST_INTERVAL = 0.2
+MAX_REPORT_INTERVAL = 1.0
+MIN_REPORT_INTERVAL = 0.2
 #: Routers from which on the longest interval holds; below, it is in proportion.
-MANY_ROUTERS = 32
+LARGE_FLEET_ROUTERS = 32
 #: Seconds after which a report that was not renewed is dropped.
 REPORT_LIFETIME = 4.0
 
 
 #: Seconds for which the last sum of the fleet is used when none follows.
-FLEET_LIFETIME = 15.0
+FLEET_SUM_LIFETIME = 15.0
 #: Seconds for which a new speaker only listens, so that its first sum is whole.
-LISTENING = 1.5
+AGGREGATOR_WARMUP = 1.5
 
-Report = TypeVar("Report", OwnLoads, HallLoads, FleetLoads)
+Report = TypeVar("Report", RouterLoads, HallLoads, FleetLoads)
 Key = TypeVar("Key", int, str)
 
 
-class Heard(msgspec.Struct, Generic[Report], frozen=True):
+class ReceivedReport(msgspec.Struct, Generic[Report], frozen=True):
     """A report and when it came."""
 
     message: Report
-    at: float
+    received_at: float
 
 
-def speaking_order(hall: str, members: Iterable[Member]) -> tuple[Member, ...]:
+def aggregation_order(hall: str, members: Iterable[Member]) -> tuple[Member, ...]:
     """Return a hall's live routers in the order of its tree; the first is the speaker."""
     by_name = {
         member.name: member
@@ -69,7 +69,7 @@
 
 def report_interval(routers: int) -> float:
     """Return the seconds between two reports in a fleet of so many routers."""
-    return max(SHORTEST_INTERVAL, REPORT_INTERVAL * min(1.0, routers / MANY_ROUTERS))
+    return max(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL * min(1.0, routers / LARGE_FLEET_ROUTERS))
 
 
 class FleetLoadView:
@@ -81,87 +81,87 @@
         self._hall = hall
         self._number = 0
         self._next_report = float("-inf")
-        self._own: tuple[ServiceLoad, ...] = ()
-        self._own_by_router: dict[int, Heard[OwnLoads]] = {}
-        self._hall_by_name: dict[str, Heard[HallLoads]] = {}
-        self._fleet: Heard[FleetLoads] | None = None
-        self._speaks_since: float | None = None
+        self._own_loads: tuple[ServiceLoad, ...] = ()
+        self._report_by_router: dict[int, ReceivedReport[RouterLoads]] = {}
+        self._report_by_hall: dict[str, ReceivedReport[HallLoads]] = {}
+        self._fleet_report: ReceivedReport[FleetLoads] | None = None
+        self._aggregator_since: float | None = None
         self._members: tuple[Member, ...] = ()
         self._order: tuple[Member, ...] = ()
-        self._other_speakers: tuple[Member, ...] = ()
+        self._other_aggregators: tuple[Member, ...] = ()
 
     def tick(
-        self, now: float, members: tuple[Member, ...], own: tuple[ServiceLoad, ...]
+        self, now: float, members: tuple[Member, ...], own_loads: tuple[ServiceLoad, ...]
     ) -> list[Datagram]:
         """Report if it is time to."""
-        self._own = own
+        self._own_loads = own_loads
         if now < self._next_report:
             return []
         self._next_report = now + report_interval(len(members))
-        self._drop_old(now)
+        self._drop_expired(now)
         self._number += 1
-        self._arrange(members)
+        self._update_tree(members)
         order = self._order
         if not order:
             return []
         if order[0].name != self._name:
-            self._speaks_since = None
-            report = OwnLoads(self._router, self._number, own)
+            self._aggregator_since = None
+            report = RouterLoads(self._router, self._number, own_loads)
             return [datagram_to(order[0].address, report)]
-        return self._speak(now)
+        return self._aggregate(now)
 
     def receive(
         self, message: LoadMessage, now: float, members: tuple[Member, ...]
     ) -> list[Datagram]:
         """Take in a report; a sum that is news goes on down the tree."""
-        if isinstance(message, OwnLoads):
-            _keep(self._own_by_router, message.sender, message, now)
+        if isinstance(message, RouterLoads):
+            _store_if_newer(self._report_by_router, message.sender, message, now)
             return []
         if isinstance(message, HallLoads):
-            _keep(self._hall_by_name, message.hall, message, now)
+            _store_if_newer(self._report_by_hall, message.hall, message, now)
             return []
-        if not self._is_news(message, now):
+        if not self._is_new(message, now):
             return []
-        self._fleet = Heard(message, now)
-        self._arrange(members)
+        self._fleet_report = ReceivedReport(message, now)
+        self._update_tree(members)
         return self._pass_down(message)
 
-    def elsewhere_of(self, service: int, now: float) -> int:
+    def in_flight_elsewhere(self, service: int, now: float) -> int:
         """Return a service's requests in flight at the other routers' engines.
 
         0 where no sum came for FLEET_LIFETIME: then only own counts are known.
         """
-        if self._fleet is None or now - self._fleet.at > FLEET_LIFETIME:
+        if self._fleet_report is None or now - self._fleet_report.received_at > FLEET_SUM_LIFETIME:
             return 0
-        whole = _in_flight(self._fleet.message.loads, service)
-        return max(0, whole - _in_flight(self._own, service))
+        total = _in_flight(self._fleet_report.message.loads, service)
+        return max(0, total - _in_flight(self._own_loads, service))
 
-    def _arrange(self, members: tuple[Member, ...]) -> None:
+    def _update_tree(self, members: tuple[Member, ...]) -> None:
         """Work out the tree and the speakers anew where the members changed."""
         if members is self._members:
             return
         self._members = members
-        self._order = speaking_order(self._hall, members)
+        self._order = aggregation_order(self._hall, members)
         halls = sorted({member.hall for member in members} - {self._hall})
-        orders = [speaking_order(hall, members) for hall in halls]
-        self._other_speakers = tuple(order[0] for order in orders if order)
+        orders = [aggregation_order(hall, members) for hall in halls]
+        self._other_aggregators = tuple(order[0] for order in orders if order)
 
-    def _speak(self, now: float) -> list[Datagram]:
+    def _aggregate(self, now: float) -> list[Datagram]:
         """Sum up the hall, tell the other speakers, and pass the fleet's sum down."""
-        mine = OwnLoads(self._router, self._number, self._own)
-        _keep(self._own_by_router, self._router, mine, now)
-        hall_sum = _sum(heard.message.loads for heard in self._own_by_router.values())
-        hall = HallLoads(self._router, self._number, self._hall, hall_sum)
-        _keep(self._hall_by_name, self._hall, hall, now)
-        if self._speaks_since is None:
-            self._speaks_since = now
-        if now - self._speaks_since < LISTENING:
+        own_report = RouterLoads(self._router, self._number, self._own_loads)
+        _store_if_newer(self._report_by_router, self._router, own_report, now)
+        hall_sum = _sum(heard.message.loads for heard in self._report_by_router.values())
+        hall_report = HallLoads(self._router, self._number, self._hall, hall_sum)
+        _store_if_newer(self._report_by_hall, self._hall, hall_report, now)
+        if self._aggregator_since is None:
+            self._aggregator_since = now
+        if now - self._aggregator_since < AGGREGATOR_WARMUP:
             return []
-        sent = [datagram_to(speaker.address, hall) for speaker in self._other_speakers]
-        fleet_sum = _sum(heard.message.loads for heard in self._hall_by_name.values())
-        fleet = FleetLoads(self._router, self._number, fleet_sum)
-        self._fleet = Heard(fleet, now)
-        return [*sent, *self._pass_down(fleet)]
+        sent = [datagram_to(speaker.address, hall_report) for speaker in self._other_aggregators]
+        fleet_sum = _sum(heard.message.loads for heard in self._report_by_hall.values())
+        fleet_report = FleetLoads(self._router, self._number, fleet_sum)
+        self._fleet_report = ReceivedReport(fleet_report, now)
+        return [*sent, *self._pass_down(fleet_report)]
 
     def _pass_down(self, message: FleetLoads) -> list[Datagram]:
         names = [member.name for member in self._order]
@@ -173,30 +173,34 @@
             for child in self._order[first : first + TREE_FANOUT]
         ]
 
-    def _is_news(self, message: FleetLoads, now: float) -> bool:
-        known = self._fleet
-        if known is None or now - known.at > REPORT_LIFETIME / 2:
+    def _is_new(self, message: FleetLoads, now: float) -> bool:
+        known = self._fleet_report
+        if known is None or now - known.received_at > REPORT_LIFETIME / 2:
             return True
         return message.sender != known.message.sender or message.number > known.message.number
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         oldest = now - REPORT_LIFETIME
-        self._own_by_router = _newer_than(oldest, self._own_by_router)
-        self._hall_by_name = _newer_than(oldest, self._hall_by_name)
+        self._report_by_router = _newer_than(oldest, self._report_by_router)
+        self._report_by_hall = _newer_than(oldest, self._report_by_hall)
 
 
-def _keep(table: dict[Key, Heard[Report]], key: Key, message: Report, now: float) -> None:
+def _store_if_newer(
+    table: dict[Key, ReceivedReport[Report]], key: Key, message: Report, now: float
+) -> None:
     """Keep a report unless a newer one of the same sender is known."""
     known = table.get(key)
     if known is not None and known.message.sender == message.sender:
         renewed = known.message.number < message.number
-        if not renewed and now - known.at < REPORT_LIFETIME:
+        if not renewed and now - known.received_at < REPORT_LIFETIME:
             return
-    table[key] = Heard(message, now)
+    table[key] = ReceivedReport(message, now)
 
 
-def _newer_than(oldest: float, table: dict[Key, Heard[Report]]) -> dict[Key, Heard[Report]]:
-    return {key: heard for key, heard in table.items() if heard.at > oldest}
+def _newer_than(
+    oldest: float, table: dict[Key, ReceivedReport[Report]]
+) -> dict[Key, ReceivedReport[Report]]:
+    return {key: heard for key, heard in table.items() if heard.received_at > oldest}
 
 
 def _in_flight(loads: tuple[ServiceLoad, ...], service: int) -> int:
--- a/pondhatch/membership/_table.py
+++ b/pondhatch/membership/_member_table.py
@@ -25,7 +25,7 @@
     alive: Alive
     status: Status = Status.ALIVE
     #: When the status was taken in, in the clock's seconds.
-    since: float = 0.0
+    status_since: float = 0.0
     versions: Versions = msgspec.field(default_factory=Versions)
 
     @property
@@ -34,7 +34,7 @@
         return Address(self.alive.host, self.alive.port)
 
     @property
-    def there(self) -> bool:
+    def is_present(self) -> bool:
         """Whether it has neither left nor been found dead."""
         return self.status != Status.DEAD and self.alive.phase != Phase.LEFT
 
@@ -45,7 +45,7 @@
         return Fault(self.alive.router, self.alive.incarnation, self.status)
 
 
-class Table:
+class MemberTable:
     """Entries by router id. A word of a higher incarnation, or else a worse one, holds.
 
     Of two words of one incarnation, that with a capacity holds: a router of an older program
@@ -65,31 +65,31 @@
         self.newest_evacuations = 0
         #: Grows with every change of who is there and what they say of themselves.
         self.revision = 0
-        self._view = 0
+        self._view_fingerprint = 0
 
     def __iter__(self) -> Iterator[Entry]:
         return iter(self.entry_by_id.values())
 
-    def view(self, own: Alive) -> int:
+    def view_fingerprint(self, own: Alive) -> int:
         """Return a 32-bit fingerprint of who is there, equal where two views are."""
-        return self._view ^ _fingerprint(own)
+        return self._view_fingerprint ^ _record_fingerprint(own)
 
     def get(self, router: int) -> Entry | None:
         """Return an entry, or None."""
         return self.entry_by_id.get(router)
 
-    def take_alive(self, alive: Alive, now: float) -> bool:
+    def apply_alive(self, alive: Alive, now: float) -> bool:
         """Take in a router's word on itself; return whether it was news."""
         known = self.entry_by_id.get(alive.router)
         if known is not None and alive.incarnation <= known.alive.incarnation:
-            return self._take_capacity(known, alive)
-        fresh = Entry(alive, since=now)
+            return self._fill_in_capacity(known, alive)
+        fresh = Entry(alive, status_since=now)
         if known is not None:
-            fresh = replace(known, alive=alive, status=Status.ALIVE, since=now)
+            fresh = replace(known, alive=alive, status=Status.ALIVE, status_since=now)
         self._set(fresh)
         return True
 
-    def take_fault(self, fault: Fault, now: float) -> bool:
+    def apply_fault(self, fault: Fault, now: float) -> bool:
         """Take in a word of suspicion or death; return whether it was news."""
         known = self.entry_by_id.get(fault.router)
         if known is None or fault.incarnation < known.alive.incarnation:
@@ -99,41 +99,41 @@
             known = replace(known, alive=raised, status=Status.ALIVE)
         if fault.status <= known.status:
             return False
-        self._set(replace(known, status=Status(fault.status), since=now))
+        self._set(replace(known, status=Status(fault.status), status_since=now))
         return True
 
-    def heard_from(self, router: int, versions: Versions) -> None:
+    def record_versions(self, router: int, versions: Versions) -> None:
         """Note what a router holds."""
         known = self.entry_by_id.get(router)
         if known is not None and known.versions != versions:
             self.newest_configuration = max(self.newest_configuration, versions.configuration)
             self.newest_upstreams = max(self.newest_upstreams, versions.upstreams)
             self.newest_evacuations = max(self.newest_evacuations, versions.evacuations)
-            newer = _newer(known.versions, versions)
+            newer = _newest_of(known.versions, versions)
             self.entry_by_id[router] = replace(known, versions=newer)
 
-    def forget(self, before: float) -> None:
+    def drop_gone(self, before: float) -> None:
         """Drop those that were gone by then, so that the table stays bounded."""
-        gone = [entry for entry in self if not entry.there and entry.since < before]
+        gone = [entry for entry in self if not entry.is_present and entry.status_since < before]
         for entry in gone:
             del self.entry_by_id[entry.alive.router]
 
-    def _take_capacity(self, known: Entry, alive: Alive) -> bool:
+    def _fill_in_capacity(self, known: Entry, alive: Alive) -> bool:
         """Take a capacity from a word whose rest is known; return whether it was missing."""
         is_same = alive.incarnation == known.alive.incarnation
         is_missing = known.alive.capacity == USUAL_CAPACITY != alive.capacity
         if not is_same or not is_missing:
             return False
-        stated = replace(known.alive, capacity=alive.capacity)
-        self._set(replace(known, alive=stated))
+        completed = replace(known.alive, capacity=alive.capacity)
+        self._set(replace(known, alive=completed))
         return True
 
     def _set(self, entry: Entry) -> None:
         known = self.entry_by_id.get(entry.alive.router)
-        if known is not None and known.there:
-            self._view ^= _fingerprint(known.alive)
-        if entry.there:
-            self._view ^= _fingerprint(entry.alive)
+        if known is not None and known.is_present:
+            self._view_fingerprint ^= _record_fingerprint(known.alive)
+        if entry.is_present:
+            self._view_fingerprint ^= _record_fingerprint(entry.alive)
         self.entry_by_id[entry.alive.router] = entry
         self.suspects.discard(entry.alive.router)
         if entry.status == Status.SUSPECT:
@@ -141,17 +141,17 @@
         self.revision += 1
 
 
-def _newer(known: Versions, told: Versions) -> Versions:
+def _newest_of(known: Versions, received: Versions) -> Versions:
     return Versions(
-        max(known.configuration, told.configuration),
-        max(known.upstreams, told.upstreams),
-        max(known.evacuations, told.evacuations),
+        max(known.configuration, received.configuration),
+        max(known.upstreams, received.upstreams),
+        max(known.evacuations, received.evacuations),
     )
 
 
-def _fingerprint(alive: Alive) -> int:
-    seen = f"{alive.router} {alive.incarnation}"
+def _record_fingerprint(alive: Alive) -> int:
+    text = f"{alive.router} {alive.incarnation}"
     if alive.capacity != USUAL_CAPACITY:
         # Views that differ in a capacity are to be exchanged.
-        seen += f" {alive.capacity}"
-    return xxhash.xxh32_intdigest(seen.encode())
+        text += f" {alive.capacity}"
+    return xxhash.xxh32_intdigest(text.encode())
--- a/pondhatch/membership/_membership_limits.py
+++ b/pondhatch/membership/_membership_limits.py
@@ -13,22 +13,22 @@
     #: Seconds without an answer after which others are asked to ping.
     direct_timeout: float = 0.35
     #: Routers that are asked to ping for this one.
-    helpers: int = 3
+    indirect_pings: int = 3
     #: Seconds from suspicion until a router counts as dead.
-    suspicion: float = 2.0
+    suspicion_timeout: float = 2.0
     #: Seconds for which a router is passed over after a failed call.
-    unreachable: float = 5.0
+    unreachable_seconds: float = 5.0
     #: Seconds for which a dead router is remembered, longer than regions lose each other.
-    memory_of_dead: float = 7200.0
+    dead_retention: float = 7200.0
     #: Seconds between two tries to reach a dead router or a seed, so that a cut heals.
     reconnect_interval: float = 3.0
     #: Rumors in one packet at most.
-    rumors: int = 6
+    max_rumors: int = 6
     #: Times that a rumor is passed on, over the logarithm of the fleet's size.
-    retellings: float = 3.0
+    rumor_repeats: float = 3.0
     #: Rumors in one part of a whole view.
-    sync_part: int = 20
+    sync_part_rumors: int = 20
     #: Seconds between two whole views sent to the others.
     sync_interval: float = 5.0
     #: Peers that are told at once of something new.
-    news_fanout: int = 4
+    announcement_fanout: int = 4
--- a/pondhatch/membership/_ownership.py
+++ b/pondhatch/membership/_ownership.py
@@ -19,7 +19,7 @@
 #: Routers of a hall that look for the platform at most while none of them reaches it: one
 #: cut off alone is made good by the second, and a platform that is away is asked by three
 #: in each hall, not by all.
-MOST_LOOKING = 3
+MAX_PLATFORM_PROBERS = 3
 
 
 def live_by_hall(members: Iterable[Member]) -> dict[str, dict[str, float]]:
@@ -38,8 +38,10 @@
     the routers change. For each engine anew it was 3.3 of 4.3 ms a change at 195 routers and 43
     engines.
     """
-    near = live.get(hall) or {name: each for own in live.values() for name, each in own.items()}
-    return weighted_winner(f"owner:{engine}", near)
+    candidates = live.get(hall) or {
+        name: each for own in live.values() for name, each in own.items()
+    }
+    return weighted_winner(f"owner:{engine}", candidates)
 
 
 def watchers(hall: str, members: Iterable[Member]) -> tuple[str, ...]:
@@ -54,5 +56,5 @@
     }
     capacity_by_router = {name: member.capacity for name, member in live.items()}
     order = weighted_ranked(f"watch:{hall}", capacity_by_router)
-    seeing = tuple(name for name in order[:MOST_LOOKING] if live[name].sees_platform)
+    seeing = tuple(name for name in order[:MAX_PLATFORM_PROBERS] if live[name].sees_platform)
     return (seeing or order)[:WATCHERS_PER_HALL]
--- a/pondhatch/membership/_pinging.py
+++ b/pondhatch/membership/_pinging.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pondhatch.membership._table import Address, Entry, Table
+from pondhatch.membership._member_table import Address, Entry, MemberTable
 
 #: Seconds for which the answer to a ping made for another router is passed on.
 RELAY_SECONDS = 1.0
@@ -19,35 +19,35 @@
     number: int
     sent_at: float
     #: Whether others were asked to ping as well.
-    helped: bool = False
+    is_indirect: bool = False
 
 
-class Round:
+class PingRotation:
     """Goes round the routers that are there, in an order shuffled anew each time."""
 
-    def __init__(self, table: Table, rng: random.Random) -> None:
+    def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self._table = table
         self._rng = rng
         #: Short ids of those still to come, the next one last.
-        self._left: list[int] = []
+        self._remaining: list[int] = []
 
     def put_first(self, router: int) -> None:
         """Have a router come next, whether or not it had its turn."""
-        self._left.append(router)
+        self._remaining.append(router)
 
     def next(self) -> Entry | None:
         """Return the next router that is there."""
         for _ in range(2):
-            while self._left:
-                entry = self._table.get(self._left.pop())
-                if entry is not None and entry.there:
+            while self._remaining:
+                entry = self._table.get(self._remaining.pop())
+                if entry is not None and entry.is_present:
                     return entry
-            self._left = [entry.alive.router for entry in self._table if entry.there]
-            self._rng.shuffle(self._left)
+            self._remaining = [entry.alive.router for entry in self._table if entry.is_present]
+            self._rng.shuffle(self._remaining)
         return None
 
 
-class Relayed(msgspec.Struct, frozen=True):
+class RelayedPing(msgspec.Struct, frozen=True):
     """A ping made for another router."""
 
     asker: Address
@@ -60,18 +60,18 @@
     """The pings made for other routers, by the number of the ping."""
 
     def __init__(self) -> None:
-        self._relayed_by_number: dict[int, Relayed] = {}
+        self._relayed_by_number: dict[int, RelayedPing] = {}
 
-    def note(self, number: int, asker: Address, askers_number: int, now: float) -> None:
+    def record(self, number: int, asker: Address, askers_number: int, now: float) -> None:
         """Note a ping made for another router, and forget those that nobody waits for."""
         self._relayed_by_number = {
             made: relayed
             for made, relayed in self._relayed_by_number.items()
             if relayed.until > now
         }
-        self._relayed_by_number[number] = Relayed(asker, askers_number, now + RELAY_SECONDS)
+        self._relayed_by_number[number] = RelayedPing(asker, askers_number, now + RELAY_SECONDS)
 
-    def answered(self, number: int, now: float) -> Relayed | None:
+    def take_answered(self, number: int, now: float) -> RelayedPing | None:
         """Return for whom an answered ping was made, where its answer is still waited for."""
         relayed = self._relayed_by_number.pop(number, None)
         return relayed if relayed is not None and relayed.until > now else None
--- a/pondhatch/membership/_reconnection.py
+++ b/pondhatch/membership/_reconnection.py
@@ -6,9 +6,9 @@
 
 from pondhatch.membership._datagrams import Datagram, datagram_to
 from pondhatch.membership._dissemination import Dissemination
+from pondhatch.membership._member_table import Address, Entry, MemberTable
 from pondhatch.membership._membership_limits import MembershipLimits
 from pondhatch.membership._records import Sync
-from pondhatch.membership._table import Address, Entry, Table
 
 
 class Reconnection:
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        table: Table,
+        table: MemberTable,
         dissemination: Dissemination,
         limits: MembershipLimits,
         rng: random.Random,
@@ -33,28 +33,28 @@
 
     def greetings(self, seeds: tuple[Address, ...], now: float) -> list[Datagram]:
         """Speak to a seed or a router taken for dead: either may be behind a cut that healed."""
-        alone = not any(entry.there for entry in self._table)
-        if now < self._next_reconnect and not alone:
+        is_alone = not any(entry.is_present for entry in self._table)
+        if now < self._next_reconnect and not is_alone:
             return []
         self._next_reconnect = now + self._limits.reconnect_interval
-        dead = {entry.address: entry for entry in self._table if not entry.there}
-        absent = self._absent({*seeds, *dead})
+        dead = {entry.address: entry for entry in self._table if not entry.is_present}
+        absent = self._without_live_router({*seeds, *dead})
         if not absent:
             return []
         # One that knows nobody asks several: of a fleet that starts, some are not there yet.
-        most = self._limits.news_fanout if alone else 1
-        greeted = self._rng.sample(absent, min(len(absent), most))
+        limit = self._limits.announcement_fanout if is_alone else 1
+        greeted = self._rng.sample(absent, min(len(absent), limit))
         return [self._greeting(address, dead.get(address)) for address in greeted]
 
-    def _absent(self, addresses: set[Address]) -> list[Address]:
+    def _without_live_router(self, addresses: set[Address]) -> list[Address]:
         """Return those addresses, in order, at which neither this nor a live router is."""
-        own = self._dissemination.own
-        here = {entry.address for entry in self._table if entry.there}
-        here.add(Address(own.host, own.port))
-        return sorted(addresses - here, key=lambda each: (each.host, each.port))
+        own_record = self._dissemination.own_record
+        live = {entry.address for entry in self._table if entry.is_present}
+        live.add(Address(own_record.host, own_record.port))
+        return sorted(addresses - live, key=lambda each: (each.host, each.port))
 
     def _greeting(self, address: Address, known: Entry | None) -> Datagram:
         """Ask for a whole view; a router taken for dead is told so, and can contradict."""
-        own = self._dissemination.own
+        own_record = self._dissemination.own_record
         about = (known.rumor(),) if known is not None else ()
-        return datagram_to(address, Sync(own.router, True, (own, *about)))
+        return datagram_to(address, Sync(own_record.router, True, (own_record, *about)))
--- a/pondhatch/membership/_records.py
+++ b/pondhatch/membership/_records.py
@@ -87,7 +87,7 @@
     number: int
     versions: Versions
     #: Fingerprint of the sender's view of the fleet.
-    view: int
+    view_fingerprint: int
     rumors: tuple[Rumor, ...] = ()
 
 
@@ -97,11 +97,11 @@
     sender: int
     number: int
     versions: Versions
-    view: int
+    view_fingerprint: int
     rumors: tuple[Rumor, ...] = ()
 
 
-class PingFor(_Message, frozen=True, tag=12):
+class PingRequest(_Message, frozen=True, tag=12):
     """Asks a router to ping another and pass on its Ack."""
 
     sender: int
@@ -109,7 +109,7 @@
     target: int
 
 
-class News(_Message, frozen=True, tag=13):
+class Announcement(_Message, frozen=True, tag=13):
     """Tells of something new at once."""
 
     sender: int
@@ -121,7 +121,7 @@
     """A part of the sender's whole view; ``wanted`` asks for the receiver's."""
 
     sender: int
-    wanted: bool
+    wants_reply: bool
     rumors: tuple[Rumor, ...] = ()
 
 
@@ -135,7 +135,7 @@
     in_flight: int
 
 
-class OwnLoads(_Message, frozen=True, tag=20):
+class RouterLoads(_Message, frozen=True, tag=20):
     """A router's own part, told to the speaker of its hall."""
 
     sender: int
@@ -191,7 +191,7 @@
     shares: tuple[LimitShare, ...] = ()
 
 
-MembershipMessage = Ping | Ack | PingFor | News | Sync
-LoadMessage = OwnLoads | HallLoads | FleetLoads
+MembershipMessage = Ping | Ack | PingRequest | Announcement | Sync
+LoadMessage = RouterLoads | HallLoads | FleetLoads
 LimitMessage = LimitDemands | LimitShares
 Packet = MembershipMessage | LoadMessage | LimitMessage
--- a/pondhatch/membership/_seal.py
+++ b/pondhatch/membership/_seal.py
@@ -17,11 +17,11 @@
     def __init__(self, fleet_key: bytes) -> None:
         self._key = hashlib.blake2b(fleet_key, digest_size=KEY_BYTES).digest()
 
-    def close(self, payload: bytes) -> bytes:
+    def sign(self, payload: bytes) -> bytes:
         """Return the payload with its seal in front."""
         return self._digest(payload) + payload
 
-    def open(self, datagram: bytes) -> bytes | None:
+    def verify(self, datagram: bytes) -> bytes | None:
         """Return the payload, or None where the seal does not fit."""
         seal, payload = datagram[:SEAL_BYTES], datagram[SEAL_BYTES:]
         if not hmac.compare_digest(seal, self._digest(payload)):
--- a/pondhatch/membership/_swim.py
+++ b/pondhatch/membership/_swim.py
@@ -17,21 +17,21 @@
 from pondhatch.membership._dissemination import Dissemination
 from pondhatch.membership._failure_detection import FailureDetector
 from pondhatch.membership._full_sync import FullSync
+from pondhatch.membership._member_table import Address, MemberTable
 from pondhatch.membership._members import Member, MemberView
 from pondhatch.membership._membership_limits import MembershipLimits
 from pondhatch.membership._reconnection import Reconnection
 from pondhatch.membership._records import (
     Ack,
     Alive,
+    Announcement,
     MembershipMessage,
-    News,
     Phase,
     Ping,
-    PingFor,
+    PingRequest,
     Versions,
     short_id,
 )
-from pondhatch.membership._table import Address, Table
 
 
 class Membership:
@@ -45,7 +45,7 @@
         seeds: Iterable[Address] = (),
     ) -> None:
         self.limits = limits
-        self.table = Table()
+        self.table = MemberTable()
         self._seeds = tuple(seeds)
         self._next_ping = float("-inf")
         self._view = MemberView(self.table)
@@ -57,13 +57,13 @@
     # -- what this router says of itself ------------------------------------
 
     @property
-    def own(self) -> Alive:
+    def own_record(self) -> Alive:
         """What this router says of itself."""
-        return self._dissemination.own
+        return self._dissemination.own_record
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
         """Take in more addresses to try while no peer is known; some are greeted at once."""
-        known = {*self._seeds, Address(self.own.host, self.own.port)}
+        known = {*self._seeds, Address(self.own_record.host, self.own_record.port)}
         new = tuple(seed for seed in seeds if seed not in known)
         self._seeds += new
         if new:
@@ -86,7 +86,7 @@
 
     def members(self, now: float) -> tuple[Member, ...]:
         """Return this router and all others that are there and can be reached, by name."""
-        return self._view.members(self.own, now)
+        return self._view.members(self.own_record, now)
 
     def is_gone(self, name: str) -> bool:
         """Return whether a router has left or was found dead."""
@@ -95,18 +95,18 @@
     def is_gone_by_id(self, router: int) -> bool:
         """Return whether a router has left or was found dead, by its short id."""
         entry = self.table.get(router)
-        return entry is not None and not entry.there
+        return entry is not None and not entry.is_present
 
     def versions(self) -> dict[str, Versions]:
         """Return what each router was last heard to hold, this one included."""
-        heard = {entry.alive.name: entry.versions for entry in self.table if entry.there}
-        return {self.own.name: self._dissemination.versions, **heard}
+        peers = {entry.alive.name: entry.versions for entry in self.table if entry.is_present}
+        return {self.own_record.name: self._dissemination.versions, **peers}
 
     def newest_configuration(self) -> int:
         """Return the newest version of the configuration that any router was heard to hold."""
         return max(self.table.newest_configuration, self._dissemination.versions.configuration)
 
-    def ahead(self) -> tuple[str, ...]:
+    def routers_ahead(self) -> tuple[str, ...]:
         """Return the routers that were heard to hold something newer than this one."""
         own = self._dissemination.versions
         table = self.table
@@ -124,77 +124,83 @@
             or entry.versions.evacuations > own.evacuations
         )
 
-    def unreachable(self, name: str, now: float) -> None:
+    def mark_unreachable(self, name: str, now: float) -> None:
         """Note a failed call: the router is passed over for a while and pinged next."""
         router = short_id(name)
-        self._view.unreachable(router, now + self.limits.unreachable)
-        self._detector.put_first(router)
+        self._view.mark_unreachable(router, now + self.limits.unreachable_seconds)
+        self._detector.ping_soon(router)
 
-    def heard_from(self, name: str) -> None:
+    def mark_reachable(self, name: str) -> None:
         """Note a direct word from a router: it is passed over no longer."""
-        self._view.reached(short_id(name))
+        self._view.mark_reachable(short_id(name))
 
     # -- time and packets ----------------------------------------------------
 
     def tick(self, now: float) -> list[Datagram]:
         """Do what is due; to be called several times in each ping interval."""
         sent = self._detector.check_probe(now)
-        self._detector.bury_suspects(now)
+        self._detector.expire_suspects(now)
         if now < self._next_ping:
             return sent
-        self.table.forget(now - self.limits.memory_of_dead)
+        self.table.drop_gone(now - self.limits.dead_retention)
         self._next_ping = now + self.limits.ping_interval
         greetings = self._reconnection.greetings(self._seeds, now)
         return [*sent, *greetings, *self._detector.ping_next(now)]
 
-    def news(self) -> list[Datagram]:
+    def announcements(self) -> list[Datagram]:
         """Return packets that tell some peers at once what this router holds now."""
-        return self._dissemination.news()
+        return self._dissemination.announcements()
 
     def receive(self, message: MembershipMessage, source: Address, now: float) -> list[Datagram]:
         """Take in a message and return the answers to it."""
-        news = False
-        if not isinstance(message, PingFor):
-            news = self._dissemination.take_rumors(message.rumors, now)
+        has_changed = False
+        if not isinstance(message, PingRequest):
+            has_changed = self._dissemination.apply_rumors(message.rumors, now)
         answers = self._answer(message, source, now)
-        return [*answers, *self.news()] if news else answers
+        return [*answers, *self.announcements()] if has_changed else answers
 
     def _answer(self, message: MembershipMessage, source: Address, now: float) -> list[Datagram]:
         if isinstance(message, Ping):
             return self._answer_ping(message, source, now)
         if isinstance(message, Ack):
-            return self._take_ack(message, now)
-        if isinstance(message, PingFor):
-            return self._detector.ping_for(message, source, now)
-        if isinstance(message, News):
-            self._heard(message)
+            return self._handle_ack(message, now)
+        if isinstance(message, PingRequest):
+            return self._detector.ping_on_behalf(message, source, now)
+        if isinstance(message, Announcement):
+            self._record_sender(message)
             return []
-        return self._full_sync.send(source, wanted=False) if message.wanted else []
+        return self._full_sync.send(source, wants_reply=False) if message.wants_reply else []
 
     def _answer_ping(self, ping: Ping, source: Address, now: float) -> list[Datagram]:
-        self._heard(ping)
+        self._record_sender(ping)
         answers = [datagram_to(source, self._ack(ping))]
         if self.table.get(ping.sender) is None:
-            return [*answers, *self._full_sync.send(source, wanted=True)]
-        return [*answers, *self._full_sync.exchange_if_due(ping.view, source, now)]
+            return [*answers, *self._full_sync.send(source, wants_reply=True)]
+        return [*answers, *self._full_sync.exchange_if_due(ping.view_fingerprint, source, now)]
 
     def _ack(self, ping: Ping) -> Ack:
-        own = self._dissemination
-        rumors = own.rumors_for(ping.sender)
-        return Ack(self.own.router, ping.number, own.versions, own.fingerprint(), rumors)
+        dissemination = self._dissemination
+        rumors = dissemination.next_rumors_for(ping.sender)
+        return Ack(
+            self.own_record.router,
+            ping.number,
+            dissemination.versions,
+            dissemination.fingerprint(),
+            rumors,
+        )
 
-    def _take_ack(self, ack: Ack, now: float) -> list[Datagram]:
+    def _handle_ack(self, ack: Ack, now: float) -> list[Datagram]:
         relayed = self._detector.relay(ack, now)
         if relayed is not None:
             return [relayed]
-        self.table.heard_from(ack.sender, ack.versions)
-        if not self._detector.take_ack(ack):
+        self.table.record_versions(ack.sender, ack.versions)
+        if not self._detector.match_ack(ack):
             return []
         entry = self.table.get(ack.sender)
         if entry is None:
             return []
-        return self._full_sync.exchange_if_due(ack.view, entry.address, now)
+        return self._full_sync.exchange_if_due(ack.view_fingerprint, entry.address, now)
 
-    def _heard(self, message: Ping | News) -> None:
-        self.table.heard_from(message.sender, message.versions)
-        self._view.reached(message.sender)
+    def _record_sender(self, message: Ping | Announcement) -> None:
+        self.table.record_versions(message.sender, message.versions)
+        self._view.mark_reachable(message.sender)
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -14,13 +14,13 @@
     Seal,
     ServiceLoad,
     Status,
+    aggregation_order,
     live_by_hall,
     owner_of,
     short_id,
-    speaking_order,
     watchers,
 )
-from pondhatch.membership._loads import report_interval
+from pondhatch.membership._load_aggregation import report_interval
 from pondhatch.membership._records import Fault
 from pondhatch.router._sync import MEETING_SECONDS
 
@@ -150,21 +150,21 @@
     def test_a_router_called_dead_contradicts(self) -> None:
         net = Net(4)
         net.run(6)
-        own = net.cores[2].membership.own
+        own = net.cores[2].membership.own_record
         fault = Fault(own.router, own.incarnation, Status.DEAD)
-        net.cores[0].membership.table.take_fault(fault, net.now)
+        net.cores[0].membership.table.apply_fault(fault, net.now)
         self.assertNotIn("r2", net.seen(0))
         net.run(6)
         self.assertIn("r2", net.seen(0))
-        self.assertGreater(net.cores[2].membership.own.incarnation, own.incarnation)
+        self.assertGreater(net.cores[2].membership.own_record.incarnation, own.incarnation)
 
     def test_old_words_never_replace_newer_ones(self) -> None:
         net = Net(2)
         net.run(3)
-        old = net.cores[1].membership.own
+        old = net.cores[1].membership.own_record
         net.cores[1].publish(Phase.DRAINING, 9, 9, ())
         net.run(3)
-        self.assertFalse(net.cores[0].membership.table.take_alive(old, net.now))
+        self.assertFalse(net.cores[0].membership.table.apply_alive(old, net.now))
         member = next(m for m in net.cores[0].members(net.now) if m.name == "r1")
         self.assertEqual(member.phase, Phase.DRAINING)
         self.assertEqual(net.cores[0].versions()["r1"].configuration, 9)
@@ -172,12 +172,12 @@
     def test_one_that_left_or_failed_a_call_gets_no_work(self) -> None:
         net = Net(4)
         net.run(6)
-        net.cores[0].unreachable("r2", net.now)
+        net.cores[0].mark_unreachable("r2", net.now)
         self.assertNotIn("r2", net.seen(0))
         net.run(6)
         self.assertIn("r2", net.seen(0))
         net.cores[3].publish(Phase.LEFT, 0, 0, ())
-        net.deliver(3, net.cores[3].news())
+        net.deliver(3, net.cores[3].announcements())
         net.down.add(3)
         self.assertNotIn("r3", net.seen(0))
 
@@ -185,8 +185,8 @@
         net = Net(5)
         net.run(6)
         net.cores[0].publish(Phase.LIVE, 3, 0, ())
-        net.deliver(0, net.cores[0].news())
-        self.assertEqual([core.ahead() for core in net.cores[1:]], [("r0",)] * 4)
+        net.deliver(0, net.cores[0].announcements())
+        self.assertEqual([core.routers_ahead() for core in net.cores[1:]], [("r0",)] * 4)
 
     def test_malformed_packets_are_dropped(self) -> None:
         core = Net(1).cores[0]
@@ -211,14 +211,14 @@
         self.net.run(12)
 
     def heard(self, at: int) -> int:
-        return self.net.cores[at].load_elsewhere("s", self.net.now)
+        return self.net.cores[at].in_flight_elsewhere("s", self.net.now)
 
     def test_every_router_knows_the_load_of_all_others(self) -> None:
         for at in range(12):
             self.assertEqual(self.heard(at), 66 - at)
 
     def test_a_lost_speaker_is_replaced_and_its_load_leaves_the_sum(self) -> None:
-        order = speaking_order("h1", self.net.cores[1].members(self.net.now))
+        order = aggregation_order("h1", self.net.cores[1].members(self.net.now))
         speaker = int(order[0].name[1:])
         self.net.down.add(speaker)
         self.net.run(16)
@@ -255,10 +255,10 @@
 class SealTest(unittest.TestCase):
     def test_only_the_fleets_own_packets_open(self) -> None:
         seal = Seal(b"fleet key of the fleet")
-        closed = seal.close(b"payload")
-        self.assertEqual(seal.open(closed), b"payload")
-        for forged in (b"", closed[:-1], b"12345678payload", Seal(b"another").close(b"payload")):
-            self.assertIsNone(seal.open(forged))
+        closed = seal.sign(b"payload")
+        self.assertEqual(seal.verify(closed), b"payload")
+        for forged in (b"", closed[:-1], b"12345678payload", Seal(b"another").sign(b"payload")):
+            self.assertIsNone(seal.verify(forged))
 
 
 class OwnershipTest(unittest.TestCase):
--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -21,19 +21,19 @@
     Gossip,
     Member,
     MembershipLimits,
+    MemberTable,
     Phase,
     Status,
-    Table,
     Versions,
+    aggregation_order,
     capacity_of,
     live_by_hall,
     owner_of,
     short_id,
-    speaking_order,
     watchers,
 )
 from pondhatch.membership._datagrams import datagram_to
-from pondhatch.membership._records import Ack, Fault, News, Ping, Rumor, Sync
+from pondhatch.membership._records import Ack, Announcement, Fault, Ping, Rumor, Sync
 from pondhatch.membership.tests.test_gossip import Net
 
 CAPACITIES = (0.5, 0.7, 1.0, 1.0, 1.3, 1.6, 1.9, 2.2)
@@ -140,7 +140,7 @@
             owned = [owner_of(f"e{at}", "h0", live) for at in range(8)]
             self.assertEqual(owned, ["r1", "r3", "r2", "r4", "r4", "r2", "r3", "r2"])
             self.assertEqual(watchers("h0", members), ("r2",))
-            order = [member.name for member in speaking_order("h0", members)]
+            order = [member.name for member in aggregation_order("h0", members)]
             self.assertEqual(order, ["r0", "r3", "r4", "r2", "r1"])
 
     def test_a_hall_is_watched_and_summed_up_by_a_small_router_less_often(self) -> None:
@@ -149,14 +149,14 @@
         for at in range(400):
             hall = [replace(member, hall=f"h{at}") for member in members]
             chosen[watchers(f"h{at}", hall)[0]] += 1
-            chosen[speaking_order(f"h{at}", hall)[0].name] += 1
+            chosen[aggregation_order(f"h{at}", hall)[0].name] += 1
         self.assert_in_proportion(chosen.elements(), {"r0": 0.1, "r1": 2.0, "r2": 2.0})
 
 
 class RecordTest(unittest.TestCase):
     def encoded(self, rumors: tuple[Rumor, ...]) -> list[str]:
         messages = (
-            News(1, Versions(2, 3), rumors),
+            Announcement(1, Versions(2, 3), rumors),
             Ping(1, 9, Versions(), 7, (*rumors, Fault(2, 3, 1))),
             Ack(1, 9, Versions(), 7, rumors),
             Sync(1, True, rumors),
@@ -185,7 +185,7 @@
         # Until nobody tells of the three any more, so that only whole views can.
         net.run(20)
         net.cores[0] = net.core(0, 1)
-        without = News(short_id("r9"), Versions(), (alive(1), alive(2)))
+        without = Announcement(short_id("r9"), Versions(), (alive(1), alive(2)))
         net.cores[0].receive(datagram_to(SOMEBODY, without).payload, SOMEBODY, net.now)
         capacities = [member.capacity for member in net.cores[0].members(net.now)]
         self.assertEqual(capacities, [0.5, 1.0, 1.0])
@@ -195,19 +195,19 @@
             self.assertEqual(capacities, list(CAPACITIES[:3]))
 
     def test_a_capacity_learned_later_calls_no_router_back_to_life(self) -> None:
-        table = Table()
-        table.take_alive(alive(1), 0.0)
-        table.take_fault(Fault(short_id("r1"), 1, Status.SUSPECT), 1.0)
-        self.assertTrue(table.take_alive(alive(1, 2.0), 2.0))
+        table = MemberTable()
+        table.apply_alive(alive(1), 0.0)
+        table.apply_fault(Fault(short_id("r1"), 1, Status.SUSPECT), 1.0)
+        self.assertTrue(table.apply_alive(alive(1, 2.0), 2.0))
         entry = table.entry_by_id[short_id("r1")]
-        known = (entry.status, entry.since, entry.alive.capacity)
+        known = (entry.status, entry.status_since, entry.alive.capacity)
         self.assertEqual(known, (Status.SUSPECT, 1.0, 2.0))
-        self.assertFalse(table.take_alive(alive(1), 3.0))
+        self.assertFalse(table.apply_alive(alive(1), 3.0))
 
     def test_a_stated_capacity_out_of_bounds_counts_as_the_nearest_within(self) -> None:
         for stated, expected in ((0.0, 0.1), (-3.0, 0.1), (1e9, 10.0), (math.nan, 0.1)):
             core = SizedNet(1).cores[0]
-            news = News(1, Versions(), (alive(1, stated),))
+            news = Announcement(1, Versions(), (alive(1, stated),))
             core.receive(datagram_to(SOMEBODY, news).payload, SOMEBODY, 0.0)
             self.assertEqual(core.members(0.0)[1].capacity, expected)
 
--- a/pondhatch/placement/__init__.py
+++ b/pondhatch/placement/__init__.py
@@ -1,28 +1,36 @@
 """Placement: which engine takes a request, and how much an engine may carry."""
 
 from pondhatch.placement._ceiling import admission_ceiling
-from pondhatch.placement._cold_pace import ColdAllowance, ColdPaces
+from pondhatch.placement._cold_pacer import ColdAllowance, ColdPacer
 from pondhatch.placement._context import YOUNG_SECONDS, context_engine
-from pondhatch.placement._engine_paces import MOST_PACE, USUAL_PACE, EnginePaces
+from pondhatch.placement._context_locations import ContextLocations
+from pondhatch.placement._engine_paces import MAX_PACE, USUAL_PACE, EnginePaces
+from pondhatch.placement._fair_queue import FairQueue, Ticket
 from pondhatch.placement._forecast import (
     GAP_WEIGHT,
     STEADY_GAP_WEIGHT,
     ReleaseInterval,
     RetrySchedule,
-    granted_ahead,
+    extra_grants,
 )
-from pondhatch.placement._gate import EngineCount, Full, Gate, Granted, Verdict
+from pondhatch.placement._gate import EngineCount, Full, Gate, GateDecision, Granted
 from pondhatch.placement._health import LONGEST_PAUSE, MANAGED_PAUSE, Health
-from pondhatch.placement._intake import CLOSING, OPEN, Closed, Intake, Regions, both, is_allowed
-from pondhatch.placement._line import Line, Ticket
-from pondhatch.placement._memory import SpillMemory
-from pondhatch.placement._notices import NO_REST, NOTHING_SAID, Notice, Notices, Rest
+from pondhatch.placement._intake import (
+    CLOSING,
+    OPEN,
+    ClosedReason,
+    Intake,
+    Regions,
+    common_regions,
+    is_region_allowed,
+)
+from pondhatch.placement._notices import NO_NOTICE, NO_REST, Notice, Notices, Rest
 from pondhatch.placement._plan import Ask, Exhausted, Plan, Step
-from pondhatch.placement._pooled_first import CONSIDERED, RecentLoads, pooled_first
+from pondhatch.placement._pooled_first import CANDIDATES, RecentLoads, pooled_first
 from pondhatch.placement._rendezvous import ranked, scorer, winner
-from pondhatch.placement._starts import id_of, name_of_start
+from pondhatch.placement._starts import name_of_start, upstream_id_of
 from pondhatch.placement._token_counts import (
-    OWN_PART,
+    UNSHARED_PART,
     Reservation,
     TokenCounts,
     TokenNeed,
@@ -31,24 +39,24 @@
 from pondhatch.placement._weighted_rendezvous import weighted_ranked, weighted_winner
 
 __all__ = [
-    "id_of",
+    "upstream_id_of",
     "name_of_start",
     "Ask",
     "CLOSING",
-    "CONSIDERED",
-    "Closed",
+    "CANDIDATES",
+    "ClosedReason",
     "ColdAllowance",
-    "ColdPaces",
+    "ColdPacer",
     "Intake",
     "OPEN",
-    "OWN_PART",
+    "UNSHARED_PART",
     "Reservation",
     "TokenCounts",
     "TokenNeed",
     "usable_tokens",
     "Regions",
-    "both",
-    "is_allowed",
+    "common_regions",
+    "is_region_allowed",
     "EngineCount",
     "EnginePaces",
     "Exhausted",
@@ -58,11 +66,11 @@
     "Granted",
     "Health",
     "LONGEST_PAUSE",
-    "Line",
+    "FairQueue",
     "MANAGED_PAUSE",
-    "MOST_PACE",
+    "MAX_PACE",
     "RecentLoads",
-    "NOTHING_SAID",
+    "NO_NOTICE",
     "NO_REST",
     "Rest",
     "Notice",
@@ -71,14 +79,14 @@
     "Plan",
     "RetrySchedule",
     "STEADY_GAP_WEIGHT",
-    "SpillMemory",
+    "ContextLocations",
     "Step",
     "Ticket",
     "USUAL_PACE",
-    "Verdict",
+    "GateDecision",
     "YOUNG_SECONDS",
     "admission_ceiling",
-    "granted_ahead",
+    "extra_grants",
     "context_engine",
     "pooled_first",
     "ranked",
--- a/pondhatch/placement/_cold_pace.py
+++ b/pondhatch/placement/_cold_pacer.py
@@ -13,7 +13,7 @@
 
 #: Routers that may take themselves for an upstream's owner at the same time, on one side of a
 #: cut: the former and the next, until both have heard of the change.
-OWNERS_AT_ONCE = 2
+CONCURRENT_OWNERS = 2
 #: Requests that may go at once to an upstream that got none for a while: a caller's few that
 #: come together need not wait for each other.
 BURST = 2
@@ -27,12 +27,12 @@
     #: Requests beyond that.
     slack: float = 0.0
 
-    def most(self, pace: float) -> float:
+    def max_per_second(self, pace: float) -> float:
         """Return the requests that may reach one upstream in any one second."""
         return pace * self.overshoot + self.slack
 
 
-class ColdPaces(msgspec.Struct):
+class ColdPacer(msgspec.Struct):
     """When the next request may go to each cold upstream, as one router counts it.
 
     A virtual schedule: each request moves an upstream's next turn on by an interval, and one
@@ -42,37 +42,37 @@
     allowance: ColdAllowance = msgspec.field(default_factory=ColdAllowance)
     #: This router's part of the fleet: the live routers it sees, of those seen in a while; 0
     #: until it has met the others.
-    share: float = 0.0
+    fleet_share: float = 0.0
     #: The next turn of each cold upstream, in the clock's seconds.
-    _turn_by_upstream: dict[str, float] = msgspec.field(default_factory=dict)
+    _next_grant_by_upstream: dict[str, float] = msgspec.field(default_factory=dict)
 
     def is_due(self, upstream: str, pace: float, now: float) -> bool:
         """Return whether a request may go to a cold upstream now."""
-        if not self.share or not self.allowance.most(pace):
+        if not self.fleet_share or not self.allowance.max_per_second(pace):
             return False
-        interval, burst = self._schedule(pace)
-        turn = self._turn_by_upstream.get(upstream)
-        if turn is None and self.share < 1:
+        interval, burst = self._interval_and_burst(pace)
+        next_grant = self._next_grant_by_upstream.get(upstream)
+        if next_grant is None and self.fleet_share < 1:
             # Other sides of a cut may have begun with a request of their own just now.
-            turn = self._turn_by_upstream[upstream] = now + interval
-        return turn is None or turn - (burst - 1) * interval <= now
+            next_grant = self._next_grant_by_upstream[upstream] = now + interval
+        return next_grant is None or next_grant - (burst - 1) * interval <= now
 
-    def went(self, upstream: str, pace: float, now: float) -> None:
+    def record_grant(self, upstream: str, pace: float, now: float) -> None:
         """Note that a request was granted to a cold upstream."""
-        interval, _ = self._schedule(pace)
-        turn = self._turn_by_upstream.get(upstream, now)
-        self._turn_by_upstream[upstream] = max(turn, now) + interval
+        interval, _ = self._interval_and_burst(pace)
+        next_grant = self._next_grant_by_upstream.get(upstream, now)
+        self._next_grant_by_upstream[upstream] = max(next_grant, now) + interval
 
     def forget(self, upstream: str) -> None:
         """Forget an upstream that is warm, or gone."""
-        self._turn_by_upstream.pop(upstream, None)
+        self._next_grant_by_upstream.pop(upstream, None)
 
-    def _schedule(self, pace: float) -> tuple[float, int]:
+    def _interval_and_burst(self, pace: float) -> tuple[float, int]:
         """Return the seconds from one turn to the next, and how many may go at once.
 
         In any one second no more go than the burst and the turns of that second.
         """
-        part = self.allowance.most(pace) / OWNERS_AT_ONCE * self.share
-        burst = BURST if self.share == 1 and part >= 2 * BURST else 1
-        rate = max(part - burst, part / 2)
-        return 1.0 / rate, burst
+        own_rate = self.allowance.max_per_second(pace) / CONCURRENT_OWNERS * self.fleet_share
+        burst = BURST if self.fleet_share == 1 and own_rate >= 2 * BURST else 1
+        steady_rate = max(own_rate - burst, own_rate / 2)
+        return 1.0 / steady_rate, burst
--- a/pondhatch/placement/_context.py
+++ b/pondhatch/placement/_context.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from pondhatch.placement._memory import SpillMemory
+from pondhatch.placement._context_locations import ContextLocations
 
 #: Seconds for which an engine that joined counts as young.
 YOUNG_SECONDS = 600.0
 
 
 def context_engine(
-    memory: SpillMemory, chat: int, home: str, settled: str | None, home_is_young: bool
+    locations: ContextLocations, chat: int, home: str, established: str | None, home_is_young: bool
 ) -> str:
     """Return the engine that most likely holds a returning chat's context.
 
@@ -18,9 +18,9 @@
     that did not, ``settled``: sending it there keeps its context, and keeps a joining
     engine from being flooded by chats that it cannot know.
     """
-    remembered = memory.engine_of(chat)
+    remembered = locations.engine_of(chat)
     if remembered is not None:
         return remembered
-    if home_is_young and settled is not None:
-        return settled
+    if home_is_young and established is not None:
+        return established
     return home
--- a/pondhatch/placement/_memory.py
+++ b/pondhatch/placement/_context_locations.py
@@ -14,13 +14,13 @@
 import msgspec
 
 #: Chats remembered at most by one router.
-DEFAULT_CHATS = 100_000
+DEFAULT_MAX_CHATS = 100_000
 
 
-class SpillMemory(msgspec.Struct):
+class ContextLocations(msgspec.Struct):
     """Least recently used table from chat to the engine that holds its context."""
 
-    limit: int = DEFAULT_CHATS
+    limit: int = DEFAULT_MAX_CHATS
     engine_by_chat: OrderedDict[int, str] = msgspec.field(default_factory=OrderedDict)
 
     def remember(self, chat: int, engine: str) -> None:
--- a/pondhatch/placement/_forecast.py
+++ b/pondhatch/placement/_forecast.py
@@ -19,10 +19,10 @@
 LONGEST_RETRY_AFTER = 10.0
 #: Seconds from the end of one run to the begin of the next, where that one waits at the engine's
 #: owner: a release, a grant and the request itself are on their way, one after the other.
-TURNAROUND = 0.01
+TURNAROUND_SECONDS = 0.01
 
 
-def granted_ahead(gap: float, most: int) -> int:
+def extra_grants(gap: float, limit: int) -> int:
     """Return how many requests to grant beyond an engine's slots while others wait for it.
 
     As many as the engine ends within the turnaround, ``gap`` being the mean seconds between two
@@ -31,42 +31,44 @@
     """
     if gap <= 0:
         return 0
-    return min(most, math.ceil(TURNAROUND / gap))
+    return min(limit, math.ceil(TURNAROUND_SECONDS / gap))
 
 
 class ReleaseInterval(msgspec.Struct, frozen=True):
     """How fast an engine gives grants back."""
 
     #: When it last gave one back, in the clock's seconds.
-    last: float
+    last_release_at: float
     #: Mean seconds between two, None before the second.
-    gap: float | None = None
+    mean_gap: float | None = None
     #: Gaps that the mean was made of.
-    gaps: int = 0
+    gap_count: int = 0
 
-    def after(self, now: float, least_weight: float = GAP_WEIGHT) -> ReleaseInterval:
+    def with_release(self, now: float, min_weight: float = GAP_WEIGHT) -> ReleaseInterval:
         """Return the pace with one more grant given back."""
-        gap = now - self.last
-        if self.gap is None:
+        gap = now - self.last_release_at
+        if self.mean_gap is None:
             return ReleaseInterval(now, gap, 1)
-        weight = least_weight
-        if least_weight == STEADY_GAP_WEIGHT:
-            weight = max(least_weight, 1 / (self.gaps + 1))
-        return ReleaseInterval(now, self.gap + weight * (gap - self.gap), self.gaps + 1)
+        weight = min_weight
+        if min_weight == STEADY_GAP_WEIGHT:
+            weight = max(min_weight, 1 / (self.gap_count + 1))
+        return ReleaseInterval(
+            now, self.mean_gap + weight * (gap - self.mean_gap), self.gap_count + 1
+        )
 
 
 class RetrySchedule(msgspec.Struct):
     """When the callers that an engine's owner refused were asked to retry."""
 
     #: The latest of these times, in the clock's seconds.
-    latest: float = float("-inf")
+    latest_retry_at: float = float("-inf")
 
-    def next_delay(self, now: float, share: float, gap: float, queues: int) -> float:
+    def next_delay(self, now: float, queued: float, gap: float, queues: int) -> float:
         """Return the seconds after which one more refused caller is to retry.
 
         The line, in which ``share`` requests wait, is served by then, and so are the callers
         refused before. One that several engines refused retries at one of them.
         """
-        at = max(now + share * gap, self.latest + gap / queues)
-        self.latest = min(at, now + LONGEST_RETRY_AFTER)
-        return self.latest - now
+        retry_at = max(now + queued * gap, self.latest_retry_at + gap / queues)
+        self.latest_retry_at = min(retry_at, now + LONGEST_RETRY_AFTER)
+        return self.latest_retry_at - now
--- a/pondhatch/placement/_gate.py
+++ b/pondhatch/placement/_gate.py
@@ -18,7 +18,7 @@
 #: Seconds for which an engine's word that it is full bounds what it is granted: half of the
 #: time for which a request waits in a line by default, so that one that waits there sees the
 #: bound go. By judgement; each grant too many after it costs one retry of the budget.
-FULL_SECONDS = 1.0
+FULL_LIFETIME = 1.0
 #: Stands for an engine whose service sets no limit of its own.
 UNLIMITED_SLOTS = 1_000_000
 
@@ -48,7 +48,7 @@
     short_tokens: int = 0
 
 
-Verdict = Granted | Full
+GateDecision = Granted | Full
 
 
 class EngineCount(msgspec.Struct, frozen=True):
@@ -59,29 +59,29 @@
     #: Requests that the engine last reported as running or waiting.
     reported: int = 0
     #: Most requests granted at once since the report before the last.
-    peak_before: int = 0
+    previous_peak: int = 0
     #: Most requests granted at once since the last report.
     peak: int = 0
     #: When the report was taken, in the clock's seconds.
     reported_at: float = float("-inf")
     #: Requests that it holds at most by its own word, and until when that word counts.
-    said_full_at: int = UNLIMITED_SLOTS
-    said_full_until: float = float("-inf")
+    full_limit: int = UNLIMITED_SLOTS
+    full_until: float = float("-inf")
 
     def in_flight(self, now: float) -> int:
         """Return our grants, plus what the last report showed of others' work."""
         if now - self.reported_at > REPORT_LIFETIME:
             return self.granted
-        return self.granted + self.foreign
+        return self.granted + self.granted_elsewhere
 
     def limit(self, now: float) -> int:
         """Return the most requests that it takes, as it showed by refusing one."""
-        return self.said_full_at if now < self.said_full_until else UNLIMITED_SLOTS
+        return self.full_limit if now < self.full_until else UNLIMITED_SLOTS
 
     @property
-    def foreign(self) -> int:
+    def granted_elsewhere(self) -> int:
         """Return reported work that cannot be ours: a late report counts ended work of ours."""
-        return max(0, self.reported - max(self.peak, self.peak_before))
+        return max(0, self.reported - max(self.peak, self.previous_peak))
 
 
 class Gate(msgspec.Struct):
@@ -93,17 +93,17 @@
         """Return the requests in flight at an engine as known here."""
         return self.by_engine.get(engine, EngineCount()).in_flight(now)
 
-    def ask(
+    def try_grant(
         self,
         engine: str,
         now: float,
-        bound: float,
-        others: int,
+        load_bound: float,
+        elsewhere: int,
         engines: int,
         slots: int = UNLIMITED_SLOTS,
         slack: int = 0,
         pace: int = USUAL_PACE,
-    ) -> Verdict:
+    ) -> GateDecision:
         """Grant or refuse one request.
 
         ``others`` is the in-flight total of the service's other engines, as
@@ -115,8 +115,8 @@
         """
         count = self.by_engine.get(engine, EngineCount())
         held = count.in_flight(now)
-        promised = admission_ceiling(bound, others + held, engines) + slack
-        ceiling = min(slots, promised, count.limit(now))
+        bounded = admission_ceiling(load_bound, elsewhere + held, engines) + slack
+        ceiling = min(slots, bounded, count.limit(now))
         if pace > USUAL_PACE:
             ceiling = max(1, ceiling * USUAL_PACE // pace)
         if held + 1 > ceiling:
@@ -140,7 +140,7 @@
             raise ValueError(f"{engine} holds no grant to release")
         self.by_engine[engine] = replace(count, granted=count.granted - 1)
 
-    def said_full(self, engine: str, now: float) -> None:
+    def record_engine_full(self, engine: str, now: float) -> None:
         """Note that an engine refused a request as full; its grant is still counted.
 
         So it takes no more than the others that it holds now, whatever was believed of its
@@ -151,10 +151,10 @@
         count = self.by_engine.get(engine, EngineCount())
         others = count.in_flight(now) - 1
         self.by_engine[engine] = replace(
-            count, said_full_at=max(1, others), said_full_until=now + FULL_SECONDS
+            count, full_limit=max(1, others), full_until=now + FULL_LIFETIME
         )
 
-    def rests(self, engine: str, now: float, seconds: float) -> None:
+    def record_rest(self, engine: str, now: float, seconds: float) -> None:
         """Note that an engine turned a request away and wants nothing for some seconds.
 
         What comes right after them is held to what it held when it asked, so that not all who
@@ -163,14 +163,14 @@
         count = self.by_engine.get(engine, EngineCount())
         others = count.in_flight(now) - 1
         self.by_engine[engine] = replace(
-            count, said_full_at=max(1, others), said_full_until=now + seconds + FULL_SECONDS
+            count, full_limit=max(1, others), full_until=now + seconds + FULL_LIFETIME
         )
 
-    def report(self, engine: str, now: float, load: int) -> None:
+    def record_report(self, engine: str, now: float, load: int) -> None:
         """Take in the engine's own report of its running and waiting requests."""
         count = self.by_engine.get(engine, EngineCount())
         self.by_engine[engine] = replace(
-            count, reported=load, reported_at=now, peak_before=count.peak, peak=count.granted
+            count, reported=load, reported_at=now, previous_peak=count.peak, peak=count.granted
         )
 
     def total(self, engines: tuple[str, ...], now: float) -> int:
--- a/pondhatch/placement/_intake.py
+++ b/pondhatch/placement/_intake.py
@@ -21,7 +21,7 @@
 Regions: TypeAlias = tuple[str, ...] | None
 
 
-class Closed(enum.StrEnum):
+class ClosedReason(enum.StrEnum):
     """Why an upstream may not be sent a request now; the value is the code told."""
 
     #: It is about to end, or an operator wants it emptied.
@@ -49,32 +49,32 @@
     rest: Rest = NO_REST
 
     @property
-    def takes_new(self) -> bool:
+    def accepts_new(self) -> bool:
         """Whether some new request may be sent to it."""
         return self.is_live and not self.is_evacuated
 
-    def closed_to(self, regions: Regions, resuming: bool = False) -> Closed | None:
+    def closed_reason(self, regions: Regions, resuming: bool = False) -> ClosedReason | None:
         """Return why a request may not be sent to it, None where it may.
 
         ``resuming`` says that it is the rest of a stream that it ran. One that leaves takes
         that; one whose hall is evacuated does not.
         """
         if self.is_evacuated:
-            return Closed.EVACUATED
-        if not is_allowed(self.region, regions):
-            return Closed.OUTSIDE_REGIONS
+            return ClosedReason.EVACUATED
+        if not is_region_allowed(self.region, regions):
+            return ClosedReason.OUTSIDE_REGIONS
         if not self.is_live and not resuming:
-            return Closed.LEAVING
-        return Closed.RESTING if self.rest.own > 0 else None
+            return ClosedReason.LEAVING
+        return ClosedReason.RESTING if self.rest.for_this_router > 0 else None
 
-    def closed_to_all(self, resuming: bool = False) -> Closed | None:
+    def closed_reason_for_all(self, resuming: bool = False) -> ClosedReason | None:
         """Return why no router may send it a request, None where some may.
 
         Its region and a rest that one router was asked for are for that router to know.
         """
-        if self.rest.of_all > 0:
-            return Closed.RESTING
-        return replace(self, rest=NO_REST).closed_to(None, resuming)
+        if self.rest.for_all_routers > 0:
+            return ClosedReason.RESTING
+        return replace(self, rest=NO_REST).closed_reason(None, resuming)
 
 
 #: Takes all requests, as fast as they come.
@@ -83,12 +83,12 @@
 CLOSING = Intake(is_live=False)
 
 
-def is_allowed(region: str, regions: Regions) -> bool:
+def is_region_allowed(region: str, regions: Regions) -> bool:
     """Return whether what is bound to regions may go to one of them."""
     return regions is None or region in regions
 
 
-def both(first: Regions, second: Regions) -> Regions:
+def common_regions(first: Regions, second: Regions) -> Regions:
     """Return the regions that two bindings allow together; none where they share none."""
     if first is None or second is None:
         return second if first is None else first
--- a/pondhatch/placement/_pooled_first.py
+++ b/pondhatch/placement/_pooled_first.py
@@ -14,30 +14,30 @@
 
 #: Engines of an order among which those with a connection come first: of four drawn by the
 #: request's hash one is likely to have one, and most of the spread over all engines is kept.
-CONSIDERED = 4
+CANDIDATES = 4
 #: Seconds for which a load that an engine's owner spoke of counts as known: shorter than most
 #: runs at model engines, and as old as the totals that routers tell each other.
-LOAD_SECONDS = 1.0
+LOAD_LIFETIME = 1.0
 
 
 class RecentLoads(msgspec.Struct):
     """Loads of engines in their owners' latest replies."""
 
     #: Each with when it was heard, in the clock's seconds, the oldest first.
-    _heard_by_engine: dict[str, tuple[int, float]] = msgspec.field(default_factory=dict)
+    _load_by_engine: dict[str, tuple[int, float]] = msgspec.field(default_factory=dict)
 
-    def note(self, engine: str, in_flight: int, now: float) -> None:
+    def record(self, engine: str, in_flight: int, now: float) -> None:
         """Take in a load; forget those that are too old."""
-        heard = self._heard_by_engine
-        heard.pop(engine, None)
-        heard[engine] = (in_flight, now)
-        while now - heard[oldest := next(iter(heard))][1] > LOAD_SECONDS:
-            del heard[oldest]
+        loads = self._load_by_engine
+        loads.pop(engine, None)
+        loads[engine] = (in_flight, now)
+        while now - loads[oldest := next(iter(loads))][1] > LOAD_LIFETIME:
+            del loads[oldest]
 
-    def known(self, engine: str, now: float) -> int | None:
+    def load_of(self, engine: str, now: float) -> int | None:
         """Return an engine's load, None where it is not known."""
-        found = self._heard_by_engine.get(engine)
-        return found[0] if found is not None and now - found[1] <= LOAD_SECONDS else None
+        found = self._load_by_engine.get(engine)
+        return found[0] if found is not None and now - found[1] <= LOAD_LIFETIME else None
 
 
 def pooled_first(
@@ -47,10 +47,10 @@
 
     ``loads`` are those known of the engines, None for one that is not; ``mean`` is the service's.
     """
-    most = min((each for each in loads if each is not None), default=math.ceil(mean))
-    most = min(most, math.ceil(mean))
+    limit = min((each for each in loads if each is not None), default=math.ceil(mean))
+    limit = min(limit, math.ceil(mean))
     return tuple(
         engine
         for engine, load in zip(engines, loads, strict=True)
-        if engine in pooled and (load is None or load <= most)
+        if engine in pooled and (load is None or load <= limit)
     )
--- a/pondhatch/placement/_rendezvous.py
+++ b/pondhatch/placement/_rendezvous.py
@@ -11,16 +11,16 @@
 
 import xxhash
 
-from pondhatch.placement._starts import id_of
+from pondhatch.placement._starts import upstream_id_of
 
 #: Names of which the part that is hashed is kept: three times the upstreams and routers of the
 #: size to design for. Kept, it costs no more than encoding a name anew.
-NAMES_KEPT = 8192
+NAME_CACHE_SIZE = 8192
 
 
-@functools.lru_cache(maxsize=NAMES_KEPT)
+@functools.lru_cache(maxsize=NAME_CACHE_SIZE)
 def _hashed_part(name: str) -> bytes:
-    return id_of(name).encode()
+    return upstream_id_of(name).encode()
 
 
 def scorer(key: str) -> Callable[[str], int]:
@@ -30,7 +30,7 @@
     return lambda name: digest(_hashed_part(name), seed)
 
 
-def ranked(key: str, names: Iterable[str], most: int | None = None) -> tuple[str, ...]:
+def ranked(key: str, names: Iterable[str], limit: int | None = None) -> tuple[str, ...]:
     """Return the names, best first, in the order that every router agrees on.
 
     ``most`` asks for only so many of them.
@@ -40,7 +40,7 @@
     # A list of scores built in place costs half of a key function's calls.
     scored = [(digest(_hashed_part(name), seed), name) for name in names]
     scored.sort(reverse=True)
-    return tuple([name for _, name in scored[:most]])
+    return tuple([name for _, name in scored[:limit]])
 
 
 def winner(key: str, names: Iterable[str]) -> str | None:
--- a/pondhatch/placement/_starts.py
+++ b/pondhatch/placement/_starts.py
@@ -9,14 +9,14 @@
 from __future__ import annotations
 
 #: Divides the id from the start.
-MARK = "~"
+START_SEPARATOR = "~"
 
 
 def name_of_start(upstream_id: str, start: int) -> str:
     """Return the name of one start; ``start`` in milliseconds since 1970."""
-    return f"{upstream_id}{MARK}{start}"
+    return f"{upstream_id}{START_SEPARATOR}{start}"
 
 
-def id_of(name: str) -> str:
+def upstream_id_of(name: str) -> str:
     """Return the id in the name of a start; a name without one is the id."""
-    return name.partition(MARK)[0]
+    return name.partition(START_SEPARATOR)[0]
--- a/pondhatch/placement/_token_counts.py
+++ b/pondhatch/placement/_token_counts.py
@@ -12,18 +12,18 @@
 import msgspec
 
 #: Key of the part of a prompt that no other request shares.
-OWN_PART = 0
+UNSHARED_PART = 0
 #: New tokens of a prompt beyond which reading it delays all that runs beside it.
-LONG_PROMPT = 4096
+LONG_PROMPT_TOKENS = 4096
 #: Long prompts that an engine reads at once while it holds other work.
-MOST_LONG_PROMPTS = 2
+MAX_LONG_PREFILLS = 2
 #: New tokens that an engine reads in a second.
-TOKENS_READ_A_SECOND = 50_000
+PREFILL_TOKENS_PER_SECOND = 50_000
 #: Seconds after its last use for which a part is taken to be in an engine's memory still; its
 #: engine gives up those first that were unused the longest.
-KEPT_SECONDS = 60.0
+CACHED_SECONDS = 60.0
 #: Parts that are remembered of all engines together: 200 bytes each.
-MOST_READ_PARTS = 8192
+MAX_CACHED_PARTS = 8192
 
 
 class TokenNeed(msgspec.Struct, frozen=True):
@@ -68,7 +68,7 @@
     need_by_request: dict[Hashable, TokenNeed] = msgspec.field(default_factory=dict)
     part_by_key: dict[int, SharedPart] = msgspec.field(default_factory=dict)
     #: When the prompt of each request that reads a long one is read, in the clock's seconds.
-    read_at_by_request: dict[Hashable, float] = msgspec.field(default_factory=dict)
+    prefilled_at_by_request: dict[Hashable, float] = msgspec.field(default_factory=dict)
     #: Tokens held by all together.
     used: int = 0
     reservation: Reservation | None = None
@@ -77,13 +77,13 @@
 
     def new_tokens(self, need: TokenNeed) -> int:
         """Return the tokens of a prompt that no running request holds already."""
-        return sum(self._new_of(key, tokens) for key, tokens in need.parts)
+        return sum(self._new_tokens_of(key, tokens) for key, tokens in need.parts)
 
-    def long_prompts(self, now: float) -> int:
+    def count_long_prefills(self, now: float) -> int:
         """Return how many long prompts are being read."""
-        return sum(read_at > now for read_at in self.read_at_by_request.values())
+        return sum(prefilled_at > now for prefilled_at in self.prefilled_at_by_request.values())
 
-    def size(self, need: TokenNeed) -> int:
+    def added_tokens(self, need: TokenNeed) -> int:
         """Return the tokens that a request takes beside what is held already."""
         return need.tokens + self.new_tokens(need)
 
@@ -94,24 +94,24 @@
         most half of what it leaves of the whole: the other half is for those that ran before and
         take long, so that it comes free although not all of them have ended.
         """
-        size, kept = self.size(need), self.reservation
-        lacking = self.used + size - limit
-        if kept is None or kept.request == request or kept.priority > priority:
-            return max(0, lacking)
-        reserved = self.size(kept.need)
+        size, current = self.added_tokens(need), self.reservation
+        missing = self.used + size - limit
+        if current is None or current.request == request or current.priority > priority:
+            return max(0, missing)
+        reserved = self.added_tokens(current.need)
         later = sum(self.tokens_since_reserved.values())
-        lacking = max(lacking, later + size - (limit - reserved) // 2)
+        missing = max(missing, later + size - (limit - reserved) // 2)
         if self.used + reserved <= limit:
-            lacking = max(lacking, self.used + reserved + size - limit)
-        return lacking + reserved if lacking > 0 else 0
+            missing = max(missing, self.used + reserved + size - limit)
+        return missing + reserved if missing > 0 else 0
 
-    def add(self, request: Hashable, need: TokenNeed, now: float, unread: int) -> None:
+    def add(self, request: Hashable, need: TokenNeed, now: float, uncached: int) -> None:
         """Count a request that has so many tokens of its prompt to be read."""
         self.remove(request)
         if self.reservation is not None:
-            self.tokens_since_reserved[request] = self.size(need)
-        if unread > LONG_PROMPT:
-            self.read_at_by_request[request] = now + unread / TOKENS_READ_A_SECOND
+            self.tokens_since_reserved[request] = self.added_tokens(need)
+        if uncached > LONG_PROMPT_TOKENS:
+            self.prefilled_at_by_request[request] = now + uncached / PREFILL_TOKENS_PER_SECOND
         self.need_by_request[request] = need
         self.used += need.tokens
         for key, tokens in need.parts:
@@ -124,7 +124,7 @@
             self.reservation = None
             self.tokens_since_reserved.clear()
         self.tokens_since_reserved.pop(request, None)
-        self.read_at_by_request.pop(request, None)
+        self.prefilled_at_by_request.pop(request, None)
         need = self.need_by_request.pop(request, None)
         if need is None:
             return has_reserved
@@ -133,19 +133,19 @@
             self._remove_part(key, tokens)
         return True
 
-    def _new_of(self, key: int, tokens: int) -> int:
+    def _new_tokens_of(self, key: int, tokens: int) -> int:
         known = self.part_by_key.get(key)
         return tokens if known is None else max(0, tokens - known.tokens)
 
     def _add_part(self, key: int, tokens: int) -> None:
-        self.used += self._new_of(key, tokens)
-        if key == OWN_PART:
+        self.used += self._new_tokens_of(key, tokens)
+        if key == UNSHARED_PART:
             return
         known = self.part_by_key.get(key, SharedPart(0, 0))
         self.part_by_key[key] = SharedPart(max(known.tokens, tokens), known.users + 1)
 
     def _remove_part(self, key: int, tokens: int) -> None:
-        if key == OWN_PART:
+        if key == UNSHARED_PART:
             self.used -= tokens
             return
         known = self.part_by_key[key]
@@ -156,27 +156,28 @@
         del self.part_by_key[key]
 
 
-class ReadParts(msgspec.Struct):
+class CachedParts(msgspec.Struct):
     """Parts of prompts that engines have read, and most likely still hold."""
 
     #: When each was last used, by engine and key; the one unused the longest first.
-    used_at_by_place: dict[tuple[str, int], float] = msgspec.field(default_factory=dict)
+    used_at_by_engine_and_key: dict[tuple[str, int], float] = msgspec.field(default_factory=dict)
 
-    def note(self, engine: str, need: TokenNeed, now: float) -> None:
+    def record_use(self, engine: str, need: TokenNeed, now: float) -> None:
         """Note that an engine runs a request with these parts."""
         for key, _ in need.parts:
-            if key != OWN_PART:
-                self.used_at_by_place.pop((engine, key), None)
-                self.used_at_by_place[engine, key] = now
-        while len(self.used_at_by_place) > MOST_READ_PARTS:
-            del self.used_at_by_place[next(iter(self.used_at_by_place))]
+            if key != UNSHARED_PART:
+                self.used_at_by_engine_and_key.pop((engine, key), None)
+                self.used_at_by_engine_and_key[engine, key] = now
+        while len(self.used_at_by_engine_and_key) > MAX_CACHED_PARTS:
+            del self.used_at_by_engine_and_key[next(iter(self.used_at_by_engine_and_key))]
 
-    def unread_tokens(self, engine: str, need: TokenNeed, now: float) -> int:
+    def uncached_tokens(self, engine: str, need: TokenNeed, now: float) -> int:
         """Return the tokens of a prompt that an engine has to read."""
         return sum(
             tokens
             for key, tokens in need.parts
-            if now - self.used_at_by_place.get((engine, key), float("-inf")) > KEPT_SECONDS
+            if now - self.used_at_by_engine_and_key.get((engine, key), float("-inf"))
+            > CACHED_SECONDS
         )
 
 
@@ -184,9 +185,9 @@
     """Tokens by engine for the engines that this router owns."""
 
     by_engine: dict[str, EngineTokens] = msgspec.field(default_factory=dict)
-    read_parts: ReadParts = msgspec.field(default_factory=ReadParts)
+    cached_parts: CachedParts = msgspec.field(default_factory=CachedParts)
     #: Questions that were answered with a lack of memory; a request may ask several.
-    refused: int = 0
+    refusals: int = 0
 
     def used(self, engine: str) -> int:
         """Return the tokens that the requests at an engine hold."""
@@ -206,15 +207,15 @@
         0 where a request fits; 1 where there is memory, but enough long prompts are being read.
         """
         count = self.by_engine.get(engine, EngineTokens())
-        is_long = self.read_parts.unread_tokens(engine, need, now) > LONG_PROMPT
-        waits_to_read = is_long and count.long_prompts(now) >= MOST_LONG_PROMPTS
-        return max(count.shortage(request, need, limit, priority), int(waits_to_read))
+        is_long = self.cached_parts.uncached_tokens(engine, need, now) > LONG_PROMPT_TOKENS
+        must_wait_for_prefill = is_long and count.count_long_prefills(now) >= MAX_LONG_PREFILLS
+        return max(count.shortage(request, need, limit, priority), int(must_wait_for_prefill))
 
     def add(self, engine: str, request: Hashable, need: TokenNeed, now: float) -> None:
         """Count a granted request, and drop what was reserved for it."""
-        unread = self.read_parts.unread_tokens(engine, need, now)
-        self.by_engine.setdefault(engine, EngineTokens()).add(request, need, now, unread)
-        self.read_parts.note(engine, need, now)
+        uncached = self.cached_parts.uncached_tokens(engine, need, now)
+        self.by_engine.setdefault(engine, EngineTokens()).add(request, need, now, uncached)
+        self.cached_parts.record_use(engine, need, now)
 
     def adopt(self, engine: str, request: Hashable) -> None:
         """Count a request that another owner granted as the mean of those that are known."""
@@ -227,8 +228,8 @@
     def reserve(self, engine: str, reservation: Reservation) -> None:
         """Keep memory for a request that waits, unless one that is as urgent has reserved it."""
         count = self.by_engine.setdefault(engine, EngineTokens())
-        kept = count.reservation
-        if kept is None or reservation.priority < kept.priority:
+        current = count.reservation
+        if current is None or reservation.priority < current.priority:
             count.reservation = reservation
             count.tokens_since_reserved.clear()
 
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from pondhatch.placement import Plan, SpillMemory, context_engine
+from pondhatch.placement import ContextLocations, Plan, context_engine
 
 ENGINES = tuple(f"e{at}" for at in range(17))
 
 
 class ContextTest(unittest.TestCase):
     def test_where_a_context_is_believed_to_lie(self) -> None:
-        memory = SpillMemory()
+        memory = ContextLocations()
         memory.remember(7, "e5")
         cases = [
             # chat, runner-up, home is young, believed at
@@ -40,12 +40,12 @@
                 before = Plan(str(chat), ENGINES).home
                 plan = Plan(str(chat), (*ENGINES, *newcomers))
                 home = plan.home or ""
-                settled = plan.settled(newcomers.__contains__)
-                found = context_engine(SpillMemory(), chat, home, settled, home in newcomers)
+                settled = plan.first_established(newcomers.__contains__)
+                found = context_engine(ContextLocations(), chat, home, settled, home in newcomers)
                 with self.subTest(count=count, chat=chat):
                     self.assertEqual(found, before)
 
     def test_where_all_are_newcomers_the_home_is_as_good_as_any(self) -> None:
         plan = Plan("chat", ENGINES)
-        self.assertIsNone(plan.settled(lambda _: True))
-        self.assertEqual(context_engine(SpillMemory(), 7, "home", None, True), "home")
+        self.assertIsNone(plan.first_established(lambda _: True))
+        self.assertEqual(context_engine(ContextLocations(), 7, "home", None, True), "home")
--- a/pondhatch/placement/tests/test_engine_paces.py
+++ b/pondhatch/placement/tests/test_engine_paces.py
@@ -5,19 +5,19 @@
 import unittest
 
 from pondhatch.placement import USUAL_PACE, EnginePaces, Full, Gate
-from pondhatch.placement._engine_paces import PACE_SECONDS
+from pondhatch.placement._engine_paces import PACE_LIFETIME
 
 
 class EnginePacesTest(unittest.TestCase):
     def test_a_pace_holds_for_a_moment_and_the_last_one_counts(self) -> None:
         paces = EnginePaces()
-        paces.hear("e0", 400, 0.0)
-        paces.hear("e0", 250, 1.0)
-        paces.hear("e1", 80, 1.0)
+        paces.record("e0", 400, 0.0)
+        paces.record("e0", 250, 1.0)
+        paces.record("e1", 80, 1.0)
         self.assertEqual([paces.pace(each, 1.5) for each in ("e0", "e1", "e2")], [250, 80, 100])
         self.assertEqual(paces.count_slow(1.5), 1)
-        self.assertEqual(paces.pace("e0", 1.0 + PACE_SECONDS), USUAL_PACE)
-        paces.forget_old(1.0 + PACE_SECONDS)
+        self.assertEqual(paces.pace("e0", 1.0 + PACE_LIFETIME), USUAL_PACE)
+        paces.drop_expired(1.0 + PACE_LIFETIME)
         self.assertEqual(paces, EnginePaces())
 
 
@@ -26,6 +26,8 @@
         for pace, ceiling in ((100, 20), (40, 20), (101, 19), (250, 8), (10_000, 1)):
             with self.subTest(pace=pace):
                 gate = Gate()
-                while not isinstance(verdict := gate.ask("e", 0.0, 1.7, 0, 1, 20, 30, pace), Full):
+                while not isinstance(
+                    verdict := gate.try_grant("e", 0.0, 1.7, 0, 1, 20, 30, pace), Full
+                ):
                     pass
                 self.assertEqual(verdict, Full(ceiling, ceiling))
--- a/pondhatch/placement/tests/test_forecast.py
+++ b/pondhatch/placement/tests/test_forecast.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from pondhatch.placement import granted_ahead
-from pondhatch.placement._forecast import TURNAROUND
+from pondhatch.placement import extra_grants
+from pondhatch.placement._forecast import TURNAROUND_SECONDS
 
 
 class GrantedAheadTest(unittest.TestCase):
@@ -19,5 +19,5 @@
         )
         for name, gap, most, expected in rows:
             with self.subTest(name):
-                self.assertEqual(granted_ahead(gap, most), expected)
-        self.assertEqual(granted_ahead(TURNAROUND / 2, 3), 2)
+                self.assertEqual(extra_grants(gap, most), expected)
+        self.assertEqual(extra_grants(TURNAROUND_SECONDS / 2, 3), 2)
--- a/pondhatch/placement/tests/test_gate.py
+++ b/pondhatch/placement/tests/test_gate.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from pondhatch.placement import Full, Gate, Granted, admission_ceiling
-from pondhatch.placement._gate import FULL_SECONDS
+from pondhatch.placement._gate import FULL_LIFETIME
 
 
 class CeilingTest(unittest.TestCase):
@@ -38,7 +38,7 @@
         self.gate = Gate()
 
     def ask(self, engine: str = "e", now: float = 0.0, others: int = 0) -> Granted | Full:
-        return self.gate.ask(engine, now, 1.25, others, 4)
+        return self.gate.try_grant(engine, now, 1.25, others, 4)
 
     def test_grants_up_to_the_ceiling_and_again_after_a_release(self) -> None:
         self.assertEqual(self.ask(others=6), Granted(1, 3))
@@ -51,11 +51,11 @@
 
     def test_an_engine_has_a_limit_of_its_own(self) -> None:
         for _ in range(2):
-            self.assertIsInstance(self.gate.ask("e", 0.0, 1.25, 1000, 4, slots=2), Granted)
-        self.assertEqual(self.gate.ask("e", 0.0, 1.25, 1000, 4, slots=2), Full(2, 2))
+            self.assertIsInstance(self.gate.try_grant("e", 0.0, 1.25, 1000, 4, slots=2), Granted)
+        self.assertEqual(self.gate.try_grant("e", 0.0, 1.25, 1000, 4, slots=2), Full(2, 2))
 
     def test_work_that_another_router_left_there_counts_until_the_report_is_old(self) -> None:
-        self.gate.report("e", 0.0, 3)
+        self.gate.record_report("e", 0.0, 3)
         self.assertEqual(self.gate.in_flight("e", 1.0), 3)
         self.assertIsInstance(self.ask(now=1.0), Full)
         self.assertEqual(self.gate.in_flight("e", 6.0), 0)
@@ -63,10 +63,10 @@
     def test_a_late_report_of_our_own_ended_work_is_not_counted_twice(self) -> None:
         for _ in range(3):
             self.ask(others=100)
-        self.gate.report("e", 0.0, 0)
+        self.gate.record_report("e", 0.0, 0)
         for _ in range(3):
             self.gate.release("e")
-        self.gate.report("e", 1.0, 3)
+        self.gate.record_report("e", 1.0, 3)
         self.assertEqual(self.gate.in_flight("e", 1.0), 0)
 
     def test_a_release_without_a_grant_is_an_error(self) -> None:
@@ -86,7 +86,7 @@
                 held[at] -= 1
                 continue
             total = sum(held)
-            verdict = gate.ask(str(at), 0.0, 1.25, total - held[at], 5)
+            verdict = gate.try_grant(str(at), 0.0, 1.25, total - held[at], 5)
             if isinstance(verdict, Granted):
                 held[at] += 1
                 self.assertLessEqual(held[at], admission_ceiling(1.25, total, 5))
@@ -95,15 +95,15 @@
     def test_an_engine_that_says_it_is_full_holds_no_more_than_it_did_for_a_while(self) -> None:
         for _ in range(3):
             self.ask(others=20)
-        self.gate.said_full("e", 0.0)
+        self.gate.record_engine_full("e", 0.0)
         self.gate.release("e")
         self.assertEqual(self.ask(others=20), Full(2, 2))
         self.gate.release("e")
         self.assertEqual(self.ask(others=20), Granted(2, 2))
-        self.assertIsInstance(self.ask(now=FULL_SECONDS, others=20), Granted)
+        self.assertIsInstance(self.ask(now=FULL_LIFETIME, others=20), Granted)
 
     def test_an_engine_that_says_it_is_full_is_tried_with_one_all_the_same(self) -> None:
         self.ask()
-        self.gate.said_full("e", 0.0)
+        self.gate.record_engine_full("e", 0.0)
         self.gate.release("e")
         self.assertEqual(self.ask(), Granted(1, 1))
--- a/pondhatch/placement/tests/test_health.py
+++ b/pondhatch/placement/tests/test_health.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pondhatch.placement import MANAGED_PAUSE, Health
-from pondhatch.placement._health import FAILURES
+from pondhatch.placement._health import FAILURES_UNTIL_DOWN
 
 
 class HealthTest(unittest.TestCase):
@@ -12,12 +12,12 @@
 
     def fail_times(self, times: int, now: float = 0.0) -> None:
         for _ in range(times):
-            self.health.failed("e", now)
+            self.health.record_failure("e", now)
 
     def test_a_few_failures_are_not_enough(self) -> None:
         self.fail_times(2)
         self.assertFalse(self.health.is_down("e", 0.0))
-        self.health.answered("e")
+        self.health.record_answer("e")
         self.fail_times(2)
         self.assertFalse(self.health.is_down("e", 0.0))
 
@@ -37,7 +37,7 @@
                 pause += 0.5
             pauses.append(pause)
             now += pause
-            self.health.failed("e", now)
+            self.health.record_failure("e", now)
         self.assertEqual(pauses, [1.0, 2.0, 4.0, 8.0, 15.0, 15.0])
 
     def test_it_is_tried_again_sooner_where_load_is_managed(self) -> None:
@@ -46,7 +46,7 @@
         for _ in range(6):
             while self.health.is_down("e", now):
                 now += 0.5
-            self.health.failed("e", now, MANAGED_PAUSE)
+            self.health.record_failure("e", now, MANAGED_PAUSE)
         self.assertTrue(self.health.is_down("e", now + 1.9))
         self.assertFalse(self.health.is_down("e", now + 2.0))
 
@@ -54,14 +54,14 @@
         self.fail_times(20)
         self.assertTrue(self.health.is_down("e", 0.9))
         self.assertFalse(self.health.is_down("e", 1.1))
-        self.health.failed("e", 1.2)
+        self.health.record_failure("e", 1.2)
         self.fail_times(20, 1.3)
         self.assertTrue(self.health.is_down("e", 3.1))
         self.assertFalse(self.health.is_down("e", 3.3))
 
     def test_an_answer_makes_it_well(self) -> None:
         self.fail_times(9)
-        self.health.answered("e")
+        self.health.record_answer("e")
         self.assertFalse(self.health.is_down("e", 0.0))
         self.assertEqual(self.health.health_by_upstream, {})
 
@@ -76,9 +76,9 @@
         """Have answers come: "." for one that is well, "x" for a failure of its own."""
         for each in pattern:
             if each == "x":
-                self.health.erred("e", now)
+                self.health.record_error("e", now)
             else:
-                self.health.answered("e")
+                self.health.record_answer("e")
 
     def test_half_of_its_answers_being_failures_makes_it_ailing(self) -> None:
         self.answer(".x" * 10)
@@ -109,7 +109,7 @@
         self.assertEqual(self.health.health_by_upstream, {})
 
     def test_a_failure_of_its_own_shows_that_it_is_not_down(self) -> None:
-        for _ in range(FAILURES):
-            self.health.failed("e", 0.0)
-        self.health.erred("e", 0.5)
+        for _ in range(FAILURES_UNTIL_DOWN):
+            self.health.record_failure("e", 0.0)
+        self.health.record_error("e", 0.5)
         self.assertFalse(self.health.is_down("e", 0.5))
--- a/pondhatch/placement/tests/test_intake.py
+++ b/pondhatch/placement/tests/test_intake.py
@@ -10,12 +10,12 @@
 from pondhatch.placement import (
     CLOSING,
     OPEN,
-    Closed,
+    ClosedReason,
     ColdAllowance,
-    ColdPaces,
+    ColdPacer,
     Intake,
     Regions,
-    both,
+    common_regions,
 )
 
 NORTH = Intake(region="north")
@@ -24,25 +24,25 @@
 
 class IntakeTest(unittest.TestCase):
     def test_who_takes_what(self) -> None:
-        rows: tuple[tuple[Intake, Regions, bool, Closed | None], ...] = (
+        rows: tuple[tuple[Intake, Regions, bool, ClosedReason | None], ...] = (
             (OPEN, None, False, None),
             (OPEN, None, True, None),
-            (CLOSING, None, False, Closed.LEAVING),
+            (CLOSING, None, False, ClosedReason.LEAVING),
             (CLOSING, None, True, None),
-            (EVACUATED, None, False, Closed.EVACUATED),
-            (EVACUATED, None, True, Closed.EVACUATED),
-            (EVACUATED, ("south",), False, Closed.EVACUATED),
+            (EVACUATED, None, False, ClosedReason.EVACUATED),
+            (EVACUATED, None, True, ClosedReason.EVACUATED),
+            (EVACUATED, ("south",), False, ClosedReason.EVACUATED),
             (NORTH, ("north",), False, None),
             (NORTH, ("south", "north"), True, None),
-            (NORTH, ("south",), False, Closed.OUTSIDE_REGIONS),
-            (NORTH, ("south",), True, Closed.OUTSIDE_REGIONS),
-            (NORTH, (), False, Closed.OUTSIDE_REGIONS),
+            (NORTH, ("south",), False, ClosedReason.OUTSIDE_REGIONS),
+            (NORTH, ("south",), True, ClosedReason.OUTSIDE_REGIONS),
+            (NORTH, (), False, ClosedReason.OUTSIDE_REGIONS),
             # Nobody knows where it stands: only what may run anywhere may run there.
-            (OPEN, ("north",), False, Closed.OUTSIDE_REGIONS),
+            (OPEN, ("north",), False, ClosedReason.OUTSIDE_REGIONS),
         )
         for intake, regions, resuming, expected in rows:
             with self.subTest(intake=intake, regions=regions, resuming=resuming):
-                self.assertEqual(intake.closed_to(regions, resuming), expected)
+                self.assertEqual(intake.closed_reason(regions, resuming), expected)
 
     def test_two_bindings_allow_what_each_allows(self) -> None:
         rows: tuple[tuple[Regions, Regions, Regions], ...] = (
@@ -54,7 +54,7 @@
         )
         for first, second, expected in rows:
             with self.subTest(first=first, second=second):
-                self.assertEqual(both(first, second), expected)
+                self.assertEqual(common_regions(first, second), expected)
 
 
 def most_in_a_second(times: list[float]) -> int:
@@ -82,41 +82,43 @@
         self, pace: float, overshoot: float, slack: float, sides: tuple[float, ...], after: float
     ) -> None:
         allowance = ColdAllowance(overshoot, slack)
-        routers = [ColdPaces(allowance, share) for share in sides]
+        routers = [ColdPacer(allowance, share) for share in sides]
         times: list[float] = []
         for step in range(400):
             now = step * 0.01
             # The first asks from the start, the others a while later.
             for router in routers[: 1 if now < after else None]:
                 if router.is_due("e0", pace, now):
-                    router.went("e0", pace, now)
+                    router.record_grant("e0", pace, now)
                     times.append(now)
         # A request at each end of a second may be one too many for fractions of a whole one.
-        self.assertLessEqual(most_in_a_second(times), allowance.most(pace) + len(sides) - 1)
+        self.assertLessEqual(
+            most_in_a_second(times), allowance.max_per_second(pace) + len(sides) - 1
+        )
 
     def test_one_owner_uses_nearly_half_of_what_an_upstream_bears(self) -> None:
-        paces = ColdPaces(ColdAllowance(1.5, 5.0), share=1.0)
+        paces = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1.0)
         times = []
         for step in range(1000):
             if paces.is_due("e0", 13.0, step * 0.01):
-                paces.went("e0", 13.0, step * 0.01)
+                paces.record_grant("e0", 13.0, step * 0.01)
                 times.append(step * 0.01)
         self.assertLessEqual(most_in_a_second(times), 12)
         self.assertGreaterEqual(len(times), 90)
 
     def test_a_router_that_has_not_met_its_peers_lets_none_go(self) -> None:
-        paces = ColdPaces(ColdAllowance(1.5, 5.0))
+        paces = ColdPacer(ColdAllowance(1.5, 5.0))
         self.assertFalse(paces.is_due("e0", 13.0, 0.0))
 
     def test_a_router_that_sees_a_part_of_the_fleet_waits_a_turn_first(self) -> None:
-        paces = ColdPaces(ColdAllowance(1.5, 5.0), share=1 / 65)
+        paces = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1 / 65)
         self.assertFalse(paces.is_due("e0", 13.0, 0.0))
         self.assertFalse(paces.is_due("e0", 13.0, 5.0))
         self.assertTrue(paces.is_due("e0", 13.0, 12.0))
 
     def test_one_that_is_warm_again_is_forgotten(self) -> None:
-        paces = ColdPaces(ColdAllowance(1.5, 5.0), share=1.0)
+        paces = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1.0)
         while paces.is_due("e0", 13.0, 0.0):
-            paces.went("e0", 13.0, 0.0)
+            paces.record_grant("e0", 13.0, 0.0)
         paces.forget("e0")
         self.assertTrue(paces.is_due("e0", 13.0, 0.0))
--- a/pondhatch/placement/tests/test_plan.py
+++ b/pondhatch/placement/tests/test_plan.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from pondhatch.placement import Ask, Exhausted, Plan, SpillMemory, ranked, winner
-from pondhatch.placement._plan import MOST_AILING
+from pondhatch.placement import Ask, ContextLocations, Exhausted, Plan, ranked, winner
+from pondhatch.placement._plan import MAX_AILING_SKIPPED
 
 ENGINES = tuple(f"engine-{at}" for at in range(10))
 
@@ -16,109 +16,112 @@
 
     def test_the_home_engine_alone_is_asked_as_the_one_with_the_context(self) -> None:
         plan = Plan("chat", ENGINES)
-        self.assertEqual(plan.next(), Ask(plan.order[0], context=True))
-        plan.full(3, 3)
-        self.assertEqual(plan.next(), Ask(plan.order[1]))
+        self.assertEqual(plan.next_step(), Ask(plan.order[0], has_context=True))
+        plan.record_owner_full(3, 3)
+        self.assertEqual(plan.next_step(), Ask(plan.order[1]))
 
     def test_context_elsewhere_is_tried_first_and_home_after_it(self) -> None:
         plan = Plan("chat", ENGINES)
-        plan.next()
+        plan.next_step()
         elsewhere = plan.order[4]
-        plan.context_elsewhere(elsewhere)
-        self.assertEqual(plan.next(), Ask(elsewhere, context=True))
-        plan.full(3, 3)
-        self.assertEqual(plan.next(), Ask(plan.order[0], insist=True))
-        plan.full(3, 3)
-        self.assertEqual(plan.next(), Ask(plan.order[1]))
+        plan.record_context_elsewhere(elsewhere)
+        self.assertEqual(plan.next_step(), Ask(elsewhere, has_context=True))
+        plan.record_owner_full(3, 3)
+        self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True))
+        plan.record_owner_full(3, 3)
+        self.assertEqual(plan.next_step(), Ask(plan.order[1]))
 
     def test_an_engine_that_is_gone_sends_the_walk_back_home(self) -> None:
         plan = Plan("chat", ENGINES)
-        plan.next()
-        plan.context_elsewhere("engine-gone")
-        self.assertEqual(plan.next(), Ask(plan.order[0], insist=True))
+        plan.next_step()
+        plan.record_context_elsewhere("engine-gone")
+        self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True))
 
     # The engine with the fewest requests is the one that large ones fill.
     def test_the_last_one_asked_is_that_which_lacks_the_least_memory(self) -> None:
         plan = Plan("chat", ENGINES[:3])
         for held, short in ((2, 8000), (9, 0), (5, 300)):
-            plan.next()
-            plan.full(held, held, short_tokens=short)
-        self.assertEqual(plan.next(), Ask(plan.order[1], insist=True, last=True))
-        plan.full(9, 9, short_tokens=9000)
-        self.assertEqual(plan.next(), Ask(plan.order[2], insist=True))
+            plan.next_step()
+            plan.record_owner_full(held, held, short_tokens=short)
+        self.assertEqual(plan.next_step(), Ask(plan.order[1], is_forced=True, is_last=True))
+        plan.record_owner_full(9, 9, short_tokens=9000)
+        self.assertEqual(plan.next_step(), Ask(plan.order[2], is_forced=True))
 
     def test_the_least_loaded_is_asked_once_more_then_the_plan_ends(self) -> None:
         plan = Plan("chat", ENGINES[:3])
         for held in (4, 2, 3):
-            plan.next()
-            plan.full(held, held)
+            plan.next_step()
+            plan.record_owner_full(held, held)
         least = plan.order[1]
-        self.assertEqual(plan.next(), Ask(least, insist=True, last=True))
-        self.assertEqual(plan.seen_elsewhere(least), 7)
-        plan.full(2, 2)
+        self.assertEqual(plan.next_step(), Ask(least, is_forced=True, is_last=True))
+        self.assertEqual(plan.in_flight_seen_elsewhere(least), 7)
+        plan.record_owner_full(2, 2)
         # While it waited there, a place may have come free at the others.
         for looked_at in (plan.order[2], plan.order[0]):
-            self.assertEqual(plan.next(), Ask(looked_at, insist=True))
-            plan.full(4, 4)
-        self.assertIsInstance(plan.next(), Exhausted)
+            self.assertEqual(plan.next_step(), Ask(looked_at, is_forced=True))
+            plan.record_owner_full(4, 4)
+        self.assertIsInstance(plan.next_step(), Exhausted)
 
     def test_an_ailing_engine_is_asked_where_no_other_takes_the_request(self) -> None:
         plan = Plan("chat", ENGINES[:2])
-        plan.next()
-        plan.ailing()
-        plan.refused("ailing")
-        self.assertEqual(plan.next(), Ask(plan.order[1]))
-        plan.full(4, 4)
-        self.assertEqual(plan.next(), Ask(plan.order[0], insist=True, last=True))
-        plan.refused("failed")
-        self.assertEqual(plan.next(), Ask(plan.order[1], insist=True))
-        plan.full(4, 4)
-        self.assertIsInstance(plan.next(), Exhausted)
+        plan.next_step()
+        plan.record_ailing()
+        plan.record_refusal("ailing")
+        self.assertEqual(plan.next_step(), Ask(plan.order[1]))
+        plan.record_owner_full(4, 4)
+        self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True, is_last=True))
+        plan.record_refusal("failed")
+        self.assertEqual(plan.next_step(), Ask(plan.order[1], is_forced=True))
+        plan.record_owner_full(4, 4)
+        self.assertIsInstance(plan.next_step(), Exhausted)
 
     def test_an_ailing_engine_is_among_those_waited_for(self) -> None:
         plan = Plan("chat", ENGINES[:3])
-        plan.next()
-        plan.ailing()
-        plan.refused("ailing")
+        plan.next_step()
+        plan.record_ailing()
+        plan.record_refusal("ailing")
         for held in (7, 6):
-            plan.next()
-            plan.full(held, 6)
+            plan.next_step()
+            plan.record_owner_full(held, 6)
         expected = (plan.order[0], plan.order[2], plan.order[1])
         self.assertEqual(plan.queue_engines(4), expected)
 
     def test_each_ailing_engine_that_was_passed_over_is_asked_in_the_end(self) -> None:
         plan = Plan("chat", ENGINES[:2])
         for _ in range(2):
-            plan.next()
-            plan.ailing()
-            plan.refused("ailing")
-        self.assertEqual(plan.next(), Ask(plan.order[0], insist=True, last=True))
-        plan.refused("draining")
-        self.assertEqual(plan.next(), Ask(plan.order[1], insist=True))
-        plan.refused("draining")
-        self.assertIsInstance(plan.next(), Exhausted)
+            plan.next_step()
+            plan.record_ailing()
+            plan.record_refusal("ailing")
+        self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True, is_last=True))
+        plan.record_refusal("draining")
+        self.assertEqual(plan.next_step(), Ask(plan.order[1], is_forced=True))
+        plan.record_refusal("draining")
+        self.assertIsInstance(plan.next_step(), Exhausted)
 
     def test_where_many_are_ailing_the_next_is_asked_all_the_same(self) -> None:
         plan = Plan("chat", ENGINES)
-        for _ in range(MOST_AILING):
-            plan.next()
-            plan.ailing()
-            plan.refused("ailing")
-        self.assertEqual(plan.next(), Ask(plan.order[MOST_AILING], insist=True))
+        for _ in range(MAX_AILING_SKIPPED):
+            plan.next_step()
+            plan.record_ailing()
+            plan.record_refusal("ailing")
+        self.assertEqual(plan.next_step(), Ask(plan.order[MAX_AILING_SKIPPED], is_forced=True))
 
     def test_an_engine_is_asked_again_over_a_new_connection(self) -> None:
         plan = Plan("chat", ENGINES)
-        first = plan.next()
-        plan.refused("crossed")
-        plan.again()
-        again = plan.next()
+        first = plan.next_step()
+        plan.record_refusal("crossed")
+        plan.retry_last()
+        again = plan.next_step()
         self.assertIsInstance(first, Ask)
         self.assertIsInstance(again, Ask)
         if isinstance(first, Ask) and isinstance(again, Ask):
-            self.assertEqual((again.engine, again.fresh, again.insist), (first.engine, True, True))
+            self.assertEqual(
+                (again.engine, again.needs_new_connection, again.is_forced),
+                (first.engine, True, True),
+            )
 
     def test_no_engines(self) -> None:
-        self.assertEqual(Plan("chat", ()).next(), Exhausted(()))
+        self.assertEqual(Plan("chat", ()).next_step(), Exhausted(()))
 
 
 class RendezvousTest(unittest.TestCase):
@@ -137,7 +140,7 @@
 
 class MemoryTest(unittest.TestCase):
     def test_the_least_recently_used_chat_is_forgotten(self) -> None:
-        memory = SpillMemory(limit=2)
+        memory = ContextLocations(limit=2)
         for chat, engine in [(1, "a"), (2, "b"), (1, "c"), (3, "d")]:
             memory.remember(chat, engine)
         self.assertEqual([memory.engine_of(chat) for chat in (1, 2, 3)], ["c", None, "d"])
@@ -148,32 +151,32 @@
     def test_a_request_that_went_as_far_as_it_may_keeps_to_engines_that_were_full(self) -> None:
         plan = Plan("chat", ENGINES)
         for held in (4, 3):
-            plan.next()
-            plan.said_full(held, "full")
-        self.assertTrue(plan.keep_to({plan.order[0], plan.order[1]}))
-        self.assertEqual(plan.next(), Ask(plan.order[1], insist=True, last=True))
-        plan.said_full(3, "full")
-        self.assertTrue(plan.keep_to({plan.order[0], plan.order[1]}))
-        self.assertEqual(plan.next(), Ask(plan.order[0], insist=True))
-        plan.said_full(4, "full")
-        self.assertFalse(plan.keep_to({plan.order[0], plan.order[1]}))
-        self.assertIsInstance(plan.next(), Exhausted)
+            plan.next_step()
+            plan.record_engine_full(held, "full")
+        self.assertTrue(plan.restrict_to({plan.order[0], plan.order[1]}))
+        self.assertEqual(plan.next_step(), Ask(plan.order[1], is_forced=True, is_last=True))
+        plan.record_engine_full(3, "full")
+        self.assertTrue(plan.restrict_to({plan.order[0], plan.order[1]}))
+        self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True))
+        plan.record_engine_full(4, "full")
+        self.assertFalse(plan.restrict_to({plan.order[0], plan.order[1]}))
+        self.assertIsInstance(plan.next_step(), Exhausted)
 
     def test_without_a_full_engine_there_is_none_to_keep_to(self) -> None:
         plan = Plan("chat", ENGINES)
-        plan.next()
-        plan.refused("draining")
-        self.assertFalse(plan.keep_to(()))
-        self.assertIsInstance(plan.next(), Exhausted)
+        plan.next_step()
+        plan.record_refusal("draining")
+        self.assertFalse(plan.restrict_to(()))
+        self.assertIsInstance(plan.next_step(), Exhausted)
 
     def test_a_list_that_was_behind_is_looked_at_again(self) -> None:
         plan = Plan("chat", ENGINES[:3])
-        plan.next()
-        plan.refused("not the one")
+        plan.next_step()
+        plan.record_refusal("not the one")
         gone = plan.order[1]
-        plan.renew((*(name for name in ENGINES[:3] if name != gone), "engine-new"))
+        plan.update_engines((*(name for name in ENGINES[:3] if name != gone), "engine-new"))
         asked = []
-        while isinstance(step := plan.next(), Ask):
+        while isinstance(step := plan.next_step(), Ask):
             asked.append(step.engine)
-            plan.refused("draining")
+            plan.record_refusal("draining")
         self.assertEqual(asked, [plan.order[2], "engine-new"])
--- a/pondhatch/placement/tests/test_pooled_first.py
+++ b/pondhatch/placement/tests/test_pooled_first.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pondhatch.placement import Ask, Plan, RecentLoads, pooled_first, ranked
-from pondhatch.placement._pooled_first import LOAD_SECONDS
+from pondhatch.placement._pooled_first import LOAD_LIFETIME
 
 FEW = ("a", "b", "c", "d")
 
@@ -24,12 +24,12 @@
 
     def test_a_load_is_known_for_a_moment(self) -> None:
         heard = RecentLoads()
-        heard.note("a", 5, 100.0)
-        heard.note("b", 6, 100.0 + LOAD_SECONDS)
-        self.assertEqual(heard.known("a", 100.0 + LOAD_SECONDS), 5)
-        heard.note("b", 7, 100.1 + LOAD_SECONDS)
-        self.assertIsNone(heard.known("a", 100.1 + LOAD_SECONDS))
-        self.assertEqual(list(heard._heard_by_engine), ["b"])
+        heard.record("a", 5, 100.0)
+        heard.record("b", 6, 100.0 + LOAD_LIFETIME)
+        self.assertEqual(heard.load_of("a", 100.0 + LOAD_LIFETIME), 5)
+        heard.record("b", 7, 100.1 + LOAD_LIFETIME)
+        self.assertIsNone(heard.load_of("a", 100.1 + LOAD_LIFETIME))
+        self.assertEqual(list(heard._load_by_engine), ["b"])
 
 
 class PreferTest(unittest.TestCase):
@@ -40,10 +40,10 @@
         self.assertEqual(plan.order, (order[1], order[3], order[0], order[2]))
         asked = []
         for _ in FEW:
-            step = plan.next()
+            step = plan.next_step()
             assert isinstance(step, Ask)
             asked.append(step.engine)
-            plan.refused("full")
+            plan.record_refusal("full")
         self.assertEqual(tuple(asked), plan.order)
 
     def test_without_any_the_order_stays(self) -> None:
--- a/pondhatch/placement/tests/test_token_counts.py
+++ b/pondhatch/placement/tests/test_token_counts.py
@@ -9,16 +9,16 @@
 
 from pondhatch.placement import Reservation, TokenCounts, TokenNeed
 from pondhatch.placement._token_counts import (
-    KEPT_SECONDS,
-    LONG_PROMPT,
-    OWN_PART,
-    TOKENS_READ_A_SECOND,
+    CACHED_SECONDS,
+    LONG_PROMPT_TOKENS,
+    PREFILL_TOKENS_PER_SECOND,
+    UNSHARED_PART,
 )
 
 LIMIT = 100
 #: A prompt that is long, and the memory of an engine that has room for many of them.
-LONG = TokenNeed(0, ((OWN_PART, LONG_PROMPT + 1),))
-LARGE_LIMIT = 100 * LONG_PROMPT
+LONG = TokenNeed(0, ((UNSHARED_PART, LONG_PROMPT_TOKENS + 1),))
+LARGE_LIMIT = 100 * LONG_PROMPT_TOKENS
 NEEDS = st.builds(
     TokenNeed,
     st.integers(0, 60),
@@ -55,18 +55,18 @@
             counts.add("e", number, LONG, 0.0)
         self.assertEqual(counts.shortage("e", 2, LONG, LARGE_LIMIT, 0.0), 1)
         self.assertEqual(counts.shortage("e", 2, TokenNeed(10), LARGE_LIMIT, 0.0), 0)
-        read = (LONG_PROMPT + 1) / TOKENS_READ_A_SECOND
+        read = (LONG_PROMPT_TOKENS + 1) / PREFILL_TOKENS_PER_SECOND
         self.assertEqual(counts.shortage("e", 2, LONG, LARGE_LIMIT, read), 0)
 
     def test_a_long_prompt_whose_parts_were_read_lately_delays_nobody(self) -> None:
         counts = TokenCounts()
-        known = TokenNeed(0, ((7, LONG_PROMPT + 1),))
+        known = TokenNeed(0, ((7, LONG_PROMPT_TOKENS + 1),))
         counts.add("e", "before", known, 0.0)
         counts.remove("e", "before")
         for number in range(2):
-            counts.add("e", number, LONG, KEPT_SECONDS)
-        self.assertEqual(counts.shortage("e", "again", known, LARGE_LIMIT, KEPT_SECONDS), 0)
-        forgotten = KEPT_SECONDS + 0.01
+            counts.add("e", number, LONG, CACHED_SECONDS)
+        self.assertEqual(counts.shortage("e", "again", known, LARGE_LIMIT, CACHED_SECONDS), 0)
+        forgotten = CACHED_SECONDS + 0.01
         self.assertEqual(counts.shortage("e", "again", known, LARGE_LIMIT, forgotten), 1)
 
     def test_memory_that_is_free_is_left_to_one_that_waits_to_be_read(self) -> None:
--- a/pondhatch/platform/_engine_load.py
+++ b/pondhatch/platform/_engine_load.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pondhatch.placement import MOST_PACE
+from pondhatch.placement import MAX_PACE
 from pondhatch.platform import _names as names
 
 #: Numbers in the header: requests running, requests waiting and slots; on some platforms the
@@ -55,7 +55,7 @@
         # Two headers that were joined on the way look so: no number has a sure meaning.
         return EngineLoad(is_readable=False)
     running, waiting, slots, pace = (_number(each) for each in (*fields, "0")[:4])
-    is_pace = pace is not None and pace <= MOST_PACE
+    is_pace = pace is not None and pace <= MAX_PACE
     return EngineLoad(
         running,
         waiting,
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -10,7 +10,7 @@
 
 from pondhatch.authority import NotTaken, Silent, Wanted
 from pondhatch.observing import LogThrottle, log_for
-from pondhatch.placement import NOTHING_SAID, Notice
+from pondhatch.placement import NO_NOTICE, Notice
 from pondhatch.platform import _names as names
 from pondhatch.platform._engine_load import read_load
 from pondhatch.platform._entries import plain
@@ -166,7 +166,7 @@
         """Return what an answer's head says of the engine itself."""
         if status == names.OTHER_ENGINE_STATUS:
             # Another engine than the one meant may have answered.
-            return NOTHING_SAID
+            return NO_NOTICE
         is_leaving = value_by_name.get(names.LEAVING.lower(), "").strip() == IS_LEAVING
         load = read_load(value_by_name)
         if not load.is_readable and self._unreadable.allows(self._clock()):
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pondhatch.placement import NOTHING_SAID, OPEN, Notice
+from pondhatch.placement import NO_NOTICE, OPEN, Notice
 from pondhatch.platform._callers import ClientDialect
 from pondhatch.platform._engines import EngineDialect, decode_engine, decode_evacuation
 from pondhatch.platform.tests._wire import ENGINE
@@ -78,16 +78,16 @@
     def test_what_an_answer_says_of_its_engine(self) -> None:
         leaves = {"server-leaving": "1"}
         for status, said, notice in (
-            (200, {}, NOTHING_SAID),
+            (200, {}, NO_NOTICE),
             (200, leaves, Notice(is_leaving=True)),
             (500, leaves, Notice(is_leaving=True)),
-            (200, {"server-leaving": "0"}, NOTHING_SAID),
+            (200, {"server-leaving": "0"}, NO_NOTICE),
             (503, {"retry-after": "2.5"}, Notice(rest=2.5)),
             (503, {"retry-after": "3", "not-executed": "1", **leaves}, Notice(True, 3.0)),
-            (503, {"retry-after": "soon"}, NOTHING_SAID),
-            (200, {"retry-after": "3"}, NOTHING_SAID),
+            (503, {"retry-after": "soon"}, NO_NOTICE),
+            (200, {"retry-after": "3"}, NO_NOTICE),
             # Another engine may have answered at its address.
-            (421, {"retry-after": "3", "not-executed": "1", **leaves}, NOTHING_SAID),
+            (421, {"retry-after": "3", "not-executed": "1", **leaves}, NO_NOTICE),
         ):
             with self.subTest(status=status, said=said):
                 self.assertEqual(self.dialect.notice(status, said), notice)
--- a/pondhatch/quarantine/__init__.py
+++ b/pondhatch/quarantine/__init__.py
@@ -2,20 +2,20 @@
 
 from pondhatch.quarantine._evidence import Evidence, EvidencePacket, Trial, TrialPacket
 from pondhatch.quarantine._suspects import (
-    ENDS_TO_QUARANTINE,
-    HOLD_SECONDS,
-    KEEP_SECONDS,
-    MOST_SUSPECTS,
+    CRASHES_TO_QUARANTINE,
+    EVIDENCE_LIFETIME,
+    MAX_SUSPECTS,
+    QUARANTINE_SECONDS,
     Suspect,
     Suspects,
 )
 from pondhatch.quarantine._trials import TRIAL_SECONDS, Trials
 
 __all__ = [
-    "ENDS_TO_QUARANTINE",
-    "HOLD_SECONDS",
-    "KEEP_SECONDS",
-    "MOST_SUSPECTS",
+    "CRASHES_TO_QUARANTINE",
+    "QUARANTINE_SECONDS",
+    "EVIDENCE_LIFETIME",
+    "MAX_SUSPECTS",
     "TRIAL_SECONDS",
     "Evidence",
     "EvidencePacket",
--- a/pondhatch/quarantine/_trials.py
+++ b/pondhatch/quarantine/_trials.py
@@ -18,10 +18,10 @@
 TRIAL_SECONDS = 30.0
 
 #: Returns whether two requests, by their digests, must not run at the same time.
-Bars = Callable[[int, int], bool]
+Conflicts = Callable[[int, int], bool]
 
 
-class Claim(msgspec.Struct, frozen=True):
+class ActiveClaim(msgspec.Struct, frozen=True):
     """A claim, and until when it counts, in the clock's seconds."""
 
     trial: Trial
@@ -33,7 +33,7 @@
 
     #: Short id of this router.
     router: int
-    _claim_by_holder: dict[tuple[int, int], Claim] = msgspec.field(default_factory=dict)
+    _claim_by_holder: dict[tuple[int, int], ActiveClaim] = msgspec.field(default_factory=dict)
     _number: int = 0
 
     def claim(self, digest: int, now: float) -> Trial:
@@ -41,30 +41,30 @@
         self._number += 1
         tickets = [each.ticket for each in self._claims(now)]
         trial = Trial(digest, max(tickets, default=0) + 1, self.router, self._number)
-        self.heard(trial, now)
+        self.add(trial, now)
         return trial
 
-    def heard(self, trial: Trial, now: float) -> None:
+    def add(self, trial: Trial, now: float) -> None:
         """Take in a claim."""
-        self._claim_by_holder[trial.router, trial.number] = Claim(trial, now + TRIAL_SECONDS)
+        self._claim_by_holder[trial.router, trial.number] = ActiveClaim(trial, now + TRIAL_SECONDS)
 
-    def ended(self, trial: Trial) -> None:
+    def remove(self, trial: Trial) -> None:
         """Take in that a claim's run is over, or never began."""
         self._claim_by_holder.pop((trial.router, trial.number), None)
 
-    def goes_first(self, trial: Trial, now: float, bars: Bars) -> bool:
+    def goes_first(self, trial: Trial, now: float, conflicts: Conflicts) -> bool:
         """Return whether no claim that bars this one goes before it."""
-        earlier = (each for each in self._claims(now) if _place(each) < _place(trial))
-        return not any(bars(each.digest, trial.digest) for each in earlier)
+        earlier = (each for each in self._claims(now) if _order(each) < _order(trial))
+        return not any(conflicts(each.digest, trial.digest) for each in earlier)
 
     def _claims(self, now: float) -> list[Trial]:
         """Return the claims that count, and forget the others."""
-        over = [holder for holder, each in self._claim_by_holder.items() if each.until <= now]
-        for holder in over:
+        expired = [holder for holder, each in self._claim_by_holder.items() if each.until <= now]
+        for holder in expired:
             del self._claim_by_holder[holder]
         return [each.trial for each in self._claim_by_holder.values()]
 
 
-def _place(trial: Trial) -> tuple[int, int, int]:
+def _order(trial: Trial) -> tuple[int, int, int]:
     """Return a claim's place; the lowest goes first."""
     return trial.ticket, trial.router, trial.number
--- a/pondhatch/quarantine/tests/test_suspects.py
+++ b/pondhatch/quarantine/tests/test_suspects.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from pondhatch.quarantine import (
-    ENDS_TO_QUARANTINE,
-    HOLD_SECONDS,
-    KEEP_SECONDS,
-    MOST_SUSPECTS,
+    CRASHES_TO_QUARANTINE,
+    EVIDENCE_LIFETIME,
+    MAX_SUSPECTS,
+    QUARANTINE_SECONDS,
     Evidence,
     Suspects,
 )
@@ -25,7 +25,7 @@
 def taken(evidence: list[Evidence], now: float = 0.0) -> Suspects:
     suspects = Suspects()
     for each in evidence:
-        suspects.take(each, now)
+        suspects.add(each, now)
     return suspects
 
 
@@ -33,32 +33,32 @@
     def test_the_third_engine_that_ends_convicts(self) -> None:
         suspects = Suspects()
         for engine, quarantined in (("a", False), ("b", False), ("c", True)):
-            suspects.take(Evidence(CAUSE, engine, 0), 0.0)
+            suspects.add(Evidence(CAUSE, engine, 0), 0.0)
             self.assertEqual(suspects.is_quarantined(CAUSE, 0.0), quarantined)
-        self.assertEqual(list(suspects.quarantined(0.0)), [CAUSE])
+        self.assertEqual(list(suspects.quarantined_digests(0.0)), [CAUSE])
 
     def test_one_engine_counts_once_however_many_tell_of_it(self) -> None:
         suspects = taken(ended(CAUSE, "a", "a", "a", "b"))
-        self.assertEqual(suspects.ends(CAUSE), 2)
-        self.assertFalse(suspects.take(Evidence(CAUSE, "a", 40), 1.0))
+        self.assertEqual(suspects.crash_count(CAUSE), 2)
+        self.assertFalse(suspects.add(Evidence(CAUSE, "a", 40), 1.0))
 
     def test_a_run_that_came_through_clears_of_all_before_it_and_of_nothing_after(self) -> None:
         suspects = taken(ended(OTHER, "a", "b"))
-        told = suspects.acquit(OTHER, 1.0)
+        told = suspects.clear_request(OTHER, 1.0)
         self.assertEqual(told, tuple(Evidence(OTHER, each, 1000, True) for each in "ab"))
-        self.assertEqual(suspects.acquit(OTHER, 1.0), ())
+        self.assertEqual(suspects.clear_request(OTHER, 1.0), ())
         peer = taken(ended(OTHER, "a", "b", "c"))
         self.assertTrue(peer.is_quarantined(OTHER, 0.0))
         for each in told:
-            peer.take(each, 1.0)
-        self.assertEqual((suspects.ends(OTHER), peer.ends(OTHER)), (0, 1))
+            peer.add(each, 1.0)
+        self.assertEqual((suspects.crash_count(OTHER), peer.crash_count(OTHER)), (0, 1))
 
     def test_what_fell_beside_a_convicted_request_is_cleared_by_that(self) -> None:
         suspects = taken([*ended(CAUSE, "a", "b"), *ended(OTHER, "a", "b")])
-        self.assertTrue(suspects.may_end_another(OTHER))
-        suspects.take(Evidence(CAUSE, "c", 0), 0.0)
-        self.assertEqual((suspects.ends(CAUSE), suspects.ends(OTHER)), (3, 0))
-        self.assertFalse(suspects.may_end_another(OTHER))
+        self.assertTrue(suspects.next_crash_quarantines(OTHER))
+        suspects.add(Evidence(CAUSE, "c", 0), 0.0)
+        self.assertEqual((suspects.crash_count(CAUSE), suspects.crash_count(OTHER)), (3, 0))
+        self.assertFalse(suspects.next_crash_quarantines(OTHER))
 
     def test_a_second_cause_is_not_cleared_of_engines_that_only_it_ended(self) -> None:
         evidence = [*ended(CAUSE, "a", "b", "c", "d", "e"), *ended(OTHER, "a", "f", "g", "h")]
@@ -68,11 +68,11 @@
 
     def test_what_fell_together_at_some_engine_must_not_run_together(self) -> None:
         suspects = taken([*ended(CAUSE, "a", "b"), *ended(OTHER, "b", "c"), *ended(3, "d")])
-        self.assertTrue(suspects.fell_together(CAUSE, OTHER))
-        self.assertFalse(suspects.fell_together(CAUSE, 3))
-        self.assertFalse(suspects.fell_together(CAUSE, 4))
-        suspects.acquit(OTHER, 0.0)
-        self.assertFalse(suspects.fell_together(CAUSE, OTHER))
+        self.assertTrue(suspects.share_crash(CAUSE, OTHER))
+        self.assertFalse(suspects.share_crash(CAUSE, 3))
+        self.assertFalse(suspects.share_crash(CAUSE, 4))
+        suspects.clear_request(OTHER, 0.0)
+        self.assertFalse(suspects.share_crash(CAUSE, OTHER))
 
 
 class NamesOfEndsTest(unittest.TestCase):
@@ -81,52 +81,52 @@
     def test_an_engine_that_ends_once_more_under_its_name_counts_once_more(self) -> None:
         suspects = Suspects()
         for at, quarantined in ((0.0, False), (5.0, False), (10.0, True)):
-            name = suspects.name_of_end("a", at)
-            suspects.take(Evidence(CAUSE, name, 0), at)
+            name = suspects.crash_name("a", at)
+            suspects.add(Evidence(CAUSE, name, 0), at)
             self.assertEqual(suspects.is_quarantined(CAUSE, at), quarantined)
 
     def test_all_that_fell_at_one_end_name_it_alike(self) -> None:
         suspects = taken(ended(CAUSE, "a"))
-        suspects.take(Evidence(CAUSE, suspects.name_of_end("a", 5.0), 0), 5.0)
-        self.assertEqual(suspects.name_of_end("a", 5.5), "a#2")
-        suspects.take(Evidence(OTHER, "a#2", 0), 5.5)
-        self.assertTrue(suspects.fell_together(CAUSE, OTHER))
+        suspects.add(Evidence(CAUSE, suspects.crash_name("a", 5.0), 0), 5.0)
+        self.assertEqual(suspects.crash_name("a", 5.5), "a#2")
+        suspects.add(Evidence(OTHER, "a#2", 0), 5.5)
+        self.assertTrue(suspects.share_crash(CAUSE, OTHER))
 
     def test_what_is_forgotten_leaves_nothing_behind(self) -> None:
         suspects = taken(ended(CAUSE, "a", "b"))
-        suspects.take(Evidence(OTHER, "c", 0), KEEP_SECONDS)
-        self.assertEqual(list(suspects._last_end_by_engine), ["c"])
+        suspects.add(Evidence(OTHER, "c", 0), EVIDENCE_LIFETIME)
+        self.assertEqual(list(suspects._last_crash_by_engine), ["c"])
 
 
 class ForgettingTest(unittest.TestCase):
     def test_after_a_while_one_run_at_a_time_may_try_it(self) -> None:
         suspects = taken(ended(CAUSE, "a", "b", "c"))
-        self.assertTrue(suspects.is_quarantined(CAUSE, HOLD_SECONDS - 1))
-        self.assertFalse(suspects.is_quarantined(CAUSE, HOLD_SECONDS))
-        self.assertTrue(suspects.may_end_another(CAUSE))
-        suspects.take(Evidence(CAUSE, "d", 0), HOLD_SECONDS + 5)
-        self.assertTrue(suspects.is_quarantined(CAUSE, HOLD_SECONDS + 5))
+        self.assertTrue(suspects.is_quarantined(CAUSE, QUARANTINE_SECONDS - 1))
+        self.assertFalse(suspects.is_quarantined(CAUSE, QUARANTINE_SECONDS))
+        self.assertTrue(suspects.next_crash_quarantines(CAUSE))
+        suspects.add(Evidence(CAUSE, "d", 0), QUARANTINE_SECONDS + 5)
+        self.assertTrue(suspects.is_quarantined(CAUSE, QUARANTINE_SECONDS + 5))
 
     def test_an_engine_that_bears_it_at_last_clears_it(self) -> None:
         suspects = taken(ended(CAUSE, "a", "b", "c"))
-        suspects.acquit(CAUSE, HOLD_SECONDS + 5)
-        self.assertFalse(suspects.may_end_another(CAUSE))
+        suspects.clear_request(CAUSE, QUARANTINE_SECONDS + 5)
+        self.assertFalse(suspects.next_crash_quarantines(CAUSE))
 
     def test_what_is_old_is_forgotten_and_not_learned_again(self) -> None:
         suspects = taken(ended(CAUSE, "a", "b", "c"))
-        suspects.take(Evidence(OTHER, "d", 0), KEEP_SECONDS)
+        suspects.add(Evidence(OTHER, "d", 0), EVIDENCE_LIFETIME)
         self.assertEqual(list(suspects.suspect_by_digest), [OTHER])
-        old = Evidence(CAUSE, "a", round(KEEP_SECONDS * 1000))
-        self.assertFalse(suspects.take(old, KEEP_SECONDS))
+        old = Evidence(CAUSE, "a", round(EVIDENCE_LIFETIME * 1000))
+        self.assertFalse(suspects.add(old, EVIDENCE_LIFETIME))
 
     def test_beyond_the_bound_the_oldest_go_and_the_convicted_last(self) -> None:
         suspects = taken(ended(CAUSE, "a", "b", "c"))
-        for at in range(MOST_SUSPECTS + 10):
-            suspects.take(Evidence(100 + at, f"e{at}", 0), 1.0)
-        self.assertEqual(len(suspects.suspect_by_digest), MOST_SUSPECTS)
+        for at in range(MAX_SUSPECTS + 10):
+            suspects.add(Evidence(100 + at, f"e{at}", 0), 1.0)
+        self.assertEqual(len(suspects.suspect_by_digest), MAX_SUSPECTS)
         self.assertTrue(suspects.is_quarantined(CAUSE, 1.0))
         self.assertNotIn(100, suspects.suspect_by_digest)
-        self.assertEqual(len(suspects._suspects_by_end), MOST_SUSPECTS - 1 + 3)
+        self.assertEqual(len(suspects._suspects_by_crash), MAX_SUSPECTS - 1 + 3)
 
 
 class MergeTest(unittest.TestCase):
@@ -151,9 +151,9 @@
         one, other = taken(evidence), taken(otherwise)
         relayed = taken(one.all_evidence(0.0))
         for digest in range(1, 5):
-            self.assertEqual(one.ends(digest), other.ends(digest))
-            self.assertEqual(one.ends(digest), relayed.ends(digest))
-            self.assertLessEqual(one.ends(digest), 6)
+            self.assertEqual(one.crash_count(digest), other.crash_count(digest))
+            self.assertEqual(one.crash_count(digest), relayed.crash_count(digest))
+            self.assertLessEqual(one.crash_count(digest), 6)
 
     def test_three_is_what_the_users_ask_for(self) -> None:
-        self.assertEqual(ENDS_TO_QUARANTINE, 3)
+        self.assertEqual(CRASHES_TO_QUARANTINE, 3)
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -46,7 +46,7 @@
 
     def refused(self) -> None:
         """Note that a question was answered with a lack of memory."""
-        self._counts.refused += 1
+        self._counts.refusals += 1
 
     def keep_for(self, target: Target, question: Question) -> None:
         """Keep memory for a request that waits for it.
--- a/pondhatch/requests/_entry.py
+++ b/pondhatch/requests/_entry.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pondhatch.limits import RetryBudget
-from pondhatch.placement import Ask, Closed, Exhausted, Granted, Plan, TokenNeed
+from pondhatch.placement import Ask, ClosedReason, Exhausted, Granted, Plan, TokenNeed
 from pondhatch.requests._crash_guard import QUARANTINED
 from pondhatch.requests._entry_view import EntryView, Ways
 from pondhatch.requests._messages import BodySource, Opened, ReplayableBody, RequestHead
@@ -61,7 +61,7 @@
 OK = 200
 #: Refusals for which nothing was sent anywhere: going on is no retry.
 NOTHING_SENT = frozenset(
-    {*Closed, "upstream-down", AILING, "upstream-unreachable", "router-unreachable"}
+    {*ClosedReason, "upstream-down", AILING, "upstream-unreachable", "router-unreachable"}
 )
 #: Refusals of engines that may take the same request a moment later.
 MAY_TAKE_IT_AGAIN = frozenset({EngineRefusal.FULL, EngineRefusal.DECLINED})
@@ -103,7 +103,7 @@
         # What a request may wait in the last line, it may wait for an owner's word.
         self._watch = ways.crashes.watch(head.digest)
         self._tries = Tries(view, ways, body, self._chat, remaining, patience.last, self._watch)
-        self._tries.settled = self.plan.settled(view.is_young)
+        self._tries.settled = self.plan.first_established(view.is_young)
         #: What remained as the walk over the engines began.
         self._remaining_at_start = 0.0
         self._asks = 0
@@ -163,7 +163,7 @@
         """
         if self._tries_are_spent() or not self._budget.may_retry():
             return failed
-        self.plan.refused(f"answered {failed.reply.answer.status}")
+        self.plan.record_refusal(f"answered {failed.reply.answer.status}")
         before, may_have_run = self.engine, self._may_have_run
         try:
             ended = await self._walk()
@@ -180,7 +180,7 @@
         self._rests.clear()
         self._remaining_at_start = self._remaining()
         while self._remaining() > 0:
-            step = self.plan.next()
+            step = self.plan.next_step()
             if isinstance(step, Exhausted):
                 if await self._rest_is_over():
                     continue
@@ -305,10 +305,12 @@
 
     async def _ask(self, ask: Ask) -> Placed | Refused | None:
         """Ask one engine's owner and, if granted, try it; None means that the walk goes on."""
-        if ask.last and self._view.load_managed():
+        if ask.is_last and self._view.load_managed():
             return await self._wait_at_several(ask)
-        question = self._question(ask.engine, insist=ask.insist, context=ask.context, last=ask.last)
-        head = self._next_head(fresh=ask.fresh)
+        question = self._question(
+            ask.engine, insist=ask.is_forced, context=ask.has_context, last=ask.is_last
+        )
+        head = self._next_head(fresh=ask.needs_new_connection)
         reply = await self._tries.run(question, head)
         return await self._after_try(ask, head, reply)
 
@@ -319,29 +321,31 @@
         def question(engine: str, seconds: float) -> Question:
             return self._waiting_question(engine, seconds, len(engines))
 
-        head = self._next_head(fresh=ask.fresh)
+        head = self._next_head(fresh=ask.needs_new_connection)
         tried = await self._tries.run_at_first(engines, question, self._slot_wait.limit(), head)
         if isinstance(tried, NotGranted):
             self._note_no_place(tried.reply_by_engine)
             return None
         engine, reply = tried
         self.queued = Queued(QueueEnd.GRANTED)
-        self.plan.granted(engine)
+        self.plan.record_grant(engine)
         return await self._after_try(msgspec.structs.replace(ask, engine=engine), head, reply)
 
     def _note_no_place(self, reply_by_engine: dict[str, OwnerReply]) -> None:
         """Note what the owners said of a wait that came to nothing."""
         self.queued = queued_in_vain(reply_by_engine.values())
-        self.plan.end_looks()
+        self.plan.cancel_rechecks()
         for engine, reply in reply_by_engine.items():
-            self.plan.waited(engine)
+            self.plan.record_wait(engine)
             if isinstance(reply, Busy):
-                self.plan.full(reply.in_flight, reply.ceiling, reply.is_cold, reply.short_tokens)
+                self.plan.record_owner_full(
+                    reply.in_flight, reply.ceiling, reply.is_cold, reply.short_tokens
+                )
             elif isinstance(reply, NotRun):
                 self._rests.note(engine, reply)
-                self.plan.refused(f"{reply.code}: {reply.reason}")
+                self.plan.record_refusal(f"{reply.code}: {reply.reason}")
             else:
-                self.plan.refused("its owner is in doubt")
+                self.plan.record_refusal("its owner is in doubt")
 
     def _waiting_question(self, engine: str, seconds: float, queues: int) -> Question:
         """Return a question about an engine in whose queue the request waits beside others."""
@@ -349,7 +353,7 @@
         target, patience = self._view.target(engine), max(1, round(seconds * MILLISECONDS))
         seen = 0
         if target is not None and self._remaining_at_start - self._remaining() <= SEEN_SECONDS:
-            seen = max(question.seen_elsewhere, self.plan.estimated_elsewhere(engine, target.peers))
+            seen = max(question.seen_elsewhere, self.plan.estimate_elsewhere(engine, target.peers))
         return msgspec.structs.replace(
             question,
             patience=patience,
@@ -369,18 +373,20 @@
             return Placed(reply, ask.engine)
         if isinstance(reply, Elsewhere):
             self._tries.context_at = reply.engine
-            self.plan.context_elsewhere(reply.engine)
+            self.plan.record_context_elsewhere(reply.engine)
             return None
         if isinstance(reply, Busy):
-            self.plan.full(reply.in_flight, reply.ceiling, reply.is_cold, reply.short_tokens)
+            self.plan.record_owner_full(
+                reply.in_flight, reply.ceiling, reply.is_cold, reply.short_tokens
+            )
             return None
         if isinstance(reply, NotOwner):
-            self.plan.refused("its owner is in doubt")
+            self.plan.record_refusal("its owner is in doubt")
             return None
         if reply is QUARANTINED:
             return Refused(QUARANTINED)
         if reply.code == AILING:
-            self.plan.ailing()
+            self.plan.record_ailing()
         if isinstance(reply, Unknown):
             await self.note_cut(ask.engine, reply)
         if isinstance(reply, NotRun):
@@ -396,11 +402,11 @@
             self._refusals.append(reply)
         if refusal in MAY_TAKE_IT_AGAIN:
             self._may_take_it.add(ask.engine)
-            self.plan.said_full(max(0, self.granted.in_flight - 1), why)
+            self.plan.record_engine_full(max(0, self.granted.in_flight - 1), why)
             return
-        self.plan.refused(why)
+        self.plan.record_refusal(why)
         if refusal is EngineRefusal.NOT_THE_ONE:
-            self.plan.renew(self._live_upstreams())
+            self.plan.update_engines(self._live_upstreams())
 
     def _live_upstreams(self) -> tuple[str, ...]:
         """Return the engines that may take the request as they are listed by now."""
@@ -429,7 +435,7 @@
             weight=round(self._head.weight * THOUSANDTHS),
             # What the walk saw is old by the time a stream breaks, and would raise the ceiling
             # of its engine above what is running then.
-            seen_elsewhere=0 if resuming else self.plan.seen_elsewhere(engine),
+            seen_elsewhere=0 if resuming else self.plan.in_flight_seen_elsewhere(engine),
             returning=self._head.returning,
             home=at_home,
             settled=self._settled_before(engine) if at_home else None,
@@ -458,7 +464,7 @@
         takes_over = target is not None and target.shares_context
         if takes_over or not self._view.is_young(home):
             return None
-        return self.plan.settled(self._view.is_young)
+        return self.plan.first_established(self._view.is_young)
 
     def _next_head(self, **changes: Any) -> RequestHead:
         """Return the head of the next try, under an id of its own."""
@@ -477,13 +483,13 @@
             return None
         if isinstance(reply, NotRun) and self._is_about_the_request(reply):
             return Refused(reply)
-        if self._tries_are_spent() and not self.plan.keep_to(self._may_take_it):
+        if self._tries_are_spent() and not self.plan.restrict_to(self._may_take_it):
             return Refused(self._told(reply))
         if not body_is_whole or not self._budget.may_retry():
             return Refused(self._told(reply))
-        if reply.code == CROSSED and not ask.fresh:
+        if reply.code == CROSSED and not ask.needs_new_connection:
             # The connection was at fault, which is closed now; the engine may be the only one.
-            self.plan.again()
+            self.plan.retry_last()
         return None
 
     def _told(self, reply: Refusal) -> Refusal:
@@ -522,7 +528,7 @@
         if not step.asked:
             wrong = f"service {self._head.service} has no upstream that may take the request"
             return NotRun("no-upstream", wrong)
-        asked = ", ".join(f"{engine} ({why})" for engine, why in self.plan.passed_over)
+        asked = ", ".join(f"{engine} ({why})" for engine, why in self.plan.refusals)
         rest = self._rests.nearest()
         if rest is not None and not self.plan.in_flight_by_engine:
             # What keeps it from the others, if any, may be over before.
--- a/pondhatch/requests/_lines.py
+++ b/pondhatch/requests/_lines.py
@@ -12,14 +12,14 @@
 
 from pondhatch.placement import (
     STEADY_GAP_WEIGHT,
+    FairQueue,
     Full,
+    GateDecision,
     Granted,
-    Line,
     ReleaseInterval,
     RetrySchedule,
     Ticket,
-    Verdict,
-    granted_ahead,
+    extra_grants,
 )
 from pondhatch.requests._questions import MILLISECONDS, THOUSANDTHS, Question
 
@@ -40,9 +40,9 @@
 
     ticket: Ticket
     #: Asks the gate again on its behalf.
-    ask: Callable[[], Verdict]
+    ask: Callable[[], GateDecision]
     #: Set when its turn came, or when it was pushed out.
-    turn: asyncio.Future[Verdict]
+    turn: asyncio.Future[GateDecision]
 
 
 class _Queue(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     lines of one engine at the same time would give out the same places.
     """
 
-    line: Line
+    line: FairQueue
     waiter_by_number: dict[int, Waiter] = msgspec.field(default_factory=dict)
 
 
@@ -97,7 +97,9 @@
         queue = self._queue_by_engine.get(engine)
         return len(queue.line) if queue is not None else 0
 
-    async def wait(self, question: Question, full: Full, ask: Callable[[], Verdict]) -> Verdict:
+    async def wait(
+        self, question: Question, full: Full, ask: Callable[[], GateDecision]
+    ) -> GateDecision:
         """Wait until granted; ``full`` is the answer when patience ends or the line is full."""
         is_predicted = self._is_managed() and question.in_time > 0
         if not is_predicted and self._hopeless(question):
@@ -110,10 +112,10 @@
         ticket = self._join(queue, question)
         if ticket is None:
             return self._with_retry_time(question, full) if is_predicted else full
-        turn: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
+        turn: asyncio.Future[GateDecision] = asyncio.get_running_loop().create_future()
         queue.waiter_by_number[ticket.number] = Waiter(ticket, ask, turn)
         _push_out(queue, full)
-        verdict: Verdict | None = None
+        verdict: GateDecision | None = None
         try:
             async with asyncio.timeout(question.patience / MILLISECONDS):
                 verdict = await turn
@@ -149,11 +151,13 @@
         if not self._is_managed():
             # Only the gaps of an engine that is wanted tell how fast it frees slots.
             self._interval_by_engine[engine] = (
-                known.after(now) if busy else replace(known, last=now)
+                known.with_release(now) if busy else replace(known, last_release_at=now)
             )
         elif was_used:
-            steady = known.after(now, STEADY_GAP_WEIGHT)
-            self._interval_by_engine[engine] = steady if busy else replace(known, last=now)
+            steady = known.with_release(now, STEADY_GAP_WEIGHT)
+            self._interval_by_engine[engine] = (
+                steady if busy else replace(known, last_release_at=now)
+            )
         if not busy:
             self._note_free(engine, now)
         self.serve(engine)
@@ -169,8 +173,8 @@
             now = self._clock()
             known = self._interval_by_engine.get(engine, ReleaseInterval(now))
             # The time before, in which nobody wanted a slot, is no part of a gap.
-            self._interval_by_engine[engine] = replace(known, last=now)
-        queue = self._queue_by_engine[engine] = _Queue(Line(limit))
+            self._interval_by_engine[engine] = replace(known, last_release_at=now)
+        queue = self._queue_by_engine[engine] = _Queue(FairQueue(limit))
         return queue
 
     def _join(self, queue: _Queue, question: Question) -> Ticket | None:
@@ -191,7 +195,7 @@
         if queue is None:
             return False
         gap = self._gap(question.engine)
-        wait = queue.line.before(question.account, question.priority) * gap
+        wait = queue.line.count_before(question.account, question.priority) * gap
         return wait > question.patience / MILLISECONDS
 
     def _predicted(self, question: Question) -> float:
@@ -203,14 +207,14 @@
         queue, gap = self._queue_by_engine.get(question.engine), self._gap(question.engine)
         if queue is None:
             return 0.0
-        queue.line.pass_time(self._clock())
+        queue.line.advance_time(self._clock())
         share = queue.line.share_before(question.account, question.priority)
         wait = share * gap
         if wait <= question.in_time / MILLISECONDS:
             return wait
         late = queue.line.share_before(question.account, question.priority, is_late=True) - share
         # While those in time take all places, none comes free for the late ones.
-        return wait + late * max(gap, queue.line.late_gap())
+        return wait + late * max(gap, queue.line.late_wait())
 
     def _refused(self, question: Question, full: Full, predicted: float) -> Full:
         """Return the answer to a request that is refused at arrival, and remember it."""
@@ -230,19 +234,19 @@
         queue, gap = self._queue_by_engine.get(question.engine), self._gap(question.engine)
         if gap == 0:
             return 0
-        share = queue.line.share() if queue is not None else 0.0
+        share = queue.line.total_share() if queue is not None else 0.0
         schedule = self._schedule_by_engine.setdefault(question.engine, RetrySchedule())
         seconds = schedule.next_delay(self._clock(), share, gap, question.queues)
         return max(1, round(seconds * MILLISECONDS))
 
     def granted_ahead(self, engine: str, most: int) -> int:
         """Return how many requests to grant beyond an engine's slots while others wait."""
-        return granted_ahead(self._gap(engine), most)
+        return extra_grants(self._gap(engine), most)
 
     def _gap(self, engine: str) -> float:
         """Return the mean seconds between two places that come free; 0 if unknown."""
         pace = self._interval_by_engine.get(engine)
-        return pace.gap if pace is not None and pace.gap is not None else 0.0
+        return pace.mean_gap if pace is not None and pace.mean_gap is not None else 0.0
 
     def _note_free(self, engine: str, now: float) -> None:
         """Count a refusal as wrong for a place that nobody waits for."""
@@ -262,9 +266,9 @@
         if queue is None:
             return
         if self._is_managed():
-            queue.line.pass_time(self._clock())
+            queue.line.advance_time(self._clock())
         passed_over = 0
-        while (ticket := queue.line.at(passed_over)) is not None:
+        while (ticket := queue.line.at_position(passed_over)) is not None:
             waiter = queue.waiter_by_number[ticket.number]
             if waiter.turn.done():
                 queue.line.leave(ticket)
@@ -275,7 +279,7 @@
                     return
                 passed_over += 1
                 continue
-            queue.line.served(ticket)
+            queue.line.mark_served(ticket)
             waiter.turn.set_result(verdict)
 
     def serve_all(self) -> None:
@@ -289,7 +293,7 @@
         if not queue.waiter_by_number:
             del self._queue_by_engine[engine]
 
-    def _return_late_grant(self, engine: str, turn: asyncio.Future[Verdict]) -> None:
+    def _return_late_grant(self, engine: str, turn: asyncio.Future[GateDecision]) -> None:
         """Give back a grant made in the moment in which its request stopped waiting."""
         granted = turn.done() and not turn.cancelled() and isinstance(turn.result(), Granted)
         if granted:
@@ -298,7 +302,7 @@
 
 def _push_out(queue: _Queue, full: Full) -> None:
     """Have the last one leave where the line is longer than it may be."""
-    last = queue.line.overflow()
+    last = queue.line.ticket_to_evict()
     if last is None:
         return
     queue.line.leave(last)
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -13,14 +13,14 @@
     LONGEST_PAUSE,
     MANAGED_PAUSE,
     USUAL_PACE,
-    ColdPaces,
+    ColdPacer,
+    ContextLocations,
     Full,
     Gate,
+    GateDecision,
     Granted,
     Health,
-    SpillMemory,
     TokenCounts,
-    Verdict,
     context_engine,
 )
 from pondhatch.requests._engine_memory import EngineMemory
@@ -88,10 +88,10 @@
         name: str,
         view: OwnerView,
         gate: Gate,
-        memory: SpillMemory,
+        memory: ContextLocations,
         clock: Callable[[], float],
         health: Health,
-        cold_paces: ColdPaces | None = None,
+        cold_paces: ColdPacer | None = None,
         tokens: TokenCounts | None = None,
     ) -> None:
         self._name = name
@@ -101,7 +101,7 @@
         self._clock = clock
         self._lines = Lines(self._give_back, clock, view.load_managed)
         self._health = health
-        self._cold_paces = cold_paces or ColdPaces()
+        self._cold_paces = cold_paces or ColdPacer()
         self._engine_memory = EngineMemory(tokens or TokenCounts(), view.load_managed)
         self.leases = Leases()
         self._forgot_at = float("-inf")
@@ -160,7 +160,7 @@
     async def wait(self, question: Question, must: MustWait) -> OwnerReply:
         """Wait in the engine's line until granted, or until patience ends."""
         ask = functools.partial(self._ask_gate_anew, must.target, question, self._clock())
-        verdict: Verdict | None = None
+        verdict: GateDecision | None = None
         try:
             verdict = await self._lines.wait(question, must.full, ask)
         finally:
@@ -193,14 +193,14 @@
         """Take in what the end of a request, whose grant still counts, tells of its engine."""
         now = self._clock()
         if ended == Ended.ANSWERED:
-            self._health.answered(engine)
+            self._health.record_answer(engine)
         if ended == Ended.FAILED:
             managed = self._view.load_managed()
-            self._health.failed(engine, now, MANAGED_PAUSE if managed else LONGEST_PAUSE)
+            self._health.record_failure(engine, now, MANAGED_PAUSE if managed else LONGEST_PAUSE)
         if ended == Ended.ERRED:
-            self._health.erred(engine, now)
+            self._health.record_error(engine, now)
         if ended == Ended.LEAVING:
-            self._health.leaving(engine, now)
+            self._health.record_leaving(engine, now)
         if ended == Ended.FULL:
             self._said_full(engine, now)
 
@@ -214,9 +214,9 @@
         if target is not None and target.intake.cold_pace is not None:
             return
         if self._gate.in_flight(engine, now) > 1:
-            self._gate.said_full(engine, now)
+            self._gate.record_engine_full(engine, now)
         else:
-            self._health.erred(engine, now)
+            self._health.record_error(engine, now)
 
     def hold(self, router: int, engine: str, numbers: Collection[int]) -> None:
         """Renew leases; what another owner granted is counted here from now on."""
@@ -277,7 +277,7 @@
             return NotRun("upstream-down", f"{engine} failed several times in a row")
         if self._health.is_ailing(engine, now) and not question.insist:
             return NotRun(AILING, f"{engine} fails or refuses many requests")
-        if target.intake.rest.of_some > 0 and not question.insist:
+        if target.intake.rest.for_some_routers > 0 and not question.insist:
             return NotRun(AILING, f"{engine} turns some routers away")
         return None
 
@@ -293,7 +293,7 @@
         target = self._view.target(question.engine)
         return grantable_target(target, question.engine, question.resuming)
 
-    def _ask_gate_anew(self, target: Target, question: Question, since: float) -> Verdict:
+    def _ask_gate_anew(self, target: Target, question: Question, since: float) -> GateDecision:
         """Ask the gate for a request that waited, since its upstream may have turned cold."""
         if question.in_time > 0 and self._clock() - since > SEEN_SECONDS:
             question = replace(question, seen_elsewhere=0)
@@ -307,7 +307,7 @@
         if self._engine_memory.ended(question.engine, question.holder):
             self._lines.serve(question.engine)
 
-    def _ask_gate(self, target: Target, question: Question) -> Verdict:
+    def _ask_gate(self, target: Target, question: Question) -> GateDecision:
         """Grant a request at an upstream's ceiling and, where it is cold, at its pace."""
         pace, now = target.intake.cold_pace, self._clock()
         if pace is None:
@@ -317,7 +317,7 @@
             return self._held_back(target)
         verdict = self._ask_ceiling(target, question)
         if isinstance(verdict, Granted):
-            self._cold_paces.went(target.name, pace, now)
+            self._cold_paces.record_grant(target.name, pace, now)
         return verdict
 
     def _held_back(self, target: Target) -> Full:
@@ -325,7 +325,7 @@
         held = self._gate.in_flight(target.name, self._clock())
         return Full(held, held, is_cold=True)
 
-    def _ask_ceiling(self, target: Target, question: Question) -> Verdict:
+    def _ask_ceiling(self, target: Target, question: Question) -> GateDecision:
         """Grant a request where an upstream has a place and memory for it."""
         now = self._clock()
         held = self._gate.in_flight(target.name, now)
@@ -334,7 +334,7 @@
             return Full(held, held, short_tokens=short)
         others = max(self._view.elsewhere_in_flight(target.name), question.seen_elsewhere)
         pace, slots = self._pace(target, question), self._slots(target, question)
-        verdict = self._gate.ask(
+        verdict = self._gate.try_grant(
             target.name, now, target.bound, others, target.peers, slots, target.slack, pace
         )
         if isinstance(verdict, Granted):
--- a/pondhatch/requests/_questions.py
+++ b/pondhatch/requests/_questions.py
@@ -57,7 +57,7 @@
     #: Tokens that it takes of an engine's memory beside the parts of its prompt: those of its
     #: answer; 0 where not said.
     tokens: int = 0
-    #: Parts of its prompt, each as a key and its tokens; OWN_PART is the key of what no other
+    #: Parts of its prompt, each as a key and its tokens; UNSHARED_PART is the key of what no other
     #: request shares.
     parts: tuple[tuple[int, int], ...] = ()
 
--- a/pondhatch/requests/_rests.py
+++ b/pondhatch/requests/_rests.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from pondhatch.placement import Closed
+from pondhatch.placement import ClosedReason
 from pondhatch.requests._entry_view import EntryView
 from pondhatch.requests._outcomes import EngineRefusal, NotRun
 
 #: Codes of engines that want nothing for a while.
-RESTING = frozenset({Closed.RESTING, EngineRefusal.OVERLOADED})
+RESTING = frozenset({ClosedReason.RESTING, EngineRefusal.OVERLOADED})
 
 
 class Rests:
@@ -24,7 +24,7 @@
         """Take in why an engine did not take the request, if it wants a rest."""
         if reply.code not in RESTING:
             return
-        told = reply.retry_after if reply.code == Closed.RESTING else self._known(engine)
+        told = reply.retry_after if reply.code == ClosedReason.RESTING else self._known(engine)
         self._end_by_engine[engine] = asyncio.get_running_loop().time() + told
 
     def nearest(self) -> float | None:
@@ -48,4 +48,4 @@
     def _known(self, engine: str) -> float:
         """Return for how many seconds an engine wants nothing, as far as this router knows."""
         target = self._view.target(engine)
-        return target.intake.rest.own if target is not None else 0.0
+        return target.intake.rest.for_this_router if target is not None else 0.0
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from pondhatch.placement import USUAL_PACE, Closed, Intake, Notice, Regions
+from pondhatch.placement import USUAL_PACE, ClosedReason, Intake, Notice, Regions
 from pondhatch.requests._messages import (
     AnswerStream,
     BodySource,
@@ -58,10 +58,10 @@
 
 #: What is told of an upstream that may not be sent a request.
 _TOLD = {
-    Closed.LEAVING: "takes no new work",
-    Closed.EVACUATED: "stands in a data hall that is evacuated",
-    Closed.OUTSIDE_REGIONS: "stands outside the regions that the request may run in",
-    Closed.RESTING: "turned a request away and wants a rest",
+    ClosedReason.LEAVING: "takes no new work",
+    ClosedReason.EVACUATED: "stands in a data hall that is evacuated",
+    ClosedReason.OUTSIDE_REGIONS: "stands outside the regions that the request may run in",
+    ClosedReason.RESTING: "turned a request away and wants a rest",
 }
 
 
@@ -70,22 +70,22 @@
 ) -> Target | NotRun:
     """Return an upstream that may be sent a request, or the rest of one, else why it may not."""
     if target is None:
-        return NotRun(Closed.LEAVING, f"{upstream} is gone")
-    closed = target.intake.closed_to(regions, resuming)
-    return target if closed is None else _closed(target, closed, target.intake.rest.own)
+        return NotRun(ClosedReason.LEAVING, f"{upstream} is gone")
+    closed = target.intake.closed_reason(regions, resuming)
+    return target if closed is None else _closed(target, closed, target.intake.rest.for_this_router)
 
 
 def grantable_target(target: Target | None, upstream: str, resuming: bool) -> Target | NotRun:
     """Return an upstream that may be granted to some router, else why it may not."""
     if target is None:
-        return NotRun(Closed.LEAVING, f"{upstream} is gone")
-    closed = target.intake.closed_to_all(resuming)
-    return target if closed is None else _closed(target, closed, target.intake.rest.of_all)
+        return NotRun(ClosedReason.LEAVING, f"{upstream} is gone")
+    closed = target.intake.closed_reason_for_all(resuming)
+    return target if closed is None else _closed(target, closed, target.intake.rest.for_all_routers)
 
 
-def _closed(target: Target, why: Closed, rest: float) -> NotRun:
+def _closed(target: Target, why: ClosedReason, rest: float) -> NotRun:
     told = NotRun(why, f"{target.name} {_TOLD[why]}")
-    return replace(told, retry_after=rest) if why is Closed.RESTING else told
+    return replace(told, retry_after=rest) if why is ClosedReason.RESTING else told
 
 
 class Upstreams(Protocol):
--- a/pondhatch/requests/_token_needs.py
+++ b/pondhatch/requests/_token_needs.py
@@ -4,7 +4,7 @@
 
 from heapq import nlargest
 
-from pondhatch.placement import OWN_PART, TokenNeed
+from pondhatch.placement import UNSHARED_PART, TokenNeed
 from pondhatch.requests._messages import RequestHead
 from pondhatch.requests._questions import Question
 
@@ -23,7 +23,7 @@
     parts = [(_key(part_id), tokens) for part_id, tokens in shared if tokens > 0]
     own = head.prompt_tokens - sum(tokens for _, tokens in parts)
     if own > 0:
-        parts.append((OWN_PART, own))
+        parts.append((UNSHARED_PART, own))
     return TokenNeed(head.answer_tokens, tuple(parts))
 
 
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -7,7 +7,7 @@
 
 from msgspec.structs import replace
 
-from pondhatch.placement import Closed, Granted, is_allowed
+from pondhatch.placement import ClosedReason, Granted, is_region_allowed
 from pondhatch.requests._crash_guard import NO_WATCH, QUARANTINED, RequestWatch
 from pondhatch.requests._entry_view import EntryView, Ways
 from pondhatch.requests._messages import BodySource, Opened, ReplayableBody, RequestHead
@@ -31,7 +31,7 @@
 }
 
 #: Codes of tries that were given up right before their first byte went out.
-CLOSED = frozenset(Closed)
+CLOSED = frozenset(ClosedReason)
 #: Codes of tries of which no byte went out.
 NOT_SENT = frozenset({*CLOSED, "upstream-unreachable"})
 
@@ -191,7 +191,7 @@
         former = self._view.former_home(head.service, self._chat)
         for holder in (self.context_at, last, former, self.settled):
             known = self._view.target(holder) if holder not in (None, target.name) else None
-            if known is not None and is_allowed(known.intake.region, head.regions):
+            if known is not None and is_region_allowed(known.intake.region, head.regions):
                 return known.url.removeprefix("http://")
         return ""
 
