--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -18,9 +18,10 @@
     CLOSING,
     NO_REST,
     OPEN,
-    Closed,
+    ClosedReason,
     ColdAllowance,
-    ColdPaces,
+    ColdPacer,
+    ContextLocations,
     Gate,
     Granted,
     Health,
@@ -28,10 +29,9 @@
     Notice,
     Notices,
     Regions,
-    SpillMemory,
     admission_ceiling,
-    id_of,
     name_of_start,
+    upstream_id_of,
     winner,
 )
 from pondhatch.placement._gate import EngineCount
@@ -239,11 +239,11 @@
         resuming = "X-Resume" in dict(head.headers)
         self._history.sends_to_leaving += target.name in self._leaving and not resuming
         request = head.request_id.split(".")[0]
-        self._history.sends.append((request, id_of(target.name)))
+        self._history.sends.append((request, upstream_id_of(target.name)))
         self._history.sent_at.append(asyncio.get_running_loop().time())
         fault = self._script.next()
         await asyncio.sleep(0.01)
-        engine = self.start_by_id.get(id_of(target.name), target.name)
+        engine = self.start_by_id.get(upstream_id_of(target.name), target.name)
         if engine in self.rests:
             fault = EngineRefusal.OVERLOADED
         elif not self.has_place(engine):
@@ -293,7 +293,7 @@
         """Break off what runs at an engine; from now on another start answers in its place."""
         for stream in self._streams_by_engine.pop(engine, []):
             stream.break_off()
-        self.start_by_id[id_of(engine)] = start
+        self.start_by_id[upstream_id_of(engine)] = start
 
     def has_place(self, engine: str) -> bool:
         """Return whether an engine can run one more request now."""
@@ -364,7 +364,7 @@
         if now - self.freed_at.get(engine, -math.inf) < KNOWN_AFTER:
             return False
         # A copy, since a gate counts what it grants.
-        verdict = Gate(dict(self.by_engine)).ask(engine, now, BOUND, others, engines, 8)
+        verdict = Gate(dict(self.by_engine)).try_grant(engine, now, BOUND, others, engines, 8)
         return isinstance(verdict, Granted)
 
 
@@ -426,8 +426,8 @@
         """Do nothing: the walk goes on."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
-        closed = {e: self._intake(e).closed_to(regions) for e in self.engines}
-        return tuple(e for e in self.engines if closed[e] in (None, Closed.RESTING))
+        closed = {e: self._intake(e).closed_reason(regions) for e in self.engines}
+        return tuple(e for e in self.engines if closed[e] in (None, ClosedReason.RESTING))
 
     def _intake(self, engine: str) -> Intake:
         """Return what an engine takes, by what it said to this router as well."""
@@ -453,9 +453,9 @@
         self.view = View(fleet, name)
         self.gate = NotedGate(note=fleet.loads.granted)
         self.health = Health()
-        self.cold_paces = ColdPaces(COLD_ALLOWANCE, share=1.0)
+        self.cold_paces = ColdPacer(COLD_ALLOWANCE, fleet_share=1.0)
         self.owner = LocalOwner(
-            name, self.view, self.gate, SpillMemory(), clock, self.health, self.cold_paces
+            name, self.view, self.gate, ContextLocations(), clock, self.health, self.cold_paces
         )
         self._tasks = Tasks()
         self.entry = EntryGrants(
@@ -506,8 +506,8 @@
     def _hear(self, engine: str, notice: Notice) -> None:
         now = asyncio.get_running_loop().time()
         self.heard.append((engine, notice, now))
-        if self._router.view.notices.hear(engine, notice, now, is_start_known=True):
-            self._router.gate.rests(engine, now, notice.rest)
+        if self._router.view.notices.record(engine, notice, now, is_start_known=True):
+            self._router.gate.record_rest(engine, now, notice.rest)
 
 
 class NotedWalk(Walk):
@@ -560,7 +560,7 @@
     def start_again(self, at: int, start: int) -> None:
         """Have an engine start again under its id; no router knows of that yet."""
         before = self.engines[at]
-        name = name_of_start(id_of(before), start)
+        name = name_of_start(upstream_id_of(before), start)
         for router in self.routers.values():
             router.view.known = router.view.engines
         self.engines = (*self.engines[:at], name, *self.engines[at + 1 :])
@@ -680,12 +680,12 @@
         """Return whether an engine has a place that its owner would grant by what it was told."""
         owner = self.routers[winner(engine, self.live) or ""]
         known = owner.health.health_by_upstream.get(engine)
-        if not self.upstreams.has_place(engine) or (known and known.is_taken_for_down):
+        if not self.upstreams.has_place(engine) or (known and known.is_marked_down):
             return False
         # A line is served in order: one that knows of less work elsewhere, and so of a lower
         # ceiling, holds up those behind it.
         told = [each.told[engine] for each in self._walks if engine in each.told]
-        others = min(told, default=walk.plan.seen_elsewhere(engine))
+        others = min(told, default=walk.plan.in_flight_seen_elsewhere(engine))
         return owner.gate.has_room(engine, others, len(self.engines))
 
 
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -10,7 +10,7 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.membership import short_id
 from pondhatch.placement import Granted, winner
-from pondhatch.placement._health import FAILURES, FIRST_PASSED_OVER, FIRST_PAUSE
+from pondhatch.placement._health import FAILURES_UNTIL_DOWN, FIRST_AILING_PAUSE, FIRST_PAUSE
 from pondhatch.requests import Busy, Ended, NotOwner, NotRun, OwnerReply, Question, Release
 from pondhatch.requests._grant_packets import DeclinedWord, GrantedWord, GrantPacket
 from pondhatch.requests._leases import LEASE_SECONDS
@@ -68,8 +68,8 @@
             fleet.known_leaving.add(ENGINE)
             leaving = self.alone(fleet)
             fleet.known_leaving.clear()
-            for _ in range(FAILURES):
-                fleet.routers[self.entry].entry.local._health.failed(ENGINE, 0.0)
+            for _ in range(FAILURES_UNTIL_DOWN):
+                fleet.routers[self.entry].entry.local._health.record_failure(ENGINE, 0.0)
             return leaving, self.alone(fleet)
 
         codes = [reply.code for reply in run_virtually(main()) if isinstance(reply, NotRun)]
@@ -204,8 +204,8 @@
 
         async def main() -> tuple[list[type], int]:
             fleet = Fleet([], [], False)
-            for _ in range(FAILURES):
-                fleet.routers[self.owner].entry.local._health.failed(ENGINE, 0.0)
+            for _ in range(FAILURES_UNTIL_DOWN):
+                fleet.routers[self.owner].entry.local._health.record_failure(ENGINE, 0.0)
             await asyncio.sleep(FIRST_PAUSE + 0.1)
             asked = question(fleet, self.entry)
             words: list[GrantPacket] = []
@@ -329,7 +329,7 @@
         async def main() -> OwnerReply:
             fleet = Fleet([], [], False)
             await self.fail_much(fleet)
-            await asyncio.sleep(FIRST_PASSED_OVER)
+            await asyncio.sleep(FIRST_AILING_PAUSE)
             return await self.ask(fleet)
 
         self.assertIsInstance(run_virtually(main()), Granted)
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -137,7 +137,7 @@
             sent = [fleet.request_later(at, True, False, after) for at, after in enumerate(starts)]
             await asyncio.gather(freeze(), *sent)
             most = {each: most_in_a_second(sends_to(fleet, each)) for each in fleet.engines[:cold]}
-            bears = COLD_ALLOWANCE.most(PACE)
+            bears = COLD_ALLOWANCE.max_per_second(PACE)
             return [f"{each} got {n} in a second" for each, n in most.items() if n > bears]
 
         self.assertEqual(run_virtually(history()), [])
--- a/pondhatch/requests/tests/test_lines.py
+++ b/pondhatch/requests/tests/test_lines.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.placement import Full, Granted, Verdict
+from pondhatch.placement import Full, GateDecision, Granted
 from pondhatch.requests import Question
 from pondhatch.requests._lines import LINE_LIMIT, Lines
 
@@ -27,13 +27,13 @@
     def give_back(self, engine: str) -> None:
         self.returned += 1
 
-    def ask(self) -> Verdict:
+    def ask(self) -> GateDecision:
         if self.free == 0:
             return FULL
         self.free -= 1
         return Granted(2, 2)
 
-    def wait(self, asked: Question = ASKED) -> asyncio.Task[Verdict]:
+    def wait(self, asked: Question = ASKED) -> asyncio.Task[GateDecision]:
         return asyncio.ensure_future(self.lines.wait(asked, FULL, self.ask))
 
     def release(self) -> None:
@@ -43,7 +43,7 @@
 
 class LinesTest(unittest.TestCase):
     def test_a_freed_slot_goes_to_who_waits(self) -> None:
-        async def main() -> tuple[Verdict, int]:
+        async def main() -> tuple[GateDecision, int]:
             engine = Engine()
             waiting = engine.wait()
             await asyncio.sleep(0.1)
@@ -54,7 +54,7 @@
 
     # An engine was granted to nobody any more: whoever left took out the place of another.
     def test_who_joins_as_the_last_ones_leave_keeps_its_place(self) -> None:
-        async def main() -> tuple[Verdict, Verdict, int]:
+        async def main() -> tuple[GateDecision, GateDecision, int]:
             engine = Engine()
             first, second = engine.wait(), engine.wait()
             await asyncio.sleep(0.1)
@@ -70,7 +70,7 @@
         self.assertEqual(run_virtually(main()), (Granted(2, 2), Granted(2, 2), 0))
 
     def test_patience_ends(self) -> None:
-        async def main() -> tuple[Verdict, float]:
+        async def main() -> tuple[GateDecision, float]:
             verdict = await Engine().wait()
             return verdict, asyncio.get_running_loop().time()
 
@@ -91,7 +91,7 @@
         self.assertEqual(run_virtually(main()), 1)
 
     def test_a_full_line_refuses_its_own_kind_and_makes_room_for_the_urgent(self) -> None:
-        async def main() -> tuple[list[Verdict], Verdict]:
+        async def main() -> tuple[list[GateDecision], GateDecision]:
             engine = Engine()
             waiting = [engine.wait() for _ in range(LINE_LIMIT)]
             await asyncio.sleep(0.01)
@@ -106,7 +106,7 @@
         self.assertEqual((refused, urgent), ([FULL, FULL], Granted(2, 2)))
 
     def test_who_cannot_be_served_in_time_is_refused_at_once(self) -> None:
-        async def main() -> tuple[Verdict, float]:
+        async def main() -> tuple[GateDecision, float]:
             engine = Engine()
             patient = msgspec.structs.replace(ASKED, patience=9000)
             waiting = [engine.wait(patient) for _ in range(6)]
@@ -124,7 +124,7 @@
         self.assertEqual(run_virtually(main()), (FULL, 0.0))
 
     def test_a_quiet_account_is_not_refused_for_the_line_of_a_loud_one(self) -> None:
-        async def main() -> tuple[Verdict, float]:
+        async def main() -> tuple[GateDecision, float]:
             engine = Engine()
             loud = msgspec.structs.replace(ASKED, patience=60_000)
             waiting = [engine.wait(loud) for _ in range(LINE_LIMIT)]
@@ -148,7 +148,7 @@
         self.assertAlmostEqual(spent, 0.5, places=2)
 
     def test_a_long_idle_time_says_nothing_of_an_engines_pace(self) -> None:
-        async def main() -> Verdict:
+        async def main() -> GateDecision:
             engine = Engine()
             for pause in (60.0, 60.0, 0.0):
                 engine.release()
--- a/pondhatch/requests/tests/test_notice_histories.py
+++ b/pondhatch/requests/tests/test_notice_histories.py
@@ -15,7 +15,7 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import Notice
-from pondhatch.placement._health import FAILURES
+from pondhatch.placement._health import FAILURES_UNTIL_DOWN
 from pondhatch.requests import NotRun
 from pondhatch.requests._entry import FULL_RETRY_AFTER
 from pondhatch.requests._leases import LEASE_SECONDS
@@ -128,8 +128,8 @@
             await asyncio.sleep(0.1)  # What the answer tells its owner is on its way.
             for router in fleet.routers.values():
                 for engine in ("e1", "e2"):
-                    for _ in range(FAILURES):
-                        router.health.failed(engine, asyncio.get_running_loop().time())
+                    for _ in range(FAILURES_UNTIL_DOWN):
+                        router.health.record_failure(engine, asyncio.get_running_loop().time())
             for number in (3, 6, 9):
                 await fleet.request(number, True, False)
             return fleet.history.outcome_by_request["q9"]
--- a/pondhatch/requests/tests/test_own_failures.py
+++ b/pondhatch/requests/tests/test_own_failures.py
@@ -11,7 +11,7 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import ranked
-from pondhatch.placement._health import AILING_SHARE, ERROR_WEIGHT
+from pondhatch.placement._health import AILING_ERROR_RATE, ERROR_WEIGHT
 from pondhatch.requests import EngineRefusal, Whole
 from pondhatch.requests.tests._history import FAILED, FAILED_ANSWER, Fleet, answer_of, violations
 
@@ -65,7 +65,7 @@
     def test_an_answer_that_was_given_up_for_another_still_speaks_against_its_upstream(
         self,
     ) -> None:
-        enough = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_SHARE)
+        enough = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_ERROR_RATE)
 
         async def main() -> tuple[Fleet, str]:
             fleet = Fleet([FAILED, "none"] * enough, [], False)
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -11,11 +11,11 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import (
     OPEN,
+    ContextLocations,
     Gate,
     Granted,
     Health,
     ReleaseInterval,
-    SpillMemory,
     TokenCounts,
 )
 from pondhatch.requests import LocalOwner, Question, Target
@@ -55,7 +55,7 @@
 
 class GrantedAheadTest(unittest.TestCase):
     def setUp(self) -> None:
-        memory, health = SpillMemory(), Health()
+        memory, health = ContextLocations(), Health()
         self.owner = LocalOwner("r0", OneEngine(), Gate(), memory, lambda: 1.0, health)
         self.owner._lines._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
@@ -91,7 +91,7 @@
             with self.subTest(name):
                 gate = Gate()
                 view = OneEngine(pace=250)
-                owner = LocalOwner("r0", view, gate, SpillMemory(), lambda: 1.0, Health())
+                owner = LocalOwner("r0", view, gate, ContextLocations(), lambda: 1.0, Health())
                 for _ in range(3):
                     gate.adopt(ENGINE)
                 question = replace(Question(1, 1, ENGINE, "a", 0, 5), **said)
@@ -106,7 +106,7 @@
             counts = TokenCounts()
             view = OneEngine(memory=10_000)
             owner = LocalOwner(
-                "r0", view, Gate(), SpillMemory(), lambda: 1.0, Health(), tokens=counts
+                "r0", view, Gate(), ContextLocations(), lambda: 1.0, Health(), tokens=counts
             )
             owner.decide(Question(1, 1, ENGINE, "a", 0, 5, tokens=100))
             false = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -6,9 +6,9 @@
 import unittest
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.placement import Closed, Granted, Intake, Rest, ranked
-from pondhatch.placement._gate import FULL_SECONDS
-from pondhatch.placement._health import AILING_SHARE, ERROR_WEIGHT, FAILURES
+from pondhatch.placement import ClosedReason, Granted, Intake, Rest, ranked
+from pondhatch.placement._gate import FULL_LIFETIME
+from pondhatch.placement._health import AILING_ERROR_RATE, ERROR_WEIGHT, FAILURES_UNTIL_DOWN
 from pondhatch.requests import (
     Busy,
     Ended,
@@ -34,7 +34,7 @@
 DECLINED = EngineRefusal.DECLINED
 OVERLOADED = EngineRefusal.OVERLOADED
 #: Refusals or failures in a row from which an engine is ailing.
-ENOUGH = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_SHARE)
+ENOUGH = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_ERROR_RATE)
 
 
 class RequestTest(unittest.TestCase):
@@ -123,7 +123,7 @@
             at_once = await self.ask_among_many(fleet)
             await self.end_one(fleet, Ended.ANSWERED)
             in_its_place = await self.ask_among_many(fleet)
-            await asyncio.sleep(FULL_SECONDS)
+            await asyncio.sleep(FULL_LIFETIME)
             return [at_once, in_its_place, await self.ask_among_many(fleet)]
 
         self.assertEqual(run_virtually(main())[:2], [Busy(2, 2), Granted(2, 2)])
@@ -137,11 +137,11 @@
             return await fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
 
         for rest, insist, code in (
-            (Rest(of_some=1.0), False, AILING),
-            (Rest(of_some=1.0), True, ""),
+            (Rest(for_some_routers=1.0), False, AILING),
+            (Rest(for_some_routers=1.0), True, ""),
             # Its own rest binds the owner where it sends, not where it grants.
-            (Rest(own=1.0), False, ""),
-            (Rest(own=1.0, of_all=1.0), True, Closed.RESTING),
+            (Rest(for_this_router=1.0), False, ""),
+            (Rest(for_this_router=1.0, for_all_routers=1.0), True, ClosedReason.RESTING),
         ):
             with self.subTest(rest=rest, insist=insist):
                 reply = run_virtually(main(rest, insist))
@@ -182,7 +182,7 @@
         rows = (
             # what its requests told, how often before it gets none, and what is said then
             (Ended.LEAVING, 1, AILING),
-            (Ended.FAILED, FAILURES, "upstream-down"),
+            (Ended.FAILED, FAILURES_UNTIL_DOWN, "upstream-down"),
             (Ended.ERRED, ENOUGH, AILING),
         )
         for ended, times, code in rows:
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -13,7 +13,7 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.limits import RetryBudget
-from pondhatch.placement import Ask, Full, Granted, Line, Plan, ReleaseInterval, RetrySchedule
+from pondhatch.placement import Ask, FairQueue, Full, Granted, Plan, ReleaseInterval, RetrySchedule
 from pondhatch.placement._forecast import LONGEST_RETRY_AFTER
 from pondhatch.requests import (
     AnswerDeadlines,
@@ -273,34 +273,34 @@
     def test_the_least_loaded_engine_goes_by_the_mean_of_those_seen(self) -> None:
         plan = Plan("c", [f"e{at}" for at in range(30)])
         for held in (9, 10, 11, 9, 10, 11, 9, 10, 11, 8, 10, 12):
-            self.assertIsInstance(plan.next(), Ask)
-            plan.full(held, held)
+            self.assertIsInstance(plan.next_step(), Ask)
+            plan.record_owner_full(held, held)
         least = plan.queue_engines(4)[0]
         self.assertEqual(plan.in_flight_by_engine[least], 8)
-        self.assertEqual(plan.estimated_elsewhere(least, 30), 120 * 30 // 12 - 8)
-        self.assertEqual(plan.estimated_elsewhere(plan.queue_engines(4)[1], 30), 0)
+        self.assertEqual(plan.estimate_elsewhere(least, 30), 120 * 30 // 12 - 8)
+        self.assertEqual(plan.estimate_elsewhere(plan.queue_engines(4)[1], 30), 0)
 
     def test_a_cold_engine_or_too_few_say_nothing_of_the_mean(self) -> None:
         for engines, is_cold in ((7, False), (9, True)):
             with self.subTest(engines=engines):
                 plan = Plan("c", [f"e{at}" for at in range(engines)])
-                while isinstance(ask := plan.next(), Ask) and not ask.last:
-                    plan.full(9, 9, is_cold)
-                self.assertEqual(plan.estimated_elsewhere(plan.queue_engines(1)[0], 30), 0)
+                while isinstance(ask := plan.next_step(), Ask) and not ask.is_last:
+                    plan.record_owner_full(9, 9, is_cold)
+                self.assertEqual(plan.estimate_elsewhere(plan.queue_engines(1)[0], 30), 0)
 
 
 class RuleTest(unittest.TestCase):
     """The rules by which a queue is ordered, bounded and left, each by itself."""
 
     def test_late_requests_come_after_those_in_time_and_before_the_less_urgent(self) -> None:
-        line = Line(10)
+        line = FairQueue(10)
         for account, priority, until in (("late", 5, 1.0), ("less", 7, 9.0), ("in time", 5, 9.0)):
-            line.join(account, priority, 1.0, until, queues=2)
-        line.pass_time(1.0)
+            line.join(account, priority, 1.0, until, queue_count=2)
+        line.advance_time(1.0)
         order = []
         while (ticket := line.first()) is not None:
             order.append(ticket.account)
-            line.served(ticket)
+            line.mark_served(ticket)
         self.assertEqual(order, ["in time", "late", "less"])
 
     def test_refused_callers_are_told_times_that_lie_one_free_place_apart(self) -> None:
--- a/pondhatch/router/_admission.py
+++ b/pondhatch/router/_admission.py
@@ -8,7 +8,7 @@
 
 from pondhatch.configuration import AccountPolicy, RouteSpec
 from pondhatch.limits import Limited
-from pondhatch.placement import Regions, both
+from pondhatch.placement import Regions, common_regions
 from pondhatch.requests import NotRun
 from pondhatch.router._state import RouterState
 
@@ -113,7 +113,7 @@
         if isinstance(policy, NotRun):
             return policy
         priority, weight = policy.priority, policy.weight
-        regions = both(route.regions, policy.regions)
+        regions = common_regions(route.regions, policy.regions)
     return Admitted(
         service=service,
         priority=route.priority if priority is None else priority,
--- a/pondhatch/router/_beliefs.py
+++ b/pondhatch/router/_beliefs.py
@@ -162,7 +162,7 @@
         return [Believed("health", name, now, why=why) for name, now, why in changed]
 
     def _upstreams_notices(self) -> list[Believed]:
-        in_force = self.state.notices.in_force(self.state.clock())
+        in_force = self.state.notices.current(self.state.clock())
         said = {name: _told(notice) for name, notice in in_force.items()}
         if said == self._said:
             return []
--- a/pondhatch/router/_crash_guarding.py
+++ b/pondhatch/router/_crash_guarding.py
@@ -102,7 +102,7 @@
         return False
 
     def _note_end(self, digest: int, target: Target) -> None:
-        name = self.suspects.name_of_end(target.name, self._state.clock())
+        name = self.suspects.crash_name(target.name, self._state.clock())
         evidence = Evidence(digest, name, 0)
         if self._take(evidence):
             self._note(digest, "suspected", f"{name} ended while it ran it")
@@ -117,7 +117,7 @@
         return self._clear(digest, "an operator lifted its quarantine")
 
     def _clear(self, digest: int, why: str) -> bool:
-        found = self.suspects.acquit(digest, self._state.clock())
+        found = self.suspects.clear_request(digest, self._state.clock())
         if found:
             self._note(digest, "cleared", why)
             self._tell(found)
@@ -126,7 +126,7 @@
     def since_last_end(self, digest: int) -> float:
         """Return the seconds since an engine last ended under a suspected request."""
         suspect = self.suspects.suspect_by_digest[digest]
-        return self._state.clock() - suspect.last_end
+        return self._state.clock() - suspect.last_crash_at
 
     def claim(self, digest: int) -> Trial:
         """Claim to be the one that runs a request next."""
@@ -137,11 +137,11 @@
     def goes_first(self, trial: Trial) -> bool:
         """Return whether a claim's turn has come."""
         now = self._state.clock()
-        return self._trials.goes_first(trial, now, self.suspects.fell_together)
+        return self._trials.goes_first(trial, now, self.suspects.share_crash)
 
     def end(self, trial: Trial) -> None:
         """Give a claim up."""
-        self._trials.ended(trial)
+        self._trials.remove(trial)
         self._send_all(TrialPacket(trial, has_ended=True))
 
     def receive(self, payload: bytes) -> None:
@@ -154,9 +154,9 @@
             for evidence in packet.evidence:
                 self._take(evidence)
         elif packet.has_ended:
-            self._trials.ended(packet.trial)
+            self._trials.remove(packet.trial)
         else:
-            self._trials.heard(packet.trial, self._state.clock())
+            self._trials.add(packet.trial, self._state.clock())
 
     def tick(self) -> None:
         """Do what is due each round."""
@@ -169,9 +169,9 @@
     def _take(self, evidence: Evidence) -> bool:
         """Take in evidence, and record a verdict that follows from it."""
         was_quarantined = self.is_quarantined(evidence.digest)
-        is_news = self.suspects.take(evidence, self._state.clock())
+        is_news = self.suspects.add(evidence, self._state.clock())
         if is_news and not was_quarantined and self.is_quarantined(evidence.digest):
-            engines = self.suspects.suspect_by_digest[evidence.digest].held_against_it()
+            engines = self.suspects.suspect_by_digest[evidence.digest].uncleared_engines()
             self._note(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
         return is_news
 
@@ -193,7 +193,7 @@
             return
         self._pushed_at = now
         others = self._others()
-        evidence = self.suspects.some_evidence(now, self._rng, EVIDENCE_IN_PACKET)
+        evidence = self.suspects.sample_evidence(now, self._rng, EVIDENCE_IN_PACKET)
         if others and evidence:
             self._send_evidence(evidence, [self._rng.choice(others)])
 
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -58,7 +58,7 @@
         # Two copies that ended an engine each in the same moment learn here that they are two.
         await asyncio.sleep(LISTEN_SECONDS - self._guard.since_last_end(self._digest))
         while not self.is_quarantined():
-            if not self._guard.suspects.may_end_another(self._digest):
+            if not self._guard.suspects.next_crash_quarantines(self._digest):
                 return None
             if await self._has_turn():
                 return None
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -131,14 +131,14 @@
             ],
             "upstreams_notices": [
                 {"name": name, "leaving": notice.is_leaving, "rest_seconds": round(notice.rest, 3)}
-                for name, notice in sorted(state.notices.in_force(now).items())
+                for name, notice in sorted(state.notices.current(now).items())
             ],
             "upstreams_paces": [
                 {"name": name, "pace": known.pace, "age_seconds": round(now - known.read_at, 3)}
-                for name, known in sorted(state.paces.in_force(now).items())
+                for name, known in sorted(state.paces.current(now).items())
             ],
             "upstreams_failing": [
-                {"name": name, "failures": health.failures} for name, health in down
+                {"name": name, "failures": health.consecutive_failures} for name, health in down
             ],
         }
 
@@ -208,15 +208,17 @@
         state = self.view(RouterState)
         now = state.clock()
         known = state.suspects.suspect_by_digest.items()
-        shown = sorted(known, key=lambda item: (-state.suspects.ends(item[0]), -item[1].last_end))
+        shown = sorted(
+            known, key=lambda item: (-state.suspects.crash_count(item[0]), -item[1].last_crash_at)
+        )
         return {
             "requests_that_end_engines": [
                 {
                     "digest": f"{digest:x}",
                     "quarantined": state.suspects.is_quarantined(digest, now),
-                    "ended": suspect.held_against_it(),
+                    "ended": suspect.uncleared_engines(),
                     "cleared_of": sorted(suspect.cleared),
-                    "last_end_seconds_ago": round(now - suspect.last_end, 1),
+                    "last_end_seconds_ago": round(now - suspect.last_crash_at, 1),
                 }
                 for digest, suspect in shown[:SHOWN_SUSPECTS]
             ]
@@ -260,12 +262,12 @@
                     "name": name,
                     "tokens": count.used,
                     "requests": len(count.need_by_request),
-                    "long_prompts": count.long_prompts(now),
+                    "long_prompts": count.count_long_prefills(now),
                     "reserved": count.reservation is not None,
                 }
                 for name, count in sorted(state.tokens.by_engine.items())
             ],
-            "memory_refusals": state.tokens.refused,
+            "memory_refusals": state.tokens.refusals,
         }
 
 
--- a/pondhatch/router/_granting.py
+++ b/pondhatch/router/_granting.py
@@ -106,7 +106,7 @@
         return [name for name in now if now[name] - known.get(name, now[name]) >= RESTART_STEP]
 
     def _send_to(self, router: str, packet: GrantPacket) -> None:
-        address = self._state.gossip.address(router)
+        address = self._state.gossip.address_of(router)
         if address is not None:
             self._send_packet(address, packet)
 
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pondhatch.placement import Closed, Intake, Regions
+from pondhatch.placement import ClosedReason, Intake, Regions
 from pondhatch.store import Evacuations, EvacuationUpdate, Listed, WatchEvent
 
 #: Seconds after an evacuation in which the hall's upstreams count as cold. They may have turned
@@ -26,10 +26,10 @@
         """Return a hall's region, empty where nobody says."""
         return self.region_by_hall.get(hall, "")
 
-    def closed(self, hall: str, regions: Regions) -> Closed | None:
+    def closed(self, hall: str, regions: Regions) -> ClosedReason | None:
         """Return why a hall's upstreams may not get new requests bound to some regions."""
         intake = Intake(is_evacuated=self.evacuations.is_evacuated(hall), region=self.region(hall))
-        return intake.closed_to(regions)
+        return intake.closed_reason(regions)
 
     def just_opened(self, hall: str, now: float) -> bool:
         """Return whether a hall was evacuated until a moment ago."""
--- a/pondhatch/router/_introduction.py
+++ b/pondhatch/router/_introduction.py
@@ -84,7 +84,7 @@
 
     def _addresses(self, listed: Listed) -> Iterator[Address]:
         """Yield where listed routers are reached; one of whom that cannot be read is left out."""
-        own_host = self._gossip.membership.own.host
+        own_host = self._gossip.membership.own_record.host
         for each in listed.objects:
             address = _address(each, own_host)
             if address is not None:
--- a/pondhatch/router/_notice_keeping.py
+++ b/pondhatch/router/_notice_keeping.py
@@ -20,7 +20,7 @@
 
 from pondhatch.kernel import without_defaults
 from pondhatch.membership import Datagram, Member
-from pondhatch.placement import MOST_PACE, Notice
+from pondhatch.placement import MAX_PACE, Notice
 from pondhatch.requests import NotRun, RequestHead, open_target
 from pondhatch.router._newcomers import Newcomers
 from pondhatch.router._pace_reports import PaceReports
@@ -49,7 +49,7 @@
     #: Whether it has places all the same.
     has_places: bool = False
     #: Its processing time in percent of usual; 0, and left out, where nothing is told of it.
-    pace: Annotated[int, msgspec.Meta(ge=0, le=MOST_PACE)] = 0
+    pace: Annotated[int, msgspec.Meta(ge=0, le=MAX_PACE)] = 0
 
 
 class NoticePacket(msgspec.Struct, frozen=True, array_like=True, tag=70):
@@ -102,7 +102,7 @@
         """Do what is due each round."""
         self._packets_left = min(SAVED_PACKETS, self._packets_left + REST_PACKETS_A_ROUND)
         self._pace_reports.tick(self._state.clock())
-        in_force = self._state.notices.in_force(self._state.clock())
+        in_force = self._state.notices.current(self._state.clock())
         fresh, self._fresh = self._fresh, set()
         self._tell({name: in_force[name] for name in fresh if name in in_force})
         self._send_notices(in_force, self._newcomers.to_tell(bool(in_force)))
@@ -131,7 +131,7 @@
     def _tell_of_rest(self, upstream: str, notice: Notice) -> None:
         """Tell the owner of an upstream that rests, then those whose upstreams carry its load."""
         owner = self._state.owner_name(upstream)
-        beside = set() if notice.has_places else self._state.owners_beside(upstream)
+        beside = set() if notice.has_free_slots else self._state.owners_beside(upstream)
         concerned = beside - {owner}
         others = [each for each in self._others() if each.name in concerned]
         told = others[: self._packets_left]
@@ -155,7 +155,7 @@
         if not to:
             return
         told = [
-            ToldNotice(name, notice.is_leaving, round(notice.rest, 3), notice.has_places)
+            ToldNotice(name, notice.is_leaving, round(notice.rest, 3), notice.has_free_slots)
             for name, notice in notice_by_upstream.items()
         ]
         self._send_told(told, to)
--- a/pondhatch/router/_pooled_engines.py
+++ b/pondhatch/router/_pooled_engines.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from pondhatch.placement import CONSIDERED, Granted, RecentLoads, pooled_first
+from pondhatch.placement import CANDIDATES, Granted, RecentLoads, pooled_first
 from pondhatch.requests import Busy, OwnerReply
 from pondhatch.router._state import RouterState
 
@@ -22,7 +22,7 @@
         """Return the engines of an order to ask first; see EnginePreference."""
         if not self._state.load_managed():
             return ()
-        engines = order[:CONSIDERED]
+        engines = order[:CANDIDATES]
         pooled = {name for name in engines if self._has_connection(name)}
         if not pooled:
             return ()
@@ -38,7 +38,7 @@
             return
         # A grant counts the request that it was given to.
         others = reply.in_flight - isinstance(reply, Granted)
-        self._loads.note(engine, others, self._state.clock())
+        self._loads.record(engine, others, self._state.clock())
 
     def _has_connection(self, engine: str) -> bool:
         upstream = self._state.upstreams.upstream(engine)
@@ -49,4 +49,4 @@
         now = self._state.clock()
         if self._state.owner_name(engine) == self._state.name:
             return self._state.gate.in_flight(engine, now)
-        return self._loads.known(engine, now)
+        return self._loads.load_of(engine, now)
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -29,16 +29,16 @@
     watchers,
 )
 from pondhatch.placement import (
-    ColdPaces,
+    ColdPacer,
+    ContextLocations,
     EnginePaces,
     Gate,
     Health,
     Notice,
     Notices,
     Regions,
-    SpillMemory,
     TokenCounts,
-    is_allowed,
+    is_region_allowed,
     ranked,
     winner,
 )
@@ -93,12 +93,12 @@
     #: What is known of data halls: their regions, and which are evacuated.
     halls: HallStates = field(default_factory=HallStates)
     gate: Gate = field(default_factory=Gate)
-    cold_paces: ColdPaces = field(default_factory=ColdPaces)
+    cold_paces: ColdPacer = field(default_factory=ColdPacer)
     #: Tokens that requests hold at the engines that this router owns.
     tokens: TokenCounts = field(default_factory=TokenCounts)
-    memory: SpillMemory = field(default_factory=SpillMemory)
+    memory: ContextLocations = field(default_factory=ContextLocations)
     #: Which engine answered a chat last through this router.
-    served: SpillMemory = field(default_factory=SpillMemory)
+    served: ContextLocations = field(default_factory=ContextLocations)
     keys: KeyTable = field(default_factory=KeyTable)
     health: Health = field(default_factory=Health)
     #: Requests under which engines ended.
@@ -196,7 +196,9 @@
         names = self.live_routers()
         if regions is not None:
             hall = {member.name: member.hall for member in self._members}
-            names = tuple(n for n in names if is_allowed(self.halls.region(hall[n]), regions))
+            names = tuple(
+                n for n in names if is_region_allowed(self.halls.region(hall[n]), regions)
+            )
         return ranked(f"key:{key}", names)
 
     def live_routers(self) -> tuple[str, ...]:
@@ -205,7 +207,7 @@
 
     def unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
-        self.gossip.unreachable(name, self.clock())
+        self.gossip.mark_unreachable(name, self.clock())
         self.refresh()
 
     def is_reachable(self, name: str) -> bool:
@@ -214,7 +216,7 @@
 
     def heard_from(self, name: str) -> None:
         """Note a word of a router that could not be reached for a while."""
-        self.gossip.heard_from(name)
+        self.gossip.mark_reachable(name)
         self.refresh()
 
     def is_watcher(self) -> bool:
@@ -358,23 +360,23 @@
         """
         now = self.clock()
         if notice.pace > 0:
-            self.paces.hear(upstream, notice.pace, now)
+            self.paces.record(upstream, notice.pace, now)
             if is_own:
                 self.pace_read_at = now
             if not notice:
                 return False
         known = self._intakes.upstream(upstream)
         is_start_known = known is not None and known.start > 0
-        is_news = self.notices.hear(upstream, notice, now, is_start_known, is_own)
-        if is_news and notice.rest > 0 and not notice.has_places:
-            self.gate.rests(upstream, now, notice.rest)
+        is_news = self.notices.record(upstream, notice, now, is_start_known, is_own)
+        if is_news and notice.rest > 0 and not notice.has_free_slots:
+            self.gate.record_rest(upstream, now, notice.rest)
         if is_news and notice.is_leaving:
             self._intakes.forget()
         return is_news
 
     def hear_staying(self, upstream: str) -> None:
         """Take in an upstream's own late report that it is not leaving."""
-        if self.notices.reports_staying(upstream, self.clock()):
+        if self.notices.record_live_report(upstream, self.clock()):
             self._intakes.forget()
 
     def owners_beside(self, engine: str) -> set[str]:
@@ -389,7 +391,7 @@
         if upstream is None:
             return 0
         now = self.clock()
-        heard = self.gossip.load_elsewhere(upstream.service, now)
+        heard = self.gossip.in_flight_elsewhere(upstream.service, now)
         own = self.owned_by_service().get(upstream.service, ())
         return heard + self.gate.total(tuple(name for name in own if name != engine), now)
 
@@ -397,7 +399,7 @@
         """Return the requests in flight at a service's engines, by engine."""
         now, engines = self.clock(), len(self.live_upstreams(service))
         own = self.owned_by_service().get(service, ())
-        total = self.gossip.load_elsewhere(service, now) + self.gate.total(own, now)
+        total = self.gossip.in_flight_elsewhere(service, now) + self.gate.total(own, now)
         return total / max(1, engines)
 
     # -- configuration ------------------------------------------------------
@@ -509,13 +511,13 @@
         if self._upstream_changes.settle(self.clock()):
             self.upstreams_changed()
         self._halls_changed(self.halls.settle(self.clock()))
-        self.paces.forget_old(self.clock())
-        if self.notices.forget_old(self.upstreams.entry_by_name, self.clock()):
+        self.paces.drop_expired(self.clock())
+        if self.notices.drop_expired(self.upstreams.entry_by_name, self.clock()):
             self._intakes.forget()
         self.refresh()
         self.retries.set_routers(len(self.live_routers()), self.clock())
         is_alone = self.clock() - self._started_at < ALONE_SECONDS
-        self.cold_paces.share = 0.0 if is_alone else self.retries.routers.share
+        self.cold_paces.fleet_share = 0.0 if is_alone else self.retries.routers.share
         self.publish()
         self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
 
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -287,7 +287,7 @@
         Where all start at once, as after a power cut, nobody knows, and nobody is asked.
         """
         others = [member for member in self._state.members() if member.name != self._state.name]
-        own_start = self._state.gossip.membership.own.incarnation
+        own_start = self._state.gossip.membership.own_record.incarnation
         elders = [each for each in others if own_start - each.incarnation > ELDER_MS]
         if not elders:
             return
@@ -363,7 +363,7 @@
         to find out; where three in ten are cut off, a router that asked whoever is ahead at all
         was behind by that long again and again.
         """
-        names = set(self._state.gossip.ahead())
+        names = set(self._state.gossip.routers_ahead())
         if not names:
             return []
         ahead = [member for member in self._state.members() if member.name in names]
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -201,7 +201,7 @@
         for name in leaving_before:
             entry = self.upstreams.entry_by_name.get(name)
             if entry is not None and entry.upstream.state == LIVE:
-                self.notices.stays(name)
+                self.notices.cancel_leaving(name)
 
     def _started_again(self, ended: Upstream) -> bool:
         newest = self.upstreams.newest(ended.id)
--- a/pondhatch/router/tests/test_beliefs.py
+++ b/pondhatch/router/tests/test_beliefs.py
@@ -14,7 +14,7 @@
 from pondhatch.configuration.tests.test_fleet import account, change
 from pondhatch.observing import Believed, Record
 from pondhatch.observing._records import _sentence
-from pondhatch.placement._health import FAILURES, FIRST_PASSED_OVER
+from pondhatch.placement._health import FAILURES_UNTIL_DOWN, FIRST_AILING_PAUSE
 from pondhatch.router import Beliefs
 from pondhatch.router._beliefs import MOST_A_ROUND
 from pondhatch.router.tests.test_sync import FIRST, meet, router, syncing
@@ -98,15 +98,15 @@
         self.assertEqual(self.looked(), [("upstream", "e0", "removed", 7)])
 
     def test_an_upstreams_health(self) -> None:
-        for _ in range(FAILURES):
-            self.state.health.failed("e0", 0.0)
+        for _ in range(FAILURES_UNTIL_DOWN):
+            self.state.health.record_failure("e0", 0.0)
         self.assertEqual(self.looked(), [("health", "e0", "down", 0)])
-        self.state.health.answered("e0")
+        self.state.health.record_answer("e0")
         self.assertEqual(self.looked(), [("health", "e0", "well", 0)])
         for _ in range(5):
-            self.state.health.erred("e1", 0.0)
+            self.state.health.record_error("e1", 0.0)
         self.assertEqual(self.looked(), [("health", "e1", "ailing", 0)])
-        self.now = FIRST_PASSED_OVER
+        self.now = FIRST_AILING_PAUSE
         self.assertEqual(self.looked(), [("health", "e1", "well", 0)])
 
     def test_a_router_that_comes_and_goes(self) -> None:
--- a/pondhatch/router/tests/test_crash_guarding.py
+++ b/pondhatch/router/tests/test_crash_guarding.py
@@ -26,7 +26,7 @@
 )
 from pondhatch.observing import NoRecords
 from pondhatch.placement import OPEN
-from pondhatch.quarantine import ENDS_TO_QUARANTINE
+from pondhatch.quarantine import CRASHES_TO_QUARANTINE
 from pondhatch.requests import QUARANTINED, Target
 from pondhatch.router import CRASH_MARK, CrashGuarding, RouterState
 from pondhatch.router._crash_guarding import FIRST_PROBES, PUSH_SECONDS
@@ -205,7 +205,7 @@
         callers += [repeat_other(100 + at) for at in range(innocents)]
         await asyncio.gather(*callers)
         rounds.cancel()
-        self.assertLessEqual(len(world.ended), ENDS_TO_QUARANTINE)
+        self.assertLessEqual(len(world.ended), CRASHES_TO_QUARANTINE)
         told = [outcome for digest, outcome in world.outcomes if digest == CAUSE]
         self.assertEqual(told[-1], QUARANTINED.code)
         others = [outcome for digest, outcome in world.outcomes if digest != CAUSE]
@@ -237,7 +237,7 @@
             await asyncio.sleep(END + TRAVEL / 2)
             attempt.cancel()
             await asyncio.sleep(1.0)
-            self.assertEqual([guard.suspects.ends(CAUSE) for guard in world.guards], [1, 1])
+            self.assertEqual([guard.suspects.crash_count(CAUSE) for guard in world.guards], [1, 1])
 
         run_virtually(history())
 
@@ -246,7 +246,7 @@
             world = World(2, 3, random.Random(1), lingers=0.3)
             await world.attempt(0, CAUSE)
             await asyncio.sleep(1.0)
-            self.assertEqual([guard.suspects.ends(CAUSE) for guard in world.guards], [2, 2])
+            self.assertEqual([guard.suspects.crash_count(CAUSE) for guard in world.guards], [2, 2])
 
         run_virtually(history())
 
@@ -296,6 +296,6 @@
             world = World(1, 1, random.Random(1))
             for payload in (b"", b"\x93\x50", b"nonsense", b"\x92\x50\x91\x92\x01\x02"):
                 world.guards[0].receive(payload)
-            self.assertEqual(world.guards[0].suspects.ends(CAUSE), 0)
+            self.assertEqual(world.guards[0].suspects.crash_count(CAUSE), 0)
 
         run_virtually(history())
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -44,8 +44,8 @@
         self.assertEqual([member["capacity"] for member in self.dump({})["members"]], [1.0])
 
     def test_it_shows_each_pace_that_holds_and_its_age(self) -> None:
-        self.state.paces.hear("e0", 250, -0.2)
-        self.state.paces.hear("e1", 250, -5.0)
+        self.state.paces.record("e0", 250, -0.2)
+        self.state.paces.record("e1", 250, -5.0)
         shown = [{"name": "e0", "pace": 250, "age_seconds": 0.2}]
         self.assertEqual(self.dump({})["upstreams_paces"], shown)
 
--- a/pondhatch/router/tests/test_granting.py
+++ b/pondhatch/router/tests/test_granting.py
@@ -87,7 +87,7 @@
 
     def test_the_next_owner_is_told_as_soon_as_the_word_of_it_comes(self) -> None:
         self.peer.gossip.membership.publish(Phase.DRAINING, 0, 0)
-        self.state.gossip.membership.table.take_alive(self.peer.gossip.membership.own, 0.0)
+        self.state.gossip.membership.table.apply_alive(self.peer.gossip.membership.own_record, 0.0)
         self.state.refresh()
         self.assertEqual(self.state.owner_name(self.engine), "r0")
         self.granting.follow_members()
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -10,7 +10,7 @@
 
 from fakes._platform_in_memory import PlatformInMemory
 from pondhatch.configuration import Change, Edit, publish
-from pondhatch.placement import Closed
+from pondhatch.placement import ClosedReason
 from pondhatch.router import EVACUATION_KIND, Sync, not_ready
 from pondhatch.router._hall_states import JUST_OPENED_SECONDS
 from pondhatch.router._state import ALONE_SECONDS
@@ -79,7 +79,7 @@
         self.assertEqual(set(homes.values()), {None})
         self.evacuate("h1", 11)
         found = [self.state.closed_home("lang", chat, None) for chat in chats]
-        self.assertIn(("e0", Closed.EVACUATED.value), found)
+        self.assertIn(("e0", ClosedReason.EVACUATED.value), found)
         self.assertIn(None, found)
 
     def test_a_router_that_does_not_know_whether_any_is_refuses(self) -> None:
@@ -145,10 +145,10 @@
 
     def test_nothing_is_granted_there_before_a_router_has_met_its_peers(self) -> None:
         self.state.tick()
-        self.assertEqual(self.state.cold_paces.share, 0.0)
+        self.assertEqual(self.state.cold_paces.fleet_share, 0.0)
         self.now = ALONE_SECONDS
         self.state.tick()
-        self.assertEqual(self.state.cold_paces.share, 1.0)
+        self.assertEqual(self.state.cold_paces.fleet_share, 1.0)
 
     def test_a_router_that_misses_others_takes_the_part_of_those_it_sees(self) -> None:
         self.now = ALONE_SECONDS
@@ -158,7 +158,7 @@
         for at in range(1, 4):
             self.state.unreachable(f"r{at}")
         self.state.tick()
-        self.assertEqual(self.state.cold_paces.share, 0.25)
+        self.assertEqual(self.state.cold_paces.fleet_share, 0.25)
 
 
 class HeardOfEvacuationsTest(unittest.IsolatedAsyncioTestCase):
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -17,7 +17,7 @@
 from fakes._many_routers import ManyRouters, hall_of, listed_upstream
 from pondhatch.membership import Phase, Versions, owner_of, short_id
 from pondhatch.membership import _members as members_module
-from pondhatch.membership._records import News
+from pondhatch.membership._records import Announcement
 from pondhatch.router import _owners as owners_module
 from pondhatch.store import Listed
 
@@ -59,7 +59,7 @@
         word = table.entry_by_id[short_id("r7")].alive
         large = replace(word, incarnation=2, capacity=10.0)
         with mock.patch.object(owners_module, "owner_of", wraps=owner_of) as asked:
-            self.fleet.receive(News(short_id("r1"), Versions(), (large,)))
+            self.fleet.receive(Announcement(short_id("r1"), Versions(), (large,)))
             after = self.owners()
         self.assertEqual({call.args[1] for call in asked.call_args_list}, {hall_of(7)})
         changed = {name: after[name] for name in after if after[name] != self.owner_by_engine[name]}
--- a/pondhatch/router/tests/test_notice_keeping.py
+++ b/pondhatch/router/tests/test_notice_keeping.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from pondhatch.membership import Alive, Datagram, Gossip, MembershipLimits, Phase, short_id
-from pondhatch.placement import Closed, Granted, Notice, Rest
+from pondhatch.placement import ClosedReason, Granted, Notice, Rest
 from pondhatch.requests import RequestHead
 from pondhatch.router import NOTICE_MARK, NoticeKeeping, RouterState
 from pondhatch.router._notice_keeping import REST_PACKETS_A_ROUND
@@ -84,10 +84,10 @@
         """Return the name of an engine's start."""
         return self.states["r0"].live_upstreams("lang")[at]
 
-    def closed(self, name: str, engine: str) -> Closed | None:
+    def closed(self, name: str, engine: str) -> ClosedReason | None:
         target = self.states[name].target(engine)
         assert target is not None
-        return target.intake.closed_to(None)
+        return target.intake.closed_reason(None)
 
 
 class LeavingTest(FleetCase):
@@ -96,7 +96,7 @@
         self.keepings["r0"].heard(engine, LEAVES)
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
         for name in self.names[:3]:
-            self.assertIs(self.closed(name, engine), Closed.LEAVING)
+            self.assertIs(self.closed(name, engine), ClosedReason.LEAVING)
             self.assertNotIn(engine, self.states[name].live_upstreams("lang"))
 
     def test_it_is_told_once_more_for_a_packet_may_be_lost_and_then_no_more(self) -> None:
@@ -106,7 +106,7 @@
         self.is_lost = False
         self.keepings["r0"].tick()
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
-        self.assertIs(self.closed("r2", engine), Closed.LEAVING)
+        self.assertIs(self.closed("r2", engine), ClosedReason.LEAVING)
         for name in self.names:
             self.keepings[name].heard(engine, LEAVES)
             self.keepings[name].tick()
@@ -120,14 +120,14 @@
         for name in self.names[:3]:
             self.keepings[name].tick()
         self.deliver()
-        self.assertIs(self.closed("r3", engine), Closed.LEAVING)
+        self.assertIs(self.closed("r3", engine), ClosedReason.LEAVING)
 
     def test_the_platforms_list_does_not_open_it_and_a_new_start_is_open(self) -> None:
         engine = self.start(0)
         state = self.states["r0"]
         self.keepings["r0"].heard(engine, LEAVES)
         self.write(state, "e0", 20, slots=9)
-        self.assertIs(self.closed("r0", engine), Closed.LEAVING)
+        self.assertIs(self.closed("r0", engine), ClosedReason.LEAVING)
         self.write(state, "e0", 21, start=8)
         self.assertEqual(len(state.live_upstreams("lang")), 3)
 
@@ -144,7 +144,7 @@
         self.keepings["r0"].heard(engine, LEAVES)
         closed = self.keepings["r0"].closed(engine, HEAD)
         assert closed is not None
-        self.assertEqual(closed.code, Closed.LEAVING)
+        self.assertEqual(closed.code, ClosedReason.LEAVING)
         self.assertIsNone(self.keepings["r0"].closed(engine, replace(HEAD, resuming=True)))
 
 
@@ -156,7 +156,7 @@
         self.keepings["r0"].heard(engine, Notice(rest=3.0))
         self.assertEqual(set(self.deliver()), owners)
         for name in owners:
-            self.assertIs(self.closed(name, engine), Closed.RESTING)
+            self.assertIs(self.closed(name, engine), ClosedReason.RESTING)
             self.assertEqual(len(self.states[name].live_upstreams("lang")), 3)
         closed = self.keepings["r0"].closed(engine, HEAD)
         assert closed is not None
@@ -170,15 +170,15 @@
         owner = self.states["r0"].owner_name(engine)
         assert owner is not None
         told = next(name for name in self.names[:3] if name != owner)
-        self.keepings[told].heard(engine, Notice(rest=3.0, has_places=True))
+        self.keepings[told].heard(engine, Notice(rest=3.0, has_free_slots=True))
         self.assertEqual(self.deliver(), [owner])
-        self.assertIs(self.closed(told, engine), Closed.RESTING)
+        self.assertIs(self.closed(told, engine), ClosedReason.RESTING)
         for name in set(self.names[:3]) - {told}:
             self.assertIsNone(self.closed(name, engine))
         target = self.states[owner].target(engine)
         assert target is not None
-        self.assertEqual((target.intake.rest, target.peers), (Rest(of_some=3.0), 3))
-        self.assertIsNone(target.intake.closed_to_all())
+        self.assertEqual((target.intake.rest, target.peers), (Rest(for_some_routers=3.0), 3))
+        self.assertIsNone(target.intake.closed_reason_for_all())
 
     def test_the_others_carry_its_load(self) -> None:
         for at in range(2):
@@ -191,15 +191,15 @@
     def test_its_end_brings_no_more_than_it_held(self) -> None:
         engine, gate = self.start(0), self.states["r0"].gate
         for _ in range(4):
-            gate.ask(engine, self.now, 9.0, 0, 1)
+            gate.try_grant(engine, self.now, 9.0, 0, 1)
         self.states["r0"].hear(engine, Notice(rest=3.0))
         for _ in range(4):
             gate.release(engine)
         self.now = 3.1
-        verdicts = [gate.ask(engine, self.now, 9.0, 0, 1) for _ in range(10)]
+        verdicts = [gate.try_grant(engine, self.now, 9.0, 0, 1) for _ in range(10)]
         self.assertEqual(sum(isinstance(each, Granted) for each in verdicts), 3)
         self.now = 4.1
-        self.assertIsInstance(gate.ask(engine, self.now, 9.0, 0, 1), Granted)
+        self.assertIsInstance(gate.try_grant(engine, self.now, 9.0, 0, 1), Granted)
 
     def test_whoever_becomes_its_owner_is_told(self) -> None:
         engine, state = self.start(0), self.states["r0"]
@@ -221,4 +221,4 @@
     def test_a_packet_that_does_not_parse_is_dropped(self) -> None:
         for payload in (b"", b"\xc1", b"\x93\x46\x01"):
             self.keepings["r0"].receive(payload)
-        self.assertEqual(self.states["r0"].notices.in_force(self.now), {})
+        self.assertEqual(self.states["r0"].notices.current(self.now), {})
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -65,7 +65,9 @@
             state.load_management = "off"
         self.keepings[self.entry].heard(self.engine, SLOW)
         self.assertEqual(self.sent, [])
-        self.keepings[self.entry].heard(self.engine, Notice(rest=3.0, has_places=True, pace=250))
+        self.keepings[self.entry].heard(
+            self.engine, Notice(rest=3.0, has_free_slots=True, pace=250)
+        )
         payload = msgspec.msgpack.encode([70, [[self.engine, False, 3.0, True]]])
         self.assertEqual([each.payload for _, each in self.sent], [NOTICE_MARK + payload])
         self.assertEqual(self.states[self.entry].pace_read_at, self.now)
@@ -83,4 +85,4 @@
         told = ToldNotice("e", True, 0.0)
         self.assertEqual(msgspec.msgpack.decode(old, type=NoticePacket).notices, (told,))
         self.keepings[self.entry].receive(msgspec.msgpack.encode([70, [["e", 0, 0.0, 0, -1]]]))
-        self.assertEqual(self.states[self.entry].paces.in_force(self.now), {})
+        self.assertEqual(self.states[self.entry].paces.current(self.now), {})
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -150,7 +150,9 @@
         peers = [router(name) for name in held_by_name]
         for peer in peers:
             meet(state, peer)
-            state.gossip.membership.table.heard_from(short_id(peer.name), held_by_name[peer.name])
+            state.gossip.membership.table.record_versions(
+                short_id(peer.name), held_by_name[peer.name]
+            )
         sync = syncing(state, PlatformInMemory(), None)
         return {member.name for member in sync._ahead()}
 
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -102,9 +102,9 @@
     """Let a router hear of a peer and of what it holds."""
     peer.publish()
     table = state.gossip.membership.table
-    table.take_alive(peer.gossip.membership.own, 0.0)
+    table.apply_alive(peer.gossip.membership.own_record, 0.0)
     versions = peer.gossip.versions()[peer.name]
-    table.heard_from(short_id(peer.name), versions)
+    table.record_versions(short_id(peer.name), versions)
     state.publish()
     state.refresh()
 
@@ -577,7 +577,9 @@
 
     def takes_work(self) -> list[str]:
         targets = [self.state.target(name) for name in ("e0", "e1", "e2")]
-        return [target.name for target in targets if target is not None and target.intake.takes_new]
+        return [
+            target.name for target in targets if target is not None and target.intake.accepts_new
+        ]
 
     def test_all_that_lapse_together_serve_until_they_are_back(self) -> None:
         self.listed(2)
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -51,4 +51,4 @@
         state.hear(engine, Notice(is_leaving=True))
     else:
         state.hear_staying(engine)
-    state.gate.report(engine, state.clock(), load.running + load.waiting)
+    state.gate.record_report(engine, state.clock(), load.running + load.waiting)
--- a/pondhatch/standard/_upstreams.py
+++ b/pondhatch/standard/_upstreams.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Mapping
 
-from pondhatch.placement import NOTHING_SAID, Notice
+from pondhatch.placement import NO_NOTICE, Notice
 from pondhatch.requests import LAST_EVENT, EngineRefusal, Headers, Judged, RequestHead, Target
 from pondhatch.standard._header_owners import OWNERS
 from pondhatch.transport import NoteDropped, seconds_to_wait
@@ -79,7 +79,7 @@
         word = value_by_name.get(NOT_RUN_HEADER, "").strip().lower()
         if status == NOT_THE_ONE_STATUS or word == "not-the-one":
             # Another upstream than the one meant may have answered.
-            return NOTHING_SAID
+            return NO_NOTICE
         is_leaving = LEAVING_HEADER in value_by_name or word == "leaving"
         asked = value_by_name.get(RETRY_AFTER_HEADER)
         if asked is None or status not in OVERLOADED_STATUSES:
--- a/pondhatch/standard/tests/test_upstreams.py
+++ b/pondhatch/standard/tests/test_upstreams.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pondhatch.placement import NOTHING_SAID, Notice
+from pondhatch.placement import NO_NOTICE, Notice
 from pondhatch.requests import EngineRefusal, Judged, RequestHead
 from pondhatch.standard._upstreams import OpenAiUpstreams
 
@@ -37,15 +37,15 @@
 class NoticeTest(unittest.TestCase):
     def test_what_an_answer_says_of_its_upstream(self) -> None:
         rows: tuple[tuple[int, dict[str, str], Notice], ...] = (
-            (200, {}, NOTHING_SAID),
+            (200, {}, NO_NOTICE),
             (200, {"x-leaving": "1"}, Notice(is_leaving=True)),
             (503, {"x-not-run": "leaving"}, Notice(is_leaving=True)),
             (503, {"retry-after": "2"}, Notice(rest=2.0)),
             (429, {"retry-after": "2", "x-leaving": "1"}, Notice(True, 2.0)),
-            (200, {"retry-after": "2"}, NOTHING_SAID),
+            (200, {"retry-after": "2"}, NO_NOTICE),
             # Another upstream may have answered at its address.
-            (421, {"retry-after": "2", "x-leaving": "1"}, NOTHING_SAID),
-            (503, {"x-not-run": "not-the-one", "x-leaving": "1"}, NOTHING_SAID),
+            (421, {"retry-after": "2", "x-leaving": "1"}, NO_NOTICE),
+            (503, {"x-not-run": "not-the-one", "x-leaving": "1"}, NO_NOTICE),
         )
         for status, headers, notice in rows:
             with self.subTest(status=status, headers=headers):
--- a/pondhatch/store/_vanished.py
+++ b/pondhatch/store/_vanished.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pondhatch.placement import id_of
+from pondhatch.placement import upstream_id_of
 from pondhatch.store._upstreams import Upstream
 
 #: Seconds after which an entry that has not come back is taken for gone. The platform's
@@ -58,7 +58,7 @@
     def upstream(self, name: str) -> Upstream | None:
         """Return an upstream that vanished a short while ago, or None."""
         # An id may look like the name of a start, where nobody says when its upstream started.
-        for key in (name, id_of(name)):
+        for key in (name, upstream_id_of(name)):
             found = self._at_by_id.get(key)
             if found is not None and found[0].name == name:
                 return found[0]
--- a/pondhatch/store/tests/test_starts.py
+++ b/pondhatch/store/tests/test_starts.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pondhatch.placement import Notice, id_of, name_of_start, ranked, winner
+from pondhatch.placement import Notice, name_of_start, ranked, upstream_id_of, winner
 from pondhatch.router._upstream_changes import STARTING_SECONDS
 from pondhatch.router.tests.test_sync import FIRST, router
 from pondhatch.store import (
@@ -62,15 +62,15 @@
         self.assertNotEqual(after, self.before)
         target = self.state.target(after)
         assert target is not None
-        self.assertEqual((target.instance, target.intake.takes_new), ("e0", True))
+        self.assertEqual((target.instance, target.intake.accepts_new), ("e0", True))
         ended = self.state.target(self.before)
-        self.assertTrue(ended is None or not ended.intake.takes_new)
+        self.assertTrue(ended is None or not ended.intake.accepts_new)
         self.assertEqual(len(self.state.live_upstreams("lang")), 2)
 
     def test_what_was_taken_to_be_so_of_the_earlier_start_ends_with_it(self) -> None:
         self.state.note_served(7, self.before)
         self.state.hear(self.before, Notice(is_leaving=True))
-        self.state.gate.ask(self.before, NOW, 1.0, 0, 1, 1, 0)
+        self.state.gate.try_grant(self.before, NOW, 1.0, 0, 1, 1, 0)
         self.state.take_upstream_event(heard(5, "e0", 200))
         after = self.name("e0")
         self.assertNotEqual(self.state.last_served(7), after)
@@ -78,7 +78,7 @@
         self.assertEqual(self.state.gate.in_flight(after, NOW), 0)
         target = self.state.target(after)
         assert target is not None
-        self.assertTrue(target.intake.takes_new)
+        self.assertTrue(target.intake.accepts_new)
 
     def test_it_joined_lately_and_has_not_vanished(self) -> None:
         self.state.take_upstream_event(heard(5, "e0", 200))
@@ -142,9 +142,9 @@
         after = [name_of_start("e4", 200) if each == "e4~100" else each for each in before]
         for chat in map(str, range(200)):
             homes = [winner(chat, names) for names in (before, after)]
-            self.assertEqual(id_of(homes[0] or ""), id_of(homes[1] or ""))
+            self.assertEqual(upstream_id_of(homes[0] or ""), upstream_id_of(homes[1] or ""))
             self.assertEqual(
-                [id_of(each) for each in ranked(chat, before)], list(ranked(chat, ids))
+                [upstream_id_of(each) for each in ranked(chat, before)], list(ranked(chat, ids))
             )
 
 
--- a/pondhatch/transport/_gossip.py
+++ b/pondhatch/transport/_gossip.py
@@ -38,7 +38,7 @@
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Take in a packet; answers go back to where it came from."""
         self.bytes_received += len(datagram) + HEADER_BYTES
-        payload = self._seal.open(datagram)
+        payload = self._seal.verify(datagram)
         if payload is None:
             self.unsealed += 1
             return
@@ -47,7 +47,7 @@
     def send(self, datagrams: Iterable[Datagram]) -> None:
         """Send packets; one that cannot be sent is as good as lost."""
         for datagram in datagrams:
-            sealed = self._seal.close(datagram.payload)
+            sealed = self._seal.sign(datagram.payload)
             self.bytes_sent += len(sealed) + HEADER_BYTES
             if self.transport is None:
                 continue
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -310,7 +310,7 @@
 def _passed_over(walk: Walk) -> tuple[tuple[str, str], ...]:
     """Return the engines that did not take a request, each with why."""
     closed = () if walk.turned_from is None else (walk.turned_from,)
-    return (*closed, *walk.plan.passed_over)
+    return (*closed, *walk.plan.refusals)
 
 
 def _tells_digest(walk: Walk, outcome: str) -> bool:
