--- a/pondhatch/membership/_reconnection.py
+++ b/pondhatch/membership/_reconnection.py
@@ -31,7 +31,7 @@
         """Have the next try made without waiting for the interval."""
         self._next_reconnect = float("-inf")
 
-    def greetings(self, seeds: tuple[Address, ...], now: float) -> list[Datagram]:
+    def contact_absent(self, seeds: tuple[Address, ...], now: float) -> list[Datagram]:
         """Speak to a seed or a router taken for dead: either may be behind a cut that healed."""
         is_alone = not any(entry.is_present for entry in self._table)
         if now < self._next_reconnect and not is_alone:
@@ -43,8 +43,8 @@
             return []
         # One that knows nobody asks several: of a fleet that starts, some are not there yet.
         limit = self._limits.announcement_fanout if is_alone else 1
-        greeted = self._rng.sample(absent, min(len(absent), limit))
-        return [self._greeting(address, dead.get(address)) for address in greeted]
+        chosen = self._rng.sample(absent, min(len(absent), limit))
+        return [self._sync_request(address, dead.get(address)) for address in chosen]
 
     def _without_live_router(self, addresses: set[Address]) -> list[Address]:
         """Return those addresses, in order, at which neither this nor a live router is."""
@@ -53,7 +53,7 @@
         live.add(Address(own_record.host, own_record.port))
         return sorted(addresses - live, key=lambda each: (each.host, each.port))
 
-    def _greeting(self, address: Address, known: Entry | None) -> Datagram:
+    def _sync_request(self, address: Address, known: Entry | None) -> Datagram:
         """Ask for a whole view; a router taken for dead is told so, and can contradict."""
         own_record = self._dissemination.own_record
         about = (known.rumor(),) if known is not None else ()
--- a/pondhatch/membership/_swim.py
+++ b/pondhatch/membership/_swim.py
@@ -144,8 +144,8 @@
             return sent
         self.table.drop_gone(now - self.limits.dead_retention)
         self._next_ping = now + self.limits.ping_interval
-        greetings = self._reconnection.greetings(self._seeds, now)
-        return [*sent, *greetings, *self._detector.ping_next(now)]
+        contacts = self._reconnection.contact_absent(self._seeds, now)
+        return [*sent, *contacts, *self._detector.ping_next(now)]
 
     def announcements(self) -> list[Datagram]:
         """Return packets that tell some peers at once what this router holds now."""
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -25,10 +25,10 @@
 from pondhatch.router._sync import MEETING_SECONDS
 
 Edge = tuple[int, int]
-ROUND = 0.1
+TICK_SECONDS = 0.1
 
 
-class Net:
+class SimulatedNetwork:
     """Several cores, with packets handed over in memory and a clock that is stepped."""
 
     def __init__(
@@ -42,12 +42,12 @@
         self.now = 0.0
         self.halls = halls
         self.seeds = seeds
-        self.down: set[int] = set()
-        self.passes: Callable[[Edge], bool] = lambda edge: True
-        self.largest = 0
-        self.cores = [self.core(at, 1) for at in range(routers)]
+        self.stopped: set[int] = set()
+        self.is_delivered: Callable[[Edge], bool] = lambda edge: True
+        self.largest_payload = 0
+        self.cores = [self.new_core(at, 1) for at in range(routers)]
 
-    def core(self, at: int, incarnation: int) -> Gossip:
+    def new_core(self, at: int, incarnation: int) -> Gossip:
         name = f"r{at}"
         hall = f"h{at % self.halls}"
         own = Alive(short_id(name), incarnation, Phase.LIVE, name, "127.0.0.1", 7000 + at, hall)
@@ -55,22 +55,22 @@
         return Gossip(own, MembershipLimits(), rng, self.seeds)
 
     def run(self, seconds: float) -> None:
-        for _ in range(round(seconds / ROUND)):
-            self.now += ROUND
+        for _ in range(round(seconds / TICK_SECONDS)):
+            self.now += TICK_SECONDS
             for at, core in enumerate(self.cores):
-                if at not in self.down:
+                if at not in self.stopped:
                     self.deliver(at, core.tick(self.now))
 
     def deliver(self, sender: int, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
-            self.largest = max(self.largest, len(datagram.payload))
+            self.largest_payload = max(self.largest_payload, len(datagram.payload))
             to = datagram.to.port - 7000
-            if to in self.down or not self.passes((sender, to)) or to == sender:
+            if to in self.stopped or not self.is_delivered((sender, to)) or to == sender:
                 continue
             source = Address("127.0.0.1", 7000 + sender)
             self.deliver(to, self.cores[to].receive(datagram.payload, source, self.now))
 
-    def seen(self, at: int) -> set[str]:
+    def members_seen_by(self, at: int) -> set[str]:
         return {member.name for member in self.cores[at].members(self.now)}
 
 
@@ -80,37 +80,37 @@
     def test_they_know_each_other_before_any_of_them_has_to_watch(self) -> None:
         for routers in (8, 62):
             with self.subTest(routers=routers):
-                net = Net(routers, seeds=())
-                net.run(ROUND)
+                net = SimulatedNetwork(routers, seeds=())
+                net.run(TICK_SECONDS)
                 addresses = [Address("127.0.0.1", 7000 + at) for at in range(routers)]
                 for at, core in enumerate(net.cores):
                     core.add_seeds(addresses[: at + 1])
-                net.run(MEETING_SECONDS - ROUND)
-                known = [len(net.seen(at)) for at in range(routers)]
+                net.run(MEETING_SECONDS - TICK_SECONDS)
+                known = [len(net.members_seen_by(at)) for at in range(routers)]
                 self.assertGreaterEqual(min(known), 0.8 * routers)
 
 
 class GossipTest(unittest.TestCase):
     def test_all_find_each_other_through_one_seed(self) -> None:
-        net = Net(30)
+        net = SimulatedNetwork(30)
         net.run(10)
         for at in range(30):
-            self.assertEqual(len(net.seen(at)), 30)
+            self.assertEqual(len(net.members_seen_by(at)), 30)
 
-    def test_a_frozen_router_is_given_up_by_all_and_welcomed_back(self) -> None:
-        net = Net(8)
+    def test_a_frozen_router_is_removed_by_all_and_returns(self) -> None:
+        net = SimulatedNetwork(8)
         net.run(10)
-        net.down.add(3)
+        net.stopped.add(3)
         net.run(6)
         for at in set(range(8)) - {3}:
-            self.assertNotIn("r3", net.seen(at))
-        net.down.clear()
+            self.assertNotIn("r3", net.members_seen_by(at))
+        net.stopped.clear()
         net.run(6)
         for at in range(8):
-            self.assertEqual(len(net.seen(at)), 8)
+            self.assertEqual(len(net.members_seen_by(at)), 8)
 
     def test_nobody_is_suspected_in_a_quiet_fleet(self) -> None:
-        net = Net(40)
+        net = SimulatedNetwork(40)
         net.run(10)
         for _ in range(40):
             net.run(1)
@@ -118,48 +118,48 @@
             self.assertEqual(statuses, {Status.ALIVE})
 
     def test_a_cut_between_halves_heals(self) -> None:
-        net = Net(8)
+        net = SimulatedNetwork(8)
         net.run(10)
-        net.passes = lambda edge: (edge[0] < 4) == (edge[1] < 4)
+        net.is_delivered = lambda edge: (edge[0] < 4) == (edge[1] < 4)
         net.run(12)
-        self.assertEqual(net.seen(0), {"r0", "r1", "r2", "r3"})
-        self.assertEqual(net.seen(7), {"r4", "r5", "r6", "r7"})
-        net.passes = lambda edge: True
+        self.assertEqual(net.members_seen_by(0), {"r0", "r1", "r2", "r3"})
+        self.assertEqual(net.members_seen_by(7), {"r4", "r5", "r6", "r7"})
+        net.is_delivered = lambda edge: True
         net.run(70)
-        self.assertEqual(len(net.seen(0)), 8)
-        self.assertEqual(len(net.seen(7)), 8)
+        self.assertEqual(len(net.members_seen_by(0)), 8)
+        self.assertEqual(len(net.members_seen_by(7)), 8)
 
-    def test_a_one_way_cut_between_two_is_bridged_by_the_others(self) -> None:
-        net = Net(6)
+    def test_a_one_way_cut_between_two_routers_makes_neither_suspect(self) -> None:
+        net = SimulatedNetwork(6)
         net.run(10)
-        net.passes = lambda edge: edge != (2, 4)
+        net.is_delivered = lambda edge: edge != (2, 4)
         for _ in range(20):
             net.run(1)
-            self.assertIn("r2", net.seen(4))
-            self.assertIn("r4", net.seen(2))
+            self.assertIn("r2", net.members_seen_by(4))
+            self.assertIn("r4", net.members_seen_by(2))
 
-    def test_a_vm_that_returns_with_its_address_and_no_memory_is_taken_anew(self) -> None:
-        net = Net(6)
+    def test_a_restarted_router_rejoins_under_its_address(self) -> None:
+        net = SimulatedNetwork(6)
         net.run(10)
-        net.cores[5] = net.core(5, incarnation=2)
+        net.cores[5] = net.new_core(5, incarnation=2)
         net.cores[5].publish(Phase.LIVE, 7, 0, ())
         net.run(8)
-        self.assertEqual(len(net.seen(5)), 6)
+        self.assertEqual(len(net.members_seen_by(5)), 6)
         self.assertEqual(net.cores[0].versions()["r5"].configuration, 7)
 
-    def test_a_router_called_dead_contradicts(self) -> None:
-        net = Net(4)
+    def test_a_router_declared_dead_refutes_it(self) -> None:
+        net = SimulatedNetwork(4)
         net.run(6)
         own = net.cores[2].membership.own_record
         fault = Fault(own.router, own.incarnation, Status.DEAD)
         net.cores[0].membership.table.apply_fault(fault, net.now)
-        self.assertNotIn("r2", net.seen(0))
+        self.assertNotIn("r2", net.members_seen_by(0))
         net.run(6)
-        self.assertIn("r2", net.seen(0))
+        self.assertIn("r2", net.members_seen_by(0))
         self.assertGreater(net.cores[2].membership.own_record.incarnation, own.incarnation)
 
-    def test_old_words_never_replace_newer_ones(self) -> None:
-        net = Net(2)
+    def test_an_older_record_never_replaces_a_newer_one(self) -> None:
+        net = SimulatedNetwork(2)
         net.run(3)
         old = net.cores[1].membership.own_record
         net.cores[1].publish(Phase.DRAINING, 9, 9, ())
@@ -169,69 +169,69 @@
         self.assertEqual(member.phase, Phase.DRAINING)
         self.assertEqual(net.cores[0].versions()["r1"].configuration, 9)
 
-    def test_one_that_left_or_failed_a_call_gets_no_work(self) -> None:
-        net = Net(4)
+    def test_a_router_that_left_or_failed_a_call_is_no_member(self) -> None:
+        net = SimulatedNetwork(4)
         net.run(6)
         net.cores[0].mark_unreachable("r2", net.now)
-        self.assertNotIn("r2", net.seen(0))
+        self.assertNotIn("r2", net.members_seen_by(0))
         net.run(6)
-        self.assertIn("r2", net.seen(0))
+        self.assertIn("r2", net.members_seen_by(0))
         net.cores[3].publish(Phase.LEFT, 0, 0, ())
         net.deliver(3, net.cores[3].announcements())
-        net.down.add(3)
-        self.assertNotIn("r3", net.seen(0))
+        net.stopped.add(3)
+        self.assertNotIn("r3", net.members_seen_by(0))
 
-    def test_a_new_version_is_heard_of_at_once(self) -> None:
-        net = Net(5)
+    def test_a_new_version_is_announced_at_once(self) -> None:
+        net = SimulatedNetwork(5)
         net.run(6)
         net.cores[0].publish(Phase.LIVE, 3, 0, ())
         net.deliver(0, net.cores[0].announcements())
         self.assertEqual([core.routers_ahead() for core in net.cores[1:]], [("r0",)] * 4)
 
     def test_malformed_packets_are_dropped(self) -> None:
-        core = Net(1).cores[0]
+        core = SimulatedNetwork(1).cores[0]
         for payload in (b"", b"\xff" * 40, b"\x93\x01\x02", b"\x94\x0a\x90\x90\x91\xa1x"):
             self.assertEqual(core.receive(payload, Address("127.0.0.1", 1), 0.0), [])
         self.assertEqual(len(core.members(0.0)), 1)
 
     def test_a_packet_stays_under_one_datagram_whatever_the_fleet(self) -> None:
-        net = Net(150, halls=4)
+        net = SimulatedNetwork(150, halls=4)
         net.run(12)
-        self.assertEqual(len(net.seen(3)), 150)
-        self.assertLess(net.largest, 1400)
+        self.assertEqual(len(net.members_seen_by(3)), 150)
+        self.assertLess(net.largest_payload, 1400)
 
 
 class FleetLoadTest(unittest.TestCase):
     """What owners know of the fleet's load."""
 
     def setUp(self) -> None:
-        self.net = Net(12, halls=3)
+        self.net = SimulatedNetwork(12, halls=3)
         for at, core in enumerate(self.net.cores):
             core.publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, at),))
         self.net.run(12)
 
-    def heard(self, at: int) -> int:
+    def load_elsewhere(self, at: int) -> int:
         return self.net.cores[at].in_flight_elsewhere("s", self.net.now)
 
     def test_every_router_knows_the_load_of_all_others(self) -> None:
         for at in range(12):
-            self.assertEqual(self.heard(at), 66 - at)
+            self.assertEqual(self.load_elsewhere(at), 66 - at)
 
-    def test_a_lost_speaker_is_replaced_and_its_load_leaves_the_sum(self) -> None:
+    def test_a_lost_aggregator_is_replaced_and_its_load_leaves_the_sum(self) -> None:
         order = aggregation_order("h1", self.net.cores[1].members(self.net.now))
-        speaker = int(order[0].name[1:])
-        self.net.down.add(speaker)
+        aggregator = int(order[0].name[1:])
+        self.net.stopped.add(aggregator)
         self.net.run(16)
-        survivors = set(range(12)) - {speaker}
+        survivors = set(range(12)) - {aggregator}
         for at in survivors:
-            self.assertEqual(self.heard(at), 66 - at - speaker)
+            self.assertEqual(self.load_elsewhere(at), 66 - at - aggregator)
 
     def test_a_hall_cut_off_keeps_its_own_sum(self) -> None:
         cut_off = {at for at in range(12) if at % 3 == 0}
-        self.net.passes = lambda edge: (edge[0] in cut_off) == (edge[1] in cut_off)
+        self.net.is_delivered = lambda edge: (edge[0] in cut_off) == (edge[1] in cut_off)
         self.net.run(20)
-        self.assertEqual(self.heard(3), sum(cut_off) - 3)
-        self.assertEqual(self.heard(1), 66 - sum(cut_off) - 1)
+        self.assertEqual(self.load_elsewhere(3), sum(cut_off) - 3)
+        self.assertEqual(self.load_elsewhere(1), 66 - sum(cut_off) - 1)
 
     def test_small_fleets_report_more_often_and_large_ones_no_less_than_each_second(self) -> None:
         rows = ((1, 0.2), (8, 0.25), (16, 0.5), (32, 1.0), (470, 1.0))
@@ -243,27 +243,27 @@
         self.net.cores[5].publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, 0),))
         self.net.run(1.3)
         for at in set(range(12)) - {5}:
-            self.assertEqual(self.heard(at), 66 - at - 5)
+            self.assertEqual(self.load_elsewhere(at), 66 - at - 5)
 
     def test_a_new_load_is_known_within_two_seconds(self) -> None:
         self.net.cores[5].publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, 500),))
         self.net.run(2.2)
         for at in set(range(12)) - {5}:
-            self.assertEqual(self.heard(at), 66 - at - 5 + 500)
+            self.assertEqual(self.load_elsewhere(at), 66 - at - 5 + 500)
 
 
 class SealTest(unittest.TestCase):
-    def test_only_the_fleets_own_packets_open(self) -> None:
+    def test_only_packets_signed_with_the_fleet_key_verify(self) -> None:
         seal = Seal(b"fleet key of the fleet")
-        closed = seal.sign(b"payload")
-        self.assertEqual(seal.verify(closed), b"payload")
-        for forged in (b"", closed[:-1], b"12345678payload", Seal(b"another").sign(b"payload")):
+        signed = seal.sign(b"payload")
+        self.assertEqual(seal.verify(signed), b"payload")
+        for forged in (b"", signed[:-1], b"12345678payload", Seal(b"another").sign(b"payload")):
             self.assertIsNone(seal.verify(forged))
 
 
 class OwnershipTest(unittest.TestCase):
     def setUp(self) -> None:
-        net = Net(6)
+        net = SimulatedNetwork(6)
         net.run(10)
         self.members = net.cores[0].members(net.now)
 
@@ -278,7 +278,7 @@
         self.assertIsNone(owner_of("engine", "h1", {}))
 
     def test_a_draining_router_owns_nothing(self) -> None:
-        net = Net(4)
+        net = SimulatedNetwork(4)
         net.cores[1].publish(Phase.DRAINING, 0, 0, ())
         net.run(8)
         members = net.cores[0].members(net.now)
--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -34,23 +34,23 @@
 )
 from pondhatch.membership._datagrams import datagram_to
 from pondhatch.membership._records import Ack, Announcement, Fault, Ping, Rumor, Sync
-from pondhatch.membership.tests.test_gossip import Net
+from pondhatch.membership.tests.test_gossip import SimulatedNetwork
 
 CAPACITIES = (0.5, 0.7, 1.0, 1.0, 1.3, 1.6, 1.9, 2.2)
 ENGINES = tuple(f"engine-{at}" for at in range(2100))
-SOMEBODY = Address("127.0.0.1", 9)
+ANY_ADDRESS = Address("127.0.0.1", 9)
 
 
 def alive(at: int, capacity: float = 1.0, incarnation: int = 1) -> Alive:
     name, port = f"r{at}", 7000 + at
-    word = Alive(short_id(name), incarnation, Phase.LIVE, name, "127.0.0.1", port, "h0")
-    return replace(word, capacity=capacity)
+    record = Alive(short_id(name), incarnation, Phase.LIVE, name, "127.0.0.1", port, "h0")
+    return replace(record, capacity=capacity)
 
 
-class SizedNet(Net):
+class CapacityNetwork(SimulatedNetwork):
     """Routers of one hall, with capacities."""
 
-    def core(self, at: int, incarnation: int) -> Gossip:
+    def new_core(self, at: int, incarnation: int) -> Gossip:
         own = alive(at, CAPACITIES[at], incarnation)
         rng = random.Random(self.rng.random())
         return Gossip(own, MembershipLimits(), rng, self.seeds)
@@ -92,29 +92,29 @@
         self, owned: Iterable[str | None], capacity_by_router: dict[str, float]
     ) -> None:
         counts = Counter(owned)
-        drawn, whole = counts.total(), sum(capacity_by_router.values())
+        engines, total = counts.total(), sum(capacity_by_router.values())
         self.assertLessEqual(counts.keys(), capacity_by_router.keys())
         for router, capacity in capacity_by_router.items():
-            share = capacity / whole
+            share = capacity / total
             # Four standard deviations of as many independent draws as there are engines.
-            deviation = 4 * math.sqrt(drawn * share * (1 - share))
-            self.assertAlmostEqual(counts[router], drawn * share, delta=deviation)
+            deviation = 4 * math.sqrt(engines * share * (1 - share))
+            self.assertAlmostEqual(counts[router], engines * share, delta=deviation)
 
     def test_when_the_largest_dies_its_engines_go_to_the_others_in_proportion(self) -> None:
-        net = SizedNet(len(CAPACITIES), halls=1)
+        net = CapacityNetwork(len(CAPACITIES), halls=1)
         net.run(10)
         capacity_by_router = {f"r{at}": capacity for at, capacity in enumerate(CAPACITIES)}
         before = owners(net.cores[0].members(net.now))
         self.assert_in_proportion(before.values(), capacity_by_router)
-        net.down.add(CAPACITIES.index(max(CAPACITIES)))
+        net.stopped.add(CAPACITIES.index(max(CAPACITIES)))
         del capacity_by_router["r7"]
         net.run(6)
         views = [owners(core.members(net.now)) for core in net.cores[:7]]
         self.assertEqual(views, views[:1] * 7)
-        heirs = {engine: after for engine, after in views[0].items() if before[engine] == "r7"}
-        self.assert_in_proportion(heirs.values(), capacity_by_router)
+        reassigned = {engine: after for engine, after in views[0].items() if before[engine] == "r7"}
+        self.assert_in_proportion(reassigned.values(), capacity_by_router)
         moved = {engine for engine in ENGINES if before[engine] != views[0][engine]}
-        self.assertEqual(moved, heirs.keys())
+        self.assertEqual(moved, reassigned.keys())
 
     def test_only_engines_that_a_router_gains_or_loses_move(self) -> None:
         before = owners(members_with(CAPACITIES))
@@ -161,18 +161,18 @@
             Ack(1, 9, Versions(), 7, rumors),
             Sync(1, True, rumors),
         )
-        return [datagram_to(SOMEBODY, message).payload.hex() for message in messages]
+        return [datagram_to(ANY_ADDRESS, message).payload.hex() for message in messages]
 
-    def test_without_a_capacity_the_bytes_are_those_of_before(self) -> None:
+    def test_the_usual_capacity_is_not_encoded(self) -> None:
         record = "9901ce1a96bf470500a27230a831302e302e302e31cd1b58a26830c3"
-        word = replace(alive(0), incarnation=5, host="10.0.0.1")
+        own_record = replace(alive(0), incarnation=5, host="10.0.0.1")
         expected = [
             "940d0193020300" + "91" + record,
             "960a01099300000007" + "92" + record + "9402020301",
             "960b01099300000007" + "91" + record,
             "940e01c3" + "91" + record,
         ]
-        self.assertEqual(self.encoded((word,)), expected)
+        self.assertEqual(self.encoded((own_record,)), expected)
 
     def test_a_capacity_takes_nine_bytes_and_older_routers_read_the_record(self) -> None:
         usual, sized = self.encoded((alive(0),))[0], self.encoded((alive(0, 0.5),))[0]
@@ -181,12 +181,12 @@
         self.assertEqual((read.rumors[0].name, read.rumors[0].sees_platform), ("r0", True))
 
     def test_a_capacity_that_an_older_router_left_out_is_learned_later(self) -> None:
-        net = SizedNet(3, halls=1)
+        net = CapacityNetwork(3, halls=1)
         # Until nobody tells of the three any more, so that only whole views can.
         net.run(20)
-        net.cores[0] = net.core(0, 1)
+        net.cores[0] = net.new_core(0, 1)
         without = Announcement(short_id("r9"), Versions(), (alive(1), alive(2)))
-        net.cores[0].receive(datagram_to(SOMEBODY, without).payload, SOMEBODY, net.now)
+        net.cores[0].receive(datagram_to(ANY_ADDRESS, without).payload, ANY_ADDRESS, net.now)
         capacities = [member.capacity for member in net.cores[0].members(net.now)]
         self.assertEqual(capacities, [0.5, 1.0, 1.0])
         net.run(20)
@@ -194,7 +194,7 @@
             capacities = [member.capacity for member in core.members(net.now)]
             self.assertEqual(capacities, list(CAPACITIES[:3]))
 
-    def test_a_capacity_learned_later_calls_no_router_back_to_life(self) -> None:
+    def test_a_capacity_learned_later_does_not_end_a_suspicion(self) -> None:
         table = MemberTable()
         table.apply_alive(alive(1), 0.0)
         table.apply_fault(Fault(short_id("r1"), 1, Status.SUSPECT), 1.0)
@@ -206,14 +206,14 @@
 
     def test_a_stated_capacity_out_of_bounds_counts_as_the_nearest_within(self) -> None:
         for stated, expected in ((0.0, 0.1), (-3.0, 0.1), (1e9, 10.0), (math.nan, 0.1)):
-            core = SizedNet(1).cores[0]
+            core = CapacityNetwork(1).cores[0]
             news = Announcement(1, Versions(), (alive(1, stated),))
-            core.receive(datagram_to(SOMEBODY, news).payload, SOMEBODY, 0.0)
+            core.receive(datagram_to(ANY_ADDRESS, news).payload, ANY_ADDRESS, 0.0)
             self.assertEqual(core.members(0.0)[1].capacity, expected)
 
 
 class CapacityTest(unittest.TestCase):
-    def test_it_is_the_processor_lowered_by_a_narrow_link(self) -> None:
+    def test_capacity_is_that_of_the_processor_reduced_by_a_narrow_link(self) -> None:
         for vm, expected in (
             ((None, None, None), 1.0),
             ((0.5, 2.0, 100.0), 1.0),
--- a/pondhatch/placement/_gate.py
+++ b/pondhatch/placement/_gate.py
@@ -114,19 +114,19 @@
         when it is fast again; a fast one gets no more.
         """
         count = self.by_engine.get(engine, EngineCount())
-        held = count.in_flight(now)
-        bounded = admission_ceiling(load_bound, elsewhere + held, engines) + slack
+        in_flight = count.in_flight(now)
+        bounded = admission_ceiling(load_bound, elsewhere + in_flight, engines) + slack
         ceiling = min(slots, bounded, count.limit(now))
         if pace > USUAL_PACE:
             ceiling = max(1, ceiling * USUAL_PACE // pace)
-        if held + 1 > ceiling:
-            return Full(held, ceiling)
-        return self._grant(engine, count, held, ceiling)
+        if in_flight + 1 > ceiling:
+            return Full(in_flight, ceiling)
+        return self._grant(engine, count, in_flight, ceiling)
 
-    def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
+    def _grant(self, engine: str, count: EngineCount, in_flight: int, ceiling: int) -> Granted:
         granted = count.granted + 1
         self.by_engine[engine] = replace(count, granted=granted, peak=max(count.peak, granted))
-        return Granted(held + 1, ceiling)
+        return Granted(in_flight + 1, ceiling)
 
     def adopt(self, engine: str) -> None:
         """Count a request that another owner granted; it runs, whatever the ceiling."""
--- a/pondhatch/placement/_pooled_first.py
+++ b/pondhatch/placement/_pooled_first.py
@@ -28,11 +28,11 @@
 
     def record(self, engine: str, in_flight: int, now: float) -> None:
         """Take in a load; forget those that are too old."""
-        loads = self._load_by_engine
-        loads.pop(engine, None)
-        loads[engine] = (in_flight, now)
-        while now - loads[oldest := next(iter(loads))][1] > LOAD_LIFETIME:
-            del loads[oldest]
+        load_by_engine = self._load_by_engine
+        load_by_engine.pop(engine, None)
+        load_by_engine[engine] = (in_flight, now)
+        while now - load_by_engine[oldest := next(iter(load_by_engine))][1] > LOAD_LIFETIME:
+            del load_by_engine[oldest]
 
     def load_of(self, engine: str, now: float) -> int | None:
         """Return an engine's load, None where it is not known."""
@@ -47,10 +47,10 @@
 
     ``loads`` are those known of the engines, None for one that is not; ``mean`` is the service's.
     """
-    limit = min((each for each in loads if each is not None), default=math.ceil(mean))
-    limit = min(limit, math.ceil(mean))
+    max_load = min((each for each in loads if each is not None), default=math.ceil(mean))
+    max_load = min(max_load, math.ceil(mean))
     return tuple(
         engine
         for engine, load in zip(engines, loads, strict=True)
-        if engine in pooled and (load is None or load <= limit)
+        if engine in pooled and (load is None or load <= max_load)
     )
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -8,9 +8,9 @@
 
 
 class ContextTest(unittest.TestCase):
-    def test_where_a_context_is_believed_to_lie(self) -> None:
-        memory = ContextLocations()
-        memory.remember(7, "e5")
+    def test_context_engine(self) -> None:
+        locations = ContextLocations()
+        locations.remember(7, "e5")
         cases = [
             # chat, runner-up, home is young, believed at
             (7, "e2", False, "e5"),
@@ -19,9 +19,9 @@
             (8, "e2", True, "e2"),
             (8, None, True, "home"),
         ]
-        for chat, settled, young, engine in cases:
+        for chat, established, young, engine in cases:
             with self.subTest(chat=chat, young=young):
-                found = context_engine(memory, chat, "home", settled, young)
+                found = context_engine(locations, chat, "home", established, young)
                 self.assertEqual(found, engine)
 
 
@@ -33,19 +33,21 @@
     engine ranked second, itself a newcomer, it was read again at 0.65 a thousand tokens.
     """
 
-    def test_a_context_stays_where_it_was_however_many_newcomers_rank_above(self) -> None:
+    def test_a_chat_keeps_its_engine_however_many_new_engines_rank_above(self) -> None:
         for count in (1, 2, 5):
             newcomers = {f"new{at}" for at in range(count)}
             for chat in range(200):
                 before = Plan(str(chat), ENGINES).home
                 plan = Plan(str(chat), (*ENGINES, *newcomers))
                 home = plan.home or ""
-                settled = plan.first_established(newcomers.__contains__)
-                found = context_engine(ContextLocations(), chat, home, settled, home in newcomers)
+                established = plan.first_established(newcomers.__contains__)
+                found = context_engine(
+                    ContextLocations(), chat, home, established, home in newcomers
+                )
                 with self.subTest(count=count, chat=chat):
                     self.assertEqual(found, before)
 
-    def test_where_all_are_newcomers_the_home_is_as_good_as_any(self) -> None:
+    def test_the_home_is_used_where_every_engine_is_new(self) -> None:
         plan = Plan("chat", ENGINES)
         self.assertIsNone(plan.first_established(lambda _: True))
         self.assertEqual(context_engine(ContextLocations(), 7, "home", None, True), "home")
--- a/pondhatch/placement/tests/test_engine_paces.py
+++ b/pondhatch/placement/tests/test_engine_paces.py
@@ -9,7 +9,7 @@
 
 
 class EnginePacesTest(unittest.TestCase):
-    def test_a_pace_holds_for_a_moment_and_the_last_one_counts(self) -> None:
+    def test_the_last_pace_is_used_until_it_expires(self) -> None:
         paces = EnginePaces()
         paces.record("e0", 400, 0.0)
         paces.record("e0", 250, 1.0)
@@ -22,12 +22,12 @@
 
 
 class SlowCeilingTest(unittest.TestCase):
-    def test_a_slow_engine_holds_its_share_one_at_least_and_a_fast_one_no_more(self) -> None:
+    def test_a_slow_engine_gets_a_lower_ceiling_of_at_least_one(self) -> None:
         for pace, ceiling in ((100, 20), (40, 20), (101, 19), (250, 8), (10_000, 1)):
             with self.subTest(pace=pace):
                 gate = Gate()
                 while not isinstance(
-                    verdict := gate.try_grant("e", 0.0, 1.7, 0, 1, 20, 30, pace), Full
+                    decision := gate.try_grant("e", 0.0, 1.7, 0, 1, 20, 30, pace), Full
                 ):
                     pass
-                self.assertEqual(verdict, Full(ceiling, ceiling))
+                self.assertEqual(decision, Full(ceiling, ceiling))
--- a/pondhatch/placement/tests/test_forecast.py
+++ b/pondhatch/placement/tests/test_forecast.py
@@ -8,8 +8,8 @@
 from pondhatch.placement._forecast import TURNAROUND_SECONDS
 
 
-class GrantedAheadTest(unittest.TestCase):
-    def test_as_many_are_sent_ahead_as_end_within_the_turnaround(self) -> None:
+class ExtraGrantsTest(unittest.TestCase):
+    def test_extra_grants_cover_the_runs_that_end_within_the_turnaround(self) -> None:
         rows = (
             ("short runs", 0.004, 8, 3),
             ("never more than the engine queues", 0.0005, 3, 3),
@@ -17,7 +17,7 @@
             ("an engine that queues none", 0.004, 0, 0),
             ("no run has ended yet", 0.0, 3, 0),
         )
-        for name, gap, most, expected in rows:
+        for name, gap, limit, expected in rows:
             with self.subTest(name):
-                self.assertEqual(extra_grants(gap, most), expected)
+                self.assertEqual(extra_grants(gap, limit), expected)
         self.assertEqual(extra_grants(TURNAROUND_SECONDS / 2, 3), 2)
--- a/pondhatch/placement/tests/test_gate.py
+++ b/pondhatch/placement/tests/test_gate.py
@@ -37,32 +37,32 @@
     def setUp(self) -> None:
         self.gate = Gate()
 
-    def ask(self, engine: str = "e", now: float = 0.0, others: int = 0) -> Granted | Full:
-        return self.gate.try_grant(engine, now, 1.25, others, 4)
+    def try_grant(self, engine: str = "e", now: float = 0.0, elsewhere: int = 0) -> Granted | Full:
+        return self.gate.try_grant(engine, now, 1.25, elsewhere, 4)
 
     def test_grants_up_to_the_ceiling_and_again_after_a_release(self) -> None:
-        self.assertEqual(self.ask(others=6), Granted(1, 3))
-        self.assertEqual(self.ask(others=6), Granted(2, 3))
-        self.assertEqual(self.ask(others=6), Granted(3, 3))
-        self.assertEqual(self.ask(others=6), Granted(4, 4))
-        self.assertEqual(self.ask(others=6), Full(4, 4))
+        self.assertEqual(self.try_grant(elsewhere=6), Granted(1, 3))
+        self.assertEqual(self.try_grant(elsewhere=6), Granted(2, 3))
+        self.assertEqual(self.try_grant(elsewhere=6), Granted(3, 3))
+        self.assertEqual(self.try_grant(elsewhere=6), Granted(4, 4))
+        self.assertEqual(self.try_grant(elsewhere=6), Full(4, 4))
         self.gate.release("e")
-        self.assertEqual(self.ask(others=6), Granted(4, 4))
+        self.assertEqual(self.try_grant(elsewhere=6), Granted(4, 4))
 
-    def test_an_engine_has_a_limit_of_its_own(self) -> None:
+    def test_the_slots_of_an_engine_bound_its_ceiling(self) -> None:
         for _ in range(2):
             self.assertIsInstance(self.gate.try_grant("e", 0.0, 1.25, 1000, 4, slots=2), Granted)
         self.assertEqual(self.gate.try_grant("e", 0.0, 1.25, 1000, 4, slots=2), Full(2, 2))
 
-    def test_work_that_another_router_left_there_counts_until_the_report_is_old(self) -> None:
+    def test_reported_work_of_another_owner_counts_until_the_report_expires(self) -> None:
         self.gate.record_report("e", 0.0, 3)
         self.assertEqual(self.gate.in_flight("e", 1.0), 3)
-        self.assertIsInstance(self.ask(now=1.0), Full)
+        self.assertIsInstance(self.try_grant(now=1.0), Full)
         self.assertEqual(self.gate.in_flight("e", 6.0), 0)
 
     def test_a_late_report_of_our_own_ended_work_is_not_counted_twice(self) -> None:
         for _ in range(3):
-            self.ask(others=100)
+            self.try_grant(elsewhere=100)
         self.gate.record_report("e", 0.0, 0)
         for _ in range(3):
             self.gate.release("e")
@@ -70,7 +70,7 @@
         self.assertEqual(self.gate.in_flight("e", 1.0), 0)
 
     def test_a_release_without_a_grant_is_an_error(self) -> None:
-        self.ask()
+        self.try_grant()
         self.gate.release("e")
         with self.assertRaises(ValueError):
             self.gate.release("e")
@@ -86,24 +86,24 @@
                 held[at] -= 1
                 continue
             total = sum(held)
-            verdict = gate.try_grant(str(at), 0.0, 1.25, total - held[at], 5)
-            if isinstance(verdict, Granted):
+            decision = gate.try_grant(str(at), 0.0, 1.25, total - held[at], 5)
+            if isinstance(decision, Granted):
                 held[at] += 1
                 self.assertLessEqual(held[at], admission_ceiling(1.25, total, 5))
             self.assertEqual(gate.in_flight(str(at), 0.0), held[at])
 
-    def test_an_engine_that_says_it_is_full_holds_no_more_than_it_did_for_a_while(self) -> None:
+    def test_an_engine_that_refused_as_full_gets_no_more_than_it_held_for_a_while(self) -> None:
         for _ in range(3):
-            self.ask(others=20)
+            self.try_grant(elsewhere=20)
         self.gate.record_engine_full("e", 0.0)
         self.gate.release("e")
-        self.assertEqual(self.ask(others=20), Full(2, 2))
+        self.assertEqual(self.try_grant(elsewhere=20), Full(2, 2))
         self.gate.release("e")
-        self.assertEqual(self.ask(others=20), Granted(2, 2))
-        self.assertIsInstance(self.ask(now=FULL_LIFETIME, others=20), Granted)
+        self.assertEqual(self.try_grant(elsewhere=20), Granted(2, 2))
+        self.assertIsInstance(self.try_grant(now=FULL_LIFETIME, elsewhere=20), Granted)
 
-    def test_an_engine_that_says_it_is_full_is_tried_with_one_all_the_same(self) -> None:
-        self.ask()
+    def test_an_engine_that_refused_as_full_may_still_run_one_request(self) -> None:
+        self.try_grant()
         self.gate.record_engine_full("e", 0.0)
         self.gate.release("e")
-        self.assertEqual(self.ask(), Granted(1, 1))
+        self.assertEqual(self.try_grant(), Granted(1, 1))
--- a/pondhatch/placement/tests/test_health.py
+++ b/pondhatch/placement/tests/test_health.py
@@ -14,18 +14,18 @@
         for _ in range(times):
             self.health.record_failure("e", now)
 
-    def test_a_few_failures_are_not_enough(self) -> None:
+    def test_two_failures_do_not_mark_it_down(self) -> None:
         self.fail_times(2)
         self.assertFalse(self.health.is_down("e", 0.0))
         self.health.record_answer("e")
         self.fail_times(2)
         self.assertFalse(self.health.is_down("e", 0.0))
 
-    def test_one_request_tries_it_after_each_pause(self) -> None:
+    def test_one_request_probes_it_after_each_pause(self) -> None:
         self.fail_times(3)
         self.assertTrue(self.health.is_down("e", 0.9))
-        tries = [self.health.is_down("e", 1.1) for _ in range(3)]
-        self.assertEqual(tries, [False, True, True])
+        probes = [self.health.is_down("e", 1.1) for _ in range(3)]
+        self.assertEqual(probes, [False, True, True])
 
     def test_the_pause_doubles_up_to_a_bound(self) -> None:
         self.fail_times(3)
@@ -40,7 +40,7 @@
             self.health.record_failure("e", now)
         self.assertEqual(pauses, [1.0, 2.0, 4.0, 8.0, 15.0, 15.0])
 
-    def test_it_is_tried_again_sooner_where_load_is_managed(self) -> None:
+    def test_it_is_probed_sooner_where_load_is_managed(self) -> None:
         self.fail_times(3)
         now = 0.0
         for _ in range(6):
@@ -50,7 +50,7 @@
         self.assertTrue(self.health.is_down("e", now + 1.9))
         self.assertFalse(self.health.is_down("e", now + 2.0))
 
-    def test_what_is_lost_with_it_at_once_makes_no_pause_longer(self) -> None:
+    def test_simultaneous_failures_do_not_lengthen_the_pause(self) -> None:
         self.fail_times(20)
         self.assertTrue(self.health.is_down("e", 0.9))
         self.assertFalse(self.health.is_down("e", 1.1))
@@ -59,7 +59,7 @@
         self.assertTrue(self.health.is_down("e", 3.1))
         self.assertFalse(self.health.is_down("e", 3.3))
 
-    def test_an_answer_makes_it_well(self) -> None:
+    def test_an_answer_marks_it_up(self) -> None:
         self.fail_times(9)
         self.health.record_answer("e")
         self.assertFalse(self.health.is_down("e", 0.0))
@@ -72,7 +72,7 @@
     def setUp(self) -> None:
         self.health = Health()
 
-    def answer(self, pattern: str, now: float = 0.0) -> None:
+    def record_answers(self, pattern: str, now: float = 0.0) -> None:
         """Have answers come: "." for one that is well, "x" for a failure of its own."""
         for each in pattern:
             if each == "x":
@@ -80,35 +80,35 @@
             else:
                 self.health.record_answer("e")
 
-    def test_half_of_its_answers_being_failures_makes_it_ailing(self) -> None:
-        self.answer(".x" * 10)
+    def test_an_error_rate_of_one_half_marks_it_ailing(self) -> None:
+        self.record_answers(".x" * 10)
         self.assertTrue(self.health.is_ailing("e", 0.0))
 
-    def test_failures_that_follow_the_request_do_not(self) -> None:
-        self.answer("......x" * 40)
+    def test_an_error_rate_of_one_in_seven_does_not_mark_it_ailing(self) -> None:
+        self.record_answers("......x" * 40)
         self.assertFalse(self.health.is_ailing("e", 0.0))
 
-    def test_it_is_never_taken_for_down(self) -> None:
-        self.answer("x" * 50)
+    def test_errors_never_mark_it_down(self) -> None:
+        self.record_answers("x" * 50)
         self.assertFalse(self.health.is_down("e", 0.0))
 
-    def test_it_is_judged_anew_after_rests_that_grow(self) -> None:
-        rests, now = [], 0.0
+    def test_the_ailing_pause_doubles_up_to_a_bound(self) -> None:
+        pauses, now = [], 0.0
         for _ in range(4):
-            self.answer("x" * 10, now)
-            rest = 0.0
-            while self.health.is_ailing("e", now + rest):
-                rest += 0.5
-            rests.append(rest)
-            now += rest
-        self.assertEqual(rests, [2.0, 4.0, 8.0, 8.0])
-
-    def test_once_well_it_is_forgotten(self) -> None:
-        self.answer("x" * 10)
-        self.answer("." * 60, 3.0)
+            self.record_answers("x" * 10, now)
+            pause = 0.0
+            while self.health.is_ailing("e", now + pause):
+                pause += 0.5
+            pauses.append(pause)
+            now += pause
+        self.assertEqual(pauses, [2.0, 4.0, 8.0, 8.0])
+
+    def test_a_healthy_upstream_is_not_listed(self) -> None:
+        self.record_answers("x" * 10)
+        self.record_answers("." * 60, 3.0)
         self.assertEqual(self.health.health_by_upstream, {})
 
-    def test_a_failure_of_its_own_shows_that_it_is_not_down(self) -> None:
+    def test_an_error_answer_shows_that_it_is_not_down(self) -> None:
         for _ in range(FAILURES_UNTIL_DOWN):
             self.health.record_failure("e", 0.0)
         self.health.record_error("e", 0.5)
--- a/pondhatch/placement/tests/test_intake.py
+++ b/pondhatch/placement/tests/test_intake.py
@@ -23,7 +23,7 @@
 
 
 class IntakeTest(unittest.TestCase):
-    def test_who_takes_what(self) -> None:
+    def test_closed_reason(self) -> None:
         rows: tuple[tuple[Intake, Regions, bool, ClosedReason | None], ...] = (
             (OPEN, None, False, None),
             (OPEN, None, True, None),
@@ -44,7 +44,7 @@
             with self.subTest(intake=intake, regions=regions, resuming=resuming):
                 self.assertEqual(intake.closed_reason(regions, resuming), expected)
 
-    def test_two_bindings_allow_what_each_allows(self) -> None:
+    def test_two_region_restrictions_allow_the_regions_of_both(self) -> None:
         rows: tuple[tuple[Regions, Regions, Regions], ...] = (
             (None, None, None),
             (("a",), None, ("a",)),
@@ -57,17 +57,17 @@
                 self.assertEqual(common_regions(first, second), expected)
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_in_any_second(times: list[float]) -> int:
     """Return the most that came within any one second."""
     return max((sum(at <= each < at + 1.0 for each in times) for at in times), default=0)
 
 
 #: How a cold upstream's load may be counted at the same time: by one router, by its owner and the
 #: next, or on the sides of a cut, each with its part of twelve routers.
-SIDES = ((1.0,), (1.0, 1.0), (0.5, 0.25, 0.25), (0.5, 0.5, 0.5), (10 / 12, 1 / 12, 1 / 12))
+FLEET_SHARES = ((1.0,), (1.0, 1.0), (0.5, 0.25, 0.25), (0.5, 0.5, 0.5), (10 / 12, 1 / 12, 1 / 12))
 
 
-class ColdPaceTest(unittest.TestCase):
+class ColdPacerTest(unittest.TestCase):
     """The pattern: all who take themselves for the owner are asked all the time."""
 
     @settings(max_examples=200, deadline=None)
@@ -75,14 +75,19 @@
         st.floats(2.0, 60.0),
         st.floats(1.0, 2.0),
         st.floats(2.0, 8.0),
-        st.sampled_from(SIDES),
+        st.sampled_from(FLEET_SHARES),
         st.floats(0.0, 2.0),
     )
-    def test_no_more_go_in_any_second_than_an_upstream_bears(
-        self, pace: float, overshoot: float, slack: float, sides: tuple[float, ...], after: float
+    def test_no_second_has_more_grants_than_the_allowance(
+        self,
+        pace: float,
+        overshoot: float,
+        slack: float,
+        fleet_shares: tuple[float, ...],
+        after: float,
     ) -> None:
         allowance = ColdAllowance(overshoot, slack)
-        routers = [ColdPacer(allowance, share) for share in sides]
+        routers = [ColdPacer(allowance, fleet_share) for fleet_share in fleet_shares]
         times: list[float] = []
         for step in range(400):
             now = step * 0.01
@@ -93,32 +98,32 @@
                     times.append(now)
         # A request at each end of a second may be one too many for fractions of a whole one.
         self.assertLessEqual(
-            most_in_a_second(times), allowance.max_per_second(pace) + len(sides) - 1
+            max_in_any_second(times), allowance.max_per_second(pace) + len(fleet_shares) - 1
         )
 
-    def test_one_owner_uses_nearly_half_of_what_an_upstream_bears(self) -> None:
-        paces = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1.0)
+    def test_one_owner_uses_nearly_half_of_the_allowance(self) -> None:
+        pacer = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1.0)
         times = []
         for step in range(1000):
-            if paces.is_due("e0", 13.0, step * 0.01):
-                paces.record_grant("e0", 13.0, step * 0.01)
+            if pacer.is_due("e0", 13.0, step * 0.01):
+                pacer.record_grant("e0", 13.0, step * 0.01)
                 times.append(step * 0.01)
-        self.assertLessEqual(most_in_a_second(times), 12)
+        self.assertLessEqual(max_in_any_second(times), 12)
         self.assertGreaterEqual(len(times), 90)
 
-    def test_a_router_that_has_not_met_its_peers_lets_none_go(self) -> None:
-        paces = ColdPacer(ColdAllowance(1.5, 5.0))
-        self.assertFalse(paces.is_due("e0", 13.0, 0.0))
-
-    def test_a_router_that_sees_a_part_of_the_fleet_waits_a_turn_first(self) -> None:
-        paces = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1 / 65)
-        self.assertFalse(paces.is_due("e0", 13.0, 0.0))
-        self.assertFalse(paces.is_due("e0", 13.0, 5.0))
-        self.assertTrue(paces.is_due("e0", 13.0, 12.0))
-
-    def test_one_that_is_warm_again_is_forgotten(self) -> None:
-        paces = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1.0)
-        while paces.is_due("e0", 13.0, 0.0):
-            paces.record_grant("e0", 13.0, 0.0)
-        paces.forget("e0")
-        self.assertTrue(paces.is_due("e0", 13.0, 0.0))
+    def test_a_router_that_knows_no_peers_grants_nothing(self) -> None:
+        pacer = ColdPacer(ColdAllowance(1.5, 5.0))
+        self.assertFalse(pacer.is_due("e0", 13.0, 0.0))
+
+    def test_a_router_that_sees_a_part_of_the_fleet_waits_one_interval_first(self) -> None:
+        pacer = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1 / 65)
+        self.assertFalse(pacer.is_due("e0", 13.0, 0.0))
+        self.assertFalse(pacer.is_due("e0", 13.0, 5.0))
+        self.assertTrue(pacer.is_due("e0", 13.0, 12.0))
+
+    def test_a_warm_upstream_is_forgotten(self) -> None:
+        pacer = ColdPacer(ColdAllowance(1.5, 5.0), fleet_share=1.0)
+        while pacer.is_due("e0", 13.0, 0.0):
+            pacer.record_grant("e0", 13.0, 0.0)
+        pacer.forget("e0")
+        self.assertTrue(pacer.is_due("e0", 13.0, 0.0))
--- a/pondhatch/placement/tests/test_plan.py
+++ b/pondhatch/placement/tests/test_plan.py
@@ -9,7 +9,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_every_router_walks_the_same_order(self) -> None:
+    def test_every_router_asks_in_the_same_order(self) -> None:
         first, second = Plan("chat", ENGINES), Plan("chat", tuple(reversed(ENGINES)))
         self.assertEqual(first.order, second.order)
         self.assertEqual(first.home, winner("chat", ENGINES))
@@ -31,14 +31,14 @@
         plan.record_owner_full(3, 3)
         self.assertEqual(plan.next_step(), Ask(plan.order[1]))
 
-    def test_an_engine_that_is_gone_sends_the_walk_back_home(self) -> None:
+    def test_home_is_asked_again_where_the_context_engine_is_gone(self) -> None:
         plan = Plan("chat", ENGINES)
         plan.next_step()
         plan.record_context_elsewhere("engine-gone")
         self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True))
 
     # The engine with the fewest requests is the one that large ones fill.
-    def test_the_last_one_asked_is_that_which_lacks_the_least_memory(self) -> None:
+    def test_the_last_resort_is_the_engine_with_the_smallest_memory_shortage(self) -> None:
         plan = Plan("chat", ENGINES[:3])
         for held, short in ((2, 8000), (9, 0), (5, 300)):
             plan.next_step()
@@ -47,7 +47,7 @@
         plan.record_owner_full(9, 9, short_tokens=9000)
         self.assertEqual(plan.next_step(), Ask(plan.order[2], is_forced=True))
 
-    def test_the_least_loaded_is_asked_once_more_then_the_plan_ends(self) -> None:
+    def test_the_least_loaded_is_asked_once_more_and_then_two_others(self) -> None:
         plan = Plan("chat", ENGINES[:3])
         for held in (4, 2, 3):
             plan.next_step()
@@ -57,8 +57,8 @@
         self.assertEqual(plan.in_flight_seen_elsewhere(least), 7)
         plan.record_owner_full(2, 2)
         # While it waited there, a place may have come free at the others.
-        for looked_at in (plan.order[2], plan.order[0]):
-            self.assertEqual(plan.next_step(), Ask(looked_at, is_forced=True))
+        for rechecked in (plan.order[2], plan.order[0]):
+            self.assertEqual(plan.next_step(), Ask(rechecked, is_forced=True))
             plan.record_owner_full(4, 4)
         self.assertIsInstance(plan.next_step(), Exhausted)
 
@@ -86,7 +86,7 @@
         expected = (plan.order[0], plan.order[2], plan.order[1])
         self.assertEqual(plan.queue_engines(4), expected)
 
-    def test_each_ailing_engine_that_was_passed_over_is_asked_in_the_end(self) -> None:
+    def test_each_skipped_ailing_engine_is_asked_in_the_end(self) -> None:
         plan = Plan("chat", ENGINES[:2])
         for _ in range(2):
             plan.next_step()
@@ -98,7 +98,7 @@
         plan.record_refusal("draining")
         self.assertIsInstance(plan.next_step(), Exhausted)
 
-    def test_where_many_are_ailing_the_next_is_asked_all_the_same(self) -> None:
+    def test_where_many_are_ailing_the_next_one_is_forced(self) -> None:
         plan = Plan("chat", ENGINES)
         for _ in range(MAX_AILING_SKIPPED):
             plan.next_step()
@@ -138,17 +138,17 @@
         )
 
 
-class MemoryTest(unittest.TestCase):
+class ContextLocationsTest(unittest.TestCase):
     def test_the_least_recently_used_chat_is_forgotten(self) -> None:
-        memory = ContextLocations(limit=2)
+        locations = ContextLocations(limit=2)
         for chat, engine in [(1, "a"), (2, "b"), (1, "c"), (3, "d")]:
-            memory.remember(chat, engine)
-        self.assertEqual([memory.engine_of(chat) for chat in (1, 2, 3)], ["c", None, "d"])
-        memory.forget(1)
-        memory.forget(1)
-        self.assertIsNone(memory.engine_of(1))
+            locations.remember(chat, engine)
+        self.assertEqual([locations.engine_of(chat) for chat in (1, 2, 3)], ["c", None, "d"])
+        locations.forget(1)
+        locations.forget(1)
+        self.assertIsNone(locations.engine_of(1))
 
-    def test_a_request_that_went_as_far_as_it_may_keeps_to_engines_that_were_full(self) -> None:
+    def test_a_restricted_plan_asks_only_engines_that_were_full(self) -> None:
         plan = Plan("chat", ENGINES)
         for held in (4, 3):
             plan.next_step()
@@ -162,14 +162,14 @@
         self.assertFalse(plan.restrict_to({plan.order[0], plan.order[1]}))
         self.assertIsInstance(plan.next_step(), Exhausted)
 
-    def test_without_a_full_engine_there_is_none_to_keep_to(self) -> None:
+    def test_a_restricted_plan_without_full_engines_is_exhausted(self) -> None:
         plan = Plan("chat", ENGINES)
         plan.next_step()
         plan.record_refusal("draining")
         self.assertFalse(plan.restrict_to(()))
         self.assertIsInstance(plan.next_step(), Exhausted)
 
-    def test_a_list_that_was_behind_is_looked_at_again(self) -> None:
+    def test_an_updated_list_of_engines_changes_the_rest_of_the_order(self) -> None:
         plan = Plan("chat", ENGINES[:3])
         plan.next_step()
         plan.record_refusal("not the one")
--- a/pondhatch/placement/tests/test_pooled_first.py
+++ b/pondhatch/placement/tests/test_pooled_first.py
@@ -7,11 +7,11 @@
 from pondhatch.placement import Ask, Plan, RecentLoads, pooled_first, ranked
 from pondhatch.placement._pooled_first import LOAD_LIFETIME
 
-FEW = ("a", "b", "c", "d")
+ENGINES = ("a", "b", "c", "d")
 
 
 class PooledFirstTest(unittest.TestCase):
-    def test_those_with_a_connection_come_first_unless_they_hold_more(self) -> None:
+    def test_engines_with_a_connection_come_first_unless_they_hold_more(self) -> None:
         for loads, mean, expected in (
             ((None, None, None, None), 0.0, ("b", "d")),
             # b holds more than a, and more than the mean.
@@ -20,26 +20,26 @@
             ((None, 3, None, 3), 2.5, ("b", "d")),
         ):
             with self.subTest(loads=loads, mean=mean):
-                self.assertEqual(pooled_first(FEW, {"b", "d", "z"}, loads, mean), expected)
+                self.assertEqual(pooled_first(ENGINES, {"b", "d", "z"}, loads, mean), expected)
 
-    def test_a_load_is_known_for_a_moment(self) -> None:
-        heard = RecentLoads()
-        heard.record("a", 5, 100.0)
-        heard.record("b", 6, 100.0 + LOAD_LIFETIME)
-        self.assertEqual(heard.load_of("a", 100.0 + LOAD_LIFETIME), 5)
-        heard.record("b", 7, 100.1 + LOAD_LIFETIME)
-        self.assertIsNone(heard.load_of("a", 100.1 + LOAD_LIFETIME))
-        self.assertEqual(list(heard._load_by_engine), ["b"])
+    def test_a_load_expires(self) -> None:
+        loads = RecentLoads()
+        loads.record("a", 5, 100.0)
+        loads.record("b", 6, 100.0 + LOAD_LIFETIME)
+        self.assertEqual(loads.load_of("a", 100.0 + LOAD_LIFETIME), 5)
+        loads.record("b", 7, 100.1 + LOAD_LIFETIME)
+        self.assertIsNone(loads.load_of("a", 100.1 + LOAD_LIFETIME))
+        self.assertEqual(list(loads._load_by_engine), ["b"])
 
 
 class PreferTest(unittest.TestCase):
     def test_the_preferred_are_asked_first_and_every_other_once(self) -> None:
-        order = ranked("request", FEW)
-        plan = Plan("request", FEW)
+        order = ranked("request", ENGINES)
+        plan = Plan("request", ENGINES)
         plan.prefer((order[3], order[1]))
         self.assertEqual(plan.order, (order[1], order[3], order[0], order[2]))
         asked = []
-        for _ in FEW:
+        for _ in ENGINES:
             step = plan.next_step()
             assert isinstance(step, Ask)
             asked.append(step.engine)
@@ -47,6 +47,6 @@
         self.assertEqual(tuple(asked), plan.order)
 
     def test_without_any_the_order_stays(self) -> None:
-        plan = Plan("request", FEW)
+        plan = Plan("request", ENGINES)
         plan.prefer(())
-        self.assertEqual(plan.order, ranked("request", FEW))
+        self.assertEqual(plan.order, ranked("request", ENGINES))
--- a/pondhatch/placement/tests/test_token_counts.py
+++ b/pondhatch/placement/tests/test_token_counts.py
@@ -27,7 +27,7 @@
 
 
 class TokenCountsTest(unittest.TestCase):
-    def test_what_fits(self) -> None:
+    def test_a_request_fits_up_to_the_limit(self) -> None:
         shared = TokenNeed(10, ((7, 50),))
         rows: tuple[tuple[str, tuple[TokenNeed, ...], TokenNeed, bool], ...] = (
             ("up to the limit", (TokenNeed(60),), TokenNeed(40), True),
@@ -49,27 +49,27 @@
                     counts.add("e", number, each, 0.0)
                 self.assertEqual(counts.shortage("e", "new", need, LIMIT, 0.0) == 0, expected)
 
-    def test_a_third_long_prompt_waits_until_one_is_read(self) -> None:
+    def test_a_third_long_prompt_waits_until_one_is_prefilled(self) -> None:
         counts = TokenCounts()
         for number in range(2):
             counts.add("e", number, LONG, 0.0)
         self.assertEqual(counts.shortage("e", 2, LONG, LARGE_LIMIT, 0.0), 1)
         self.assertEqual(counts.shortage("e", 2, TokenNeed(10), LARGE_LIMIT, 0.0), 0)
-        read = (LONG_PROMPT_TOKENS + 1) / PREFILL_TOKENS_PER_SECOND
-        self.assertEqual(counts.shortage("e", 2, LONG, LARGE_LIMIT, read), 0)
+        prefilled_at = (LONG_PROMPT_TOKENS + 1) / PREFILL_TOKENS_PER_SECOND
+        self.assertEqual(counts.shortage("e", 2, LONG, LARGE_LIMIT, prefilled_at), 0)
 
-    def test_a_long_prompt_whose_parts_were_read_lately_delays_nobody(self) -> None:
+    def test_a_cached_long_prompt_does_not_wait(self) -> None:
         counts = TokenCounts()
-        known = TokenNeed(0, ((7, LONG_PROMPT_TOKENS + 1),))
-        counts.add("e", "before", known, 0.0)
+        cached = TokenNeed(0, ((7, LONG_PROMPT_TOKENS + 1),))
+        counts.add("e", "before", cached, 0.0)
         counts.remove("e", "before")
         for number in range(2):
             counts.add("e", number, LONG, CACHED_SECONDS)
-        self.assertEqual(counts.shortage("e", "again", known, LARGE_LIMIT, CACHED_SECONDS), 0)
-        forgotten = CACHED_SECONDS + 0.01
-        self.assertEqual(counts.shortage("e", "again", known, LARGE_LIMIT, forgotten), 1)
+        self.assertEqual(counts.shortage("e", "again", cached, LARGE_LIMIT, CACHED_SECONDS), 0)
+        expired_at = CACHED_SECONDS + 0.01
+        self.assertEqual(counts.shortage("e", "again", cached, LARGE_LIMIT, expired_at), 1)
 
-    def test_memory_that_is_free_is_left_to_one_that_waits_to_be_read(self) -> None:
+    def test_free_memory_that_is_reserved_is_not_granted_to_others(self) -> None:
         counts = TokenCounts()
         counts.add("e", "running", TokenNeed(30), 0.0)
         counts.reserve("e", Reservation("long", TokenNeed(40), 5))
@@ -77,7 +77,7 @@
         counts.add("e", "running", TokenNeed(50), 0.0)
         self.assertGreater(counts.shortage("e", "small", TokenNeed(11), LIMIT, 0.0, 5), 0)
 
-    def test_a_reservation_binds_those_that_are_no_more_urgent(self) -> None:
+    def test_a_reservation_limits_requests_that_are_no_more_urgent(self) -> None:
         counts = TokenCounts()
         counts.add("e", "running", TokenNeed(50), 0.0)
         counts.reserve("e", Reservation("large", TokenNeed(60), 5))
@@ -98,7 +98,7 @@
         self.assertTrue(counts.remove("e", "large"))
         self.assertFalse(counts.by_engine)
 
-    def test_one_of_unknown_size_counts_as_the_mean_of_those_known(self) -> None:
+    def test_an_adopted_request_counts_as_the_mean_of_the_known(self) -> None:
         counts = TokenCounts()
         counts.adopt("e", "first")
         self.assertEqual(counts.used("e"), 0)
@@ -109,7 +109,7 @@
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 8), st.booleans(), NEEDS), max_size=60))
-    def test_the_limit_holds_and_nothing_is_left_in_the_end(
+    def test_the_limit_holds_and_all_tokens_are_released(
         self, steps: list[tuple[int, bool, TokenNeed]]
     ) -> None:
         counts, running = TokenCounts(), set[int]()
--- a/pondhatch/quarantine/tests/test_trials.py
+++ b/pondhatch/quarantine/tests/test_trials.py
@@ -13,7 +13,7 @@
     def setUp(self) -> None:
         self.one, self.two = Trials(1), Trials(2)
 
-    def test_a_claim_waits_for_one_that_was_heard_before_it(self) -> None:
+    def test_a_claim_waits_for_one_received_before_it(self) -> None:
         first = self.two.claim(7, 0.0)
         self.one.add(first, 0.0)
         second = self.one.claim(7, 0.0)
@@ -23,20 +23,20 @@
         self.one.remove(first)
         self.assertTrue(self.one.goes_first(second, 0.0, same))
 
-    def test_of_claims_that_crossed_each_other_one_goes_first_at_both(self) -> None:
+    def test_both_routers_agree_which_of_two_simultaneous_claims_goes_first(self) -> None:
         mine, theirs = self.one.claim(7, 0.0), self.two.claim(7, 0.0)
         self.one.add(theirs, 0.0)
         self.two.add(mine, 0.0)
         found = [self.one.goes_first(mine, 0.0, same), self.two.goes_first(theirs, 0.0, same)]
         self.assertEqual(found, [True, False])
 
-    def test_a_claim_of_a_router_that_is_gone_counts_for_a_while(self) -> None:
+    def test_a_claim_without_an_end_expires(self) -> None:
         self.one.add(self.two.claim(7, 0.0), 0.0)
         mine = self.one.claim(7, 1.0)
         self.assertFalse(self.one.goes_first(mine, TRIAL_SECONDS - 1, same))
         self.assertTrue(self.one.goes_first(mine, TRIAL_SECONDS, same))
 
-    def test_claims_to_requests_that_do_not_bar_each_other_run_at_once(self) -> None:
+    def test_claims_without_a_conflict_run_at_once(self) -> None:
         self.one.add(self.two.claim(7, 0.0), 0.0)
         other = self.one.claim(8, 0.0)
         self.assertTrue(self.one.goes_first(other, 0.0, same))
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -15,7 +15,7 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import Intake
-from pondhatch.placement.tests.test_intake import most_in_a_second
+from pondhatch.placement.tests.test_intake import max_in_any_second
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests.tests._history import (
     COLD_ALLOWANCE,
@@ -136,7 +136,7 @@
 
             sent = [fleet.request_later(at, True, False, after) for at, after in enumerate(starts)]
             await asyncio.gather(freeze(), *sent)
-            most = {each: most_in_a_second(sends_to(fleet, each)) for each in fleet.engines[:cold]}
+            most = {each: max_in_any_second(sends_to(fleet, each)) for each in fleet.engines[:cold]}
             bears = COLD_ALLOWANCE.max_per_second(PACE)
             return [f"{each} got {n} in a second" for each, n in most.items() if n > bears]
 
