--- a/pondhatch/placement/__init__.py
+++ b/pondhatch/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: which engine takes a request, and how much an engine may carry."""
+"""Placement: selects an engine for a request and limits the load of each engine."""
 
 from pondhatch.placement._ceiling import admission_ceiling
 from pondhatch.placement._cold_pacer import ColdAllowance, ColdPacer
--- a/pondhatch/placement/_cold_pacer.py
+++ b/pondhatch/placement/_cold_pacer.py
@@ -1,76 +1,77 @@
-"""How fast requests go to a cold upstream, whoever grants them.
-
-A cold upstream falls over well above its pace, whatever router sent it too much. Its owner
-counts, but at times two routers take themselves for the owner: one was cut off or restarted,
-or the others have not heard yet. So each keeps to half of what the upstream bears, and a
-router that sees but a part of the fleet keeps to that part of it: as many sides as a cut may
-have, they stay within the whole together.
+"""Rate limit for requests to a cold upstream, shared by all routers that may grant them.
+
+A cold upstream fails when it gets requests well above its pace (requests per second), no matter
+which routers sent them. Only its owner grants requests, but two routers may both believe to be
+the owner for a while: after a network partition, after a restart, or before a change of the
+owner has spread. So each router uses at most half of what the upstream bears, and a router that
+sees only a part of the fleet uses only that part of its half. All sides of a partition together
+then stay within the limit.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-#: Routers that may take themselves for an upstream's owner at the same time, on one side of a
-#: cut: the former and the next, until both have heard of the change.
+#: Routers on one side of a partition that may believe to be an upstream's owner at the same
+#: time: the old and the new owner, until both have learned of the change.
 CONCURRENT_OWNERS = 2
-#: Requests that may go at once to an upstream that got none for a while: a caller's few that
-#: come together need not wait for each other.
+#: Requests that may be granted at once for an idle upstream, so that two requests that a caller
+#: sends together need not wait for each other.
 BURST = 2
 
 
 class ColdAllowance(msgspec.Struct, frozen=True):
-    """What a cold upstream bears in any one second beside its pace."""
+    """How far the requests of any one second may exceed a cold upstream's pace."""
 
     #: Multiple of the pace.
     overshoot: float = 1.0
-    #: Requests beyond that.
+    #: Requests on top of that multiple.
     slack: float = 0.0
 
     def max_per_second(self, pace: float) -> float:
-        """Return the requests that may reach one upstream in any one second."""
+        """Return the maximum number of requests to one upstream in any one second."""
         return pace * self.overshoot + self.slack
 
 
 class ColdPacer(msgspec.Struct):
-    """When the next request may go to each cold upstream, as one router counts it.
+    """One router's rate limiter for cold upstreams.
 
-    A virtual schedule: each request moves an upstream's next turn on by an interval, and one
-    may go up to ``BURST`` - 1 intervals ahead of its turn.
+    It keeps a virtual schedule (GCRA): each granted request moves the time of the upstream's next
+    grant on by one interval, and a request may be granted up to ``BURST`` - 1 intervals early.
     """
 
     allowance: ColdAllowance = msgspec.field(default_factory=ColdAllowance)
-    #: This router's part of the fleet: the live routers it sees, of those seen in a while; 0
-    #: until it has met the others.
+    #: Live routers that this router sees, as a share of those that it saw lately, 0 to 1; 0 until
+    #: it knows its peers.
     fleet_share: float = 0.0
-    #: The next turn of each cold upstream, in the clock's seconds.
+    #: Scheduled time of the next grant for each cold upstream, in the clock's seconds.
     _next_grant_by_upstream: dict[str, float] = msgspec.field(default_factory=dict)
 
     def is_due(self, upstream: str, pace: float, now: float) -> bool:
-        """Return whether a request may go to a cold upstream now."""
+        """Return whether a request may be granted for a cold upstream now."""
         if not self.fleet_share or not self.allowance.max_per_second(pace):
             return False
         interval, burst = self._interval_and_burst(pace)
         next_grant = self._next_grant_by_upstream.get(upstream)
         if next_grant is None and self.fleet_share < 1:
-            # Other sides of a cut may have begun with a request of their own just now.
+            # Routers on other sides of a partition may just have granted their first request.
             next_grant = self._next_grant_by_upstream[upstream] = now + interval
         return next_grant is None or next_grant - (burst - 1) * interval <= now
 
     def record_grant(self, upstream: str, pace: float, now: float) -> None:
-        """Note that a request was granted to a cold upstream."""
+        """Record that a request was granted for a cold upstream."""
         interval, _ = self._interval_and_burst(pace)
         next_grant = self._next_grant_by_upstream.get(upstream, now)
         self._next_grant_by_upstream[upstream] = max(next_grant, now) + interval
 
     def forget(self, upstream: str) -> None:
-        """Forget an upstream that is warm, or gone."""
+        """Forget an upstream that is warm or gone."""
         self._next_grant_by_upstream.pop(upstream, None)
 
     def _interval_and_burst(self, pace: float) -> tuple[float, int]:
-        """Return the seconds from one turn to the next, and how many may go at once.
+        """Return the seconds between two scheduled grants, and the size of a burst.
 
-        In any one second no more go than the burst and the turns of that second.
+        Any one second has at most the burst and the grants scheduled in that second.
         """
         own_rate = self.allowance.max_per_second(pace) / CONCURRENT_OWNERS * self.fleet_share
         burst = BURST if self.fleet_share == 1 and own_rate >= 2 * BURST else 1
--- a/pondhatch/placement/_context.py
+++ b/pondhatch/placement/_context.py
@@ -1,10 +1,10 @@
-"""Where a chat's context is believed to lie."""
+"""Which engine most likely holds the cached context of a chat."""
 
 from __future__ import annotations
 
 from pondhatch.placement._context_locations import ContextLocations
 
-#: Seconds for which an engine that joined counts as young.
+#: Seconds after it joined for which an engine counts as young.
 YOUNG_SECONDS = 600.0
 
 
@@ -13,10 +13,10 @@
 ) -> str:
     """Return the engine that most likely holds a returning chat's context.
 
-    A chat that spilled is where it was remembered. One whose home engine joined
-    a short while ago was, before that, at home with the first engine of its order
-    that did not, ``settled``: sending it there keeps its context, and keeps a joining
-    engine from being flooded by chats that it cannot know.
+    A chat that was served by another engine than its home is at the recorded engine. Where the
+    home engine joined a short while ago, the chat's former home is ``established``, the first
+    engine of its order that did not. Sending the chat there keeps its context, and protects a
+    joining engine from a flood of chats whose context it does not have.
     """
     remembered = locations.engine_of(chat)
     if remembered is not None:
--- a/pondhatch/placement/_fair_queue.py
+++ b/pondhatch/placement/_fair_queue.py
@@ -1,9 +1,9 @@
-"""The line before a full engine: bounded, by priority, fair between accounts.
+"""The queue of a full engine: bounded, ordered by priority, fair between accounts.
 
-Within a priority, accounts take turns by weight (start-time fair queueing): an
-account that sends much waits behind its own requests, so that one seldom seen
-is served next however long the line of the other is. Requests that are too late
-for their objective come after all of their priority that are not.
+Within a priority, accounts take turns by weight (start-time fair queueing): an account with many
+requests waits behind its own, so that an account with few is served next however many the other
+has queued. Requests that are too late for their latency objective come after all others of their
+priority.
 """
 
 from __future__ import annotations
@@ -19,39 +19,43 @@
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """One request's place in a line."""
+    """One request's place in a queue."""
 
+    #: The lowest is served first.
     priority: int
-    #: Virtual time at which its account's turn starts.
+    #: Virtual start time in the fair queueing of accounts.
     start: float
+    #: Number in the order of arrival.
     number: int
     account: str
-    #: Until when a grant is in time for its objective, in the clock's seconds.
+    #: Until when a grant meets the request's latency objective, in the clock's seconds.
     objective_deadline: float = math.inf
-    #: Lines in which its request waits at once.
+    #: Queues in which the request waits at the same time.
     queue_count: int = 1
-    #: Whether that time is over.
+    #: Whether the deadline has passed.
     is_late: bool = False
 
     @property
     def sort_key(self) -> tuple[int, bool, float, int]:
-        """Return what the line is sorted by."""
+        """Return the key by which the queue is sorted."""
         return (self.priority, self.is_late, self.start, self.number)
 
 
 class FairQueue(msgspec.Struct):
     """Requests that wait for one engine."""
 
-    #: Requests that may wait at once.
+    #: Maximum number of queued requests.
     limit: int
     by_number: dict[int, Ticket] = msgspec.field(default_factory=dict)
-    #: The order of each ticket, sorted.
+    #: The tickets' sort keys, sorted.
     _sort_keys: list[tuple[int, bool, float, int]] = msgspec.field(default_factory=list)
-    #: By the same order, the part of each request that this line will have to serve.
+    #: In the same order, the expected part of each request that this queue serves: 1 over the
+    #: number of queues in which it waits.
     _shares: list[float] = msgspec.field(default_factory=list)
-    #: Until when tickets are in time, with their numbers, the first one on top.
+    #: Heap of the tickets' deadlines, each with the ticket's number.
     _deadlines: list[tuple[float, int]] = msgspec.field(default_factory=list)
-    #: How many are late, when one of them last had its turn, and the newest time known.
+    #: Number of late tickets, when one of them was last served, and the newest time given, both
+    #: in the clock's seconds.
     _late_count: int = 0
     _late_served_at: float = 0.0
     _now: float = 0.0
@@ -72,11 +76,11 @@
         objective_deadline: float = math.inf,
         queue_count: int = 1,
     ) -> Ticket | None:
-        """Return a place in the line, or None where it is full and this place the last.
+        """Return a ticket, or None where the queue is full and the request would be the last.
 
-        A full line gives way to a request whose turn comes earlier, being more
-        urgent or of an account seldom seen: the caller then gets a place, and
-        ``overflow`` names the one that must leave.
+        A full queue still accepts a request that comes before its last one, being more urgent or
+        of an account with fewer requests; ``ticket_to_evict`` then returns the ticket that must
+        leave.
         """
         start = self._start_of(account)
         if len(self) >= self.limit and (priority, False, start) >= self._sort_keys[-1][:3]:
@@ -92,23 +96,23 @@
         return ticket
 
     def count_before(self, account: str, priority: int) -> int:
-        """Return how many wait whose turn comes before that of a new request."""
+        """Return the number of queued requests that come before a new one."""
         return self._position_of(account, priority, is_late=False)
 
     def share_before(self, account: str, priority: int, is_late: bool = False) -> float:
-        """Return how many of those before a new request this line will have to serve.
+        """Return how many of the requests before a new one this queue is expected to serve.
 
-        One that waits in several lines counts as its part here. ``is_late`` says whether the
-        new request is to be ranked among those that are too late for their objective.
+        A request that waits in several queues counts as a fraction here. ``is_late`` says whether
+        the new request ranks among those that are too late for their objective.
         """
         return sum(self._shares[: self._position_of(account, priority, is_late)])
 
     def total_share(self) -> float:
-        """Return how many of all who wait this line will have to serve."""
+        """Return how many of all queued requests this queue is expected to serve."""
         return sum(self._shares)
 
     def advance_time(self, now: float) -> None:
-        """Put those that are too late for their objective behind the others."""
+        """Move the requests that are now too late for their objective behind the others."""
         self._now = now
         while self._deadlines and self._deadlines[0][0] <= now:
             _, number = heapq.heappop(self._deadlines)
@@ -122,19 +126,19 @@
             self._insert(late)
 
     def late_wait(self) -> float:
-        """Return for how many seconds no late request had its turn though some wait."""
+        """Return the seconds for which late requests were queued and none was served."""
         return self._now - self._late_served_at if self._late_count else 0.0
 
     def ticket_to_evict(self) -> Ticket | None:
-        """Return who must leave because the line is longer than its limit."""
+        """Return the ticket that must leave a queue longer than its limit, None otherwise."""
         return self.by_number[self._sort_keys[-1][-1]] if len(self) > self.limit else None
 
     def first(self) -> Ticket | None:
-        """Return who is next, or None where nobody waits."""
+        """Return the ticket that is next, or None where the queue is empty."""
         return self.by_number[self._sort_keys[0][-1]] if self._sort_keys else None
 
     def at_position(self, position: int) -> Ticket | None:
-        """Return who has a place of the line, counted from 0; None where it is shorter."""
+        """Return the ticket at a position, counted from 0; None where the queue is shorter."""
         return (
             self.by_number[self._sort_keys[position][-1]]
             if position < len(self._sort_keys)
@@ -142,14 +146,14 @@
         )
 
     def mark_served(self, ticket: Ticket) -> None:
-        """Note that a ticket's turn came."""
+        """Take a ticket out as served, and advance the virtual time."""
         self._virtual_time = max(self._virtual_time, ticket.start)
         if ticket.is_late:
             self._late_served_at = self._now
         self.leave(ticket)
 
     def leave(self, ticket: Ticket) -> None:
-        """Take a ticket out, served or not; safe to call twice."""
+        """Take a ticket out, served or not; a second call has no effect."""
         current = self.by_number.pop(ticket.number, None)
         if current is not None:
             self._remove(current)
@@ -170,10 +174,10 @@
         del self._shares[index]
 
     def _start_of(self, account: str) -> float:
-        """Return the virtual time at which an account's next turn starts."""
+        """Return the virtual start time of an account's next request."""
         return max(self._virtual_time, self._finish_by_account.get(account, 0.0))
 
     def _position_of(self, account: str, priority: int, is_late: bool) -> int:
-        """Return the place that a new request would have, counted from 0."""
+        """Return the position that a new request would have, counted from 0."""
         sort_key = (priority, is_late, self._start_of(account), math.inf)
         return bisect.bisect_right(self._sort_keys, sort_key)
--- a/pondhatch/placement/_forecast.py
+++ b/pondhatch/placement/_forecast.py
@@ -1,7 +1,7 @@
-"""How long a request will wait for a slot of a full engine, and when to retry, without I/O.
+"""Predicts the wait for a slot of a full engine and the time to retry; no I/O.
 
-Both follow from the time between two slots that come free, and from how many requests the
-engine's line has to serve before.
+Both follow from the time between two releases of a slot, and from the number of requests that
+the engine's queue has to serve before.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 
 import msgspec
 
-#: Weight of the newest gap between two releases in the mean of an engine.
+#: Weight of the newest gap between two releases in an engine's moving average.
 GAP_WEIGHT = 0.2
-#: The same where waits are predicted. Slots that were granted together come free together, so
-#: that a mean over five gaps swings between a third and twice the real one.
+#: The same weight where waits are predicted. Slots that were granted together come free together,
+#: so that an average over five gaps swings between a third and twice the real one.
 STEADY_GAP_WEIGHT = 1 / 32
-#: The longest time, in seconds, after which a refused caller is asked to retry.
+#: Longest delay, in seconds, after which a refused caller is asked to retry.
 LONGEST_RETRY_AFTER = 10.0
-#: Seconds from the end of one run to the begin of the next, where that one waits at the engine's
-#: owner: a release, a grant and the request itself are on their way, one after the other.
+#: Seconds from the end of one run to the start of the next one that waits at the engine's owner:
+#: the release, the grant and the request itself are sent one after the other.
 TURNAROUND_SECONDS = 0.01
 
 
 def extra_grants(gap: float, limit: int) -> int:
     """Return how many requests to grant beyond an engine's slots while others wait for it.
 
-    As many as the engine ends within the turnaround, ``gap`` being the mean seconds between two
-    ends: else that many slots would stand idle beside a queue. 0 where the gap is not known, and
-    no more than ``most``, which the engine queues itself.
+    As many as the engine completes within the turnaround, ``gap`` being the mean seconds between
+    two completions; without them that many slots would be idle while requests are queued. 0 where
+    the gap is not known, and at most ``limit``, the number that the engine queues itself.
     """
     if gap <= 0:
         return 0
@@ -35,17 +35,17 @@
 
 
 class ReleaseInterval(msgspec.Struct, frozen=True):
-    """How fast an engine gives grants back."""
+    """Moving average of the time between two releases of an engine's grants."""
 
-    #: When it last gave one back, in the clock's seconds.
+    #: When a grant was last released, in the clock's seconds.
     last_release_at: float
-    #: Mean seconds between two, None before the second.
+    #: Mean seconds between two releases, None before the second one.
     mean_gap: float | None = None
-    #: Gaps that the mean was made of.
+    #: Number of gaps in the mean.
     gap_count: int = 0
 
     def with_release(self, now: float, min_weight: float = GAP_WEIGHT) -> ReleaseInterval:
-        """Return the pace with one more grant given back."""
+        """Return the average updated by one more release."""
         gap = now - self.last_release_at
         if self.mean_gap is None:
             return ReleaseInterval(now, gap, 1)
@@ -58,16 +58,17 @@
 
 
 class RetrySchedule(msgspec.Struct):
-    """When the callers that an engine's owner refused were asked to retry."""
+    """Spreads the retries of the callers that an engine's owner refused."""
 
-    #: The latest of these times, in the clock's seconds.
+    #: Latest time at which a caller was asked to retry, in the clock's seconds.
     latest_retry_at: float = float("-inf")
 
     def next_delay(self, now: float, queued: float, gap: float, queues: int) -> float:
         """Return the seconds after which one more refused caller is to retry.
 
-        The line, in which ``share`` requests wait, is served by then, and so are the callers
-        refused before. One that several engines refused retries at one of them.
+        By then the ``queued`` requests of the engine's queue and the callers refused before are
+        served. A caller that was refused by ``queues`` engines counts in part at each, since it
+        retries at one of them. ``gap`` is the mean seconds between two releases.
         """
         retry_at = max(now + queued * gap, self.latest_retry_at + gap / queues)
         self.latest_retry_at = min(retry_at, now + LONGEST_RETRY_AFTER)
--- a/pondhatch/placement/_health.py
+++ b/pondhatch/placement/_health.py
@@ -1,9 +1,9 @@
-"""Which owned upstreams are down or ailing, by what became of the requests sent there.
+"""Passive health checks: which owned upstreams are down or ailing, by the results of requests.
 
-An upstream that failed several times in a row gets nothing for a while, then one
-request to try it. One that answers too many requests with failures of its own, though
-it takes them all, is passed over for a while and then judged anew: its health check may
-go on saying that it is well. Going past either sends nothing, so it costs no retry.
+An upstream is down after several failures in a row (requests lost or not connected): it gets no
+requests for a pause, then a single one as a probe. An upstream is ailing when it answers too many
+requests with errors of its own, while its own health check may still pass: it is avoided for a
+pause and then assessed again. Skipping an upstream sends nothing, so it costs no retry.
 """
 
 from __future__ import annotations
@@ -11,62 +11,65 @@
 import msgspec
 from msgspec.structs import replace
 
-#: Failures in a row after which an upstream is taken for down.
+#: Failures in a row after which an upstream counts as down.
 FAILURES_UNTIL_DOWN = 3
-#: Seconds for which it gets nothing, first and at most; doubled with each failed try.
+#: Seconds without requests for an upstream that is down, first and at most; doubled with each
+#: failed probe.
 FIRST_PAUSE = 1.0
 LONGEST_PAUSE = 15.0
-#: The longest where load is managed: while callers are refused for lack of capacity, an engine that
-#: has recovered and gets nothing costs more than the one request in two seconds that tries it.
+#: Longest pause, in seconds, where load is managed: while callers are refused for lack of
+#: capacity, a recovered engine without requests costs more than one probe in two seconds.
 MANAGED_PAUSE = 2.0
-#: Weight of one answer in the share of an upstream's answers that were failures of its
-#: own: some ten answers decide.
+#: Weight of one answer in an upstream's error rate, a moving average over some ten answers.
 ERROR_WEIGHT = 0.1
-#: Share from which an upstream is ailing. Some failures follow the request wherever it
-#: runs, so it stands well above their share.
+#: Error rate from which an upstream is ailing: well above the rate of the errors that are caused
+#: by the requests themselves and occur at any upstream.
 AILING_ERROR_RATE = 0.35
-#: Share below which an upstream's failures are forgotten.
+#: Error rate below which an upstream is healthy and its entry is dropped.
 HEALTHY_ERROR_RATE = 0.01
-#: Seconds for which an ailing one is passed over, first and at most; doubled each time.
+#: Seconds for which an ailing upstream is avoided, first and at most; doubled each time.
 FIRST_AILING_PAUSE = 2.0
 LONGEST_AILING_PAUSE = 8.0
 
 
 class UpstreamHealth(msgspec.Struct, frozen=True):
-    """What is known of one upstream."""
+    """Health of one upstream."""
 
     #: Requests in a row that were lost there or could not reach it.
     consecutive_failures: int = 0
-    #: Until when it gets nothing, in the clock's seconds.
+    #: Until when it gets no requests, in the clock's seconds.
     down_until: float = float("-inf")
-    #: Seconds for which it gets nothing when it goes down or its try fails.
+    #: Seconds of the next pause, when it goes down or a probe fails.
     pause: float = FIRST_PAUSE
-    #: Whether one request was let through to try it after a pause.
+    #: Whether a request was let through after a pause as a probe.
     is_probing: bool = False
-    #: Share of its latest answers that were failures of its own, later ones weighing more.
+    #: Moving average of the share of its answers that are errors of its own, 0 to 1.
     error_rate: float = 0.0
-    #: Until when it is passed over where another can take the request.
+    #: Until when it is avoided where another can take the request, in the clock's seconds.
     ailing_until: float = float("-inf")
-    #: Seconds for which it is passed over when it is next found ailing.
+    #: Seconds for which it is avoided when it is next found ailing.
     ailing_pause: float = FIRST_AILING_PAUSE
 
     @property
     def is_marked_down(self) -> bool:
-        """Whether it failed that often in a row; it stays so while one request tries it."""
+        """Whether it had enough failures in a row; still true while a probe runs."""
         return self.consecutive_failures >= FAILURES_UNTIL_DOWN
 
     def is_ailing(self, now: float) -> bool:
-        """Return whether it should get only what no other can take."""
+        """Return whether it should get only requests that no other upstream can take."""
         return now < self.ailing_until
 
 
 class Health(msgspec.Struct):
-    """Health by upstream; one that is well is not listed."""
+    """Health by upstream; healthy ones are not listed."""
 
     health_by_upstream: dict[str, UpstreamHealth] = msgspec.field(default_factory=dict)
 
     def is_down(self, upstream: str, now: float) -> bool:
-        """Return whether to pass an upstream over; the first to come after a pause tries it."""
+        """Return whether to skip an upstream that is down.
+
+        The first call after a pause returns False and makes its request the probe.
+        """
         known = self.health_by_upstream.get(upstream)
         if known is None or not known.is_marked_down:
             return False
@@ -78,12 +81,12 @@
         return False
 
     def is_ailing(self, upstream: str, now: float) -> bool:
-        """Return whether an upstream should get only what no other can take."""
+        """Return whether an upstream should get only requests that no other can take."""
         known = self.health_by_upstream.get(upstream)
         return known is not None and known.is_ailing(now)
 
     def states(self, now: float) -> dict[str, str]:
-        """Return "down" or "ailing" for each upstream that is so."""
+        """Return "down" or "ailing" for each upstream that is not healthy."""
         return {
             name: "down" if known.is_marked_down else "ailing"
             for name, known in self.health_by_upstream.items()
@@ -93,7 +96,7 @@
     def record_failure(
         self, upstream: str, now: float, longest_pause: float = LONGEST_PAUSE
     ) -> None:
-        """Note that a request was lost there or could not reach it."""
+        """Record that a request was lost at an upstream or could not reach it."""
         known = self._health_of(upstream)
         failed = replace(known, consecutive_failures=known.consecutive_failures + 1)
         if known.is_probing:
@@ -101,12 +104,12 @@
             failed = replace(failed, down_until=now + pause, pause=pause, is_probing=False)
         elif failed.consecutive_failures == FAILURES_UNTIL_DOWN:
             failed = replace(failed, down_until=now + known.pause)
-        # Else it is not down yet, or the request was under way when it went down: what is
-        # lost with an upstream at once says no more than the first.
+        # Otherwise it is not down yet, or the request was already running when it went down:
+        # requests lost together are no further evidence and do not lengthen the pause.
         self.health_by_upstream[upstream] = failed
 
     def record_answer(self, upstream: str) -> None:
-        """Note that a request was answered there."""
+        """Record that an upstream answered a request without an error of its own."""
         known = self.health_by_upstream.get(upstream)
         if known is None:
             return
@@ -117,7 +120,7 @@
         self.health_by_upstream[upstream] = replace(_marked_up(known), error_rate=error_rate)
 
     def record_error(self, upstream: str, now: float) -> None:
-        """Note that an upstream answered a request with a failure of its own."""
+        """Record that an upstream answered a request with an error of its own."""
         known = _marked_up(self._health_of(upstream))
         error_rate = known.error_rate + (1 - known.error_rate) * ERROR_WEIGHT
         if error_rate < AILING_ERROR_RATE or known.is_ailing(now):
@@ -126,10 +129,10 @@
         self.health_by_upstream[upstream] = _marked_ailing(known, now)
 
     def record_leaving(self, upstream: str, now: float) -> None:
-        """Note that an upstream refused a request since it is about to end.
+        """Record that an upstream refused a request because it is about to shut down.
 
-        The platform's list says so too, but later. It may be mistaken, so it is passed over
-        like an ailing one, and asked where no other takes the request.
+        The platform's list says so too, but later. The upstream may be mistaken, so it is treated
+        like an ailing one and still asked where no other takes the request.
         """
         known = self._health_of(upstream)
         if not known.is_ailing(now):
@@ -140,10 +143,10 @@
 
 
 def _marked_ailing(known: UpstreamHealth, now: float) -> UpstreamHealth:
-    """Return what is known of an upstream that is passed over from now on."""
+    """Return the health of an upstream that is ailing from now on."""
     return replace(
         known,
-        # Judged anew after that: neither well by default nor ailing at once.
+        # Start between healthy and ailing, so that new answers decide after the pause.
         error_rate=AILING_ERROR_RATE / 2,
         ailing_until=now + known.ailing_pause,
         ailing_pause=min(LONGEST_AILING_PAUSE, known.ailing_pause * 2),
@@ -151,7 +154,7 @@
 
 
 def _marked_up(known: UpstreamHealth) -> UpstreamHealth:
-    """Return what is known of an upstream that answered: it is not down."""
+    """Return the health of an upstream that answered and so is not down."""
     return replace(
         known, consecutive_failures=0, down_until=float("-inf"), pause=FIRST_PAUSE, is_probing=False
     )
--- a/pondhatch/placement/_intake.py
+++ b/pondhatch/placement/_intake.py
@@ -1,10 +1,10 @@
-"""For which requests, and how fast, an upstream may take work now.
+"""Which requests an upstream may be sent now, and at which rate.
 
-An upstream that is listed as live may still not be sent whatever comes: its data hall may be
-evacuated, it may stand outside the regions that a request is bound to, it may be cold and fall
-over above a pace, or it may have said in an answer that it leaves or wants a rest. All of that
-is decided here, from what the list of upstreams, their answers, the platform and the
-configuration say, for new requests, repeats and the rest of streams alike.
+An upstream that is listed as live may still not be sent every request: its data hall may be
+evacuated, it may be outside the regions that a request is restricted to, it may be cold and fail
+above some rate, or it may have stated in an answer that it is shutting down or wants no requests
+for some seconds. All of this is decided here, from the list of upstreams, their answers, the
+platform and the configuration, alike for new requests, repeats and resumed streams.
 """
 
 from __future__ import annotations
@@ -17,47 +17,47 @@
 
 from pondhatch.placement._notices import NO_REST, Rest
 
-#: Names of the regions whose upstreams may run a request; None where any may.
+#: Names of the regions whose upstreams may run a request; None for any region.
 Regions: TypeAlias = tuple[str, ...] | None
 
 
 class ClosedReason(enum.StrEnum):
-    """Why an upstream may not be sent a request now; the value is the code told."""
+    """Why an upstream may not be sent a request now; the value is the code that callers get."""
 
-    #: It is about to end, or an operator wants it emptied.
+    #: It is about to shut down, or an operator drains it.
     LEAVING = "upstream-leaving"
-    #: Its data hall is to be sent nothing more.
+    #: Its data hall is evacuated and gets no more requests.
     EVACUATED = "hall-evacuated"
-    #: Its region is none of those that the request may run in.
+    #: The request may not run in its region.
     OUTSIDE_REGIONS = "outside-regions"
-    #: It turned a request away, and wants nothing for a while.
+    #: It refused a request and asked for no requests for a while.
     RESTING = "upstream-resting"
 
 
 class Intake(msgspec.Struct, frozen=True):
-    """What one upstream takes now."""
+    """Which requests one upstream accepts now."""
 
-    #: Whether it takes new work, by its own word and the operator's.
+    #: Whether it accepts new requests, as stated by itself and by the operator.
     is_live: bool = True
     #: Whether its data hall is evacuated.
     is_evacuated: bool = False
-    #: The region of its data hall; empty where nobody says.
+    #: Region of its data hall; empty where unknown.
     region: str = ""
-    #: Requests a second that it bears, being cold; None where it is warm or nobody says.
+    #: Requests a second that it bears while it is cold; None where it is warm or nothing is known.
     cold_pace: float | None = None
-    #: What is left of the rests that it asked for.
+    #: Remaining time for which it asked for no requests.
     rest: Rest = NO_REST
 
     @property
     def accepts_new(self) -> bool:
-        """Whether some new request may be sent to it."""
+        """Whether any new request may be sent to it."""
         return self.is_live and not self.is_evacuated
 
     def closed_reason(self, regions: Regions, resuming: bool = False) -> ClosedReason | None:
-        """Return why a request may not be sent to it, None where it may.
+        """Return why a request may not be sent to the upstream, None where it may.
 
-        ``resuming`` says that it is the rest of a stream that it ran. One that leaves takes
-        that; one whose hall is evacuated does not.
+        ``resuming`` marks the rest of a stream that the upstream ran before. An upstream that is
+        leaving accepts that; one in an evacuated hall does not.
         """
         if self.is_evacuated:
             return ClosedReason.EVACUATED
@@ -68,28 +68,29 @@
         return ClosedReason.RESTING if self.rest.for_this_router > 0 else None
 
     def closed_reason_for_all(self, resuming: bool = False) -> ClosedReason | None:
-        """Return why no router may send it a request, None where some may.
+        """Return why no router may send the upstream a request, None where some router may.
 
-        Its region and a rest that one router was asked for are for that router to know.
+        Regions, and a rest that the upstream asked of one router only, are checked by that
+        router itself.
         """
         if self.rest.for_all_routers > 0:
             return ClosedReason.RESTING
         return replace(self, rest=NO_REST).closed_reason(None, resuming)
 
 
-#: Takes all requests, as fast as they come.
+#: Accepts all requests at any rate.
 OPEN = Intake()
-#: Takes the rest of its streams alone.
+#: Accepts only the rest of its own streams.
 CLOSING = Intake(is_live=False)
 
 
 def is_region_allowed(region: str, regions: Regions) -> bool:
-    """Return whether what is bound to regions may go to one of them."""
+    """Return whether a request restricted to regions may run in a region."""
     return regions is None or region in regions
 
 
 def common_regions(first: Regions, second: Regions) -> Regions:
-    """Return the regions that two bindings allow together; none where they share none."""
+    """Return the regions that two restrictions both allow; empty where they share none."""
     if first is None or second is None:
         return second if first is None else first
     return tuple(region for region in first if region in second)
--- a/pondhatch/placement/_notices.py
+++ b/pondhatch/placement/_notices.py
@@ -1,9 +1,10 @@
-"""What upstreams say of themselves in the heads of their answers, and for how long it holds.
+"""Notices that upstreams give about themselves in response headers, and how long they apply.
 
-An upstream that leaves says so in each answer, and one that is overloaded may turn a request
-away and ask for some seconds of rest. Both are known here before the platform lists them, or
-where it never does. The word is the upstream's own, of the start that gave it: each start is
-known by a name of its own where the platform says when it began.
+An upstream that is leaving (about to shut down) says so in each response, and one that is
+overloaded may refuse a request and ask for a rest, some seconds without requests. Routers learn
+of both here before the platform lists them, or where it never does. A notice concerns the start
+(process) of the upstream that gave it: each start has a name of its own where the platform says
+when it began.
 """
 
 from __future__ import annotations
@@ -14,48 +15,48 @@
 import msgspec
 from msgspec.structs import replace
 
-#: Seconds for which the word of an upstream that leaves holds where nobody says when it started:
-#: another start may have taken its name since.
+#: Seconds for which an upstream counts as leaving where its start time is unknown: another start
+#: may have taken its name since.
 UNKNOWN_START_SECONDS = 600.0
-#: Seconds by which a report of an upstream may be behind what it says in its answers.
+#: Seconds by which a report about an upstream may be older than the upstream's own answers.
 REPORT_LAG_SECONDS = 5.0
-#: Seconds of rest that an upstream gets at most; it asks for more by mistake.
+#: Longest accepted rest, in seconds; a longer one is taken for a mistake of the upstream.
 LONGEST_REST = 3600.0
-#: Seconds for which the word of an upstream that nobody lists is kept: its entry may have lapsed
-#: with the platform's store, and come back.
+#: Seconds for which the notices of an unlisted upstream are kept: its entry may have expired in
+#: the platform's store and come back.
 UNLISTED_SECONDS = 600.0
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """What one answer's head says of the upstream that gave it."""
+    """What one response's headers say about the upstream that sent it."""
 
-    #: Whether it is about to end.
+    #: Whether it is about to shut down.
     is_leaving: bool = False
-    #: Seconds for which it wants nothing more from who asked; 0 where it asks for none.
+    #: Seconds for which it wants no more requests from the router it answered; 0 for none.
     rest: float = 0.0
-    #: Whether it has places, by its own word, so that others may still be welcome.
+    #: Whether it states that it has free slots, so that other routers may still send requests.
     has_free_slots: bool = False
-    #: Its processing time in percent of usual; 0 where it states none.
+    #: Its processing time in percent of usual; 0 where not stated.
     pace: int = 0
 
     def __bool__(self) -> bool:
-        """Return whether it closes the upstream; a pace does not."""
+        """Return whether it closes the upstream to requests; a pace does not."""
         return self.is_leaving or self.rest > 0
 
 
-#: What most answers say.
+#: The notice of most responses.
 NO_NOTICE = Notice()
 
 
 class Rest(msgspec.Struct, frozen=True):
-    """Seconds that are left of the rests that one upstream asked for; 0 where none are."""
+    """Remaining seconds of the rests that one upstream asked for; 0 for none."""
 
-    #: For which this router is to send it nothing.
+    #: For which this router is to send it no requests.
     for_this_router: float = 0.0
-    #: For which no router is to: it has no places.
+    #: For which no router is to: it has no free slots.
     for_all_routers: float = 0.0
-    #: For which it turns some routers away though it has places. It gets from the others what
-    #: has nowhere else to go.
+    #: For which it refuses some routers though it has free slots. The others send it only
+    #: requests that no other upstream takes.
     for_some_routers: float = 0.0
 
 
@@ -63,24 +64,25 @@
 
 
 class _NoticeState(msgspec.Struct, frozen=True):
-    """What one upstream said, in the clock's seconds."""
+    """The notices of one upstream that apply, with times in the clock's seconds."""
 
+    #: When the last notice came.
     received_at: float
     leaving_until: float = -math.inf
-    #: Until when the rests last; see Rest.
+    #: Until when the rests last; see ``Rest``.
     this_router_until: float = -math.inf
     all_routers_until: float = -math.inf
     some_routers_until: float = -math.inf
 
     def rest(self, now: float) -> Rest:
-        """Return what is left of its rests."""
+        """Return the remaining rests."""
         ends = (self.this_router_until, self.all_routers_until, self.some_routers_until)
         return Rest(*(max(0.0, until - now) for until in ends))
 
     def with_rest(
         self, until: float, is_for_this_router: bool, has_free_slots: bool
     ) -> _NoticeState:
-        """Return it with one more rest; each was asked for, so the one that ends later holds."""
+        """Return the state with one more rest; of several the one that ends later applies."""
         applies_here = is_for_this_router or not has_free_slots
         return replace(
             self,
@@ -97,7 +99,7 @@
 
 
 class Notices(msgspec.Struct):
-    """What upstreams said of themselves that still holds, by their names."""
+    """The notices of upstreams that still apply, by the upstream's name."""
 
     _state_by_upstream: dict[str, _NoticeState] = msgspec.field(default_factory=dict)
 
@@ -109,10 +111,10 @@
         is_start_known: bool,
         is_for_this_router: bool = True,
     ) -> bool:
-        """Take in what an upstream says; return whether it closes it, or does so for longer.
+        """Record a notice; return whether it closes the upstream, or does so for longer.
 
-        ``is_start_known`` says whether the name stands for one start of it,
-        ``is_for_this_router`` whether it was said to this router rather than to another.
+        ``is_start_known`` says whether the name stands for a single start of the upstream,
+        ``is_for_this_router`` whether this router received the notice rather than another.
         """
         before = self._state_by_upstream.get(upstream, _NoticeState(now))
         state = replace(before, received_at=now)
@@ -128,19 +130,19 @@
         return is_newly_leaving or state.rest(now) != before.rest(now)
 
     def names(self) -> tuple[str, ...]:
-        """Return the upstreams that said anything."""
+        """Return the upstreams with any notice."""
         return tuple(self._state_by_upstream)
 
     def cancel_leaving(self, upstream: str) -> None:
-        """Note that an upstream takes work again, though it had said that it leaves."""
+        """Record that an upstream accepts requests again after it was leaving."""
         state = self._state_by_upstream.get(upstream)
         if state is not None:
             self._state_by_upstream[upstream] = replace(state, leaving_until=-math.inf)
 
     def record_live_report(self, upstream: str, now: float) -> bool:
-        """Take in a late report that an upstream takes work; return whether that was news.
+        """Record a report that an upstream accepts requests; return whether it was leaving.
 
-        It is not believed where the upstream said something just before, for it may be older.
+        A report within ``REPORT_LAG_SECONDS`` of a notice is ignored, since it may be older.
         """
         state = self._state_by_upstream.get(upstream)
         if (
@@ -153,17 +155,17 @@
         return True
 
     def is_leaving(self, upstream: str, now: float) -> bool:
-        """Return whether an upstream said that it is about to end."""
+        """Return whether an upstream has stated that it is about to shut down."""
         state = self._state_by_upstream.get(upstream)
         return state is not None and now < state.leaving_until
 
     def rest(self, upstream: str, now: float) -> Rest:
-        """Return what is left of the rests that an upstream asked for."""
+        """Return the remaining rests that an upstream asked for."""
         state = self._state_by_upstream.get(upstream)
         return state.rest(now) if state is not None else NO_REST
 
     def current(self, now: float) -> dict[str, Notice]:
-        """Return what still holds, with the seconds that are left of each rest."""
+        """Return the notices that still apply, with the remaining seconds of each rest."""
         found = {
             name: _relayed_notice(now < known.leaving_until, known.rest(now))
             for name, known in self._state_by_upstream.items()
@@ -171,12 +173,12 @@
         return {name: notice for name, notice in found.items() if notice}
 
     def count_resting(self, upstreams: Container[str], now: float) -> int:
-        """Return how many of some upstreams want nothing from anybody for now."""
+        """Return how many of some upstreams want no requests from any router now."""
         states = self._state_by_upstream.items()
         return sum(now < each.all_routers_until and name in upstreams for name, each in states)
 
     def drop_expired(self, listed: Container[str], now: float) -> bool:
-        """Forget what is over, and those that nobody has listed; return whether any were."""
+        """Drop expired notices and those of long unlisted upstreams; return whether any were."""
         before = len(self._state_by_upstream)
         for name, state in tuple(self._state_by_upstream.items()):
             has_expired = now >= state.leaving_until and state.rest(now) == NO_REST
@@ -187,7 +189,7 @@
 
 
 def _relayed_notice(is_leaving: bool, rest: Rest) -> Notice:
-    """Return what holds of an upstream as other routers are told of it."""
+    """Return the notice that is passed on to other routers."""
     if rest.for_all_routers > 0:
         return Notice(is_leaving, rest.for_all_routers)
     return Notice(is_leaving, rest.for_some_routers, has_free_slots=rest.for_some_routers > 0)
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -1,8 +1,8 @@
-"""The order in which a request's engines are asked, as a machine without I/O.
+"""The order in which engines are asked for a request, as a state machine without I/O.
 
-The home engine is asked first. Its owner either grants, or is full, or knows
-that the chat's context lies elsewhere. The plan then goes to that engine, back
-home, and on along the spill order that every router agrees on.
+The home engine is asked first. Its owner grants the request, refuses it as the engine is full,
+or answers that another engine holds the chat's context. The plan then asks that engine, the home
+engine again, and the others in the rendezvous order, which is the same at every router.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 from pondhatch.placement._rendezvous import ranked
 
-#: Engines asked at most for one request before it is refused.
+#: Maximum number of engines asked for one request before it is refused.
 DEFAULT_MAX_ASKS = 12
-#: Ailing engines that one request passes over at most: where there are more, the fault lies
-#: with the service, and crowding the engines that seem well would only add to it.
+#: Maximum number of ailing engines that one request skips: with more of them the service itself
+#: is at fault, and sending everything to the few healthy engines would make it worse.
 MAX_AILING_SKIPPED = 2
-#: Times that an engine may refuse a request as full until it is not waited for any more.
+#: Refusals as full by one engine after which the request no longer waits for it.
 MAX_ENGINE_FULL = 2
-#: Engines found at their ceiling from which on the mean of those seen stands for all.
+#: Engines found at their ceiling from which on their mean load is an estimate for all engines.
 MIN_SAMPLES = 8
-#: Full engines looked at once more after the wait for the last one: the time of that wait
-#: may have freed a place there. Each costs a question to its owner, and some milliseconds of
-#: a request that is about to be refused; the least loaded have the best chance.
+#: Full engines asked once more after the wait for the last one, since a slot may have come free
+#: meanwhile. Each costs a question to its owner, and some milliseconds for a request that is
+#: about to be refused; the least loaded engines have the best chance.
 MAX_RECHECKS = 2
 
 
@@ -33,18 +33,18 @@
     """Ask the owner of this engine for a grant."""
 
     engine: str
-    #: True where an engine is asked although the context is elsewhere, or it is ailing.
+    #: Whether to grant even if the context is at another engine or this engine is ailing.
     is_forced: bool = False
-    #: True where the chat's context is believed to lie here.
+    #: Whether this engine is believed to hold the chat's context.
     has_context: bool = False
-    #: True where nowhere else is left to ask.
+    #: Whether this is the last resort, as no other engine is left to ask.
     is_last: bool = False
-    #: True where the engine is asked once more, over a new connection.
+    #: Whether the request is to be sent to the engine again over a new connection.
     needs_new_connection: bool = False
 
 
 class Exhausted(msgspec.Struct, frozen=True):
-    """No engine granted the request; it was not run anywhere."""
+    """No engine granted the request; it did not run anywhere."""
 
     asked: tuple[str, ...]
 
@@ -53,7 +53,7 @@
 
 
 class Plan:
-    """One request's walk over the engines of its service."""
+    """The engines asked for one request, and those still to be asked."""
 
     def __init__(
         self, chat: str, engines: Collection[str], max_asks: int = DEFAULT_MAX_ASKS
@@ -61,35 +61,36 @@
         self._chat = chat
         self._engines = engines
         self.order = ranked(chat, engines, max_asks)
-        #: Engines asked so far, in order, with what each answered.
+        #: Engines that did not take the request, in order, each with the reason.
         self.refusals: list[tuple[str, str]] = []
-        #: Requests in flight that each full engine's owner spoke of.
+        #: Requests in flight at each full engine, as its owner replied.
         self.in_flight_by_engine: dict[str, int] = {}
-        #: Tokens of memory that engines lacked for the request, of those that lacked any.
+        #: Tokens of memory missing for the request, by engine that lacks memory.
         self._short_by_engine: dict[str, int] = {}
-        #: Engines whose owners found them at their ceiling, and whether one was cold.
+        #: Engines at their ceiling by their owners' replies, and whether one was cold.
         self._at_ceiling: set[str] = set()
         self._saw_cold = False
-        #: Engines that refused the request as full, each time that they did, and whether it was
-        #: granted after a wait at several.
+        #: Engines that refused the request as full after it was sent there, one item for each
+        #: time, and whether the request was granted after waiting for several engines.
         self._engine_full_refusals: list[str] = []
         self._has_been_granted = False
-        #: Engines that were passed over because they answer with failures.
+        #: Engines that were skipped as ailing.
         self._ailing: list[str] = []
         self._max_asks = max_asks
-        #: Whether the engine that is the last resort was asked.
+        #: Whether the last resort was asked.
         self._has_asked_last = False
-        #: Ailing and full engines to ask once more after that, the next one last.
+        #: Ailing and full engines to ask once more after the last resort; the next one is last in
+        #: the list.
         self._rechecks: list[str] = []
-        #: Asks that come before the rest of the order.
+        #: Steps that come before the remaining engines.
         self._next_asks: list[Ask] = [Ask(self.order[0], has_context=True)] if self.order else []
-        #: Engines of the order still to come, the next one last.
+        #: Engines of the order that were not asked yet; the next one is last in the list.
         self._remaining = list(self.order[:0:-1])
-        #: The latest ask, whose answer is noted next.
+        #: The latest step, whose answer is recorded next.
         self._pending: Ask | None = None
 
     def prefer(self, engines: Collection[str]) -> None:
-        """Ask these engines of the order before the others; called before anybody is asked."""
+        """Put these engines first in the order; to be called before any engine is asked."""
         if not engines:
             return
         self.order = tuple(sorted(self.order, key=lambda name: name not in engines))
@@ -98,18 +99,18 @@
 
     @property
     def home(self) -> str | None:
-        """The chat's home engine, or None where the service has no engine."""
+        """The chat's home engine, or None if the service has no engine."""
         return self.order[0] if self.order else None
 
     def first_established(self, is_young: Callable[[str], bool]) -> str | None:
         """Return the first engine after the home that did not join lately, or None.
 
-        It was home before those ranked above it joined.
+        It was the home engine before those ranked above it joined.
         """
         return next((engine for engine in self.order[1:] if not is_young(engine)), None)
 
     def next_step(self) -> Step:
-        """Return whom to ask now."""
+        """Return the engine to ask next, or ``Exhausted``."""
         if len(self.refusals) >= self._max_asks:
             return self._last_resort()
         if self._next_asks:
@@ -122,15 +123,16 @@
         return self._pending
 
     def in_flight_seen_elsewhere(self, engine: str) -> int:
-        """Return the work seen on this walk at other engines: newer than any digest."""
+        """Return the load of the other engines asked so far: newer than any gossiped total."""
         return sum(held for other, held in self.in_flight_by_engine.items() if other != engine)
 
     def estimate_elsewhere(self, engine: str, engines: int) -> int:
-        """Return the work at other engines by the mean seen, where load rises; else 0.
+        """Return an estimate of the load of the other engines by the mean seen; 0 for none.
 
-        Totals that were heard are behind then. Of 8 engines drawn by the chat's order, the least
-        loaded holds twice the mean of all or more once in 256 walks at most, since at most half
-        of the engines do (Markov). So its ceiling may go by the mean of those seen.
+        While load rises, gossiped totals lag behind. Of 8 engines drawn by the chat's order, the
+        least loaded holds at least twice the mean of all engines for at most one in 256 requests,
+        since at most half of the engines do (Markov's inequality). So the ceiling of the least
+        loaded one may be computed from the mean of the engines seen.
         """
         held_by_engine = self.in_flight_by_engine
         seen = [held for name, held in held_by_engine.items() if name in self._at_ceiling]
@@ -142,22 +144,23 @@
         return max(0, sum(seen) * engines // len(seen) - own)
 
     def queue_engines(self, limit: int) -> tuple[str, ...]:
-        """Return the engines to wait for at once, those that are ailing first.
+        """Return the engines to wait for at the same time, ailing ones first.
 
-        They may have a place, which is better than none. Of the full ones, the one with the least
-        work comes first.
+        An ailing engine may have a free slot, which is better than none. The full engines follow
+        by load, the least loaded first.
         """
         least_loaded = [name for name in self._fullest_first()[::-1] if name not in self._ailing]
         return (*self._ailing, *least_loaded)[:limit]
 
     def record_wait(self, engine: str) -> None:
-        """Note at which of several engines the answer to a wait is noted next."""
+        """Record which engine's answer to a wait at several engines is recorded next."""
         self._pending = Ask(engine, is_forced=True, is_last=True)
 
     def record_grant(self, engine: str) -> None:
-        """Note which of several engines is tried now; if it refuses, the others are waited for.
+        """Record which of several engines granted the request.
 
-        This one too, where it says for the first time that it is only full.
+        If it refuses the request, the others are waited for, and this one too if it refused as
+        full for the first time.
         """
         self._has_been_granted = True
         self.record_wait(engine)
@@ -168,13 +171,13 @@
         self._has_asked_last = False
 
     def cancel_rechecks(self) -> None:
-        """Look at no other engine any more: the wait used up the time for that."""
+        """Ask no engine once more, as the wait has used up the time for that."""
         self._rechecks = []
 
     def record_owner_full(
         self, in_flight: int, ceiling: int, is_cold: bool = False, short_tokens: int = 0
     ) -> None:
-        """Note that the engine last asked is at its ceiling, cold, or lacks memory."""
+        """Record that the engine last asked is at its ceiling, cold, or lacks memory."""
         engine = self._last_ask().engine
         self.in_flight_by_engine[engine] = in_flight
         if short_tokens > 0:
@@ -189,7 +192,7 @@
         self.record_refusal(reason)
 
     def record_engine_full(self, in_flight: int, reason: str) -> None:
-        """Note that the engine last asked was sent the request, and refused it as full."""
+        """Record that the engine last asked was sent the request and refused it as full."""
         engine = self._last_ask().engine
         self._engine_full_refusals.append(engine)
         if not self._has_been_granted or self._engine_full_refusals.count(engine) < MAX_ENGINE_FULL:
@@ -197,10 +200,10 @@
         self.record_refusal(reason)
 
     def restrict_to(self, engines: Collection[str]) -> bool:
-        """Ask nobody but these from now on; return whether one of them can still be asked.
+        """Ask only these engines from now on; return whether one of them can still be asked.
 
-        For a request that was sent to as many engines as it may: it may go again to one of
-        those, where that engine was only full.
+        For a request that was sent to the maximum number of engines: it may be sent again to
+        one of those if that engine was only full.
         """
         self._next_asks, self._remaining, self._ailing = [], [], []
         self.in_flight_by_engine = {
@@ -211,7 +214,7 @@
         return can_ask_last or bool(self._rechecks)
 
     def update_engines(self, engines: Collection[str]) -> None:
-        """Take the engines as they are listed by now: the list that the walk began with is old."""
+        """Replace the list of engines, which is outdated since the plan began."""
         self._engines = engines
         joined = [
             name for name in ranked(self._chat, engines, self._max_asks) if name not in self.order
@@ -222,22 +225,25 @@
         ]
 
     def record_ailing(self) -> None:
-        """Note that the engine last asked should get only what no other can take."""
+        """Record that the engine last asked is ailing: ask it again only if no other takes it."""
         if self._pending is not None:
             self._ailing.append(self._pending.engine)
 
     def record_refusal(self, reason: str) -> None:
-        """Note that the engine last asked did not take the request."""
+        """Record that the engine last asked did not take the request."""
         self.refusals.append((self._last_ask().engine, reason))
 
     def retry_last(self) -> None:
-        """Ask the engine last asked once more, next and over a new connection."""
+        """Make the next step the engine last asked once more, over a new connection."""
         self._next_asks.insert(
             0, replace(self._last_ask(), is_forced=True, needs_new_connection=True)
         )
 
     def record_context_elsewhere(self, engine: str) -> None:
-        """Note the home owner's word that the chat's context lies at an engine."""
+        """Record the home owner's answer that another engine holds the chat's context.
+
+        Raises ValueError unless the home engine was asked last.
+        """
         home = self._pending
         if home is None or home.engine != self.home:
             raise ValueError("only the home engine's owner knows of other places")
@@ -249,13 +255,13 @@
         self.refusals.append((home.engine, f"context is at {engine}"))
 
     def _last_ask(self) -> Ask:
-        """Return the latest ask. Raises ValueError where there is none."""
+        """Return the latest step. Raises ValueError if no engine was asked."""
         if self._pending is None:
             raise ValueError("no engine was asked yet")
         return self._pending
 
     def _last_resort(self) -> Step:
-        """Ask once more an engine that may take what no other did, then look at others."""
+        """Return the last resort, the likeliest engine to take the request; then the rechecks."""
         if self._has_asked_last:
             return self._recheck()
         least_loaded = self._fullest_first()[-MAX_RECHECKS - 1 :]
@@ -269,7 +275,7 @@
         return self._pending
 
     def _recheck(self) -> Step:
-        """Ask another ailing engine, or a full one whether a place came free meanwhile."""
+        """Return another ailing engine, or a full one where a slot may have come free."""
         if not self._rechecks:
             return self._exhausted()
         self._pending = Ask(self._rechecks.pop(), is_forced=True)
@@ -279,11 +285,12 @@
         return Exhausted(tuple(name for name, _ in self.refusals))
 
     def _fullest_first(self) -> list[str]:
-        """Return the full engines, the one with the least work last.
+        """Return the full engines, the least loaded last.
 
-        One that lacks memory holds few requests, but large ones: the less it lacks, the sooner
-        it takes another. What was seen of the others may raise its ceiling. Of two that hold as
-        much, the one asked first comes last: the chat's order goes for it.
+        An engine that lacks memory holds few but large requests, so these are sorted by missing
+        memory: the less is missing, the sooner it takes another request. The least loaded comes
+        last, since the loads seen at the others may raise its ceiling. Of two engines with equal
+        loads the one asked first comes last, as the chat's order prefers it.
         """
         seen = self.in_flight_by_engine
         short = self._short_by_engine
--- a/pondhatch/placement/_rendezvous.py
+++ b/pondhatch/placement/_rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous hashing: every router ranks the same names the same way.
 
-XXH3 with the key as its seed costs a tenth of a keyed blake2b; nobody gains by
-choosing where a hash falls, so a cryptographic one is not needed.
+XXH3 with the key as its seed costs a tenth of a keyed blake2b. A cryptographic hash is not
+needed, since nobody gains by choosing where a hash falls.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from pondhatch.placement._starts import upstream_id_of
 
-#: Names of which the part that is hashed is kept: three times the upstreams and routers of the
-#: size to design for. Kept, it costs no more than encoding a name anew.
+#: Size of the cache of encoded names: three times the upstreams and routers of the largest
+#: supported fleet. A cached lookup costs no more than encoding a name again.
 NAME_CACHE_SIZE = 8192
 
 
@@ -24,20 +24,20 @@
 
 
 def scorer(key: str) -> Callable[[str], int]:
-    """Return a function from name to its 64-bit score for a key; the highest wins."""
+    """Return a function from a name to its 64-bit score for a key; the highest score wins."""
     seed = xxhash.xxh3_64_intdigest(key.encode())
     digest = xxhash.xxh3_64_intdigest
     return lambda name: digest(_hashed_part(name), seed)
 
 
 def ranked(key: str, names: Iterable[str], limit: int | None = None) -> tuple[str, ...]:
-    """Return the names, best first, in the order that every router agrees on.
+    """Return the names, best first, in an order that is the same at every router.
 
-    ``most`` asks for only so many of them.
+    ``limit`` is the maximum number of names returned, None for all.
     """
     seed = xxhash.xxh3_64_intdigest(key.encode())
     digest = xxhash.xxh3_64_intdigest
-    # A list of scores built in place costs half of a key function's calls.
+    # Building the list of scores inline costs half as much as a sort with a key function.
     scored = [(digest(_hashed_part(name), seed), name) for name in names]
     scored.sort(reverse=True)
     return tuple([name for _, name in scored[:limit]])
--- a/pondhatch/placement/_token_counts.py
+++ b/pondhatch/placement/_token_counts.py
@@ -1,8 +1,8 @@
-"""Counts of the tokens that granted requests hold in the memory of engines, without I/O.
+"""Counts of the tokens that granted requests hold in the memory of engines; no I/O.
 
-An engine whose memory runs out takes a request back in the middle of its stream and reads its
-prompt again, or ends. The count stands beside the gate's count of requests: the gate says how
-many may run, this says whether there is memory for one more.
+An engine that runs out of memory preempts a request in the middle of its stream and prefills its
+prompt again, or crashes. These counts complement the gate's count of requests: the gate limits
+how many run, this says whether there is memory for one more.
 """
 
 from __future__ import annotations
@@ -13,86 +13,87 @@
 
 #: Key of the part of a prompt that no other request shares.
 UNSHARED_PART = 0
-#: New tokens of a prompt beyond which reading it delays all that runs beside it.
+#: New tokens of a prompt above which its prefill delays all other requests of the engine.
 LONG_PROMPT_TOKENS = 4096
-#: Long prompts that an engine reads at once while it holds other work.
+#: Maximum number of long prompts that an engine prefills at once while it holds other requests.
 MAX_LONG_PREFILLS = 2
-#: New tokens that an engine reads in a second.
+#: New tokens that an engine prefills in a second.
 PREFILL_TOKENS_PER_SECOND = 50_000
-#: Seconds after its last use for which a part is taken to be in an engine's memory still; its
-#: engine gives up those first that were unused the longest.
+#: Seconds since its last use for which a part is assumed to be in an engine's cache; engines
+#: evict the least recently used parts first.
 CACHED_SECONDS = 60.0
-#: Parts that are remembered of all engines together: 200 bytes each.
+#: Maximum number of recorded cached parts of all engines together, 200 bytes each.
 MAX_CACHED_PARTS = 8192
 
 
 class TokenNeed(msgspec.Struct, frozen=True):
-    """What a request takes of an engine's memory."""
+    """The memory that a request needs at an engine."""
 
-    #: Tokens that it takes beside the parts of its prompt.
+    #: Tokens needed besides the parts of the prompt.
     tokens: int = 0
-    #: Parts of its prompt, each as a key and its tokens.
+    #: Parts of the prompt, each as its key and its number of tokens.
     parts: tuple[tuple[int, int], ...] = ()
 
     @property
     def total(self) -> int:
-        """Tokens that it takes of an empty memory."""
+        """Tokens needed where the memory is empty and no part is shared."""
         return self.tokens + sum(tokens for _, tokens in self.parts)
 
     @property
     def is_stated(self) -> bool:
-        """Return whether it says anything."""
+        """Return whether any need is stated."""
         return self.tokens > 0 or bool(self.parts)
 
 
 class Reservation(msgspec.Struct, frozen=True):
-    """Memory that is kept for a request which waits for it."""
+    """Memory reserved for a request that waits for it."""
 
     request: Hashable
     need: TokenNeed
-    #: 0 is served first; what is more urgent is not held up by it.
+    #: 0 is the most urgent; more urgent requests ignore the reservation.
     priority: int
 
 
 class SharedPart(msgspec.Struct, frozen=True):
-    """A part of the prompts of running requests, which the engine holds once."""
+    """A prompt part that several running requests share and the engine holds once."""
 
     tokens: int
-    #: Requests that run with it.
+    #: Number of running requests that use it.
     users: int
 
 
 class EngineTokens(msgspec.Struct):
-    """What the requests at one engine hold of its memory."""
+    """The memory that the requests at one engine hold."""
 
     need_by_request: dict[Hashable, TokenNeed] = msgspec.field(default_factory=dict)
     part_by_key: dict[int, SharedPart] = msgspec.field(default_factory=dict)
-    #: When the prompt of each request that reads a long one is read, in the clock's seconds.
+    #: Estimated end of the prefill of each long prompt, in the clock's seconds.
     prefilled_at_by_request: dict[Hashable, float] = msgspec.field(default_factory=dict)
-    #: Tokens held by all together.
+    #: Tokens held by all requests together.
     used: int = 0
     reservation: Reservation | None = None
-    #: Tokens of each request that was granted while memory was reserved for another.
+    #: Tokens of each request granted while memory was reserved for another one.
     tokens_since_reserved: dict[Hashable, int] = msgspec.field(default_factory=dict)
 
     def new_tokens(self, need: TokenNeed) -> int:
-        """Return the tokens of a prompt that no running request holds already."""
+        """Return the tokens of a prompt that no running request holds yet."""
         return sum(self._new_tokens_of(key, tokens) for key, tokens in need.parts)
 
     def count_long_prefills(self, now: float) -> int:
-        """Return how many long prompts are being read."""
+        """Return the number of long prompts being prefilled."""
         return sum(prefilled_at > now for prefilled_at in self.prefilled_at_by_request.values())
 
     def added_tokens(self, need: TokenNeed) -> int:
-        """Return the tokens that a request takes beside what is held already."""
+        """Return the tokens that a request adds to those held."""
         return need.tokens + self.new_tokens(need)
 
     def shortage(self, request: Hashable, need: TokenNeed, limit: int, priority: int) -> int:
-        """Return how many tokens must come free before a request gets its own; 0 for none.
+        """Return how many tokens must come free before a request fits; 0 if it fits.
 
-        What is reserved and free is left alone. Until it is free, those that come later take at
-        most half of what it leaves of the whole: the other half is for those that ran before and
-        take long, so that it comes free although not all of them have ended.
+        Free memory that is reserved for another request is not used. Until the reserved memory is
+        free, requests granted after the reservation use at most half of the rest of the memory.
+        The other half is for long requests from before, so that the reserved memory comes free
+        although not all of those have ended.
         """
         size, current = self.added_tokens(need), self.reservation
         missing = self.used + size - limit
@@ -106,7 +107,7 @@
         return missing + reserved if missing > 0 else 0
 
     def add(self, request: Hashable, need: TokenNeed, now: float, uncached: int) -> None:
-        """Count a request that has so many tokens of its prompt to be read."""
+        """Count a request; ``uncached`` is the number of prompt tokens to be prefilled."""
         self.remove(request)
         if self.reservation is not None:
             self.tokens_since_reserved[request] = self.added_tokens(need)
@@ -118,7 +119,7 @@
             self._add_part(key, tokens)
 
     def remove(self, request: Hashable) -> bool:
-        """Take back what a request holds or has reserved; return whether there was anything."""
+        """Release what a request holds or has reserved; return whether there was anything."""
         has_reserved = self.reservation is not None and self.reservation.request == request
         if has_reserved:
             self.reservation = None
@@ -157,13 +158,13 @@
 
 
 class CachedParts(msgspec.Struct):
-    """Parts of prompts that engines have read, and most likely still hold."""
+    """Prompt parts that engines have prefilled and probably still have in their caches."""
 
-    #: When each was last used, by engine and key; the one unused the longest first.
+    #: When each part was last used, by engine and key; the least recently used first.
     used_at_by_engine_and_key: dict[tuple[str, int], float] = msgspec.field(default_factory=dict)
 
     def record_use(self, engine: str, need: TokenNeed, now: float) -> None:
-        """Note that an engine runs a request with these parts."""
+        """Record that an engine runs a request with these parts."""
         for key, _ in need.parts:
             if key != UNSHARED_PART:
                 self.used_at_by_engine_and_key.pop((engine, key), None)
@@ -172,7 +173,7 @@
             del self.used_at_by_engine_and_key[next(iter(self.used_at_by_engine_and_key))]
 
     def uncached_tokens(self, engine: str, need: TokenNeed, now: float) -> int:
-        """Return the tokens of a prompt that an engine has to read."""
+        """Return the tokens of a prompt that an engine has to prefill."""
         return sum(
             tokens
             for key, tokens in need.parts
@@ -182,11 +183,11 @@
 
 
 class TokenCounts(msgspec.Struct):
-    """Tokens by engine for the engines that this router owns."""
+    """Token counts of the engines that this router owns."""
 
     by_engine: dict[str, EngineTokens] = msgspec.field(default_factory=dict)
     cached_parts: CachedParts = msgspec.field(default_factory=CachedParts)
-    #: Questions that were answered with a lack of memory; a request may ask several.
+    #: Questions refused for lack of memory; one request may ask several.
     refusals: int = 0
 
     def used(self, engine: str) -> int:
@@ -202,9 +203,9 @@
         now: float,
         priority: int = 0,
     ) -> int:
-        """Return how many tokens must come free at an engine that holds other work.
+        """Return how many tokens must come free at an engine that holds other requests.
 
-        0 where a request fits; 1 where there is memory, but enough long prompts are being read.
+        0 if the request fits; 1 if there is memory, but too many long prompts are being prefilled.
         """
         count = self.by_engine.get(engine, EngineTokens())
         is_long = self.cached_parts.uncached_tokens(engine, need, now) > LONG_PROMPT_TOKENS
@@ -212,13 +213,13 @@
         return max(count.shortage(request, need, limit, priority), int(must_wait_for_prefill))
 
     def add(self, engine: str, request: Hashable, need: TokenNeed, now: float) -> None:
-        """Count a granted request, and drop what was reserved for it."""
+        """Count a granted request and drop its reservation."""
         uncached = self.cached_parts.uncached_tokens(engine, need, now)
         self.by_engine.setdefault(engine, EngineTokens()).add(request, need, now, uncached)
         self.cached_parts.record_use(engine, need, now)
 
     def adopt(self, engine: str, request: Hashable) -> None:
-        """Count a request that another owner granted as the mean of those that are known."""
+        """Count a request that another owner granted, with the mean size of the known ones."""
         requests = sum(len(count.need_by_request) for count in self.by_engine.values())
         if requests == 0:
             return
@@ -226,7 +227,7 @@
         self.add(engine, request, TokenNeed(mean), 0.0)
 
     def reserve(self, engine: str, reservation: Reservation) -> None:
-        """Keep memory for a request that waits, unless one that is as urgent has reserved it."""
+        """Reserve memory for a waiting request unless one at least as urgent has done so."""
         count = self.by_engine.setdefault(engine, EngineTokens())
         current = count.reservation
         if current is None or reservation.priority < current.priority:
@@ -234,7 +235,7 @@
             count.tokens_since_reserved.clear()
 
     def remove(self, engine: str, request: Hashable) -> bool:
-        """Take back what a request holds or has reserved; return whether there was anything."""
+        """Release what a request holds or has reserved; return whether there was anything."""
         count = self.by_engine.get(engine)
         if count is None or not count.remove(request):
             return False
@@ -244,7 +245,7 @@
 
 
 def usable_tokens(memory: int) -> int:
-    """Return how much of an engine's memory requests may take: nine tenths.
+    """Return the part of an engine's memory that requests may use: nine tenths, in tokens.
 
     The rest is for answers that grow beyond what their requests stated.
     """
--- a/pondhatch/placement/_weighted_rendezvous.py
+++ b/pondhatch/placement/_weighted_rendezvous.py
@@ -1,8 +1,8 @@
-"""Weighted rendezvous hashing: each name wins as often as its weight asks for.
+"""Weighted rendezvous hashing: each name wins keys in proportion to its weight.
 
 A name's rating for a key is -weight / ln(hash as a fraction); the highest wins. A change of one
-name's weight moves only keys that it gains or loses. Names of one weight stand in the order of
-plain rendezvous hashing.
+name's weight moves only keys that this name gains or loses. Names of equal weight have the order
+of plain rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from pondhatch.placement._rendezvous import ranked, scorer, winner
 
-#: Bits of a hash that are dropped, and the steps that are left: with half a step added, each
+#: Dropped low bits of a hash, and the number of values that remain: with one half added, each
 #: fraction fits a float's 53 bits, so that none is rounded to 0 or 1.
 _DROPPED_BITS = 12
 _STEPS = 2.0**52
 
 
 def weighted_ranked(key: str, weight_by_name: Mapping[str, float]) -> tuple[str, ...]:
-    """Return the names, best first, in the order that every router agrees on."""
+    """Return the names, best first, in an order that is the same at every router."""
     if _are_equal(weight_by_name):
         return ranked(key, weight_by_name)
     return tuple([name for _, _, name in sorted(_rated(key, weight_by_name), reverse=True)])
@@ -37,7 +37,7 @@
 
 
 def _rated(key: str, weight_by_name: Mapping[str, float]) -> list[tuple[float, int, str]]:
-    """Return each name with its rating, and its hash for those that rate the same."""
+    """Return each name with its rating, and its hash to order names of equal rating."""
     score, log = scorer(key), math.log
     scored = [(score(name), name, weight) for name, weight in weight_by_name.items()]
     return [
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -1,3 +1,5 @@
+"""Guards against sending a returning chat to an engine that does not hold its context."""
+
 from __future__ import annotations
 
 import unittest
@@ -12,7 +14,7 @@
         locations = ContextLocations()
         locations.remember(7, "e5")
         cases = [
-            # chat, runner-up, home is young, believed at
+            # chat, established engine, whether the home is young, expected engine
             (7, "e2", False, "e5"),
             (7, "e2", True, "e5"),
             (8, "e2", False, "home"),
@@ -26,11 +28,11 @@
 
 
 class ReplacedEnginesTest(unittest.TestCase):
-    """The pattern: a few of a service's engines are replaced or added within seconds.
+    """Guards against prefilling contexts again when engines are replaced or added.
 
-    Grounds: 3 of 17 engines are replaced and 2 added in 8 s at the users' sites, while each
-    of 95 contexts of 10,000 tokens is asked for every 4.5 s. Where a context was sent to the
-    engine ranked second, itself a newcomer, it was read again at 0.65 a thousand tokens.
+    With 3 of 17 engines replaced and 2 added within 8 s, the engine ranked second may be new
+    itself. Each of 95 contexts of 10,000 tokens, used every 4.5 s, that is sent there is
+    prefilled again at a cost of 0.65 a thousand tokens.
     """
 
     def test_a_chat_keeps_its_engine_however_many_new_engines_rank_above(self) -> None:
--- a/pondhatch/placement/tests/test_engine_paces.py
+++ b/pondhatch/placement/tests/test_engine_paces.py
@@ -1,4 +1,4 @@
-"""Guards a pace's validity and what it does to a ceiling: a stale one must not hold work back."""
+"""Guards against an expired pace, or one faster than usual, that changes an engine's ceiling."""
 
 from __future__ import annotations
 
--- a/pondhatch/placement/tests/test_fair_queue.py
+++ b/pondhatch/placement/tests/test_fair_queue.py
@@ -1,3 +1,5 @@
+"""Guards against an account with many requests that delays or evicts those of others."""
+
 from __future__ import annotations
 
 import unittest
--- a/pondhatch/placement/tests/test_forecast.py
+++ b/pondhatch/placement/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Guards against slots that stand idle beside a queue while grants are on their way."""
+"""Guards against slots that are idle although requests are queued, while grants are sent."""
 
 from __future__ import annotations
 
--- a/pondhatch/placement/tests/test_gate.py
+++ b/pondhatch/placement/tests/test_gate.py
@@ -1,3 +1,5 @@
+"""Guards against grants above an engine's ceiling and against miscounted requests in flight."""
+
 from __future__ import annotations
 
 import unittest
--- a/pondhatch/placement/tests/test_health.py
+++ b/pondhatch/placement/tests/test_health.py
@@ -1,3 +1,5 @@
+"""Guards against requests to upstreams that are down and against avoiding healthy ones too long."""
+
 from __future__ import annotations
 
 import unittest
@@ -67,13 +69,13 @@
 
 
 class AilingTest(unittest.TestCase):
-    """An upstream that takes all requests and answers many with failures."""
+    """An upstream that accepts all requests and answers many with errors."""
 
     def setUp(self) -> None:
         self.health = Health()
 
     def record_answers(self, pattern: str, now: float = 0.0) -> None:
-        """Have answers come: "." for one that is well, "x" for a failure of its own."""
+        """Record answers: "." for a good one, "x" for an error of the upstream."""
         for each in pattern:
             if each == "x":
                 self.health.record_error("e", now)
--- a/pondhatch/placement/tests/test_intake.py
+++ b/pondhatch/placement/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""For which requests an upstream may take work, and how fast where it is cold."""
+"""Guards against requests that an upstream must not get, and a cold upstream that gets too many."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
             (NORTH, ("south",), False, ClosedReason.OUTSIDE_REGIONS),
             (NORTH, ("south",), True, ClosedReason.OUTSIDE_REGIONS),
             (NORTH, (), False, ClosedReason.OUTSIDE_REGIONS),
-            # Nobody knows where it stands: only what may run anywhere may run there.
+            # Its region is unknown: only requests that may run in any region may run there.
             (OPEN, ("north",), False, ClosedReason.OUTSIDE_REGIONS),
         )
         for intake, regions, resuming, expected in rows:
@@ -58,17 +58,17 @@
 
 
 def max_in_any_second(times: list[float]) -> int:
-    """Return the most that came within any one second."""
+    """Return the largest number of times within any one second."""
     return max((sum(at <= each < at + 1.0 for each in times) for at in times), default=0)
 
 
-#: How a cold upstream's load may be counted at the same time: by one router, by its owner and the
-#: next, or on the sides of a cut, each with its part of twelve routers.
+#: Fleet shares of the routers that grant requests for one cold upstream at the same time: one
+#: owner, the old and the new owner, or one on each side of a partition of twelve routers.
 FLEET_SHARES = ((1.0,), (1.0, 1.0), (0.5, 0.25, 0.25), (0.5, 0.5, 0.5), (10 / 12, 1 / 12, 1 / 12))
 
 
 class ColdPacerTest(unittest.TestCase):
-    """The pattern: all who take themselves for the owner are asked all the time."""
+    """Several routers believe to own a cold upstream, and all are asked all the time."""
 
     @settings(max_examples=200, deadline=None)
     @given(
@@ -91,12 +91,12 @@
         times: list[float] = []
         for step in range(400):
             now = step * 0.01
-            # The first asks from the start, the others a while later.
+            # The first router is asked from the start, the others a while later.
             for router in routers[: 1 if now < after else None]:
                 if router.is_due("e0", pace, now):
                     router.record_grant("e0", pace, now)
                     times.append(now)
-        # A request at each end of a second may be one too many for fractions of a whole one.
+        # Rates are fractions, so a request at each end of a second may exceed the sum by one.
         self.assertLessEqual(
             max_in_any_second(times), allowance.max_per_second(pace) + len(fleet_shares) - 1
         )
--- a/pondhatch/placement/tests/test_notices.py
+++ b/pondhatch/placement/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, over time."""
+"""Guards against notices that apply too long, too short, or to the wrong routers."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
     def test_which_routers_a_rest_applies_to(self) -> None:
         rows = (
-            # has places, said to this router, what is left for this one, all and some
+            # has free slots, received by this router, remaining rests
             (False, True, Rest(for_this_router=3.0, for_all_routers=3.0)),
             (False, False, Rest(for_this_router=3.0, for_all_routers=3.0)),
             (True, True, Rest(for_this_router=3.0, for_some_routers=3.0)),
--- a/pondhatch/placement/tests/test_plan.py
+++ b/pondhatch/placement/tests/test_plan.py
@@ -1,3 +1,5 @@
+"""Guards against engines asked in the wrong order, too often, or not at all."""
+
 from __future__ import annotations
 
 import unittest
@@ -37,7 +39,7 @@
         plan.record_context_elsewhere("engine-gone")
         self.assertEqual(plan.next_step(), Ask(plan.order[0], is_forced=True))
 
-    # The engine with the fewest requests is the one that large ones fill.
+    # An engine that lacks memory holds few but large requests, so their number is no measure.
     def test_the_last_resort_is_the_engine_with_the_smallest_memory_shortage(self) -> None:
         plan = Plan("chat", ENGINES[:3])
         for held, short in ((2, 8000), (9, 0), (5, 300)):
@@ -56,7 +58,7 @@
         self.assertEqual(plan.next_step(), Ask(least, is_forced=True, is_last=True))
         self.assertEqual(plan.in_flight_seen_elsewhere(least), 7)
         plan.record_owner_full(2, 2)
-        # While it waited there, a place may have come free at the others.
+        # While the request waited there, a slot may have come free at the others.
         for rechecked in (plan.order[2], plan.order[0]):
             self.assertEqual(plan.next_step(), Ask(rechecked, is_forced=True))
             plan.record_owner_full(4, 4)
--- a/pondhatch/placement/tests/test_pooled_first.py
+++ b/pondhatch/placement/tests/test_pooled_first.py
@@ -1,4 +1,4 @@
-"""Guards against asking an engine first that is known to hold more than the others."""
+"""Guards against preferring an engine with a connection that has a higher load than others."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     def test_engines_with_a_connection_come_first_unless_they_hold_more(self) -> None:
         for loads, mean, expected in (
             ((None, None, None, None), 0.0, ("b", "d")),
-            # b holds more than a, and more than the mean.
+            # b has a higher load than a, or than d and the mean.
             ((3, 4, None, None), 9.0, ("d",)),
             ((None, 4, None, 2), 2.5, ("d",)),
             ((None, 3, None, 3), 2.5, ("b", "d")),
--- a/pondhatch/placement/tests/test_token_counts.py
+++ b/pondhatch/placement/tests/test_token_counts.py
@@ -1,4 +1,4 @@
-"""Guards the count of engines' memory: one that drifts blocks an engine or runs it full."""
+"""Guards the count of engines' memory: a wrong one blocks an engine or exhausts its memory."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 LIMIT = 100
-#: A prompt that is long, and the memory of an engine that has room for many of them.
+#: A long prompt, and the memory of an engine with room for many of them.
 LONG = TokenNeed(0, ((UNSHARED_PART, LONG_PROMPT_TOKENS + 1),))
 LARGE_LIMIT = 100 * LONG_PROMPT_TOKENS
 NEEDS = st.builds(
@@ -82,7 +82,7 @@
         counts.add("e", "running", TokenNeed(50), 0.0)
         counts.reserve("e", Reservation("large", TokenNeed(60), 5))
         counts.reserve("e", Reservation("later", TokenNeed(70), 5))
-        # Behind it, half of what it leaves of the whole: 20.
+        # After the reservation others may use half of the rest of the memory: 20.
         for request, tokens, priority, expected in (
             ("small", 15, 5, True),
             ("medium", 25, 5, False),
--- a/pondhatch/placement/tests/test_weighted_rendezvous.py
+++ b/pondhatch/placement/tests/test_weighted_rendezvous.py
@@ -1,4 +1,4 @@
-"""Guards that weights decide how often a name wins, and that equal ones change no order."""
+"""Guards against wins that are not in proportion to weights, and equal weights that reorder."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         winners = [weighted_winner(key, weight_by_name) for key in KEYS]
         for name, weight in weight_by_name.items():
             share = weight / whole
-            # Four standard deviations of so many independent draws.
+            # Four standard deviations of this number of independent draws.
             deviation = 4 * math.sqrt(share * (1 - share) / len(KEYS))
             self.assertAlmostEqual(winners.count(name) / len(KEYS), share, delta=deviation)
 
