--- a/pondhatch/membership/__init__.py
+++ b/pondhatch/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: which routers are there, what they hold and carry, and who owns what."""
+"""Membership: the live routers, their versions and loads, and the owners of engines."""
 
 from pondhatch.membership._capacity import USUAL_CAPACITY, capacity_of
 from pondhatch.membership._datagrams import Datagram
--- a/pondhatch/membership/_datagrams.py
+++ b/pondhatch/membership/_datagrams.py
@@ -1,4 +1,4 @@
-"""Packets to be sent, encoded as they go over the wire."""
+"""Gossip packets to be sent, and their encoding."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Datagram(msgspec.Struct, frozen=True):
-    """A packet to be sent."""
+    """An encoded packet and its destination."""
 
     to: Address
     payload: bytes
 
 
 def datagram_to(address: Address, message: Packet) -> Datagram:
-    """Return the packet that carries a message to an address."""
+    """Return the packet with a message to an address."""
     return Datagram(address, _encode(message))
 
 
 def _encode(message: Packet) -> bytes:
-    """Return a message's bytes; rumors stand last in those that carry any."""
+    """Return a message's bytes; rumors, the last field, are encoded without a usual capacity."""
     if not isinstance(message, (Ping, Ack, Announcement, Sync)) or not message.rumors:
         return _ENCODER.encode(message)
     rumors = [
--- a/pondhatch/membership/_dissemination.py
+++ b/pondhatch/membership/_dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: what this router says of itself, and the rumors it takes in and passes on."""
+"""Dissemination: this router's own record, and the rumors that it applies and passes on."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Dissemination:
-    """The record that this router keeps of itself, and the rumors that go with its packets."""
+    """Keeps this router's own record, and the rumors that are piggybacked on its packets."""
 
     def __init__(
         self,
@@ -26,9 +26,9 @@
         limits: MembershipLimits,
         rng: random.Random,
     ) -> None:
-        #: What this router says of itself.
+        #: The record that this router publishes about itself.
         self.own_record = own
-        #: The versions that this router holds.
+        #: The versions of the data that this router holds.
         self.versions = Versions()
         self._table = table
         self._view = view
@@ -37,7 +37,10 @@
         self._rumors = RumorQueue(table, limits.max_rumors, limits.rumor_repeats)
 
     def publish(self, phase: Phase, versions: Versions, sees_platform: bool = True) -> None:
-        """Set what this router says of itself; what its peers act by raises its incarnation."""
+        """Update this router's own record and versions.
+
+        A change of the phase or of ``sees_platform``, which peers act upon, raises the incarnation.
+        """
         self.versions = versions
         if (phase, sees_platform) != (self.own_record.phase, self.own_record.sees_platform):
             self.own_record = msgspec.structs.replace(self.own_record, sees_platform=sees_platform)
@@ -48,21 +51,21 @@
         return self._table.view_fingerprint(self.own_record)
 
     def next_rumors(self) -> tuple[Rumor, ...]:
-        """Return a packet's rumors and count them as told."""
+        """Return the rumors for a packet and count them as sent."""
         return self._rumors.next_batch(self.own_record)
 
     def next_rumors_for(self, receiver: int) -> tuple[Rumor, ...]:
-        """Return a packet's rumors, with what is said of the receiver if it must answer that."""
+        """Return the rumors for a packet, with a rumor about the receiver that it must refute."""
         return self._rumors.next_batch_for(receiver, self.own_record)
 
     def announcements(self) -> list[Datagram]:
-        """Return packets that tell some peers at once what this router holds now."""
+        """Return packets that announce this router's versions and rumors to some peers at once."""
         message = Announcement(self.own_record.router, self.versions, self.next_rumors())
         peers = self._view.sample(self._announcement_fanout, self._rng)
         return [datagram_to(address, message) for address in peers]
 
     def apply_rumors(self, rumors: Iterable[Rumor], now: float) -> bool:
-        """Take in rumors; return whether any was news."""
+        """Apply rumors; return whether any was new."""
         has_changed = False
         for rumor in rumors:
             is_about_self = rumor.router == self.own_record.router
@@ -71,7 +74,7 @@
         return has_changed
 
     def apply_rumor(self, rumor: Rumor, now: float) -> bool:
-        """Take in a rumor on another router and pass it on if it was news; return whether."""
+        """Apply a rumor about another router, pass it on if it was new; return whether it was."""
         is_new = (
             self._table.apply_alive(rumor, now)
             if isinstance(rumor, Alive)
@@ -82,11 +85,14 @@
         return is_new
 
     def spread_fault(self, fault: Fault, now: float) -> list[Datagram]:
-        """Take in a fault that this router found; return packets that tell of it if it is news."""
+        """Apply a fault that this router detected; return the announcements if it was new."""
         return self.announcements() if self.apply_rumor(fault, now) else []
 
     def _refute(self, rumor: Rumor) -> bool:
-        """Contradict a rumor that this router is gone, or one of an earlier life."""
+        """Refute a rumor that this router is suspect or dead, or one by an earlier process of it.
+
+        Returns whether the incarnation was raised for that.
+        """
         if rumor.incarnation < self.own_record.incarnation:
             return False
         if isinstance(rumor, Alive) and rumor.incarnation == self.own_record.incarnation:
--- a/pondhatch/membership/_failure_detection.py
+++ b/pondhatch/membership/_failure_detection.py
@@ -1,7 +1,7 @@
-"""Failure detection: pings, indirect pings through others, suspicion, and death.
+"""Failure detection: pings, indirect pings through other routers, suspicion, and death.
 
-One router is pinged at a time. Where no answer comes, some others are asked to ping it;
-where none comes to them either, it is suspected, and counts as dead unless it contradicts.
+One router is pinged at a time. If it does not answer, some others are asked to ping it. If they
+get no answer either, it is suspected, and counts as dead unless it refutes the suspicion in time.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from pondhatch.membership._pinging import PingRotation, Probe, Relays
 from pondhatch.membership._records import Ack, Fault, Ping, PingRequest, Status
 
-#: Share of the ping interval after which a router that did not answer is suspected: before
+#: Share of the ping interval after which a router without an answer is suspected: just before
 #: the next ping is due.
 ACK_SHARE = 0.95
 
 
 class FailureDetector:
-    """Pings the other routers in turn, and finds those that do not answer."""
+    """Pings the other routers in turn and detects those that do not answer."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._limits = limits
         self._rng = rng
         self._rotation = PingRotation(table, rng)
-        #: Number of the last ping sent.
+        #: Sequence number of the last ping sent.
         self._number = 0
         self._probe: Probe | None = None
         self._relays = Relays()
@@ -50,7 +50,7 @@
         self._rotation.put_first(router)
 
     def ping_next(self, now: float) -> list[Datagram]:
-        """Return the ping to the next router in turn; none where no other is there."""
+        """Return the ping to the next router in turn; none if there is no other."""
         target = self._rotation.next()
         if target is None:
             return []
@@ -59,7 +59,7 @@
         return [self._ping(target.address, self._number)]
 
     def check_probe(self, now: float) -> list[Datagram]:
-        """Ask others to ping where no answer came, then suspect."""
+        """Return requests for indirect pings, or a suspicion, if the last ping has no answer."""
         probe = self._probe
         if probe is None:
             return []
@@ -77,7 +77,7 @@
         return [datagram_to(helper, ping_request) for helper in helpers]
 
     def expire_suspects(self, now: float) -> None:
-        """Count those as dead that were suspected for too long."""
+        """Declare routers dead that were suspected for longer than the timeout."""
         suspects = [self._table.entry_by_id[router] for router in self._table.suspects]
         overdue = [
             entry for entry in suspects if now - entry.status_since > self._limits.suspicion_timeout
@@ -87,7 +87,7 @@
             self._dissemination.apply_rumor(fault, now)
 
     def match_ack(self, ack: Ack) -> bool:
-        """Take in an answer; return whether it is the one that this router waits for."""
+        """Handle an ack; return whether it answers the current ping."""
         probe = self._probe
         if probe is None or probe.number != ack.number:
             return False
@@ -97,7 +97,7 @@
         return True
 
     def ping_on_behalf(self, request: PingRequest, source: Address, now: float) -> list[Datagram]:
-        """Ping a router for another one that got no answer from it."""
+        """Return a ping to a router on behalf of another one that got no answer from it."""
         entry = self._table.get(request.target)
         if entry is None:
             return []
@@ -106,7 +106,7 @@
         return [self._ping(entry.address, self._number)]
 
     def relay(self, ack: Ack, now: float) -> Datagram | None:
-        """Return the answer passed on to whom it was asked for; None if it was for this router."""
+        """Return the ack forwarded to the router that asked for the ping; None for own pings."""
         relayed = self._relays.take_answered(ack.number, now)
         if relayed is None:
             return None
--- a/pondhatch/membership/_full_sync.py
+++ b/pondhatch/membership/_full_sync.py
@@ -1,4 +1,4 @@
-"""Exchange of whole views, where two routers' views of the fleet differ."""
+"""Full sync: two routers whose views of the fleet differ exchange them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FullSync:
-    """Sends this router's whole view, in parts that fit a packet."""
+    """Sends this router's whole view of the fleet, in parts that fit into a packet."""
 
     def __init__(
         self,
@@ -28,14 +28,14 @@
         self._next_sync = float("-inf")
 
     def exchange_if_due(self, fingerprint: int, address: Address, now: float) -> list[Datagram]:
-        """Exchange whole views where the fingerprints differ, but not often."""
+        """Return a full sync if the fingerprints differ and the last one is long enough ago."""
         if fingerprint == self._dissemination.fingerprint() or now < self._next_sync:
             return []
         self._next_sync = now + self._limits.sync_interval * self._rng.uniform(0.5, 1.5)
         return self.send(address, wants_reply=True)
 
     def send(self, address: Address, wants_reply: bool) -> list[Datagram]:
-        """Return the packets with the whole view; ``wanted`` asks for the receiver's."""
+        """Return the packets with the whole view; ``wants_reply`` asks for the receiver's."""
         own_record = self._dissemination.own_record
         rumors = [own_record, *(entry.rumor() for entry in self._table)]
         size = self._limits.sync_part_rumors
--- a/pondhatch/membership/_gossip.py
+++ b/pondhatch/membership/_gossip.py
@@ -1,4 +1,4 @@
-"""All that routers tell each other in small packets: membership and loads."""
+"""Gossip: everything that routers exchange in small packets, membership, loads and limits."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Gossip:
-    """One router's view of the fleet, without I/O: packets and time in, packets out."""
+    """One router's part in the gossip, without I/O: packets and time in, packets out."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         self.membership = Membership(own, limits, rng, seeds)
         self._loads = FleetLoadView(own.name, own.hall)
         self._own_loads: tuple[ServiceLoad, ...] = ()
-        #: Takes in what routers tell each other of accounts' limits.
+        #: Handles the messages about accounts' limits.
         self.on_limits: Callable[[LimitMessage, Address], list[Datagram]] | None = None
         self._decoder = msgspec.msgpack.Decoder(Packet)
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
-        """Take in more addresses to try while no peer is known."""
+        """Add addresses to contact while no peer is known."""
         self.membership.add_seeds(seeds)
 
     def publish(
@@ -59,7 +59,10 @@
         sees_platform: bool = True,
         evacuations: int = 0,
     ) -> None:
-        """Set what this router says of itself."""
+        """Set what this router publishes: its phase, versions and loads.
+
+        ``configuration``, ``upstreams`` and ``evacuations`` are the versions that it holds.
+        """
         self.membership.publish(phase, configuration, upstreams, sees_platform, evacuations)
         self._own_loads = loads
 
@@ -80,23 +83,23 @@
         return self.membership.is_gone_by_id(router)
 
     def versions(self) -> dict[str, Versions]:
-        """Return what each router was last heard to hold, this one included."""
+        """Return the last known versions of each router, this one included."""
         return self.membership.versions()
 
     def newest_configuration(self) -> int:
-        """Return the newest version of the configuration that any router was heard to hold."""
+        """Return the newest configuration version that any router is known to hold."""
         return self.membership.newest_configuration()
 
     def routers_ahead(self) -> tuple[str, ...]:
-        """Return the routers that hold something newer than this one."""
+        """Return the routers that are known to hold anything newer than this one."""
         return self.membership.routers_ahead()
 
     def announcements(self) -> list[Datagram]:
-        """Return packets that tell some peers at once of something new."""
+        """Return packets that announce this router's state to some peers at once."""
         return self.membership.announcements()
 
     def receive(self, payload: bytes, source: Address, now: float) -> list[Datagram]:
-        """Take in a packet and return the answers; one that does not parse is dropped."""
+        """Handle a packet and return the replies; a malformed packet is dropped."""
         try:
             message = self._decoder.decode(payload)
         except (msgspec.DecodeError, ValueError):
@@ -108,23 +111,23 @@
         return self.membership.receive(message, source, now)
 
     def limit_datagram(self, message: LimitMessage, to: Address) -> Datagram:
-        """Return a packet that carries demands or shares."""
+        """Return a packet with limit demands or shares."""
         return datagram_to(to, message)
 
     def mark_unreachable(self, name: str, now: float) -> None:
-        """Note a failed call: the router gets no work for a while."""
+        """Record a failed call to a router: it gets no work for a while."""
         self.membership.mark_unreachable(name, now)
 
     def mark_reachable(self, name: str) -> None:
-        """Note a word of a router itself: it can be reached again."""
+        """Record a message from a router itself: it can be reached again."""
         self.membership.mark_reachable(name)
 
     def members(self, now: float) -> tuple[Member, ...]:
-        """Return this router and all others that are there and can be reached, by name."""
+        """Return this router and all others that are present and reachable, sorted by name."""
         return self.membership.members(now)
 
     def address_of(self, name: str) -> Address | None:
-        """Return where another router hears packets, reachable or not; None if unknown."""
+        """Return another router's address, reachable or not; None if unknown."""
         entry = self.membership.table.get(short_id(name))
         return entry.address if entry is not None else None
 
--- a/pondhatch/membership/_load_aggregation.py
+++ b/pondhatch/membership/_load_aggregation.py
@@ -1,9 +1,9 @@
-"""The fleet's load by service, summed up in each hall and passed down a tree.
+"""The fleet's load by service, summed up in each hall and sent down a tree.
 
-Each second a router tells its hall's speaker the load of the engines it owns;
-the speakers tell each other their hall's sums; the sum of all goes down the
-hall, from each router to at most TREE_FANOUT others. Nobody sends or hears more
-as halls are added than one small packet for each hall, and only speakers do.
+At each interval a router reports the load of the engines that it owns to its hall's aggregator.
+The aggregators exchange the sums of their halls, and the fleet's sum goes down the tree of each
+hall, from each router to at most TREE_FANOUT others. Each further hall costs one small packet an
+interval, and only for the aggregators.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
 )
 from pondhatch.placement import weighted_ranked
 
-#: Routers to which one passes the fleet's sum on.
+#: Routers to which one router forwards the fleet's sum.
 TREE_FANOUT = 4
-#: Seconds between two reports of a router in a large fleet, and at least. A sum that is
-#: old lets an engine be granted more than its share while the fleet's load falls; the
-#: bytes of reports leave room for more of them where few routers send any.
+#: Seconds between two reports of a router, in a large fleet and at least. With an old sum an
+#: engine is granted more than its share while the fleet's load falls; in a small fleet the
+#: network use of reports allows more of them.
 MAX_REPORT_INTERVAL = 1.0
 MIN_REPORT_INTERVAL = 0.2
-#: Routers from which on the longest interval holds; below, it is in proportion.
+#: Routers from which on the longest interval applies; with fewer it is proportional.
 LARGE_FLEET_ROUTERS = 32
 #: Seconds after which a report that was not renewed is dropped.
 REPORT_LIFETIME = 4.0
 
 
-#: Seconds for which the last sum of the fleet is used when none follows.
+#: Seconds for which the last sum of the fleet is used if no newer one comes.
 FLEET_SUM_LIFETIME = 15.0
-#: Seconds for which a new speaker only listens, so that its first sum is whole.
+#: Seconds for which a new aggregator only receives reports, so that its first sum is complete.
 AGGREGATOR_WARMUP = 1.5
 
 Report = TypeVar("Report", RouterLoads, HallLoads, FleetLoads)
@@ -49,14 +49,14 @@
 
 
 class ReceivedReport(msgspec.Struct, Generic[Report], frozen=True):
-    """A report and when it came."""
+    """A report and when it came, in the clock's seconds."""
 
     message: Report
     received_at: float
 
 
 def aggregation_order(hall: str, members: Iterable[Member]) -> tuple[Member, ...]:
-    """Return a hall's live routers in the order of its tree; the first is the speaker."""
+    """Return a hall's live routers in the order of its tree; the first is the aggregator."""
     by_name = {
         member.name: member
         for member in members
@@ -68,12 +68,12 @@
 
 
 def report_interval(routers: int) -> float:
-    """Return the seconds between two reports in a fleet of so many routers."""
+    """Return the seconds between two reports of a router, by the number of routers."""
     return max(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL * min(1.0, routers / LARGE_FLEET_ROUTERS))
 
 
 class FleetLoadView:
-    """One router's part in the summing up, and what it knows of the fleet's load."""
+    """One router's part in the aggregation, and the fleet's load as known to it."""
 
     def __init__(self, name: str, hall: str) -> None:
         self._name = name
@@ -93,7 +93,7 @@
     def tick(
         self, now: float, members: tuple[Member, ...], own_loads: tuple[ServiceLoad, ...]
     ) -> list[Datagram]:
-        """Report if it is time to."""
+        """Return the reports that are due."""
         self._own_loads = own_loads
         if now < self._next_report:
             return []
@@ -113,7 +113,7 @@
     def receive(
         self, message: LoadMessage, now: float, members: tuple[Member, ...]
     ) -> list[Datagram]:
-        """Take in a report; a sum that is news goes on down the tree."""
+        """Handle a report; return the packets that forward a new fleet sum down the tree."""
         if isinstance(message, RouterLoads):
             _store_if_newer(self._report_by_router, message.sender, message, now)
             return []
@@ -129,7 +129,7 @@
     def in_flight_elsewhere(self, service: int, now: float) -> int:
         """Return a service's requests in flight at the other routers' engines.
 
-        0 where no sum came for FLEET_LIFETIME: then only own counts are known.
+        0 if no sum came for FLEET_SUM_LIFETIME: then only this router's own counts are known.
         """
         if self._fleet_report is None or now - self._fleet_report.received_at > FLEET_SUM_LIFETIME:
             return 0
@@ -137,7 +137,7 @@
         return max(0, total - _in_flight(self._own_loads, service))
 
     def _update_tree(self, members: tuple[Member, ...]) -> None:
-        """Work out the tree and the speakers anew where the members changed."""
+        """Compute the tree and the other halls' aggregators again if the members changed."""
         if members is self._members:
             return
         self._members = members
@@ -147,7 +147,7 @@
         self._other_aggregators = tuple(order[0] for order in orders if order)
 
     def _aggregate(self, now: float) -> list[Datagram]:
-        """Sum up the hall, tell the other speakers, and pass the fleet's sum down."""
+        """Return the hall's sum to the other aggregators, and the fleet's sum down the tree."""
         own_report = RouterLoads(self._router, self._number, self._own_loads)
         _store_if_newer(self._report_by_router, self._router, own_report, now)
         hall_sum = _sum(heard.message.loads for heard in self._report_by_router.values())
@@ -188,7 +188,7 @@
 def _store_if_newer(
     table: dict[Key, ReceivedReport[Report]], key: Key, message: Report, now: float
 ) -> None:
-    """Keep a report unless a newer one of the same sender is known."""
+    """Store a report unless one of the same sender that is as new is known and not expired."""
     known = table.get(key)
     if known is not None and known.message.sender == message.sender:
         renewed = known.message.number < message.number
--- a/pondhatch/membership/_member_table.py
+++ b/pondhatch/membership/_member_table.py
@@ -1,4 +1,4 @@
-"""The table of routers: which of two words on a router holds."""
+"""The table of routers, and which of two rumors about a router applies."""
 
 from __future__ import annotations
 
@@ -13,57 +13,58 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a router's gossip and peer service are reached, by IP number."""
+    """IP address and port of a router's gossip and peer service."""
 
     host: str
     port: int
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """What is known of another router."""
+    """What is known about another router."""
 
     alive: Alive
     status: Status = Status.ALIVE
-    #: When the status was taken in, in the clock's seconds.
+    #: When the status was set, in the clock's seconds.
     status_since: float = 0.0
     versions: Versions = msgspec.field(default_factory=Versions)
 
     @property
     def address(self) -> Address:
-        """Where it is reached."""
+        """The router's address."""
         return Address(self.alive.host, self.alive.port)
 
     @property
     def is_present(self) -> bool:
-        """Whether it has neither left nor been found dead."""
+        """Whether the router has neither left nor been found dead."""
         return self.status != Status.DEAD and self.alive.phase != Phase.LEFT
 
     def rumor(self) -> Rumor:
-        """Return what to tell others of it."""
+        """Return the rumor about the router to send to others."""
         if self.status == Status.ALIVE:
             return self.alive
         return Fault(self.alive.router, self.alive.incarnation, self.status)
 
 
 class MemberTable:
-    """Entries by router id. A word of a higher incarnation, or else a worse one, holds.
+    """Entries by short id.
 
-    Of two words of one incarnation, that with a capacity holds: a router of an older program
-    passes it on without.
+    Of two rumors about a router the one of the higher incarnation applies, and of the same
+    incarnation the one with the worse status. Of two records of one incarnation, the one with a
+    capacity applies: a router of an older version passes records on without it.
     """
 
     def __init__(self) -> None:
         self.entry_by_id: dict[int, Entry] = {}
-        #: Ids of the routers under suspicion.
+        #: Short ids of the suspected routers.
         self.suspects: set[int] = set()
-        #: The newest version of the configuration that any of them was heard to hold. Kept, for
-        #: it is looked at ten times a second, and going through 470 takes 0.03 ms and more.
+        #: The newest configuration version that any router is known to hold. Cached, since it is
+        #: read ten times a second, and a scan of 470 routers takes at least 0.03 ms.
         self.newest_configuration = 0
-        #: The same of the list of upstreams; each packet leads to a look at all of these.
+        #: The same for the list of upstreams; each packet leads to a read of all three.
         self.newest_upstreams = 0
-        #: The same of the evacuated halls.
+        #: The same for the list of evacuated halls.
         self.newest_evacuations = 0
-        #: Grows with every change of who is there and what they say of themselves.
+        #: Raised by every change of who is present and reachable and of the published records.
         self.revision = 0
         self._view_fingerprint = 0
 
@@ -71,15 +72,15 @@
         return iter(self.entry_by_id.values())
 
     def view_fingerprint(self, own: Alive) -> int:
-        """Return a 32-bit fingerprint of who is there, equal where two views are."""
+        """Return a 32-bit fingerprint of the view of the fleet, equal for equal views."""
         return self._view_fingerprint ^ _record_fingerprint(own)
 
     def get(self, router: int) -> Entry | None:
-        """Return an entry, or None."""
+        """Return a router's entry, or None."""
         return self.entry_by_id.get(router)
 
     def apply_alive(self, alive: Alive, now: float) -> bool:
-        """Take in a router's word on itself; return whether it was news."""
+        """Apply a router's record of itself; return whether it was new."""
         known = self.entry_by_id.get(alive.router)
         if known is not None and alive.incarnation <= known.alive.incarnation:
             return self._fill_in_capacity(known, alive)
@@ -90,7 +91,7 @@
         return True
 
     def apply_fault(self, fault: Fault, now: float) -> bool:
-        """Take in a word of suspicion or death; return whether it was news."""
+        """Apply a suspicion or death; return whether it was new."""
         known = self.entry_by_id.get(fault.router)
         if known is None or fault.incarnation < known.alive.incarnation:
             return False
@@ -103,7 +104,7 @@
         return True
 
     def record_versions(self, router: int, versions: Versions) -> None:
-        """Note what a router holds."""
+        """Record the versions that a router holds."""
         known = self.entry_by_id.get(router)
         if known is not None and known.versions != versions:
             self.newest_configuration = max(self.newest_configuration, versions.configuration)
@@ -113,13 +114,13 @@
             self.entry_by_id[router] = replace(known, versions=newer)
 
     def drop_gone(self, before: float) -> None:
-        """Drop those that were gone by then, so that the table stays bounded."""
+        """Drop the entries gone since before a time, so that the table stays bounded."""
         gone = [entry for entry in self if not entry.is_present and entry.status_since < before]
         for entry in gone:
             del self.entry_by_id[entry.alive.router]
 
     def _fill_in_capacity(self, known: Entry, alive: Alive) -> bool:
-        """Take a capacity from a word whose rest is known; return whether it was missing."""
+        """Add a missing capacity from a record that is otherwise known; return whether it was."""
         is_same = alive.incarnation == known.alive.incarnation
         is_missing = known.alive.capacity == USUAL_CAPACITY != alive.capacity
         if not is_same or not is_missing:
@@ -152,6 +153,6 @@
 def _record_fingerprint(alive: Alive) -> int:
     text = f"{alive.router} {alive.incarnation}"
     if alive.capacity != USUAL_CAPACITY:
-        # Views that differ in a capacity are to be exchanged.
+        # Views that differ only in a capacity must be exchanged, too.
         text += f" {alive.capacity}"
     return xxhash.xxh32_intdigest(text.encode())
--- a/pondhatch/membership/_members.py
+++ b/pondhatch/membership/_members.py
@@ -1,4 +1,4 @@
-"""The routers that may be given work, worked out anew only when something changed."""
+"""The routers that may be given work, computed again only after a change."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A router that may be given work or asked."""
+    """A router that may be given work or sent questions."""
 
     name: str
     address: Address
     hall: str
     phase: Phase
     status: Status = Status.ALIVE
-    #: Milliseconds since 1970 at its process's start, and one more for each suspicion that it
-    #: contradicted.
+    #: Initially milliseconds since 1970 at the start of its process; raised with each refuted
+    #: rumor and each published change.
     incarnation: int = 0
-    #: False where it watches the platform for its hall, and cannot reach it.
+    #: False if it watches the platform for its hall and cannot reach it.
     sees_platform: bool = True
-    #: Multiple of a usual VM's, as the router publishes it.
+    #: Multiple of a usual VM's capacity, as the router publishes it.
     capacity: float = USUAL_CAPACITY
 
 
 class _CachedMember(msgspec.Struct, frozen=True):
-    """A member, and what it was made of."""
+    """A member, and the record and status that it was made from."""
 
     alive: Alive
     status: Status
@@ -41,22 +41,23 @@
 
 
 class MemberView:
-    """The routers that are there, less those that a call failed to reach lately."""
+    """The routers that are present, without those that a call failed to reach lately."""
 
     def __init__(self, table: MemberTable) -> None:
         self._table = table
-        #: Until when a router gets no work because a call to it failed, by router id.
+        #: Until when a router gets no work because a call to it failed, by short id, in the
+        #: clock's seconds.
         self._unreachable_until_by_router: dict[int, float] = {}
         self._members: tuple[Member, ...] = ()
-        #: The others among them, by router id. Of hundreds few change at a time; the rest are
-        #: taken over as they were made: making 195 anew was a third of a change's cost, by profile.
+        #: The other routers among them, by short id. Of hundreds only few change at a time, and
+        #: the others are reused: making 195 again was a third of the cost of a change.
         self._cached_by_router: dict[int, _CachedMember] = {}
-        #: The table's revision that the members, and the others among them, are of.
+        #: The table's revisions from which the members, and the other routers, were computed.
         self._revision = -1
         self._others_revision = -1
 
     def members(self, own: Alive, now: float) -> tuple[Member, ...]:
-        """Return this router and the others, by name; the same tuple while nothing changes."""
+        """Return this router and the others, sorted by name; the same tuple until a change."""
         self._expire_unreachable(now)
         if self._revision != self._table.revision:
             self._revision = self._table.revision
@@ -68,7 +69,10 @@
         return self._members
 
     def sample(self, count: int, rng: random.Random, excluding: int | None = None) -> list[Address]:
-        """Return where some others that can be reached are, chosen at random, leaving one out."""
+        """Return the addresses of some other reachable routers, chosen at random.
+
+        ``excluding`` is the short id of a router to leave out.
+        """
         self._refresh_others()
         others = list(self._cached_by_router)
         chosen = rng.sample(others, min(count + 1, len(others)))
@@ -76,17 +80,17 @@
         return [self._cached_by_router[router].member.address for router in kept]
 
     def mark_unreachable(self, router: int, until: float) -> None:
-        """Pass a router over until some time."""
+        """Leave a router out until some time."""
         self._unreachable_until_by_router[router] = until
         self._table.revision += 1
 
     def mark_reachable(self, router: int) -> None:
-        """Note a direct word from a router."""
+        """Include a router again, from which a message came."""
         if self._unreachable_until_by_router.pop(router, None) is not None:
             self._table.revision += 1
 
     def _refresh_others(self) -> None:
-        """Make members of those in the table that are there and that no call failed to reach."""
+        """Update the other routers from the entries that are present and reachable."""
         if self._others_revision == self._table.revision:
             return
         self._others_revision = self._table.revision
--- a/pondhatch/membership/_ownership.py
+++ b/pondhatch/membership/_ownership.py
@@ -1,9 +1,8 @@
-"""Which router owns an engine, and which routers of a hall speak to the platform.
+"""Which router owns an engine, and which routers of a hall watch the platform.
 
-Ownership is rendezvous hashing over the live routers of the engine's hall, or
-over all live routers where the hall has none, each with its capacity as its weight.
-Two routers that disagree on who is live, or on a capacity, may both believe they own
-an engine; docs/DESIGN.md says what holds then.
+Owners are chosen by rendezvous hashing over the live routers of the engine's hall, or over all
+live routers if the hall has none, weighted by capacity. Two routers that disagree on which are
+live, or on a capacity, may both believe to own an engine; docs/DESIGN.md says what holds then.
 """
 
 from __future__ import annotations
@@ -16,9 +15,9 @@
 
 #: Routers of a hall that watch the platform for the others.
 WATCHERS_PER_HALL = 1
-#: Routers of a hall that look for the platform at most while none of them reaches it: one
-#: cut off alone is made good by the second, and a platform that is away is asked by three
-#: in each hall, not by all.
+#: Maximum number of routers of a hall that try to reach the platform while none of them can: the
+#: second replaces one that is cut off alone, and a platform that is down gets calls from three
+#: routers of each hall, not from all.
 MAX_PLATFORM_PROBERS = 3
 
 
@@ -32,10 +31,10 @@
 
 
 def owner_of(engine: str, hall: str, live: Mapping[str, Mapping[str, float]]) -> str | None:
-    """Return the router that all work for an engine passes, or None without live routers.
+    """Return the router that grants all requests to an engine, or None without live routers.
 
-    ``live`` is what ``live_by_hall`` says: worked out once for all engines, and again only where
-    the routers change. For each engine anew it was 3.3 of 4.3 ms a change at 195 routers and 43
+    ``live`` is the result of ``live_by_hall``, computed once for all engines after a change of
+    the routers: computing it for each engine took 3.3 of 4.3 ms a change at 195 routers and 43
     engines.
     """
     candidates = live.get(hall) or {
@@ -45,9 +44,9 @@
 
 
 def watchers(hall: str, members: Iterable[Member]) -> tuple[str, ...]:
-    """Return the routers of a hall that hold watches at the platform.
+    """Return the routers of a hall that watch the platform.
 
-    One that said that it cannot reach the platform gives way to the next.
+    A router that publishes that it cannot reach the platform is replaced by the next one.
     """
     live = {
         member.name: member
--- a/pondhatch/membership/_pinging.py
+++ b/pondhatch/membership/_pinging.py
@@ -1,4 +1,4 @@
-"""Whom a router pings, and the pings whose answers it waits for, its own and others'."""
+"""The order in which routers are pinged, and the pings that wait for an ack."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
 
 from pondhatch.membership._member_table import Address, Entry, MemberTable
 
-#: Seconds for which the answer to a ping made for another router is passed on.
+#: Seconds for which the ack of a ping on behalf of another router is forwarded.
 RELAY_SECONDS = 1.0
 
 
 class Probe(msgspec.Struct):
-    """The ping that waits for its answer."""
+    """A ping that waits for its ack."""
 
+    #: Short id of the pinged router.
     target: int
     number: int
+    #: In the clock's seconds.
     sent_at: float
-    #: Whether others were asked to ping as well.
+    #: Whether other routers were asked to ping as well.
     is_indirect: bool = False
 
 
 class PingRotation:
-    """Goes round the routers that are there, in an order shuffled anew each time."""
+    """Iterates over the routers that are present, in a new random order for each round."""
 
     def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self._table = table
         self._rng = rng
-        #: Short ids of those still to come, the next one last.
+        #: Short ids of the routers left in this round, the next one last.
         self._remaining: list[int] = []
 
     def put_first(self, router: int) -> None:
-        """Have a router come next, whether or not it had its turn."""
+        """Make a router the next one, whether or not it was pinged in this round."""
         self._remaining.append(router)
 
     def next(self) -> Entry | None:
-        """Return the next router that is there."""
+        """Return the next router that is present, or None if there is none."""
         for _ in range(2):
             while self._remaining:
                 entry = self._table.get(self._remaining.pop())
@@ -48,22 +50,24 @@
 
 
 class RelayedPing(msgspec.Struct, frozen=True):
-    """A ping made for another router."""
+    """A ping sent on behalf of another router."""
 
+    #: The router that asked for it.
     asker: Address
-    #: The number that the asker gave its own ping.
+    #: The asker's number of its own ping.
     number: int
+    #: Until when the ack is forwarded, in the clock's seconds.
     until: float
 
 
 class Relays:
-    """The pings made for other routers, by the number of the ping."""
+    """The pings sent on behalf of other routers, by the number of the ping."""
 
     def __init__(self) -> None:
         self._relayed_by_number: dict[int, RelayedPing] = {}
 
     def record(self, number: int, asker: Address, askers_number: int, now: float) -> None:
-        """Note a ping made for another router, and forget those that nobody waits for."""
+        """Record a ping on behalf of another router, and drop expired ones."""
         self._relayed_by_number = {
             made: relayed
             for made, relayed in self._relayed_by_number.items()
@@ -72,6 +76,6 @@
         self._relayed_by_number[number] = RelayedPing(asker, askers_number, now + RELAY_SECONDS)
 
     def take_answered(self, number: int, now: float) -> RelayedPing | None:
-        """Return for whom an answered ping was made, where its answer is still waited for."""
+        """Remove and return an acknowledged ping, or None if unknown or expired."""
         relayed = self._relayed_by_number.pop(number, None)
         return relayed if relayed is not None and relayed.until > now else None
--- a/pondhatch/membership/_reconnection.py
+++ b/pondhatch/membership/_reconnection.py
@@ -1,4 +1,4 @@
-"""Reconnection: seeds and routers taken for dead are tried, so that a cut heals."""
+"""Reconnection: contacts seeds and dead routers, so that a partition heals."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Reconnection:
-    """Greets addresses at which no live router is known, at intervals."""
+    """Contacts addresses without a known live router, at intervals."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         self._next_reconnect = float("-inf")
 
     def make_due(self) -> None:
-        """Have the next try made without waiting for the interval."""
+        """Make the next attempt at once, without waiting for the interval."""
         self._next_reconnect = float("-inf")
 
     def contact_absent(self, seeds: tuple[Address, ...], now: float) -> list[Datagram]:
-        """Speak to a seed or a router taken for dead: either may be behind a cut that healed."""
+        """Return sync requests to a seed or dead router, either of which may be reachable again."""
         is_alone = not any(entry.is_present for entry in self._table)
         if now < self._next_reconnect and not is_alone:
             return []
@@ -41,20 +41,20 @@
         absent = self._without_live_router({*seeds, *dead})
         if not absent:
             return []
-        # One that knows nobody asks several: of a fleet that starts, some are not there yet.
+        # A router that knows no peer asks several: while a fleet starts, some are not up yet.
         limit = self._limits.announcement_fanout if is_alone else 1
         chosen = self._rng.sample(absent, min(len(absent), limit))
         return [self._sync_request(address, dead.get(address)) for address in chosen]
 
     def _without_live_router(self, addresses: set[Address]) -> list[Address]:
-        """Return those addresses, in order, at which neither this nor a live router is."""
+        """Return the addresses, sorted, that are neither this router's nor a live router's."""
         own_record = self._dissemination.own_record
         live = {entry.address for entry in self._table if entry.is_present}
         live.add(Address(own_record.host, own_record.port))
         return sorted(addresses - live, key=lambda each: (each.host, each.port))
 
     def _sync_request(self, address: Address, known: Entry | None) -> Datagram:
-        """Ask for a whole view; a router taken for dead is told so, and can contradict."""
+        """Return a request for a full sync; it tells a dead router so, which can then refute."""
         own_record = self._dissemination.own_record
         about = (known.rumor(),) if known is not None else ()
         return datagram_to(address, Sync(own_record.router, True, (own_record, *about)))
--- a/pondhatch/membership/_records.py
+++ b/pondhatch/membership/_records.py
@@ -1,7 +1,7 @@
-"""What routers tell each other, as messages on the wire.
+"""The gossip messages that routers exchange.
 
-Wire messages are msgspec structs, frozen and sent as MessagePack arrays: the
-nearest kin of frozen data classes that carries tagged unions in few bytes.
+Messages are frozen msgspec structs, encoded as MessagePack arrays: like frozen data classes, but
+with tagged unions in few bytes.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 def short_id(name: str) -> int:
-    """Return the 32-bit id that stands for a name in packets."""
+    """Return the 32-bit id that represents a name in packets."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 class Phase(enum.IntEnum):
-    """What a router says of itself."""
+    """The phase that a router publishes about itself."""
 
     LIVE = 0
-    #: Finishing what it holds; takes no new work and owns no engine.
+    #: Finishing its requests; accepts no new ones and owns no engine.
     DRAINING = 1
     LEFT = 2
 
 
 class Status(enum.IntEnum):
-    """What the others believe of a router; of two words the higher holds."""
+    """The status of a router as seen by the others; of one incarnation the highest applies."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,30 +37,32 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all wire messages."""
+    """Base of all messages."""
 
 
 class Alive(_Message, frozen=True, tag=1):
-    """A router's word on itself."""
+    """The record that a router publishes about itself."""
 
+    #: Short id of the router.
     router: int
-    #: Starts as the process's start in milliseconds; a router that hears itself
-    #: called suspect or dead raises it.
+    #: Initially the start of the process in milliseconds since 1970. A router raises it to refute
+    #: that it is suspect or dead, and with each change of this record.
     incarnation: int
+    #: A Phase.
     phase: int
     name: str
     host: str
     #: TCP port of the peer service and UDP port of gossip.
     port: int
     hall: str
-    #: False where it watches the platform for its hall, and cannot reach it.
+    #: False if it watches the platform for its hall and cannot reach it.
     sees_platform: bool = True
-    #: Multiple of a usual VM's; left out of the bytes while it is the usual one.
+    #: Multiple of a usual VM's capacity; not encoded if it is the usual one.
     capacity: float = USUAL_CAPACITY
 
 
 class Fault(_Message, frozen=True, tag=2):
-    """Another's word on a router that does not answer."""
+    """Says that a router does not answer, by another router."""
 
     router: int
     incarnation: int
@@ -72,11 +74,11 @@
 
 
 class Versions(_Message, frozen=True):
-    """What a router holds."""
+    """The versions of the data that a router holds."""
 
     configuration: int = 0
     upstreams: int = 0
-    #: Of the evacuated halls; 0 where nothing is known of them.
+    #: Version of the list of evacuated halls; 0 if unknown.
     evacuations: int = 0
 
 
@@ -110,7 +112,7 @@
 
 
 class Announcement(_Message, frozen=True, tag=13):
-    """Tells of something new at once."""
+    """Announces a change at once, outside of pings."""
 
     sender: int
     versions: Versions
@@ -118,7 +120,7 @@
 
 
 class Sync(_Message, frozen=True, tag=14):
-    """A part of the sender's whole view; ``wanted`` asks for the receiver's."""
+    """A part of the sender's whole view; ``wants_reply`` asks for the receiver's."""
 
     sender: int
     wants_reply: bool
@@ -126,17 +128,17 @@
 
 
 class ServiceLoad(_Message, frozen=True):
-    """Load of a service, of one owner's engines or of many together."""
+    """Load of a service at the engines of one owner, a hall or the fleet."""
 
     #: Short id of the service.
     service: int
     engines: int
-    #: Requests in flight at these engines together.
+    #: Sum of the requests in flight at these engines.
     in_flight: int
 
 
 class RouterLoads(_Message, frozen=True, tag=20):
-    """A router's own part, told to the speaker of its hall."""
+    """The loads at one router's engines, sent to the aggregator of its hall."""
 
     sender: int
     number: int
@@ -144,7 +146,7 @@
 
 
 class HallLoads(_Message, frozen=True, tag=21):
-    """A hall's sum, told by its speaker to the other halls' speakers."""
+    """A hall's sum, sent by its aggregator to those of the other halls."""
 
     sender: int
     number: int
@@ -153,16 +155,16 @@
 
 
 class FleetLoads(_Message, frozen=True, tag=22):
-    """The fleet's sum, passed down the tree of a hall."""
+    """The fleet's sum, sent down the tree of a hall."""
 
-    #: The hall's speaker, who made the sum.
+    #: Short id of the hall's aggregator, which made the sum.
     sender: int
     number: int
     loads: tuple[ServiceLoad, ...] = ()
 
 
 class LimitDemand(_Message, frozen=True):
-    """What a router wants for an account."""
+    """What a router demands of an account's limits."""
 
     account: str
     rate: float
@@ -170,7 +172,7 @@
 
 
 class LimitDemands(_Message, frozen=True, tag=30):
-    """A router's demands, told to the home of these accounts."""
+    """A router's demands, sent to the home router of these accounts."""
 
     #: The router's name.
     sender: str
@@ -178,7 +180,7 @@
 
 
 class LimitShare(_Message, frozen=True):
-    """What a home gives a router for an account."""
+    """The share of an account's limits that its home router gives another router."""
 
     account: str
     requests_per_second: float
@@ -186,7 +188,7 @@
 
 
 class LimitShares(_Message, frozen=True, tag=31):
-    """A home's answer to demands."""
+    """A home router's answer to demands."""
 
     shares: tuple[LimitShare, ...] = ()
 
--- a/pondhatch/membership/_rumors.py
+++ b/pondhatch/membership/_rumors.py
@@ -1,4 +1,4 @@
-"""Rumors still to be told, each a number of times that follows the fleet's size."""
+"""The queue of rumors to send, each a number of times that depends on the fleet's size."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class RumorQueue:
-    """What to say of which routers; told least first."""
+    """The routers with a rumor to send; those sent the fewest times come first."""
 
     def __init__(self, table: MemberTable, max_rumors: int, repeats: float) -> None:
         self._table = table
-        #: Rumors in one packet at most.
+        #: Maximum number of rumors in a packet.
         self._max_rumors = max_rumors
-        #: Times that a rumor is told, over the logarithm of the fleet's size.
+        #: Times that a rumor is sent, as a multiple of the binary logarithm of the fleet's size.
         self._repeats = repeats
         self._left_by_router: dict[int, int] = {}
 
     def enqueue(self, router: int) -> None:
-        """Have what is known of a router told from now on."""
+        """Send the current record or fault of a router from now on."""
         size = len(self._table.entry_by_id) + 2
         self._left_by_router[router] = math.ceil(self._repeats * math.log2(size))
 
     def next_batch(self, own: Alive) -> tuple[Rumor, ...]:
-        """Return a packet's rumors and count them as told."""
+        """Return the rumors for a packet and count them as sent."""
         left = self._left_by_router
         chosen = sorted(left, key=lambda router: -left[router])[: self._max_rumors]
         for router in chosen:
@@ -36,7 +36,7 @@
         return tuple(rumor for rumor in rumors if rumor is not None)
 
     def next_batch_for(self, receiver: int, own: Alive) -> tuple[Rumor, ...]:
-        """Return a packet's rumors, with what is said of the receiver if it must answer that."""
+        """Return the rumors for a packet, with a rumor about the receiver that it must refute."""
         entry = self._table.get(receiver)
         about = (entry.rumor(),) if entry is not None and entry.status != Status.ALIVE else ()
         return (*about, *self.next_batch(own))
--- a/pondhatch/membership/_seal.py
+++ b/pondhatch/membership/_seal.py
@@ -1,18 +1,21 @@
-"""Seals on gossip packets: only holders of the fleet key are heard."""
+"""Authentication of gossip packets: only packets of holders of the fleet key are accepted."""
 
 from __future__ import annotations
 
 import hashlib
 import hmac
 
-#: Bytes of the seal in front of each packet.
+#: Bytes of the seal, a keyed digest, in front of each packet.
 SEAL_BYTES = 8
 #: Longest key that blake2b takes, in bytes.
 KEY_BYTES = 64
 
 
 class Seal:
-    """Keyed digests over packets; replayed packets are harmless, being old news."""
+    """Signs and verifies packets with keyed digests.
+
+    Replayed packets are harmless, since they hold nothing new.
+    """
 
     def __init__(self, fleet_key: bytes) -> None:
         self._key = hashlib.blake2b(fleet_key, digest_size=KEY_BYTES).digest()
@@ -22,7 +25,7 @@
         return self._digest(payload) + payload
 
     def verify(self, datagram: bytes) -> bytes | None:
-        """Return the payload, or None where the seal does not fit."""
+        """Return the payload, or None if the seal is wrong."""
         seal, payload = datagram[:SEAL_BYTES], datagram[SEAL_BYTES:]
         if not hmac.compare_digest(seal, self._digest(payload)):
             return None
--- a/pondhatch/membership/_swim.py
+++ b/pondhatch/membership/_swim.py
@@ -1,11 +1,11 @@
-"""Membership without I/O: who is there, found out in the manner of SWIM.
+"""Membership by the SWIM protocol, without I/O.
 
-Each router pings one other at a time, going round a shuffled list, and asks some
-others to try where no answer comes. What a router spends does not depend on the
-size of the fleet. Changes travel on these packets, and at once by ``news``.
+Each router pings one other at a time, in the order of a shuffled list, and asks some others to
+ping it if no answer comes. A router's cost does not depend on the size of the fleet. Changes are
+piggybacked on these packets, and sent at once by ``announcements``.
 
-Here the parts are put together and each message is handed to the one it is for:
-failure detection, dissemination, exchange of whole views, reconnection.
+This module combines the parts and dispatches messages to them: failure detection, dissemination,
+full sync and reconnection.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Membership:
-    """One router's view of the others."""
+    """One router's part in the protocol, and its view of the other routers."""
 
     def __init__(
         self,
@@ -54,15 +54,15 @@
         self._full_sync = FullSync(self.table, self._dissemination, limits, rng)
         self._reconnection = Reconnection(self.table, self._dissemination, limits, rng)
 
-    # -- what this router says of itself ------------------------------------
+    # -- this router's own record --------------------------------------------
 
     @property
     def own_record(self) -> Alive:
-        """What this router says of itself."""
+        """The record that this router publishes about itself."""
         return self._dissemination.own_record
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
-        """Take in more addresses to try while no peer is known; some are greeted at once."""
+        """Add addresses to contact while no peer is known; some are contacted at once."""
         known = {*self._seeds, Address(self.own_record.host, self.own_record.port)}
         new = tuple(seed for seed in seeds if seed not in known)
         self._seeds += new
@@ -78,14 +78,14 @@
         sees_platform: bool = True,
         evacuations: int = 0,
     ) -> None:
-        """Set what this router says of itself; a new phase is a new word on itself."""
+        """Set what this router publishes about itself; a new phase raises its incarnation."""
         versions = Versions(configuration, upstreams, evacuations)
         self._dissemination.publish(phase, versions, sees_platform)
 
-    # -- what the router reads ----------------------------------------------
+    # -- queries --------------------------------------------------------------
 
     def members(self, now: float) -> tuple[Member, ...]:
-        """Return this router and all others that are there and can be reached, by name."""
+        """Return this router and all others that are present and reachable, sorted by name."""
         return self._view.members(self.own_record, now)
 
     def is_gone(self, name: str) -> bool:
@@ -98,16 +98,16 @@
         return entry is not None and not entry.is_present
 
     def versions(self) -> dict[str, Versions]:
-        """Return what each router was last heard to hold, this one included."""
+        """Return the last known versions of each router, this one included."""
         peers = {entry.alive.name: entry.versions for entry in self.table if entry.is_present}
         return {self.own_record.name: self._dissemination.versions, **peers}
 
     def newest_configuration(self) -> int:
-        """Return the newest version of the configuration that any router was heard to hold."""
+        """Return the newest configuration version that any router is known to hold."""
         return max(self.table.newest_configuration, self._dissemination.versions.configuration)
 
     def routers_ahead(self) -> tuple[str, ...]:
-        """Return the routers that were heard to hold something newer than this one."""
+        """Return the routers that are known to hold anything newer than this one."""
         own = self._dissemination.versions
         table = self.table
         if (
@@ -125,19 +125,19 @@
         )
 
     def mark_unreachable(self, name: str, now: float) -> None:
-        """Note a failed call: the router is passed over for a while and pinged next."""
+        """Record a failed call to a router: it is left out for a while and pinged next."""
         router = short_id(name)
         self._view.mark_unreachable(router, now + self.limits.unreachable_seconds)
         self._detector.ping_soon(router)
 
     def mark_reachable(self, name: str) -> None:
-        """Note a direct word from a router: it is passed over no longer."""
+        """Record a message from a router itself: it is no longer left out."""
         self._view.mark_reachable(short_id(name))
 
     # -- time and packets ----------------------------------------------------
 
     def tick(self, now: float) -> list[Datagram]:
-        """Do what is due; to be called several times in each ping interval."""
+        """Return the packets that are due; to be called several times in each ping interval."""
         sent = self._detector.check_probe(now)
         self._detector.expire_suspects(now)
         if now < self._next_ping:
@@ -148,11 +148,11 @@
         return [*sent, *contacts, *self._detector.ping_next(now)]
 
     def announcements(self) -> list[Datagram]:
-        """Return packets that tell some peers at once what this router holds now."""
+        """Return packets that announce this router's versions and rumors to some peers at once."""
         return self._dissemination.announcements()
 
     def receive(self, message: MembershipMessage, source: Address, now: float) -> list[Datagram]:
-        """Take in a message and return the answers to it."""
+        """Handle a message and return the replies."""
         has_changed = False
         if not isinstance(message, PingRequest):
             has_changed = self._dissemination.apply_rumors(message.rumors, now)
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -1,3 +1,8 @@
+"""Guards the views of the fleet, its loads and its owners against losses, partitions and restarts.
+
+Gossip cores exchange packets in memory while a simulated clock is advanced.
+"""
+
 from __future__ import annotations
 
 import random
@@ -29,7 +34,7 @@
 
 
 class SimulatedNetwork:
-    """Several cores, with packets handed over in memory and a clock that is stepped."""
+    """Several gossip cores, packets delivered in memory, and a clock advanced in steps."""
 
     def __init__(
         self,
@@ -75,7 +80,7 @@
 
 
 class StartingTogetherTest(unittest.TestCase):
-    """Routers that start at once, and read from the platform who was listed before them."""
+    """Routers that start together; each reads from the platform those listed before it."""
 
     def test_they_know_each_other_before_any_of_them_has_to_watch(self) -> None:
         for routers in (8, 62):
@@ -202,7 +207,7 @@
 
 
 class FleetLoadTest(unittest.TestCase):
-    """What owners know of the fleet's load."""
+    """The fleet's load as each owner knows it."""
 
     def setUp(self) -> None:
         self.net = SimulatedNetwork(12, halls=3)
--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -1,7 +1,6 @@
-"""Guards the shares that routers of different capacity own, and what packets say of capacities.
+"""Guards the shares that routers of different capacities own, and capacities in packets.
 
-The pattern: one hall of 2,100 engines whose routers run on VMs from the smallest to the largest
-of a fleet.
+One hall has 2,100 engines, and its routers run on VMs from the smallest to the largest of a fleet.
 """
 
 from __future__ import annotations
@@ -48,7 +47,7 @@
 
 
 class CapacityNetwork(SimulatedNetwork):
-    """Routers of one hall, with capacities."""
+    """Routers of one hall with different capacities."""
 
     def new_core(self, at: int, incarnation: int) -> Gossip:
         own = alive(at, CAPACITIES[at], incarnation)
@@ -57,7 +56,7 @@
 
 
 class OlderAlive(msgspec.Struct, array_like=True, tag=1):
-    """What a router of an older program knows of an Alive."""
+    """The record as a router of an older version decodes it."""
 
     router: int
     incarnation: int
@@ -96,7 +95,7 @@
         self.assertLessEqual(counts.keys(), capacity_by_router.keys())
         for router, capacity in capacity_by_router.items():
             share = capacity / total
-            # Four standard deviations of as many independent draws as there are engines.
+            # Four standard deviations of one independent draw for each engine.
             deviation = 4 * math.sqrt(engines * share * (1 - share))
             self.assertAlmostEqual(counts[router], engines * share, delta=deviation)
 
@@ -182,7 +181,7 @@
 
     def test_a_capacity_that_an_older_router_left_out_is_learned_later(self) -> None:
         net = CapacityNetwork(3, halls=1)
-        # Until nobody tells of the three any more, so that only whole views can.
+        # Wait until no rumors about the three are sent, so that only a full sync has them.
         net.run(20)
         net.cores[0] = net.new_core(0, 1)
         without = Announcement(short_id("r9"), Versions(), (alive(1), alive(2)))
