--- a/pondhatch/quarantine/__init__.py
+++ b/pondhatch/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests under which engines end: the evidence, the verdict, and who may try one once more."""
+"""Quarantine of requests that crash engines: evidence, decision, and claims for trial runs."""
 
 from pondhatch.quarantine._evidence import Evidence, EvidencePacket, Trial, TrialPacket
 from pondhatch.quarantine._suspects import (
--- a/pondhatch/quarantine/_evidence.py
+++ b/pondhatch/quarantine/_evidence.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of requests under which engines end."""
+"""Messages between routers about requests that may crash engines."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """One engine ended while it ran one request."""
+    """An engine crashed while it ran a request."""
 
-    #: Of the request, alike in all attempts at it.
+    #: Digest of the request, the same for all attempts at it.
     digest: int
-    #: The engine, by a name that no other end of it has.
+    #: Name of the crash: the engine's name, made unique for each of its crashes.
     engine: str
-    #: Milliseconds since it ended; routers' clocks differ, ages hardly do.
+    #: Milliseconds since the crash; an age, since routers' clocks differ.
     age_ms: int
-    #: Whether the request has come through whole elsewhere since, so that it was not the cause.
+    #: Whether the request has since completed elsewhere, so that it was not the cause.
     cleared: bool = False
 
 
 class EvidencePacket(msgspec.Struct, frozen=True, array_like=True, tag=80):
-    """Some evidence; taken in any order and any number of times, it comes to the same."""
+    """Some evidence; the result does not depend on its order or on repetitions."""
 
     evidence: tuple[Evidence, ...]
 
 
 class Trial(msgspec.Struct, frozen=True, array_like=True):
-    """A router's claim to be the one that runs a suspected request, or the end of it."""
+    """A router's claim to run a suspected request."""
 
     digest: int
-    #: One above all that the router had heard of for this request.
+    #: One above all tickets that the router knew of when it made the claim.
     ticket: int
-    #: Short id of the router, and its own number of the claim.
+    #: Short id of the router, and the router's own number of the claim.
     router: int
     number: int
 
 
 class TrialPacket(msgspec.Struct, frozen=True, array_like=True, tag=81):
-    """A claim that begins or ends."""
+    """The begin or the end of a claim."""
 
     trial: Trial
     has_ended: bool = False
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -1,11 +1,11 @@
-"""Which requests are suspected of ending the engines that run them, and which are convicted.
-
-An engine that ends takes with it all that it runs, up to some sixty requests of which one at
-most is the cause. Each of them is suspected; what tells them apart is what comes next. An
-innocent one comes through whole on its next run and is cleared. The cause ends the next engine
-too, and the one after: at the third it is quarantined, and those that merely fell beside it at
-the first two are cleared by that. Evidence is a set that only grows, so routers that hear of it
-in any order, twice or late come to the same verdict without asking each other.
+"""Which requests are suspected of crashing the engines that run them, and which are quarantined.
+
+A crash of an engine ends all requests that it runs, up to some sixty, of which at most one is the
+cause. Each of them is suspected, and later runs tell them apart. A harmless request completes its
+next run and is cleared. The cause crashes the next two engines as well: at the third crash it is
+quarantined, and the requests that only ran beside it at the first two no longer count as suspected
+of those. Evidence is a grow-only set (a CRDT), so routers that receive it in any order, late or
+several times come to the same result without asking each other.
 """
 
 from __future__ import annotations
@@ -18,62 +18,63 @@
 
 from pondhatch.quarantine._evidence import Evidence
 
-#: Engines that must have ended under a request. Two can be bad luck, as when a hall of engines is
-#: replaced in a hurry; at one in a hundred runs lost with its engine, a third by chance alone is
-#: one in a million, and each engine more that it takes to be sure costs others twenty requests.
+#: Crashes of engines under a request until it is quarantined. Two may be a coincidence, as when
+#: all engines of a hall are replaced in a hurry. If one in a hundred runs is lost with its engine,
+#: three by coincidence alone are one in a million, and each further crash needed costs twenty
+#: other requests.
 CRASHES_TO_QUARANTINE = 3
-#: Seconds since the last end for which nobody tries it again. Then one run at a time may, since
-#: an engine's next version may bear it: one engine in ten minutes at worst.
+#: Seconds after the last crash for which the request is not run. After that one run at a time is
+#: allowed, since a newer version of the engine may bear it: one engine in ten minutes at worst.
 QUARANTINE_SECONDS = 600.0
-#: Seconds after which an end is forgotten. Callers that repeat a request do so for minutes.
+#: Seconds after which a crash is dropped. Callers repeat a failed request for minutes.
 EVIDENCE_LIFETIME = 3600.0
-#: Seconds after which evidence against a request that was cleared of it all is told no more.
+#: Seconds after the last crash for which evidence is still sent if all of it is cleared.
 CLEARED_GOSSIP_SECONDS = 60.0
-#: Seconds within which routers tell of the same end of an engine; what is told later under the
-#: same name is another end, of an engine whose starts share a name. Starting takes longer.
+#: Seconds within which evidence under an engine's name is about the same crash. Later evidence is
+#: about another crash, of an engine whose starts share a name: starting takes longer than this.
 SAME_CRASH_SECONDS = 2.0
-#: Divides an engine's name from the number of its end, from the second on.
+#: Separates an engine's name from the number of its crash, from the second crash on.
 ORDINAL_SEPARATOR = "#"
-#: Requests remembered at most: thirty engines that end under sixty each, twice over, in 2 MB.
+#: Maximum number of stored requests: thirty crashes under sixty requests each, twice over; 2 MB.
 MAX_SUSPECTS = 4096
 
 
 class Suspect(msgspec.Struct):
-    """One request under which engines ended."""
+    """One request under which engines crashed."""
 
-    #: When each engine ended, in the clock's seconds.
+    #: Time of each crash in the clock's seconds, by the name of the crash.
     crashed_at_by_engine: dict[str, float] = msgspec.field(default_factory=dict)
-    #: Those of them for which the request is known not to be the cause.
+    #: Names of the crashes that the request is known not to have caused.
     cleared: set[str] = msgspec.field(default_factory=set)
 
     @property
     def last_crash_at(self) -> float:
-        """When the last engine ended under it, in the clock's seconds."""
+        """When the last engine crashed under it, in the clock's seconds."""
         return max(self.crashed_at_by_engine.values())
 
     def uncleared_engines(self) -> list[str]:
-        """Return the engines of whose end it was not cleared."""
+        """Return the names of the crashes of which the request is not cleared."""
         return [engine for engine in self.crashed_at_by_engine if engine not in self.cleared]
 
 
 class Suspects(msgspec.Struct):
     """All suspected requests that a router knows of; no I/O, time is passed in."""
 
-    #: The one with the newest evidence last.
+    #: In the order of the latest new crash, the newest last.
     suspect_by_digest: OrderedDict[int, Suspect] = msgspec.field(default_factory=OrderedDict)
-    #: How many requests are suspected of each end, by what it is known by.
+    #: Number of requests suspected of each crash, by the name of the crash.
     _suspects_by_crash: Counter[str] = msgspec.field(default_factory=Counter)
-    #: Those against which as many ends are held as it takes. Few at any time, so that what is
-    #: asked of all requests goes by these alone.
+    #: Requests with ``CRASHES_TO_QUARANTINE`` or more uncleared crashes. There are few at any
+    #: time, so checks that would concern all requests scan only these.
     _over_threshold: set[int] = msgspec.field(default_factory=set)
-    #: The newest end of each engine: what it is known by, and when it was.
+    #: Name and time of each engine's newest crash.
     _last_crash_by_engine: dict[str, tuple[str, float]] = msgspec.field(default_factory=dict)
 
     def crash_name(self, engine: str, now: float) -> str:
-        """Return what an end that is seen now is known by.
+        """Return the name of an engine's crash that is observed now.
 
-        The engine's name, unless an earlier end of an engine of that name is remembered: not
-        every platform tells one start of an engine from the next.
+        It is the engine's name, with a number if an earlier crash under that name is stored: not
+        every platform distinguishes one start of an engine from the next.
         """
         known = self._last_crash_by_engine.get(engine)
         if known is None:
@@ -85,7 +86,7 @@
         return f"{engine}{ORDINAL_SEPARATOR}{int(ordinal) + 1}"
 
     def add(self, evidence: Evidence, now: float) -> bool:
-        """Take in evidence, one's own or a peer's; return whether it was news."""
+        """Add evidence, this router's own or a peer's; return whether it was new."""
         crashed_at = now - evidence.age_ms / 1000
         if now - crashed_at >= EVIDENCE_LIFETIME:
             return False
@@ -105,14 +106,14 @@
         return is_new or is_newly_cleared
 
     def _record_crash(self, name: str, crashed_at: float) -> None:
-        """Keep an engine's newest end; the first word on an end says when it was."""
+        """Store an engine's newest crash; the first evidence of a crash sets its time."""
         engine = name.partition(ORDINAL_SEPARATOR)[0]
         known = self._last_crash_by_engine.get(engine)
         if known is None or (known[0] != name and known[1] < crashed_at):
             self._last_crash_by_engine[engine] = (name, crashed_at)
 
     def clear_request(self, digest: int, now: float) -> tuple[Evidence, ...]:
-        """Note that a request came through whole; return what there is to tell of that."""
+        """Record that a request completed; return the evidence that clears it, to be sent."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None:
             return ()
@@ -125,7 +126,7 @@
         return found
 
     def _update_threshold(self, digest: int) -> None:
-        """Keep the list of those against which enough is held."""
+        """Update whether a request is over the threshold."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is not None and len(suspect.uncleared_engines()) >= CRASHES_TO_QUARANTINE:
             self._over_threshold.add(digest)
@@ -133,7 +134,7 @@
             self._over_threshold.discard(digest)
 
     def crash_count(self, digest: int) -> int:
-        """Return how many engines ended under a request that nothing else accounts for."""
+        """Return the number of crashes under a request that no other request explains."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None:
             return 0
@@ -141,25 +142,25 @@
         return sum(not self._is_explained(engine, len(uncleared)) for engine in uncleared)
 
     def is_suspected(self, digest: int) -> bool:
-        """Return whether an engine's end is held against a request."""
+        """Return whether a request is suspected of any crash."""
         return self.crash_count(digest) > 0
 
     def is_quarantined(self, digest: int, now: float) -> bool:
-        """Return whether a request must not be run for now."""
+        """Return whether a request must not be run now."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None or self.crash_count(digest) < CRASHES_TO_QUARANTINE:
             return False
         return now - suspect.last_crash_at < QUARANTINE_SECONDS
 
     def next_crash_quarantines(self, digest: int) -> bool:
-        """Return whether one more end would quarantine a request, so that one copy runs at once."""
+        """Return whether one more crash quarantines a request, so only one copy may run at once."""
         return self.crash_count(digest) >= CRASHES_TO_QUARANTINE - 1
 
     def share_crash(self, one: int, other: int) -> bool:
-        """Return whether two requests are suspected of the same engine's end.
+        """Return whether two requests are suspected of the same crash.
 
-        Run at the same time, and at the same engine, they would fall together once more, and
-        nothing would tell the innocent one from the cause.
+        If they ran together at one engine again, both would be lost in the next crash, and
+        nothing would distinguish the harmless one from the cause.
         """
         if one == other:
             return True
@@ -168,17 +169,17 @@
         return len(uncleared) == len(both) and not uncleared[0].isdisjoint(uncleared[1])
 
     def quarantined_digests(self, now: float) -> Iterator[int]:
-        """Yield the digests of the requests that are not run for now."""
+        """Yield the digests of the requests that must not be run now."""
         return (each for each in self._over_threshold if self.is_quarantined(each, now))
 
     def all_evidence(self, now: float) -> list[Evidence]:
-        """Return what a router that may know nothing has to be told."""
+        """Return all evidence to send to a router that may know none."""
         return [
             each for digest in self.suspect_by_digest for each in self._evidence_about(digest, now)
         ]
 
     def sample_evidence(self, now: float, rng: random.Random, limit: int) -> list[Evidence]:
-        """Return some of it, at random; what convicts first."""
+        """Return some evidence at random; that about requests over the threshold comes first."""
         over_threshold = rng.sample(
             sorted(self._over_threshold), min(limit, len(self._over_threshold))
         )
@@ -191,7 +192,7 @@
         return list(dict.fromkeys(found))[:limit]
 
     def _evidence_about(self, digest: int, now: float) -> list[Evidence]:
-        """Return what there is to tell of one request."""
+        """Return the evidence to send about one request."""
         suspect = self.suspect_by_digest[digest]
         if (
             not suspect.uncleared_engines()
@@ -204,11 +205,12 @@
         ]
 
     def _is_explained(self, engine: str, crashes: int) -> bool:
-        """Return whether a convicted request that also ran there ended more engines than one did.
+        """Return whether a request over the threshold that ran there has more than ``crashes``.
 
-        Without this, all that fell beside a request at two engines would be run one at a time,
-        and at a third be refused with it. As many ends make both suspects: to let a cause go
-        costs three engines more, to hold an innocent one costs its caller an answer.
+        Otherwise all requests that were lost beside a cause at two engines would run one at a
+        time, and would be refused with it after a third. With equally many crashes both stay
+        suspected: missing a cause costs three more engines, refusing a harmless request costs one
+        caller an answer.
         """
         for digest in self._over_threshold:
             uncleared = self.suspect_by_digest[digest].uncleared_engines()
@@ -217,7 +219,7 @@
         return False
 
     def _evict_excess(self) -> None:
-        """Forget the oldest beyond the bound, the convicted last."""
+        """Evict the oldest requests beyond the limit, those to be quarantined last."""
         while len(self.suspect_by_digest) > MAX_SUSPECTS:
             below_threshold = (
                 d for d in self.suspect_by_digest if self.crash_count(d) < CRASHES_TO_QUARANTINE
--- a/pondhatch/quarantine/tests/test_suspects.py
+++ b/pondhatch/quarantine/tests/test_suspects.py
@@ -1,3 +1,5 @@
+"""Guards against quarantining harmless requests and against missing those that crash engines."""
+
 from __future__ import annotations
 
 import random
@@ -78,7 +80,7 @@
 
 
 class CrashNamesTest(unittest.TestCase):
-    """Where a platform does not tell one start of an engine from the next."""
+    """The platform does not distinguish one start of an engine from the next."""
 
     def test_a_later_crash_under_the_same_name_counts_again(self) -> None:
         suspects = Suspects()
--- a/pondhatch/quarantine/tests/test_trials.py
+++ b/pondhatch/quarantine/tests/test_trials.py
@@ -1,3 +1,5 @@
+"""Guards against conflicting trial runs at two routers, which would crash two engines."""
+
 from __future__ import annotations
 
 import unittest
