--- a/pondhatch/membership/_failure_detection.py
+++ b/pondhatch/membership/_failure_detection.py
@@ -47,7 +47,7 @@
 
     def ping_soon(self, router: int) -> None:
         """Have a router pinged next."""
-        self._rotation.put_first(router)
+        self._rotation.make_next(router)
 
     def ping_next(self, now: float) -> list[Datagram]:
         """Return the ping to the next router in turn; none if there is no other."""
--- a/pondhatch/membership/_load_aggregation.py
+++ b/pondhatch/membership/_load_aggregation.py
@@ -124,7 +124,7 @@
             return []
         self._fleet_report = ReceivedReport(message, now)
         self._update_tree(members)
-        return self._pass_down(message)
+        return self._send_down(message)
 
     def in_flight_elsewhere(self, service: int, now: float) -> int:
         """Return a service's requests in flight at the other routers' engines.
@@ -150,20 +150,22 @@
         """Return the hall's sum to the other aggregators, and the fleet's sum down the tree."""
         own_report = RouterLoads(self._router, self._number, self._own_loads)
         _store_if_newer(self._report_by_router, self._router, own_report, now)
-        hall_sum = _sum(heard.message.loads for heard in self._report_by_router.values())
+        hall_sum = _sum(report.message.loads for report in self._report_by_router.values())
         hall_report = HallLoads(self._router, self._number, self._hall, hall_sum)
         _store_if_newer(self._report_by_hall, self._hall, hall_report, now)
         if self._aggregator_since is None:
             self._aggregator_since = now
         if now - self._aggregator_since < AGGREGATOR_WARMUP:
             return []
-        sent = [datagram_to(speaker.address, hall_report) for speaker in self._other_aggregators]
-        fleet_sum = _sum(heard.message.loads for heard in self._report_by_hall.values())
+        sent = [
+            datagram_to(aggregator.address, hall_report) for aggregator in self._other_aggregators
+        ]
+        fleet_sum = _sum(report.message.loads for report in self._report_by_hall.values())
         fleet_report = FleetLoads(self._router, self._number, fleet_sum)
         self._fleet_report = ReceivedReport(fleet_report, now)
-        return [*sent, *self._pass_down(fleet_report)]
+        return [*sent, *self._send_down(fleet_report)]
 
-    def _pass_down(self, message: FleetLoads) -> list[Datagram]:
+    def _send_down(self, message: FleetLoads) -> list[Datagram]:
         names = [member.name for member in self._order]
         if self._name not in names:
             return []
@@ -186,21 +188,21 @@
 
 
 def _store_if_newer(
-    table: dict[Key, ReceivedReport[Report]], key: Key, message: Report, now: float
+    reports: dict[Key, ReceivedReport[Report]], key: Key, message: Report, now: float
 ) -> None:
     """Store a report unless one of the same sender that is as new is known and not expired."""
-    known = table.get(key)
+    known = reports.get(key)
     if known is not None and known.message.sender == message.sender:
-        renewed = known.message.number < message.number
-        if not renewed and now - known.received_at < REPORT_LIFETIME:
+        is_newer = known.message.number < message.number
+        if not is_newer and now - known.received_at < REPORT_LIFETIME:
             return
-    table[key] = ReceivedReport(message, now)
+    reports[key] = ReceivedReport(message, now)
 
 
 def _newer_than(
-    oldest: float, table: dict[Key, ReceivedReport[Report]]
+    oldest: float, reports: dict[Key, ReceivedReport[Report]]
 ) -> dict[Key, ReceivedReport[Report]]:
-    return {key: heard for key, heard in table.items() if heard.received_at > oldest}
+    return {key: report for key, report in reports.items() if report.received_at > oldest}
 
 
 def _in_flight(loads: tuple[ServiceLoad, ...], service: int) -> int:
--- a/pondhatch/membership/_pinging.py
+++ b/pondhatch/membership/_pinging.py
@@ -33,7 +33,7 @@
         #: Short ids of the routers left in this round, the next one last.
         self._remaining: list[int] = []
 
-    def put_first(self, router: int) -> None:
+    def make_next(self, router: int) -> None:
         """Make a router the next one, whether or not it was pinged in this round."""
         self._remaining.append(router)
 
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -164,9 +164,9 @@
         """
         if one == other:
             return True
-        both = (self.suspect_by_digest.get(one), self.suspect_by_digest.get(other))
-        uncleared = [set(each.uncleared_engines()) for each in both if each is not None]
-        return len(uncleared) == len(both) and not uncleared[0].isdisjoint(uncleared[1])
+        pair = (self.suspect_by_digest.get(one), self.suspect_by_digest.get(other))
+        uncleared = [set(each.uncleared_engines()) for each in pair if each is not None]
+        return len(uncleared) == len(pair) and not uncleared[0].isdisjoint(uncleared[1])
 
     def quarantined_digests(self, now: float) -> Iterator[int]:
         """Yield the digests of the requests that must not be run now."""
