--- a/pondhatch/membership/_failure_detection.py
+++ b/pondhatch/membership/_failure_detection.py
@@ -46,7 +46,7 @@
         self._relays = Relays()
 
     def ping_soon(self, router: int) -> None:
-        """Have a router pinged next."""
+        """Make a router the next one to be pinged."""
         self._rotation.make_next(router)
 
     def ping_next(self, now: float) -> list[Datagram]:
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -246,7 +246,7 @@
         """
         home = self._pending
         if home is None or home.engine != self.home:
-            raise ValueError("only the home engine's owner knows of other places")
+            raise ValueError("the last engine asked is not the home engine")
         if engine not in self._engines:
             self._next_asks = [Ask(home.engine, is_forced=True)]
             return
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -205,12 +205,12 @@
         ]
 
     def _is_explained(self, engine: str, crashes: int) -> bool:
-        """Return whether a request over the threshold that ran there has more than ``crashes``.
+        """Return whether a request over the threshold, with more crashes, explains a crash.
 
-        Otherwise all requests that were lost beside a cause at two engines would run one at a
-        time, and would be refused with it after a third. With equally many crashes both stay
-        suspected: missing a cause costs three more engines, refusing a harmless request costs one
-        caller an answer.
+        ``crashes`` is the number of crashes of the request in question. Without this check, all
+        requests that were lost beside a cause at two engines would run one at a time, and would be
+        refused with it after a third. With equally many crashes both stay suspected: missing a
+        cause costs three more engines, refusing a harmless request costs one caller an answer.
         """
         for digest in self._over_threshold:
             uncleared = self.suspect_by_digest[digest].uncleared_engines()
