--- a/bench/_placement.py
+++ b/bench/_placement.py
@@ -118,7 +118,7 @@
             if step.engine == plan.home and not step.is_forced and chat in world.seen:
                 young = world.is_young(step.engine)
                 believed = context_engine(
-                    self._memory, chat, step.engine, plan.first_established(world.is_young), young
+                    self._memory, chat, step.engine, plan.settled_engine(world.is_young), young
                 )
                 if believed != step.engine:
                     plan.record_context_elsewhere(believed)
@@ -145,7 +145,7 @@
     def _verdict(self, world: World, plan: Plan, name: str, ended: int) -> Granted | Full:
         held = world.engines[name].in_flight - ended
         self._gate.by_engine[name] = EngineCount(granted=held)
-        others = max(world.late_total() - held, plan.in_flight_seen_elsewhere(name), 0)
+        others = max(world.late_total() - held, plan.seen_in_flight_elsewhere(name), 0)
         return self._gate.try_grant(name, world.now, world.bound, others, len(world.engines))
 
     def _note(self, plan: Plan, chat: int, engine: str) -> None:
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -102,7 +102,7 @@
         """The chat's home engine, or None if the service has no engine."""
         return self.order[0] if self.order else None
 
-    def first_established(self, is_young: Callable[[str], bool]) -> str | None:
+    def settled_engine(self, is_young: Callable[[str], bool]) -> str | None:
         """Return the first engine after the home that did not join lately, or None.
 
         It was the home engine before those ranked above it joined.
@@ -122,7 +122,7 @@
             return self._last_resort()
         return self._pending
 
-    def in_flight_seen_elsewhere(self, engine: str) -> int:
+    def seen_in_flight_elsewhere(self, engine: str) -> int:
         """Return the load of the other engines asked so far: newer than any gossiped total."""
         return sum(held for other, held in self.in_flight_by_engine.items() if other != engine)
 
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -14,16 +14,16 @@
         locations = ContextLocations()
         locations.remember(7, "e5")
         cases = [
-            # chat, established engine, whether the home is young, expected engine
+            # chat, settled engine, whether the home is young, expected engine
             (7, "e2", False, "e5"),
             (7, "e2", True, "e5"),
             (8, "e2", False, "home"),
             (8, "e2", True, "e2"),
             (8, None, True, "home"),
         ]
-        for chat, established, young, engine in cases:
+        for chat, settled_engine, young, engine in cases:
             with self.subTest(chat=chat, young=young):
-                found = context_engine(locations, chat, "home", established, young)
+                found = context_engine(locations, chat, "home", settled_engine, young)
                 self.assertEqual(found, engine)
 
 
@@ -42,14 +42,14 @@
                 before = Plan(str(chat), ENGINES).home
                 plan = Plan(str(chat), (*ENGINES, *newcomers))
                 home = plan.home or ""
-                established = plan.first_established(newcomers.__contains__)
+                settled_engine = plan.settled_engine(newcomers.__contains__)
                 found = context_engine(
-                    ContextLocations(), chat, home, established, home in newcomers
+                    ContextLocations(), chat, home, settled_engine, home in newcomers
                 )
                 with self.subTest(count=count, chat=chat):
                     self.assertEqual(found, before)
 
     def test_the_home_is_used_where_every_engine_is_new(self) -> None:
         plan = Plan("chat", ENGINES)
-        self.assertIsNone(plan.first_established(lambda _: True))
+        self.assertIsNone(plan.settled_engine(lambda _: True))
         self.assertEqual(context_engine(ContextLocations(), 7, "home", None, True), "home")
--- a/pondhatch/placement/tests/test_plan.py
+++ b/pondhatch/placement/tests/test_plan.py
@@ -56,7 +56,7 @@
             plan.record_owner_full(held, held)
         least = plan.order[1]
         self.assertEqual(plan.next_step(), Ask(least, is_forced=True, is_last=True))
-        self.assertEqual(plan.in_flight_seen_elsewhere(least), 7)
+        self.assertEqual(plan.seen_in_flight_elsewhere(least), 7)
         plan.record_owner_full(2, 2)
         # While the request waited there, a slot may have come free at the others.
         for rechecked in (plan.order[2], plan.order[0]):
--- a/pondhatch/requests/_entry.py
+++ b/pondhatch/requests/_entry.py
@@ -103,7 +103,7 @@
         # What a request may wait in the last line, it may wait for an owner's word.
         self._watch = ways.crashes.watch(head.digest)
         self._tries = Tries(view, ways, body, self._chat, remaining, patience.last, self._watch)
-        self._tries.settled = self.plan.first_established(view.is_young)
+        self._tries.settled = self.plan.settled_engine(view.is_young)
         #: What remained as the walk over the engines began.
         self._remaining_at_start = 0.0
         self._asks = 0
@@ -435,7 +435,7 @@
             weight=round(self._head.weight * THOUSANDTHS),
             # What the walk saw is old by the time a stream breaks, and would raise the ceiling
             # of its engine above what is running then.
-            seen_elsewhere=0 if resuming else self.plan.in_flight_seen_elsewhere(engine),
+            seen_elsewhere=0 if resuming else self.plan.seen_in_flight_elsewhere(engine),
             returning=self._head.returning,
             home=at_home,
             settled=self._settled_before(engine) if at_home else None,
@@ -464,7 +464,7 @@
         takes_over = target is not None and target.shares_context
         if takes_over or not self._view.is_young(home):
             return None
-        return self.plan.first_established(self._view.is_young)
+        return self.plan.settled_engine(self._view.is_young)
 
     def _next_head(self, **changes: Any) -> RequestHead:
         """Return the head of the next try, under an id of its own."""
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -685,7 +685,7 @@
         # A line is served in order: one that knows of less work elsewhere, and so of a lower
         # ceiling, holds up those behind it.
         told = [each.told[engine] for each in self._walks if engine in each.told]
-        others = min(told, default=walk.plan.in_flight_seen_elsewhere(engine))
+        others = min(told, default=walk.plan.seen_in_flight_elsewhere(engine))
         return owner.gate.has_room(engine, others, len(self.engines))
 
 
