--- a/pondhatch/membership/_full_sync.py
+++ b/pondhatch/membership/_full_sync.py
@@ -1,4 +1,4 @@
-"""Exchange of whole views, where two routers' views of the fleet differ."""
+"""Full sync: two routers whose views of the fleet differ exchange them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from pondhatch.membership._datagrams import Datagram, datagram_to
 from pondhatch.membership._dissemination import Dissemination
+from pondhatch.membership._member_table import Address, MemberTable
 from pondhatch.membership._membership_limits import MembershipLimits
 from pondhatch.membership._records import Sync
-from pondhatch.membership._table import Address, Table
 
 
 class FullSync:
-    """Sends this router's whole view, in parts that fit a packet."""
+    """Sends this router's whole view of the fleet, in parts that fit into a packet."""
 
     def __init__(
         self,
-        table: Table,
+        table: MemberTable,
         dissemination: Dissemination,
         limits: MembershipLimits,
         rng: random.Random,
@@ -27,20 +27,20 @@
         self._rng = rng
         self._next_sync = float("-inf")
 
-    def exchange_if_due(self, view: int, address: Address, now: float) -> list[Datagram]:
-        """Exchange whole views where the fingerprints differ, but not often."""
-        if view == self._dissemination.fingerprint() or now < self._next_sync:
+    def exchange_if_due(self, fingerprint: int, address: Address, now: float) -> list[Datagram]:
+        """Return a full sync if the fingerprints differ and the last one is long enough ago."""
+        if fingerprint == self._dissemination.fingerprint() or now < self._next_sync:
             return []
         self._next_sync = now + self._limits.sync_interval * self._rng.uniform(0.5, 1.5)
-        return self.send(address, wanted=True)
+        return self.send(address, wants_reply=True)
 
-    def send(self, address: Address, wanted: bool) -> list[Datagram]:
-        """Return the packets with the whole view; ``wanted`` asks for the receiver's."""
-        own = self._dissemination.own
-        rumors = [own, *(entry.rumor() for entry in self._table)]
-        size = self._limits.sync_part
+    def send(self, address: Address, wants_reply: bool) -> list[Datagram]:
+        """Return the packets with the whole view; ``wants_reply`` asks for the receiver's."""
+        own_record = self._dissemination.own_record
+        rumors = [own_record, *(entry.rumor() for entry in self._table)]
+        size = self._limits.sync_part_rumors
         parts = [tuple(rumors[at : at + size]) for at in range(0, len(rumors), size)]
         return [
-            datagram_to(address, Sync(own.router, wanted and at == 0, part))
+            datagram_to(address, Sync(own_record.router, wants_reply and at == 0, part))
             for at, part in enumerate(parts)
         ]
--- a/pondhatch/placement/_context.py
+++ b/pondhatch/placement/_context.py
@@ -1,26 +1,30 @@
-"""Where a chat's context is believed to lie."""
+"""Which engine most likely holds the cached context of a chat."""
 
 from __future__ import annotations
 
-from pondhatch.placement._memory import SpillMemory
+from pondhatch.placement._context_locations import ContextLocations
 
-#: Seconds for which an engine that joined counts as young.
+#: Seconds after it joined for which an engine counts as young.
 YOUNG_SECONDS = 600.0
 
 
 def context_engine(
-    memory: SpillMemory, chat: int, home: str, settled: str | None, home_is_young: bool
+    locations: ContextLocations,
+    chat: int,
+    home: str,
+    settled_engine: str | None,
+    home_is_young: bool,
 ) -> str:
     """Return the engine that most likely holds a returning chat's context.
 
-    A chat that spilled is where it was remembered. One whose home engine joined
-    a short while ago was, before that, at home with the first engine of its order
-    that did not, ``settled``: sending it there keeps its context, and keeps a joining
-    engine from being flooded by chats that it cannot know.
+    A chat that was served by another engine than its home is at the recorded engine. Where the
+    home engine joined a short while ago, the chat's former home is ``settled_engine``, the first
+    engine of its order that did not. Sending the chat there keeps its context, and protects a
+    joining engine from a flood of chats whose context it does not have.
     """
-    remembered = memory.engine_of(chat)
+    remembered = locations.engine_of(chat)
     if remembered is not None:
         return remembered
-    if home_is_young and settled is not None:
-        return settled
+    if home_is_young and settled_engine is not None:
+        return settled_engine
     return home
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -1,51 +1,55 @@
+"""Guards against sending a returning chat to an engine that does not hold its context."""
+
 from __future__ import annotations
 
 import unittest
 
-from pondhatch.placement import Plan, SpillMemory, context_engine
+from pondhatch.placement import ContextLocations, Plan, context_engine
 
 ENGINES = tuple(f"e{at}" for at in range(17))
 
 
 class ContextTest(unittest.TestCase):
-    def test_where_a_context_is_believed_to_lie(self) -> None:
-        memory = SpillMemory()
-        memory.remember(7, "e5")
+    def test_context_engine(self) -> None:
+        locations = ContextLocations()
+        locations.remember(7, "e5")
         cases = [
-            # chat, runner-up, home is young, believed at
+            # chat, settled engine, whether the home is young, expected engine
             (7, "e2", False, "e5"),
             (7, "e2", True, "e5"),
             (8, "e2", False, "home"),
             (8, "e2", True, "e2"),
             (8, None, True, "home"),
         ]
-        for chat, settled, young, engine in cases:
+        for chat, settled_engine, young, engine in cases:
             with self.subTest(chat=chat, young=young):
-                found = context_engine(memory, chat, "home", settled, young)
+                found = context_engine(locations, chat, "home", settled_engine, young)
                 self.assertEqual(found, engine)
 
 
 class ReplacedEnginesTest(unittest.TestCase):
-    """The pattern: a few of a service's engines are replaced or added within seconds.
+    """Guards against prefilling contexts again when engines are replaced or added.
 
-    Grounds: 3 of 17 engines are replaced and 2 added in 8 s at the users' sites, while each
-    of 95 contexts of 10,000 tokens is asked for every 4.5 s. Where a context was sent to the
-    engine ranked second, itself a newcomer, it was read again at 0.65 a thousand tokens.
+    With 3 of 17 engines replaced and 2 added within 8 s, the engine ranked second may be new
+    itself. Each of 95 contexts of 10,000 tokens, used every 4.5 s, that is sent there is
+    prefilled again at a cost of 0.65 a thousand tokens.
     """
 
-    def test_a_context_stays_where_it_was_however_many_newcomers_rank_above(self) -> None:
+    def test_a_chat_keeps_its_engine_however_many_new_engines_rank_above(self) -> None:
         for count in (1, 2, 5):
             newcomers = {f"new{at}" for at in range(count)}
             for chat in range(200):
                 before = Plan(str(chat), ENGINES).home
                 plan = Plan(str(chat), (*ENGINES, *newcomers))
                 home = plan.home or ""
-                settled = plan.settled(newcomers.__contains__)
-                found = context_engine(SpillMemory(), chat, home, settled, home in newcomers)
+                settled_engine = plan.settled_engine(newcomers.__contains__)
+                found = context_engine(
+                    ContextLocations(), chat, home, settled_engine, home in newcomers
+                )
                 with self.subTest(count=count, chat=chat):
                     self.assertEqual(found, before)
 
-    def test_where_all_are_newcomers_the_home_is_as_good_as_any(self) -> None:
+    def test_the_home_is_used_where_every_engine_is_new(self) -> None:
         plan = Plan("chat", ENGINES)
-        self.assertIsNone(plan.settled(lambda _: True))
-        self.assertEqual(context_engine(SpillMemory(), 7, "home", None, True), "home")
+        self.assertIsNone(plan.settled_engine(lambda _: True))
+        self.assertEqual(context_engine(ContextLocations(), 7, "home", None, True), "home")
