--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -82,7 +82,7 @@
 
     def __init__(self, state: RouterState) -> None:
         self._owner = LocalOwner(
-            state.name, state, state.gate, state.memory, state.clock, state.health
+            state.name, state, state.gate, state.spill_memory, state.clock, state.health
         )
         self._state = state
         self.router = short_id(state.name)
@@ -123,12 +123,12 @@
         gossip.membership.table.take_alive(alive, 0.0)
 
     state = RouterState("self", "hall-0", gossip, time.monotonic, lambda _: NoHolder())
-    state.take_fleet(fleet_of(10))
+    state.apply_fleet(fleet_of(10))
     for at in range(ENGINES):
         upstream = Upstream(f"engine-{at}", "lang", "http://10.0.0.1:1", "hall-0")
         state.upstreams.set(upstream, at + 1)
-    state.upstreams_changed()
-    state.refresh()
+    state.invalidate_upstream_caches()
+    state.refresh_members()
     return state
 
 
--- a/fakes/_many_routers.py
+++ b/fakes/_many_routers.py
@@ -24,7 +24,7 @@
         gossip = Gossip(own, MembershipLimits(), random.Random(1))
         self.state = RouterState("r0", hall_of(0), gossip, lambda: 0.0, _no_way)
         listed = tuple(listed_upstream(at, hall_of(at)) for at in range(upstreams))
-        self.state.take_listed_upstreams(Listed(upstreams, listed))
+        self.state.apply_listed_upstreams(Listed(upstreams, listed))
         for at in range(1, routers):
             self.hear(at, 1)
 
@@ -41,7 +41,7 @@
         """Take in a packet, as a router does."""
         payload = datagram_to(SOMEBODY, message).payload
         self.state.gossip.receive(payload, SOMEBODY, 0.0)
-        self.state.refresh()
+        self.state.refresh_members()
         self.state.gossip.ahead()
 
 
--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -14,7 +14,7 @@
 from pondhatch.cli._ports import SpareDescriptors, listen_to_callers, listening
 from pondhatch.configuration import CallerLimits, MetricsEndpoint, ReadyEndpoint, Settings
 from pondhatch.observing import log_for
-from pondhatch.router import Authority, CrashGuarding, RouterState
+from pondhatch.router import Authority, CrashEvidenceExchange, RouterState
 from pondhatch.transport import (
     Admin,
     Callers,
@@ -40,7 +40,7 @@
     peer_tls: PeerTls | None
     gossip_port: GossipPort
     authority: Authority
-    crash_guarding: CrashGuarding
+    crash_guarding: CrashEvidenceExchange
     figures: Figures
     callers: Callers
     #: What callers may send, by the settings now in force.
@@ -67,7 +67,7 @@
     def _open_to_admins(self) -> None:
         admin = self.settings.admin
         resource = Admin(
-            self.state, self.authority, self.figures.counters, self.crash_guarding.lift
+            self.state, self.authority, self.figures.counters, self.crash_guarding.lift_quarantine
         )
         self.reactor.listenTCP(admin.port, Site(resource), interface=admin.host)
 
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pondhatch.router import Granting, RouterState
+from pondhatch.router import GrantExchange, RouterState
 from pondhatch.store import Platform
 from pondhatch.transport import Callers, GossipPort
 
@@ -18,7 +18,7 @@
     state: RouterState
     callers: Callers
     gossip_port: GossipPort
-    granting: Granting
+    granting: GrantExchange
     platform: Platform
     #: When the router started, in seconds of the monotonic clock.
     started: float = msgspec.field(default_factory=time.monotonic)
@@ -29,21 +29,21 @@
         return {
             "routers.known": len(self.state.members()),
             "requests.in_flight": self.callers.in_flight,
-            "held.bytes": self.state.held.whole,
+            "held.bytes": self.state.held_bytes.whole,
             "configuration.version": self.state.fleet.version,
             "configuration.behind_ms": round(1000 * self.state.lag.seconds(self.state.clock())),
-            "configuration.refused": int(self.state.refused is not None),
+            "configuration.refused": int(self.state.rejected is not None),
             "configuration.misfits": len(self.state.fleet.misfits_by_entry),
             "upstreams.owned": len(self.state.owned()),
             "upstreams.cold": self.state.cold_count(),
             "upstreams.said_leaving": sum(notice.is_leaving for notice in notices),
             "upstreams.resting": sum(notice.rest > 0 for notice in notices),
             "engines.slow": self.state.paces.count_slow(self.state.clock()),
-            "engines.memory-full": self.state.tokens.refused,
+            "engines.memory-full": self.state.token_counts.refused,
             "halls.evacuated": len(self.state.halls.evacuations.halls),
             "requests.suspected": len(self.state.suspects.suspect_by_digest),
             "requests.quarantined": len(list(self.state.suspects.quarantined(self.state.clock()))),
-            "chats.spilled": len(self.state.memory.engine_by_chat),
+            "chats.spilled": len(self.state.spill_memory.engine_by_chat),
             "queue.refused-in-vain": self.granting.owner.refused_in_vain,
             "control.bytes_sent": self.gossip_port.bytes_sent,
             "control.bytes_received": self.gossip_port.bytes_received,
@@ -56,7 +56,7 @@
             "requests_in_flight": self.callers.in_flight,
             "gossip_bytes_sent": self.gossip_port.bytes_sent,
             "gossip_bytes_received": self.gossip_port.bytes_received,
-            "grant_packets": self.granting.packets,
+            "grant_packets": self.granting.packet_count,
             "grants_held": len(self.granting.entry.held_by_number),
             "grants_given": len(self.granting.owner.leases.by_holder),
             "gossip_unsealed": self.gossip_port.unsealed,
--- a/pondhatch/cli/_own_state.py
+++ b/pondhatch/cli/_own_state.py
@@ -43,10 +43,10 @@
         gossip,
         time.monotonic,
         connections.to,
-        retries=RetryBudgets(_allowance(settings.retries)),
+        retry_budgets=RetryBudgets(_allowance(settings.retries)),
         halls=HallStates(settings.regions or {}),
         cold_paces=ColdPaces(_cold_allowance(settings.cold)),
-        held=HeldBytes(settings.held_bytes),
+        held_bytes=HeldBytes(settings.held_bytes),
         engine_queue=settings.service_defaults.engine_queue,
         load_management=load_management,
     )
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -33,18 +33,18 @@
 )
 from pondhatch.requests import Ways
 from pondhatch.router import (
-    CRASH_MARK,
-    GRANT_MARK,
-    NOTICE_MARK,
+    CRASH_PACKET_PREFIX,
+    GRANT_PACKET_PREFIX,
+    NOTICE_PACKET_PREFIX,
     Authority,
-    Beliefs,
-    CrashGuarding,
-    Granting,
-    Introduction,
-    NoticeKeeping,
+    CrashEvidenceExchange,
+    GrantExchange,
+    NoticeExchange,
+    PeerDiscovery,
+    PlatformRestorer,
     PooledEngines,
-    Restoring,
-    Starting,
+    StartupWait,
+    StateRecorder,
     Sync,
 )
 from pondhatch.transport import (
@@ -81,12 +81,14 @@
         self._rng = random.Random()
         self.state = own_state(settings, self._rng, self._connections, parts.interface)
         self._gossip_port = GossipPort(Seal(fleet_key), self._receive)
-        self._granting = Granting(self.state, self._gossip_port.send, self._tasks, time.time_ns())
+        self._granting = GrantExchange(
+            self.state, self._gossip_port.send, self._tasks, time.time_ns()
+        )
         self._spreading = Spreading(self.state, self._gossip_port, self._tasks)
         self._platform = parts.platform
         self._introduction = self._new_introduction()
         self._sync = self._new_sync()
-        self._restoring = Restoring(
+        self._restoring = PlatformRestorer(
             self.state,
             self._platform,
             self._introduction,
@@ -98,16 +100,16 @@
         self._metrics = metrics_of(settings, served)
         self._records = _records_of(settings)
         parts.client.configure(self.state.load_managed, self._metrics)
-        self._beliefs = Beliefs(self.state, self._records)
-        self._notice_keeping = NoticeKeeping(self.state, self._gossip_port.send)
+        self._beliefs = StateRecorder(self.state, self._records)
+        self._notice_keeping = NoticeExchange(self.state, self._gossip_port.send)
         upstreams = HttpUpstreams(
             parts.client,
             self._interface.upstreams,
             self._metrics,
             self._notice_keeping,
-            self.state.held,
+            self.state.held_bytes,
         )
-        self._crash_guarding = CrashGuarding(
+        self._crash_guarding = CrashEvidenceExchange(
             self.state,
             self._gossip_port.send,
             self._tasks,
@@ -116,7 +118,9 @@
             upstreams.has_ended,
         )
         self._callers = self._new_callers(upstreams)
-        self._peer_service = PeerService(self.state.local, self._answer_pull, self._token)
+        self._peer_service = PeerService(
+            self.state.local_key_holder, self._answer_pull, self._token
+        )
         self._peer_server: Server = self._peer_service.server()
         self._figures = Figures(
             self.state, self._callers, self._gossip_port, self._granting, self._platform
@@ -130,10 +134,10 @@
         for number in STOP_SIGNALS:
             loop.add_signal_handler(number, stop.set)
         await self._new_endpoints().open()
-        self.state.refresh()
+        self.state.refresh_members()
         self._start_tasks()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        self._beliefs.note_process("serving", f"hall {self._settings.hall}")
+        self._beliefs.record_process("serving", f"hall {self._settings.hall}")
         await stop.wait()
         await self._new_stopping().run()
         self._end()
@@ -170,11 +174,11 @@
             self._introduction,
         )
 
-    def _new_introduction(self) -> Introduction:
+    def _new_introduction(self) -> PeerDiscovery:
         own = self._settings.peers
         address = None if self._interface.lists_vms else f"{own.host}:{own.port}"
         state = self.state
-        return Introduction(state.name, state.gossip, self._platform, self._rng, address)
+        return PeerDiscovery(state.name, state.gossip, self._platform, self._rng, address)
 
     def _new_callers(self, upstreams: HttpUpstreams) -> Callers:
         return self._interface.callers(
@@ -191,7 +195,7 @@
                 records=self._records,
                 tasks=self._tasks,
                 rng=self._rng,
-                starting=Starting(self.state),
+                starting=StartupWait(self.state),
             )
         )
 
@@ -225,7 +229,7 @@
     # -- peers ----------------------------------------------------------------
 
     async def _pull(self, member: Member, configuration: int, upstreams: int) -> PullReply | None:
-        takes_difference = not self.state.wants_whole
+        takes_difference = not self.state.needs_snapshot
         peer = self._connections.to(member)
         reply = await peer.pull(configuration, upstreams, takes_difference)
         if reply is None:
@@ -240,20 +244,20 @@
         )
 
     def _receive(self, payload: bytes, source: Address) -> list[Any]:
-        if payload.startswith(GRANT_MARK):
-            self._granting.receive(payload[len(GRANT_MARK) :], source)
+        if payload.startswith(GRANT_PACKET_PREFIX):
+            self._granting.receive(payload[len(GRANT_PACKET_PREFIX) :], source)
             return []
-        if payload.startswith(CRASH_MARK):
-            self._crash_guarding.receive(payload[len(CRASH_MARK) :])
+        if payload.startswith(CRASH_PACKET_PREFIX):
+            self._crash_guarding.receive(payload[len(CRASH_PACKET_PREFIX) :])
             return []
-        if payload.startswith(NOTICE_MARK):
-            self._notice_keeping.receive(payload[len(NOTICE_MARK) :])
+        if payload.startswith(NOTICE_PACKET_PREFIX):
+            self._notice_keeping.receive(payload[len(NOTICE_PACKET_PREFIX) :])
             return []
         answers = self.state.gossip.receive(payload, source, self.state.clock())
-        self.state.refresh()
+        self.state.refresh_members()
         self._granting.follow_members()
         if self.state.gossip.ahead():
-            self._tasks.start(self._sync.heard_news())
+            self._tasks.start(self._sync.on_peer_ahead())
         return answers
 
     def _new_rounds(self) -> Rounds:
@@ -261,7 +265,7 @@
         return Rounds(
             {
                 "state": state.tick,
-                "beliefs": self._beliefs.look,
+                "beliefs": self._beliefs.record_changes,
                 "grants": self._granting.tick,
                 "crashes": self._crash_guarding.tick,
                 "notices": self._notice_keeping.tick,
@@ -287,7 +291,7 @@
         reloaded = self._settings_file.reloaded(self._settings)
         if reloaded is not None:
             self._settings = reloaded
-            self._beliefs.note_process("serving", "settings were read anew")
+            self._beliefs.record_process("serving", "settings were read anew")
 
 
 def _records_of(settings: Settings) -> Records:
--- a/pondhatch/cli/_stopping.py
+++ b/pondhatch/cli/_stopping.py
@@ -12,7 +12,7 @@
 from pondhatch.configuration import Settings
 from pondhatch.membership import Phase
 from pondhatch.requests import HOLDERS
-from pondhatch.router import Authority, Beliefs, Granting, RouterState
+from pondhatch.router import Authority, GrantExchange, RouterState, StateRecorder
 from pondhatch.transport import Callers
 
 #: Seconds between looks at what still runs while draining.
@@ -30,9 +30,9 @@
     state: RouterState
     callers: Callers
     authority: Authority
-    granting: Granting
+    granting: GrantExchange
     spreading: Spreading
-    beliefs: Beliefs
+    beliefs: StateRecorder
     #: The settings now in force.
     settings: Callable[[], Settings]
 
@@ -68,17 +68,17 @@
 
     async def _hand_over_keys(self) -> None:
         """Give the keys held here to those who hold them from now on."""
-        for key, record in tuple(self.state.keys.record_by_key.items()):
+        for key, record in tuple(self.state.key_table.record_by_key.items()):
             for name in self.state.key_holders(key)[:HOLDERS]:
                 holder = self.state.key_holder(name)
                 if holder is not None:
                     await holder.settle(key, record)
 
     def _note(self, now: str) -> None:
-        self.beliefs.note_process(now, f"{self.callers.in_flight} requests in flight")
+        self.beliefs.record_process(now, f"{self.callers.in_flight} requests in flight")
 
     def _announce(self) -> None:
         """Tell peers of this router's phase."""
-        self.state.refresh()
+        self.state.refresh_members()
         self.granting.follow_members()
         self.spreading.spread()
--- a/pondhatch/cli/_surroundings.py
+++ b/pondhatch/cli/_surroundings.py
@@ -11,7 +11,7 @@
 
 from pondhatch.configuration import ServiceDefaults, Settings, load_fleet_key
 from pondhatch.kernel import REGISTRY
-from pondhatch.router import agreed_key
+from pondhatch.router import obtain_fleet_key
 from pondhatch.store import Platform
 from pondhatch.transport import INTERFACE, HttpClient, Interface
 
@@ -54,4 +54,4 @@
 
 async def _agreed_key(platform: Platform) -> bytes:
     """Return the key that the fleet agrees on."""
-    return await agreed_key(platform, secrets.token_hex(16), random.Random())
+    return await obtain_fleet_key(platform, secrets.token_hex(16), random.Random())
--- a/pondhatch/cli/tests/test_own_state.py
+++ b/pondhatch/cli/tests/test_own_state.py
@@ -27,7 +27,7 @@
     read = msgspec.convert(settings, Settings)
     machines: Any = PreparedMachines({})
     state = own_state(read, random.Random(1), PeerConnections("", None), machines)
-    state.refresh()
+    state.refresh_members()
     return state.members()[0].capacity
 
 
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -22,7 +22,7 @@
 )
 from pondhatch.membership._loads import report_interval
 from pondhatch.membership._records import Fault
-from pondhatch.router._sync import MEETING_SECONDS
+from pondhatch.router._sync import PEER_DISCOVERY_SECONDS
 
 Edge = tuple[int, int]
 ROUND = 0.1
@@ -85,7 +85,7 @@
                 addresses = [Address("127.0.0.1", 7000 + at) for at in range(routers)]
                 for at, core in enumerate(net.cores):
                     core.add_seeds(addresses[: at + 1])
-                net.run(MEETING_SECONDS - ROUND)
+                net.run(PEER_DISCOVERY_SECONDS - ROUND)
                 known = [len(net.seen(at)) for at in range(routers)]
                 self.assertGreaterEqual(min(known), 0.8 * routers)
 
--- a/pondhatch/platform/tests/test_entries_of_others.py
+++ b/pondhatch/platform/tests/test_entries_of_others.py
@@ -219,7 +219,7 @@
         self.state = router("r0")
         for name in ("i-1", "i-2"):
             good = decode_engine(name, {**ENGINE, "Address": f"10.0.0.{name[-1]}:80"})
-            self.state.take_upstream_event(WatchEvent("set", 4, name, good))
+            self.state.apply_upstream_event(WatchEvent("set", 4, name, good))
 
     def taking(self, state: RouterState | None = None) -> list[str]:
         upstreams = (state or self.state).upstreams
@@ -230,15 +230,15 @@
         unreadable = WatchEvent("unreadable", 6, "i-1")
         senseless = WatchEvent("set", 6, "i-1", {"name": "i-1"})
         return [
-            lambda: self.assertTrue(self.state.take_upstream_event(unreadable)),
-            lambda: self.assertTrue(self.state.take_upstream_event(senseless)),
+            lambda: self.assertTrue(self.state.apply_upstream_event(unreadable)),
+            lambda: self.assertTrue(self.state.apply_upstream_event(senseless)),
             lambda: self.listed(),
         ]
 
     def listed(self) -> None:
         other = {"name": "i-2", "service": "lang", "url": "http://10.0.0.2:80", "hall": "hall-1"}
         kept = StoredObject("upstream", "i-2", 4, other)
-        self.state.take_listed_upstreams(Listed(6, (kept,), frozenset({"i-1"})))
+        self.state.apply_listed_upstreams(Listed(6, (kept,), frozenset({"i-1"})))
 
     def test_it_takes_none_and_is_not_gone(self) -> None:
         for at in range(3):
@@ -250,15 +250,15 @@
 
     def test_every_router_learns_it_and_its_return(self) -> None:
         peer = router("r1")
-        peer.take_upstreams(self.state.upstreams_since(0))
+        peer.apply_upstreams(self.state.upstreams_since(0))
         self.spoilt()[0]()
-        peer.take_upstreams(self.state.upstreams_since(peer.upstreams.version))
+        peer.apply_upstreams(self.state.upstreams_since(peer.upstreams.version))
         self.assertEqual(self.taking(peer), ["i-2"])
-        self.state.take_upstream_event(WatchEvent("set", 8, "i-1", decode_engine("i-1", ENGINE)))
-        peer.take_upstreams(self.state.upstreams_since(peer.upstreams.version))
+        self.state.apply_upstream_event(WatchEvent("set", 8, "i-1", decode_engine("i-1", ENGINE)))
+        peer.apply_upstreams(self.state.upstreams_since(peer.upstreams.version))
         self.assertEqual(self.taking(peer), ["i-1", "i-2"])
 
     def test_an_older_word_changes_nothing(self) -> None:
-        self.assertFalse(self.state.take_upstream_event(WatchEvent("unreadable", 3, "i-1")))
-        self.assertFalse(self.state.take_upstream_event(WatchEvent("unreadable", 9, "i-9")))
+        self.assertFalse(self.state.apply_upstream_event(WatchEvent("unreadable", 3, "i-1")))
+        self.assertFalse(self.state.apply_upstream_event(WatchEvent("unreadable", 9, "i-9")))
         self.assertEqual(self.taking(), ["i-1", "i-2"])
--- a/pondhatch/router/__init__.py
+++ b/pondhatch/router/__init__.py
@@ -1,7 +1,7 @@
 """The router: one process's state, who may use it, and how it keeps up."""
 
 from pondhatch.router._admission import (
-    ANYBODY,
+    ANONYMOUS,
     MEMORY_LIMITED,
     NO_ROUTE,
     Account,
@@ -11,60 +11,60 @@
     bearer_key,
     identify,
     identify_key,
-    if_all_known,
-    memory_limited,
-    not_in_force,
+    memory_limited_refusal,
+    not_in_force_refusal,
     service_of_path,
+    unknown_entry_refusal,
 )
 from pondhatch.router._authority import Authority
-from pondhatch.router._beliefs import Beliefs
-from pondhatch.router._crash_guarding import CRASH_MARK, CrashGuarding
+from pondhatch.router._crash_evidence_exchange import CRASH_PACKET_PREFIX, CrashEvidenceExchange
 from pondhatch.router._dump import Dump, dump_state
-from pondhatch.router._fleet_key import agreed_key
-from pondhatch.router._granting import GRANT_MARK, Granting
+from pondhatch.router._fleet_key import obtain_fleet_key
+from pondhatch.router._grant_exchange import GRANT_PACKET_PREFIX, GrantExchange
 from pondhatch.router._hall_states import HallStates
-from pondhatch.router._introduction import Introduction
-from pondhatch.router._notice_keeping import NOTICE_MARK, NoticeKeeping
+from pondhatch.router._notice_exchange import NOTICE_PACKET_PREFIX, NoticeExchange
+from pondhatch.router._peer_discovery import PeerDiscovery
+from pondhatch.router._platform_restorer import PlatformRestorer
 from pondhatch.router._pooled_engines import PooledEngines
-from pondhatch.router._restoring import Restoring
-from pondhatch.router._starting import Starting, not_ready
+from pondhatch.router._startup_wait import StartupWait, not_ready_refusal
 from pondhatch.router._state import RouterState
+from pondhatch.router._state_recorder import StateRecorder
 from pondhatch.router._sync import EVACUATION_KIND, UPSTREAM_KIND, Sync
 
 __all__ = [
     "HallStates",
-    "ANYBODY",
+    "ANONYMOUS",
     "MEMORY_LIMITED",
     "NO_ROUTE",
-    "not_in_force",
-    "if_all_known",
+    "not_in_force_refusal",
+    "unknown_entry_refusal",
     "EVACUATION_KIND",
     "UPSTREAM_KIND",
     "admit_routed",
-    "memory_limited",
-    "agreed_key",
+    "memory_limited_refusal",
+    "obtain_fleet_key",
     "bearer_key",
     "identify_key",
     "Account",
     "Admitted",
     "Authority",
-    "Beliefs",
+    "StateRecorder",
     "Dump",
-    "CRASH_MARK",
-    "GRANT_MARK",
-    "CrashGuarding",
-    "Granting",
-    "Introduction",
-    "NOTICE_MARK",
-    "NoticeKeeping",
+    "CRASH_PACKET_PREFIX",
+    "GRANT_PACKET_PREFIX",
+    "CrashEvidenceExchange",
+    "GrantExchange",
+    "PeerDiscovery",
+    "NOTICE_PACKET_PREFIX",
+    "NoticeExchange",
     "PooledEngines",
-    "Restoring",
+    "PlatformRestorer",
     "RouterState",
-    "Starting",
+    "StartupWait",
     "Sync",
     "admit",
     "dump_state",
     "identify",
-    "not_ready",
+    "not_ready_refusal",
     "service_of_path",
 ]
--- a/pondhatch/router/_admission.py
+++ b/pondhatch/router/_admission.py
@@ -13,19 +13,19 @@
 from pondhatch.router._state import RouterState
 
 #: Scheme of the Authorization header's value, which is written in any case.
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 UNAUTHORIZED = 401
 FORBIDDEN = 403
 NOT_FOUND = 404
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 #: Code of the refusal of a request whose account holds too much of a router's memory.
 MEMORY_LIMITED = "memory-limited"
 #: Priority where neither the account nor a route names one.
 DEFAULT_PRIORITY = 5
 #: Share of a route's objective that a request waits before its context's engine, and where
 #: every engine is full. A caller refused within a quarter of it has time to come back.
-CONTEXT_SHARE = 0.1
-QUEUE_SHARE = 0.2
+CONTEXT_WAIT_SHARE = 0.1
+QUEUE_WAIT_SHARE = 0.2
 #: Seconds after which to come back to a router that lacks an entry of the configuration: the
 #: users' bound on a change to be in force, so that a mended one is found.
 MISFIT_RETRY_AFTER = 2.0
@@ -41,7 +41,7 @@
 
 
 #: Who uses a public route without showing a key; held to no account's limits.
-ANYBODY = Account("")
+ANONYMOUS = Account("")
 
 
 class Admitted(msgspec.Struct, frozen=True):
@@ -66,10 +66,10 @@
 
 def bearer_key(authorization: str) -> str | None:
     """Return the key in an Authorization header's value, or None where there is none."""
-    if authorization[: len(BEARER)].lower() != BEARER:
+    if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
         return None
     # Only what HTTP counts as blank: other bytes may be part of a key outside ASCII.
-    return authorization[len(BEARER) :].strip(" \t")
+    return authorization[len(BEARER_PREFIX) :].strip(" \t")
 
 
 def identify_key(state: RouterState, key: str | None) -> Account | NotRun:
@@ -81,20 +81,20 @@
         return NotRun("no-key", "expected 'Authorization: Bearer KEY'", 0.0, UNAUTHORIZED)
     account = state.fleet.account_of(hashlib.sha256(key.encode("latin-1")).hexdigest())
     if account is None:
-        return if_all_known(state, "account", UNKNOWN_KEY)
+        return unknown_entry_refusal(state, "account", UNKNOWN_KEY)
     return Account(account)
 
 
-def if_all_known(state: RouterState, kind: str, definite: NotRun) -> NotRun:
+def unknown_entry_refusal(state: RouterState, kind: str, definite: NotRun) -> NotRun:
     """Return the refusal of what a caller names and this router does not find.
 
     A definite one, on which callers give up, only where the configuration in force has every
     entry of the kind: else the operator may well have written it.
     """
-    return definite if state.knows_all(kind) else not_in_force(kind)
+    return definite if state.has_all_entries(kind) else not_in_force_refusal(kind)
 
 
-def not_in_force(kind: str) -> NotRun:
+def not_in_force_refusal(kind: str) -> NotRun:
     """Return the refusal of what may need an entry that is not in force here."""
     reason = f"not every {kind} of the configuration is in force here"
     return NotRun("configuration-misfit", reason, MISFIT_RETRY_AFTER)
@@ -108,8 +108,8 @@
     ``wait`` is for how many seconds its caller waits, None where it does not say.
     """
     priority, weight, regions = None, 1.0, route.regions
-    if account is not ANYBODY:
-        policy = _counted_in(state, account, service)
+    if account is not ANONYMOUS:
+        policy = _count_against_limits(state, account, service)
         if isinstance(policy, NotRun):
             return policy
         priority, weight = policy.priority, policy.weight
@@ -119,8 +119,8 @@
         priority=route.priority if priority is None else priority,
         weight=weight,
         deadline=route.timeout if wait is None else min(wait, route.timeout),
-        context_wait=route.objective * CONTEXT_SHARE,
-        queue_wait=route.objective * QUEUE_SHARE,
+        context_wait=route.objective * CONTEXT_WAIT_SHARE,
+        queue_wait=route.objective * QUEUE_WAIT_SHARE,
         regions=regions,
     )
 
@@ -131,8 +131,8 @@
         return NotRun("stopping", "this router is stopping; ask again", 0.0)
     spec = state.fleet.service_by_name.get(service) if service is not None else None
     if service is None or spec is None:
-        return if_all_known(state, "service", NO_SERVICE)
-    policy = _counted_in(state, account, service)
+        return unknown_entry_refusal(state, "service", NO_SERVICE)
+    policy = _count_against_limits(state, account, service)
     if isinstance(policy, NotRun):
         return policy
     return Admitted(
@@ -146,23 +146,25 @@
     )
 
 
-def _counted_in(state: RouterState, account: Account, service: str) -> AccountPolicy | NotRun:
+def _count_against_limits(
+    state: RouterState, account: Account, service: str
+) -> AccountPolicy | NotRun:
     """Count a request against its account's limits, or say why it may not run."""
     policy = state.fleet.policy_by_account[account.name]
     if service not in policy.services:
         wrong = f"the account may not use service {service}"
         return NotRun("not-allowed", wrong, 0.0, FORBIDDEN)
-    verdict = state.begin(account.name)
+    verdict = state.begin_request(account.name)
     if isinstance(verdict, Limited):
         wrong = f"the account is over its {verdict.limit} limit"
-        return NotRun(f"{verdict.limit}-limited", wrong, verdict.retry_after, TOO_MANY)
+        return NotRun(f"{verdict.limit}-limited", wrong, verdict.retry_after, TOO_MANY_REQUESTS)
     return policy
 
 
-def memory_limited(limited: Limited) -> NotRun:
+def memory_limited_refusal(limited: Limited) -> NotRun:
     """Return the refusal of a request whose account holds too much of this router's memory."""
     wrong = "the account holds too many bytes that wait for its callers and engines"
-    return NotRun(MEMORY_LIMITED, wrong, limited.retry_after, TOO_MANY)
+    return NotRun(MEMORY_LIMITED, wrong, limited.retry_after, TOO_MANY_REQUESTS)
 
 
 def service_of_path(state: RouterState, path: str) -> str | None:
--- a/pondhatch/router/_crash_guarding.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -20,30 +20,30 @@
 from pondhatch.quarantine import Evidence, EvidencePacket, Trial, TrialPacket, Trials
 from pondhatch.requests import NO_WATCH, RequestWatch, Target
 from pondhatch.router._crash_watch import CrashWatch
-from pondhatch.router._newcomers import Newcomers
+from pondhatch.router._new_members import NewMembers
 from pondhatch.router._state import RouterState
 
 #: First byte of a packet on suspected requests; no packet of membership or grants begins with it.
-CRASH_MARK = b"\x02"
+CRASH_PACKET_PREFIX = b"\x02"
 #: Pieces of evidence in one packet: with names of 25 bytes it fits into an Ethernet frame.
-EVIDENCE_IN_PACKET = 24
+EVIDENCE_PER_PACKET = 24
 #: Seconds between two tellings of some of what is known: 0.5 KB/s at most, and what a router
 #: missed reaches it in a few of them.
-PUSH_SECONDS = 2.0
+SAMPLE_INTERVAL_SECONDS = 2.0
 #: Seconds before each probe of whether an engine listens, once a run at it was cut. A process that
 #: ends closes its connections before its port, and on a busy VM others run in between, for up
 #: to tens of milliseconds; so one probe that finds the port open says little.
-FIRST_PROBES = (0.0, 0.02)
-LATER_PROBES = (0.1, 0.4)
+FIRST_PROBE_DELAYS = (0.0, 0.02)
+LATER_PROBE_DELAYS = (0.1, 0.4)
 #: Seconds that a request waits for the first probes at most.
-WAIT_SECONDS = 0.1
+FIRST_PROBES_TIMEOUT_SECONDS = 0.1
 
 SendAll = Callable[[Iterable[Datagram]], None]
 #: Finds out whether nothing listens at an engine any more.
 HasEnded = Callable[[Target], Coroutine[Any, Any, bool]]
 
 
-class CrashGuarding:
+class CrashEvidenceExchange:
     """One router's part; see CrashGuard."""
 
     def __init__(
@@ -64,9 +64,9 @@
         self._records = records
         self._has_ended = has_ended
         #: Evidence to be told to all once more.
-        self._fresh: list[Evidence] = []
-        self._pushed_at = float("-inf")
-        self._newcomers = Newcomers(state)
+        self._to_repeat: list[Evidence] = []
+        self._sampled_at = float("-inf")
+        self._new_members = NewMembers(state)
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(EvidencePacket | TrialPacket)
 
@@ -84,18 +84,20 @@
         Goes on where the caller leaves meanwhile: a caller that gives up after each end would
         otherwise leave no trace. The request waits for the first probes alone.
         """
-        probing = self._tasks.start(self._probe(digest, target, FIRST_PROBES))
+        probing = self._tasks.start(self._probe(digest, target, FIRST_PROBE_DELAYS))
         try:
-            has_ended = await asyncio.wait_for(asyncio.shield(probing), WAIT_SECONDS)
+            has_ended = await asyncio.wait_for(
+                asyncio.shield(probing), FIRST_PROBES_TIMEOUT_SECONDS
+            )
         except TimeoutError:
             has_ended = False
         if not has_ended:
-            self._tasks.start(self._probe(digest, target, LATER_PROBES))
+            self._tasks.start(self._probe(digest, target, LATER_PROBE_DELAYS))
         return has_ended
 
-    async def _probe(self, digest: int, target: Target, pauses: tuple[float, ...]) -> bool:
-        for pause in pauses:
-            await asyncio.sleep(pause)
+    async def _probe(self, digest: int, target: Target, delays: tuple[float, ...]) -> bool:
+        for delay in delays:
+            await asyncio.sleep(delay)
             if await self._has_ended(target):
                 self._note_end(digest, target)
                 return True
@@ -104,23 +106,23 @@
     def _note_end(self, digest: int, target: Target) -> None:
         name = self.suspects.name_of_end(target.name, self._state.clock())
         evidence = Evidence(digest, name, 0)
-        if self._take(evidence):
-            self._note(digest, "suspected", f"{name} ended while it ran it")
-            self._tell((evidence,))
+        if self._apply_evidence(evidence):
+            self._record(digest, "suspected", f"{name} ended while it ran it")
+            self._broadcast((evidence,))
 
     def run_was_whole(self, digest: int) -> None:
         """Clear a request; see RequestWatch."""
         self._clear(digest, "it came through whole")
 
-    def lift(self, digest: int) -> bool:
+    def lift_quarantine(self, digest: int) -> bool:
         """Let a request run again at all routers; return whether anything was held against it."""
         return self._clear(digest, "an operator lifted its quarantine")
 
     def _clear(self, digest: int, why: str) -> bool:
         found = self.suspects.acquit(digest, self._state.clock())
         if found:
-            self._note(digest, "cleared", why)
-            self._tell(found)
+            self._record(digest, "cleared", why)
+            self._broadcast(found)
         return bool(found)
 
     def since_last_end(self, digest: int) -> float:
@@ -128,21 +130,21 @@
         suspect = self.suspects.suspect_by_digest[digest]
         return self._state.clock() - suspect.last_end
 
-    def claim(self, digest: int) -> Trial:
+    def claim_turn(self, digest: int) -> Trial:
         """Claim to be the one that runs a request next."""
         trial = self._trials.claim(digest, self._state.clock())
-        self._send_all(TrialPacket(trial))
+        self._send_to_all(TrialPacket(trial))
         return trial
 
-    def goes_first(self, trial: Trial) -> bool:
+    def has_turn(self, trial: Trial) -> bool:
         """Return whether a claim's turn has come."""
         now = self._state.clock()
         return self._trials.goes_first(trial, now, self.suspects.fell_together)
 
-    def end(self, trial: Trial) -> None:
+    def withdraw_claim(self, trial: Trial) -> None:
         """Give a claim up."""
         self._trials.ended(trial)
-        self._send_all(TrialPacket(trial, has_ended=True))
+        self._send_to_all(TrialPacket(trial, has_ended=True))
 
     def receive(self, payload: bytes) -> None:
         """Take in a packet, its mark left out; one that does not parse is dropped."""
@@ -152,7 +154,7 @@
             return
         if isinstance(packet, EvidencePacket):
             for evidence in packet.evidence:
-                self._take(evidence)
+                self._apply_evidence(evidence)
         elif packet.has_ended:
             self._trials.ended(packet.trial)
         else:
@@ -160,40 +162,40 @@
 
     def tick(self) -> None:
         """Do what is due each round."""
-        if self._fresh:
-            fresh, self._fresh = self._fresh, []
-            self._send_evidence(fresh, self._others())
-        self._tell_newcomers()
-        self._push()
+        if self._to_repeat:
+            to_repeat, self._to_repeat = self._to_repeat, []
+            self._send_evidence(to_repeat, self._others())
+        self._send_to_new_members()
+        self._send_sample()
 
-    def _take(self, evidence: Evidence) -> bool:
+    def _apply_evidence(self, evidence: Evidence) -> bool:
         """Take in evidence, and record a verdict that follows from it."""
         was_quarantined = self.is_quarantined(evidence.digest)
         is_news = self.suspects.take(evidence, self._state.clock())
         if is_news and not was_quarantined and self.is_quarantined(evidence.digest):
             engines = self.suspects.suspect_by_digest[evidence.digest].held_against_it()
-            self._note(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
+            self._record(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
         return is_news
 
-    def _tell(self, evidence: tuple[Evidence, ...]) -> None:
-        self._fresh += evidence
+    def _broadcast(self, evidence: tuple[Evidence, ...]) -> None:
+        self._to_repeat += evidence
         self._send_evidence(evidence, self._others())
 
-    def _tell_newcomers(self) -> None:
+    def _send_to_new_members(self) -> None:
         """Tell routers that are new or back all that is known."""
-        newcomers = self._newcomers.to_tell(bool(self.suspects.suspect_by_digest))
-        if newcomers:
+        new_members = self._new_members.to_inform(bool(self.suspects.suspect_by_digest))
+        if new_members:
             evidence = self.suspects.all_evidence(self._state.clock())
-            self._send_evidence(evidence, newcomers)
+            self._send_evidence(evidence, new_members)
 
-    def _push(self) -> None:
+    def _send_sample(self) -> None:
         """Tell one random router some of what is known."""
         now = self._state.clock()
-        if now - self._pushed_at < PUSH_SECONDS or not self.suspects.suspect_by_digest:
+        if now - self._sampled_at < SAMPLE_INTERVAL_SECONDS or not self.suspects.suspect_by_digest:
             return
-        self._pushed_at = now
+        self._sampled_at = now
         others = self._others()
-        evidence = self.suspects.some_evidence(now, self._rng, EVIDENCE_IN_PACKET)
+        evidence = self.suspects.some_evidence(now, self._rng, EVIDENCE_PER_PACKET)
         if others and evidence:
             self._send_evidence(evidence, [self._rng.choice(others)])
 
@@ -201,21 +203,21 @@
         return [each for each in self._state.members() if each.name != self._state.name]
 
     def _send_evidence(self, evidence: Sequence[Evidence], to: list[Member]) -> None:
-        for some in _in_packets(evidence):
-            self._send_packet(EvidencePacket(some), to)
+        for batch in _in_packets(evidence):
+            self._send_packet(EvidencePacket(batch), to)
 
-    def _send_all(self, packet: TrialPacket) -> None:
+    def _send_to_all(self, packet: TrialPacket) -> None:
         self._send_packet(packet, self._others())
 
     def _send_packet(self, packet: EvidencePacket | TrialPacket, to: list[Member]) -> None:
-        payload = CRASH_MARK + self._encoder.encode(packet)
+        payload = CRASH_PACKET_PREFIX + self._encoder.encode(packet)
         self._send(Datagram(member.address, payload) for member in to)
 
-    def _note(self, digest: int, now: str, why: str) -> None:
+    def _record(self, digest: int, now: str, why: str) -> None:
         self._records.note(Believed("request", f"{digest:x}", now, why=why))
 
 
 def _in_packets(evidence: Sequence[Evidence]) -> Iterator[tuple[Evidence, ...]]:
     """Yield evidence in pieces that each fit into a packet."""
-    for at in range(0, len(evidence), EVIDENCE_IN_PACKET):
-        yield tuple(evidence[at : at + EVIDENCE_IN_PACKET])
+    for at in range(0, len(evidence), EVIDENCE_PER_PACKET):
+        yield tuple(evidence[at : at + EVIDENCE_PER_PACKET])
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -11,12 +11,12 @@
 
 #: Seconds for which a router listens for what others see in the same moment, before it runs a
 #: request anew under which an engine has just ended: packets take less, between regions too.
-LISTEN_SECONDS = 0.05
+EVIDENCE_WAIT_SECONDS = 0.05
 #: Seconds between two checks of whether a claim's turn has come.
 TURN_CHECK_SECONDS = 0.02
 
 
-class Guard(Protocol):
+class SharedEvidence(Protocol):
     """What a watch asks and tells of all requests."""
 
     suspects: Suspects
@@ -33,21 +33,21 @@
     def run_was_whole(self, digest: int) -> None:
         """Note that an engine bore a request."""
 
-    def claim(self, digest: int) -> Trial:
+    def claim_turn(self, digest: int) -> Trial:
         """Claim to be the one that runs a request next."""
 
-    def goes_first(self, trial: Trial) -> bool:
+    def has_turn(self, trial: Trial) -> bool:
         """Return whether a claim's turn has come."""
 
-    def end(self, trial: Trial) -> None:
+    def withdraw_claim(self, trial: Trial) -> None:
         """Give a claim up."""
 
 
 class CrashWatch:
     """One request of which engines may end; see RequestWatch."""
 
-    def __init__(self, guard: Guard, digest: int) -> None:
-        self._guard = guard
+    def __init__(self, evidence: SharedEvidence, digest: int) -> None:
+        self._evidence = evidence
         self._digest = digest
         self._trial: Trial | None = None
 
@@ -56,9 +56,9 @@
         if not self.is_suspected():
             return None
         # Two copies that ended an engine each in the same moment learn here that they are two.
-        await asyncio.sleep(LISTEN_SECONDS - self._guard.since_last_end(self._digest))
+        await asyncio.sleep(EVIDENCE_WAIT_SECONDS - self._evidence.since_last_end(self._digest))
         while not self.is_quarantined():
-            if not self._guard.suspects.may_end_another(self._digest):
+            if not self._evidence.suspects.may_end_another(self._digest):
                 return None
             if await self._has_turn():
                 return None
@@ -69,30 +69,30 @@
 
     async def _has_turn(self) -> bool:
         if self._trial is None:
-            self._trial = self._guard.claim(self._digest)
-            await asyncio.sleep(LISTEN_SECONDS)
+            self._trial = self._evidence.claim_turn(self._digest)
+            await asyncio.sleep(EVIDENCE_WAIT_SECONDS)
             if self.is_quarantined():
                 return False
-        return self._guard.goes_first(self._trial)
+        return self._evidence.has_turn(self._trial)
 
     def is_quarantined(self) -> bool:
         """Return whether it is known to end engines; see RequestWatch."""
-        return self._guard.is_quarantined(self._digest)
+        return self._evidence.is_quarantined(self._digest)
 
     def is_suspected(self) -> bool:
         """Return whether an engine's end is held against it; see RequestWatch."""
-        return self._guard.suspects.is_suspected(self._digest)
+        return self._evidence.suspects.is_suspected(self._digest)
 
     async def run_was_cut(self, target: Target) -> bool:
         """Note that a run lost its connection; see RequestWatch."""
-        return await self._guard.run_was_cut(self._digest, target)
+        return await self._evidence.run_was_cut(self._digest, target)
 
     def run_was_whole(self) -> None:
         """Note that an engine bore it; see RequestWatch."""
-        self._guard.run_was_whole(self._digest)
+        self._evidence.run_was_whole(self._digest)
 
     def close(self) -> None:
         """Give the claim up; see RequestWatch."""
         trial, self._trial = self._trial, None
         if trial is not None:
-            self._guard.end(trial)
+            self._evidence.withdraw_claim(trial)
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -161,7 +161,7 @@
             ],
             "retries_saved": {
                 service: round(budget.saved, 2)
-                for service, budget in sorted(state.retries.budget_by_service.items())
+                for service, budget in sorted(state.retry_budgets.budget_by_service.items())
             },
         }
 
@@ -174,7 +174,7 @@
 
     def content(self) -> Dump:
         """Return the section's keys."""
-        held = self.view(RouterState).held
+        held = self.view(RouterState).held_bytes
         return {
             "held_bytes": held.whole,
             "held_bytes_bound": held.bound,
@@ -263,9 +263,9 @@
                     "long_prompts": count.long_prompts(now),
                     "reserved": count.reservation is not None,
                 }
-                for name, count in sorted(state.tokens.by_engine.items())
+                for name, count in sorted(state.token_counts.by_engine.items())
             ],
-            "memory_refusals": state.tokens.refused,
+            "memory_refusals": state.token_counts.refused,
         }
 
 
@@ -279,7 +279,7 @@
         """Return the section's keys."""
         state = self.view(RouterState)
         return {
-            "spilled_chats": len(state.memory.engine_by_chat),
+            "spilled_chats": len(state.spill_memory.engine_by_chat),
             "decisions": [msgspec.to_builtins(note) for note in reversed(state.decisions)],
         }
 
--- a/pondhatch/router/_fleet_key.py
+++ b/pondhatch/router/_fleet_key.py
@@ -29,17 +29,17 @@
 KEY_KIND = "pondhatch-fleet-key"
 KEY_NAME = "current"
 #: Seconds between tries, first and at most, while the platform is out.
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 2.0
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 2.0
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
-async def agreed_key(
+async def obtain_fleet_key(
     platform: Platform, new_key: str, rng: random.Random, sleep: Sleep = asyncio.sleep
 ) -> bytes:
     """Return the fleet's key, ``new_key`` if there was none; waits for the platform."""
-    backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, rng)
+    backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, rng)
     # A key that is there stays, so what the platform held some seconds ago will do. That there
     # was none then is found out by writing one.
     may_be_old = True
@@ -60,7 +60,7 @@
         await sleep(backoff.next())
 
 
-async def keep_key(platform: Platform, key: bytes) -> None:
+async def restore_fleet_key(platform: Platform, key: bytes) -> None:
     """Have the platform hold the fleet's key again, where it has lost it."""
     written = await platform.create(KEY_KIND, KEY_NAME, {"key": key.decode()})
     if isinstance(written, Accepted):
--- a/pondhatch/router/_granting.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -19,19 +19,19 @@
 from pondhatch.router._state import RouterState
 
 #: First byte of a packet on grants; no packet of membership begins with it.
-GRANT_MARK = b"\x01"
+GRANT_PACKET_PREFIX = b"\x01"
 #: Nanoseconds of one question: a router that restarts begins beyond all it asked before,
 #: while it asks fewer than a million questions a second and restarts within an hour.
-NANOSECONDS_A_NUMBER = 1000
+NANOSECONDS_PER_NUMBER = 1000
 
 #: An incarnation starts as milliseconds since 1970, and grows by one with each suspicion that
 #: a router contradicts; a larger step is a new process.
-RESTART_STEP = 500
+RESTART_INCARNATION_STEP = 500
 
 SendAll = Callable[[Iterable[Datagram]], None]
 
 
-class Granting:
+class GrantExchange:
     """Puts the entry's and the owner's side together; see Grants for what walks use."""
 
     def __init__(self, state: RouterState, send: SendAll, tasks: Tasks, started_ns: int) -> None:
@@ -39,16 +39,16 @@
             state.name,
             state,
             state.gate,
-            state.memory,
+            state.spill_memory,
             state.clock,
             state.health,
             state.cold_paces,
-            state.tokens,
+            state.token_counts,
         )
-        first = started_ns // NANOSECONDS_A_NUMBER % NUMBERS
+        first = started_ns // NANOSECONDS_PER_NUMBER % NUMBERS
         router = short_id(state.name)
         self.entry = EntryGrants(
-            state.name, router, self.owner, self._send_to, first, state.heard_from
+            state.name, router, self.owner, self._send_to, first, state.note_contact
         )
         self._sides = GrantSides(self.entry, OwnerGrants(self.owner, tasks))
         self._state = state
@@ -56,16 +56,16 @@
         #: Newest incarnation of each router that was ever a member.
         self._incarnation_by_name: dict[str, int] = {}
         #: The members as of the last look for those that came back as a new process.
-        self._looked_at: tuple[Member, ...] | None = None
+        self._checked_members: tuple[Member, ...] | None = None
         #: The routers by whose ownership grants are held.
-        self._followed: tuple[Member, ...] = ()
+        self._followed_members: tuple[Member, ...] = ()
         #: Packets sent and received, for the dump.
-        self.packets = 0
+        self.packet_count = 0
 
     def receive(self, payload: bytes, source: Address) -> None:
         """Take in a packet, its mark left out; one that does not parse is dropped."""
         packet = decode_grant_packet(payload)
-        self.packets += 1
+        self.packet_count += 1
 
         def answer(reply: GrantPacket) -> None:
             self._send_packet(source, reply)
@@ -80,13 +80,13 @@
         ceiling beside what runs there.
         """
         members = self._state.members()
-        if members is not self._followed:
-            self._followed = members
+        if members is not self._followed_members:
+            self._followed_members = members
             self.entry.follow_owners(self._state.owner_name)
 
     def tick(self) -> None:
         """Do what is due each round."""
-        for name in self._restarted():
+        for name in self._restarted_routers():
             self.owner.restarted_router(short_id(name))
             self.entry.hold_again(name)
         for router in self.owner.holding_routers():
@@ -94,16 +94,20 @@
                 self.owner.lost_router(router)
         self._sides.tick(self._state.clock(), self._state.owner_name)
 
-    def _restarted(self) -> list[str]:
+    def _restarted_routers(self) -> list[str]:
         """Return the routers that came back as a new process since the last round."""
         members = self._state.members()
-        if members is self._looked_at:
+        if members is self._checked_members:
             return []
-        self._looked_at = members
+        self._checked_members = members
         now = {member.name: member.incarnation for member in members}
         known = self._incarnation_by_name
         self._incarnation_by_name = {**known, **now}
-        return [name for name in now if now[name] - known.get(name, now[name]) >= RESTART_STEP]
+        return [
+            name
+            for name in now
+            if now[name] - known.get(name, now[name]) >= RESTART_INCARNATION_STEP
+        ]
 
     def _send_to(self, router: str, packet: GrantPacket) -> None:
         address = self._state.gossip.address(router)
@@ -111,5 +115,5 @@
             self._send_packet(address, packet)
 
     def _send_packet(self, to: Address, packet: GrantPacket) -> None:
-        self.packets += 1
-        self._send([Datagram(to, GRANT_MARK + encode_grant_packet(packet))])
+        self.packet_count += 1
+        self._send([Datagram(to, GRANT_PACKET_PREFIX + encode_grant_packet(packet))])
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -11,7 +11,7 @@
 
 #: Seconds after an evacuation in which the hall's upstreams count as cold. They may have turned
 #: cold just before its end, and their own word on that comes another way.
-JUST_OPENED_SECONDS = 1.0
+JUST_REOPENED_SECONDS = 1.0
 
 
 class HallStates(msgspec.Struct):
@@ -20,43 +20,43 @@
     region_by_hall: Mapping[str, str] = msgspec.field(default_factory=dict)
     evacuations: Evacuations = msgspec.field(default_factory=Evacuations)
     #: When this router learned that a hall is no longer evacuated, in the clock's seconds.
-    _opened_at: dict[str, float] = msgspec.field(default_factory=dict)
+    _reopened_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def region(self, hall: str) -> str:
         """Return a hall's region, empty where nobody says."""
         return self.region_by_hall.get(hall, "")
 
-    def closed(self, hall: str, regions: Regions) -> Closed | None:
+    def closed_reason(self, hall: str, regions: Regions) -> Closed | None:
         """Return why a hall's upstreams may not get new requests bound to some regions."""
         intake = Intake(is_evacuated=self.evacuations.is_evacuated(hall), region=self.region(hall))
         return intake.closed_to(regions)
 
-    def just_opened(self, hall: str, now: float) -> bool:
+    def is_just_reopened(self, hall: str, now: float) -> bool:
         """Return whether a hall was evacuated until a moment ago."""
-        opened_at = self._opened_at.get(hall)
-        return opened_at is not None and now - opened_at < JUST_OPENED_SECONDS
+        reopened_at = self._reopened_at.get(hall)
+        return reopened_at is not None and now - reopened_at < JUST_REOPENED_SECONDS
 
-    def take_listing(self, listed: Listed, now: float) -> bool:
+    def apply_listing(self, listed: Listed, now: float) -> bool:
         """Take in the evacuations that the platform lists; return whether any was news."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take_listing(listed, now), now)
+        return self._note_reopened(before, self.evacuations.take_listing(listed, now), now)
 
-    def take_event(self, event: WatchEvent, now: float) -> bool:
+    def apply_event(self, event: WatchEvent, now: float) -> bool:
         """Take in one event of a watch on evacuations; return whether it was news."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take_event(event), now)
+        return self._note_reopened(before, self.evacuations.take_event(event), now)
 
-    def take(self, update: EvacuationUpdate, now: float) -> bool:
+    def apply(self, update: EvacuationUpdate, now: float) -> bool:
         """Take in what a peer knows of evacuations; return whether any was news."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take(update, now), now)
+        return self._note_reopened(before, self.evacuations.take(update, now), now)
 
     def settle(self, now: float) -> bool:
         """Do what is due once an era has settled; return whether that changed anything."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.settle(now), now)
+        return self._note_reopened(before, self.evacuations.settle(now), now)
 
-    def _opened(self, before: frozenset[str], is_news: bool, now: float) -> bool:
+    def _note_reopened(self, before: frozenset[str], is_news: bool, now: float) -> bool:
         """Note which halls are evacuated no longer; return whether there was news."""
-        self._opened_at |= dict.fromkeys(before - self.evacuations.halls, now)
+        self._reopened_at |= dict.fromkeys(before - self.evacuations.halls, now)
         return is_news
--- a/pondhatch/router/_intakes.py
+++ b/pondhatch/router/_intakes.py
@@ -19,7 +19,7 @@
     #: Those whose entries went a short while ago.
     vanished: Vanished
     halls: HallStates
-    cold: ColdClocks
+    cold_clocks: ColdClocks
     #: What upstreams said of themselves.
     notices: Notices
     #: Returns the clock's seconds.
@@ -33,7 +33,7 @@
         default_factory=dict
     )
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Look everything up anew: the upstreams, the halls or the configuration changed."""
         self._live_by_service.clear()
         self._open_by_binding.clear()
@@ -42,7 +42,7 @@
         """Return an upstream that is listed, or that may only have lapsed."""
         return self.upstreams.upstream(name) or self.vanished.upstream(name)
 
-    def open_to(self, service: str, regions: Regions) -> tuple[str, ...]:
+    def open_upstreams(self, service: str, regions: Regions) -> tuple[str, ...]:
         """Return the service's upstreams that take work bound to some regions, by name."""
         found = self._open_by_binding.get((service, regions))
         if found is None:
@@ -57,12 +57,12 @@
             return None
         home = winner(chat, self._live(service))
         upstream = self.upstream(home) if home is not None else None
-        closed = self.halls.closed(upstream.hall, regions) if upstream is not None else None
+        closed = self.halls.closed_reason(upstream.hall, regions) if upstream is not None else None
         return (home, closed.value) if home is not None and closed is not None else None
 
-    def working(self, service: str, now: float) -> int:
+    def count_open_not_resting(self, service: str, now: float) -> int:
         """Return how many of a service's upstreams take work now; those that rest do not."""
-        open_now = self.open_to(service, None)
+        open_now = self.open_upstreams(service, None)
         return max(1, len(open_now) - self.notices.count_resting(open_now, now))
 
     def intake(self, upstream: Upstream, service: ServiceSpec, now: float) -> Intake:
@@ -78,12 +78,12 @@
 
     def _is_cold(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream is cold, or may be without having been heard."""
-        says_so = self.cold.seconds_left(upstream.name, now) > 0
-        return says_so or self.halls.just_opened(upstream.hall, now)
+        says_so = self.cold_clocks.seconds_left(upstream.name, now) > 0
+        return says_so or self.halls.is_just_reopened(upstream.hall, now)
 
     def _hall_is_open(self, name: str, regions: Regions) -> bool:
         upstream = self.upstream(name)
-        return upstream is not None and self.halls.closed(upstream.hall, regions) is None
+        return upstream is not None and self.halls.closed_reason(upstream.hall, regions) is None
 
     def _live(self, service: str) -> tuple[str, ...]:
         """Return the service's upstreams that are up and not leaving, by name."""
--- a/pondhatch/router/_lag.py
+++ b/pondhatch/router/_lag.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Lag(msgspec.Struct):
+class ConfigurationLag(msgspec.Struct):
     """Compares the version in force with the newest that any router was heard to hold.
 
     A version alone does not tell a router that is behind from one that waits for nothing.
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -28,7 +28,7 @@
 from pondhatch.placement import winner
 
 #: Demands or shares in one packet at most.
-IN_ONE_PACKET = 20
+MAX_PER_PACKET = 20
 #: Seconds without a request after which an account's counts are dropped.
 ACCOUNT_IDLE = 600.0
 
@@ -43,22 +43,22 @@
         self._name = name
         self._gossip = gossip
         self._fleet = fleet
-        self._live: tuple[Member, ...] = ()
+        self._live_members: tuple[Member, ...] = ()
         self._now = 0.0
         gossip.on_limits = self._receive
 
     def set_live(self, live: tuple[Member, ...]) -> None:
         """Set the routers that are neither draining nor gone."""
-        self._live = live
+        self._live_members = live
 
-    def begin(self, account: str, now: float) -> LimitVerdict:
+    def begin_request(self, account: str, now: float) -> LimitVerdict:
         """Hold a request against the account's limits."""
         self.user.came(account, self.gate.running(account), now)
         whole = self._limits_of(account)
-        here = self.user.limits(account, whole, len(self._live), now)
+        here = self.user.limits(account, whole, len(self._live_members), now)
         return self.gate.begin(account, here, now)
 
-    def end(self, account: str) -> None:
+    def end_request(self, account: str) -> None:
         """Note that a request that was allowed has ended."""
         self.gate.end(account)
 
@@ -67,16 +67,16 @@
         self._now = now
         known = self._fleet().policy_by_account
         limits = {name: self._limits_of(name) for name in self.user.use_by_account if name in known}
-        wanted = self.user.demands(now, len(self._live), limits)
+        wanted = self.user.demands(now, len(self._live_members), limits)
         if not wanted:
             return []
         self.gate.forget_idle(now, ACCOUNT_IDLE)
         self.user.forget_old(now)
         self.home.forget_old(now)
-        return self._to_homes(wanted, now)
+        return self._demand_datagrams(wanted, now)
 
-    def _to_homes(self, wanted: tuple[Demand, ...], now: float) -> list[Datagram]:
-        by_name = {member.name: member for member in self._live}
+    def _demand_datagrams(self, wanted: tuple[Demand, ...], now: float) -> list[Datagram]:
+        by_name = {member.name: member for member in self._live_members}
         demands_by_home: dict[str, list[Demand]] = {}
         for demand in wanted:
             home = winner(f"limit:{demand.account}", by_name)
@@ -88,7 +88,7 @@
         return [
             self._gossip.limit_datagram(message, by_name[home].address)
             for home, demands in demands_by_home.items()
-            for message in _packed(self._name, demands)
+            for message in _in_packets(self._name, demands)
         ]
 
     def _receive(self, message: LimitMessage, source: Address) -> list[Datagram]:
@@ -116,9 +116,9 @@
         return AccountLimits(policy.requests_per_second, policy.burst, policy.concurrency)
 
 
-def _packed(sender: str, demands: list[Demand]) -> list[LimitDemands]:
+def _in_packets(sender: str, demands: list[Demand]) -> list[LimitDemands]:
     wire = [LimitDemand(each.account, each.rate, each.running) for each in demands]
     return [
-        LimitDemands(sender, tuple(wire[at : at + IN_ONE_PACKET]))
-        for at in range(0, len(wire), IN_ONE_PACKET)
+        LimitDemands(sender, tuple(wire[at : at + MAX_PER_PACKET]))
+        for at in range(0, len(wire), MAX_PER_PACKET)
     ]
--- a/pondhatch/router/_notice_keeping.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -22,24 +22,24 @@
 from pondhatch.membership import Datagram, Member
 from pondhatch.placement import MOST_PACE, Notice
 from pondhatch.requests import NotRun, RequestHead, open_target
-from pondhatch.router._newcomers import Newcomers
+from pondhatch.router._new_members import NewMembers
 from pondhatch.router._pace_reports import PaceReports
 from pondhatch.router._state import RouterState
 
 #: First byte of a packet on notices; no packet of another kind begins with it.
-NOTICE_MARK = b"\x03"
+NOTICE_PACKET_PREFIX = b"\x03"
 #: Notices in one packet: with names of 25 bytes it fits into an Ethernet frame.
-NOTICES_IN_PACKET = 24
+NOTICES_PER_PACKET = 24
 #: Packets in a round of 0.1 s with which routers beside its owner are told of an upstream's rest:
 #: 5 KB a second at most. What is left out, its owner's refusals tell.
-REST_PACKETS_A_ROUND = 8
+REST_PACKETS_PER_ROUND = 8
 #: Of these, those that may be saved up for one moment.
-SAVED_PACKETS = 80
+REST_PACKETS_BURST = 80
 
 SendAll = Callable[[Iterable[Datagram]], None]
 
 
-class ToldNotice(msgspec.Struct, frozen=True, array_like=True):
+class WireNotice(msgspec.Struct, frozen=True, array_like=True):
     """What an upstream said of itself."""
 
     upstream: str
@@ -55,21 +55,21 @@
 class NoticePacket(msgspec.Struct, frozen=True, array_like=True, tag=70):
     """What upstreams said of themselves, from one router to another."""
 
-    notices: tuple[ToldNotice, ...]
+    notices: tuple[WireNotice, ...]
 
 
-class NoticeKeeping:
+class NoticeExchange:
     """One router's part; see UpstreamView."""
 
     def __init__(self, state: RouterState, send: SendAll) -> None:
         self._state = state
         self._send = send
         #: Upstreams whose notice is to be told once more.
-        self._fresh: set[str] = set()
-        self._newcomers = Newcomers(state)
+        self._to_repeat: set[str] = set()
+        self._new_members = NewMembers(state)
         #: The owner that was last seen of each upstream that rests.
         self._owner_by_upstream: dict[str, str | None] = {}
-        self._packets_left = SAVED_PACKETS
+        self._rest_packets_left = REST_PACKETS_BURST
         self._pace_reports = PaceReports()
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(NoticePacket)
@@ -81,12 +81,12 @@
 
     def heard(self, upstream: str, notice: Notice) -> None:
         """Take in what an upstream said in the head of an answer, and tell who should know."""
-        is_news = self._state.hear(upstream, notice)
+        is_news = self._state.apply_notice(upstream, notice)
         if notice.pace > 0 and self._state.load_managed():
             self._report_pace(upstream, notice.pace)
         if is_news:
-            self._fresh.add(upstream)
-            self._tell({upstream: notice})
+            self._to_repeat.add(upstream)
+            self._send_to_concerned({upstream: notice})
 
     def receive(self, payload: bytes) -> None:
         """Take in a packet, its mark left out; one that does not parse is dropped."""
@@ -94,26 +94,30 @@
             packet = self._decoder.decode(payload)
         except (msgspec.DecodeError, ValueError):
             return
-        for told in packet.notices:
-            notice = Notice(told.is_leaving, told.rest, told.has_places, told.pace)
-            self._state.hear(told.upstream, notice, is_own=False)
+        for wire_notice in packet.notices:
+            notice = Notice(
+                wire_notice.is_leaving, wire_notice.rest, wire_notice.has_places, wire_notice.pace
+            )
+            self._state.apply_notice(wire_notice.upstream, notice, is_first_hand=False)
 
     def tick(self) -> None:
         """Do what is due each round."""
-        self._packets_left = min(SAVED_PACKETS, self._packets_left + REST_PACKETS_A_ROUND)
+        self._rest_packets_left = min(
+            REST_PACKETS_BURST, self._rest_packets_left + REST_PACKETS_PER_ROUND
+        )
         self._pace_reports.tick(self._state.clock())
         in_force = self._state.notices.in_force(self._state.clock())
-        fresh, self._fresh = self._fresh, set()
-        self._tell({name: in_force[name] for name in fresh if name in in_force})
-        self._send_notices(in_force, self._newcomers.to_tell(bool(in_force)))
-        self._tell_new_owners(in_force)
+        to_repeat, self._to_repeat = self._to_repeat, set()
+        self._send_to_concerned({name: in_force[name] for name in to_repeat if name in in_force})
+        self._send_notices(in_force, self._new_members.to_inform(bool(in_force)))
+        self._send_to_new_owners(in_force)
 
-    def _tell(self, notice_by_upstream: dict[str, Notice]) -> None:
+    def _send_to_concerned(self, notice_by_upstream: dict[str, Notice]) -> None:
         for upstream, notice in notice_by_upstream.items():
             if notice.is_leaving:
                 self._send_notices({upstream: notice}, self._others())
             else:
-                self._tell_of_rest(upstream, notice)
+                self._send_rest(upstream, notice)
 
     def _report_pace(self, upstream: str, pace: int) -> None:
         """Report an upstream's pace to its owner, where that is due."""
@@ -125,21 +129,23 @@
             return
         to = [each for each in self._others() if each.name == owner]
         if to:
-            self._pace_reports.reported(upstream, now)
-            self._send_told([ToldNotice(upstream, False, 0.0, pace=pace)], to)
+            self._pace_reports.note_reported(upstream, now)
+            self._send_packets([WireNotice(upstream, False, 0.0, pace=pace)], to)
 
-    def _tell_of_rest(self, upstream: str, notice: Notice) -> None:
+    def _send_rest(self, upstream: str, notice: Notice) -> None:
         """Tell the owner of an upstream that rests, then those whose upstreams carry its load."""
         owner = self._state.owner_name(upstream)
-        beside = set() if notice.has_places else self._state.owners_beside(upstream)
-        concerned = beside - {owner}
+        same_service_owners = (
+            set() if notice.has_places else self._state.owners_of_same_service(upstream)
+        )
+        concerned = same_service_owners - {owner}
         others = [each for each in self._others() if each.name in concerned]
-        told = others[: self._packets_left]
-        self._packets_left -= len(told)
+        receivers = others[: self._rest_packets_left]
+        self._rest_packets_left -= len(receivers)
         owners = [each for each in self._others() if each.name == owner]
-        self._send_notices({upstream: notice}, [*owners, *told])
+        self._send_notices({upstream: notice}, [*owners, *receivers])
 
-    def _tell_new_owners(self, in_force: dict[str, Notice]) -> None:
+    def _send_to_new_owners(self, in_force: dict[str, Notice]) -> None:
         resting = {name: notice for name, notice in in_force.items() if notice.rest > 0}
         before, now = self._owner_by_upstream, {n: self._state.owner_name(n) for n in resting}
         self._owner_by_upstream = now
@@ -154,18 +160,18 @@
     def _send_notices(self, notice_by_upstream: dict[str, Notice], to: list[Member]) -> None:
         if not to:
             return
-        told = [
-            ToldNotice(name, notice.is_leaving, round(notice.rest, 3), notice.has_places)
+        wire_notices = [
+            WireNotice(name, notice.is_leaving, round(notice.rest, 3), notice.has_places)
             for name, notice in notice_by_upstream.items()
         ]
-        self._send_told(told, to)
+        self._send_packets(wire_notices, to)
 
-    def _send_told(self, told: list[ToldNotice], to: list[Member]) -> None:
-        for at in range(0, len(told), NOTICES_IN_PACKET):
-            payload = NOTICE_MARK + self._encoded(told[at : at + NOTICES_IN_PACKET])
+    def _send_packets(self, notices: list[WireNotice], to: list[Member]) -> None:
+        for at in range(0, len(notices), NOTICES_PER_PACKET):
+            payload = NOTICE_PACKET_PREFIX + self._encoded(notices[at : at + NOTICES_PER_PACKET])
             self._send(Datagram(member.address, payload) for member in to)
 
-    def _encoded(self, told: list[ToldNotice]) -> bytes:
+    def _encoded(self, notices: list[WireNotice]) -> bytes:
         """Return a packet's bytes; a notice without a pace has those that it always had."""
         tag = NoticePacket.__struct_config__.tag
-        return self._encoder.encode((tag, [without_defaults(each, "pace") for each in told]))
+        return self._encoder.encode((tag, [without_defaults(each, "pace") for each in notices]))
--- a/pondhatch/router/_owners.py
+++ b/pondhatch/router/_owners.py
@@ -26,7 +26,7 @@
         #: Names of this router's own upstreams by service; None where to be worked out anew.
         self._owned_by_service: dict[str, tuple[str, ...]] | None = None
 
-    def of(self, engine: str) -> str | None:
+    def owner_name(self, engine: str) -> str | None:
         """Return the name of the router that owns an engine, or None without live routers."""
         owned = self._owner_by_engine.get(engine)
         if owned is None:
@@ -41,12 +41,12 @@
         if self._owned_by_service is None:
             names: dict[str, list[str]] = {}
             for name, entry in self._upstreams.entry_by_name.items():
-                if entry.upstream.state == LIVE and self.of(name) == self._name:
+                if entry.upstream.state == LIVE and self.owner_name(name) == self._name:
                     names.setdefault(entry.upstream.service, []).append(name)
             self._owned_by_service = {service: tuple(own) for service, own in names.items()}
         return self._owned_by_service
 
-    def follow(self, live: Iterable[Member]) -> None:
+    def set_live(self, live: Iterable[Member]) -> None:
         """Forget the owners of upstreams in those halls alone whose live routers changed."""
         before, self._live_by_hall = self._live_by_hall, live_by_hall(live)
         now = self._live_by_hall
@@ -59,7 +59,7 @@
         }
         self._owned_by_service = None
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Look everything up anew: the list of upstreams changed."""
         self._owner_by_engine.clear()
         self._owned_by_service = None
--- a/pondhatch/router/_pace_reports.py
+++ b/pondhatch/router/_pace_reports.py
@@ -11,15 +11,15 @@
 REPORT_SECONDS = 1.0
 #: Reports in a round of 0.1 s, and those that may be saved up for one moment: 2 KB a second at
 #: most. What is left out, the engine's next answer brings.
-REPORTS_A_ROUND = 2
-SAVED_REPORTS = 20
+REPORTS_PER_ROUND = 2
+REPORTS_BURST = 20
 
 
 class PaceReports(msgspec.Struct):
     """When this router last reported each engine's pace to its owner."""
 
     _reported_at_by_engine: dict[str, float] = msgspec.field(default_factory=dict)
-    _left: int = SAVED_REPORTS
+    _reports_left: int = REPORTS_BURST
 
     def is_due(self, engine: str, pace: int, now: float) -> bool:
         """Return whether a pace that was read just now should be reported to the engine's owner.
@@ -28,18 +28,18 @@
         nothing goes by the usual pace, and gives a fast engine no more.
         """
         reported_at = self._reported_at_by_engine.get(engine, float("-inf"))
-        if self._left < 1 or now - reported_at < REPORT_SECONDS:
+        if self._reports_left < 1 or now - reported_at < REPORT_SECONDS:
             return False
         return pace >= USUAL_PACE + USUAL_PACE // 2
 
-    def reported(self, engine: str, now: float) -> None:
+    def note_reported(self, engine: str, now: float) -> None:
         """Note that a pace was reported to an engine's owner."""
-        self._left -= 1
+        self._reports_left -= 1
         self._reported_at_by_engine[engine] = now
 
     def tick(self, now: float) -> None:
         """Do what is due each round."""
-        self._left = min(SAVED_REPORTS, self._left + REPORTS_A_ROUND)
+        self._reports_left = min(REPORTS_BURST, self._reports_left + REPORTS_PER_ROUND)
         if self._reported_at_by_engine:
             self._reported_at_by_engine = {
                 engine: at
--- a/pondhatch/router/_introduction.py
+++ b/pondhatch/router/_peer_discovery.py
@@ -22,11 +22,11 @@
 #: Kind of the platform's objects that list the fleet's own VMs.
 VM_KIND = "vm"
 #: Seconds between tries at the platform, first and at most.
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 2.0
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 2.0
 
 
-class Introduction:
+class PeerDiscovery:
     """Lists a router at the platform where it must do so itself, and finds its peers."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self._own_entry: Mapping[str, Any] | None = (
             None if own_address is None else {"address": own_address, "state": "live"}
         )
-        self._told = Once()
+        self._logged = Once()
 
     async def run(self) -> None:
         """Be listed and find peers, trying again until the platform did both.
@@ -59,7 +59,7 @@
             own = self._own_in(listed) if listed is not None else None
             if own is not None and own.value == self._own_entry:
                 return
-        backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, self._rng)
+        backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         is_listed = self._own_entry is None
         while True:
             is_listed = is_listed or await self._create()
@@ -89,7 +89,7 @@
             address = _address(each, own_host)
             if address is not None:
                 yield address
-            elif self._told.is_first((each.name, each.version)):
+            elif self._logged.is_first((each.name, each.version)):
                 log.error("Router {} is left out, it is listed as {}.", each.name, each.value)
 
     async def _create(self) -> bool:
@@ -122,8 +122,8 @@
 
 def _address(listed: StoredObject, own_host: str) -> Address | None:
     """Return where a listed router is reached; None where packets cannot be sent there."""
-    told = listed.value.get("address") if isinstance(listed.value, Mapping) else None
-    found = host_and_port(told) if isinstance(told, str) else None
+    text = listed.value.get("address") if isinstance(listed.value, Mapping) else None
+    found = host_and_port(text) if isinstance(text, str) else None
     if found is None or _ip_version(found[0]) is None:
         return None
     # A socket of one family sends nothing to an address of the other.
--- a/pondhatch/router/_restoring.py
+++ b/pondhatch/router/_platform_restorer.py
@@ -11,8 +11,8 @@
 import random
 
 from pondhatch.observing import log_for
-from pondhatch.router._fleet_key import keep_key
-from pondhatch.router._introduction import Introduction
+from pondhatch.router._fleet_key import restore_fleet_key
+from pondhatch.router._peer_discovery import PeerDiscovery
 from pondhatch.router._state import RouterState
 from pondhatch.store import Platform, era_of
 
@@ -25,33 +25,33 @@
 SPREAD_SECONDS = 2.0
 
 
-class Restoring:
+class PlatformRestorer:
     """Has the platform hold this router's entry and the fleet's key again."""
 
     def __init__(
         self,
         state: RouterState,
         platform: Platform,
-        introduction: Introduction,
+        peer_discovery: PeerDiscovery,
         rng: random.Random,
-        agreed_key: bytes | None,
+        fleet_key: bytes | None,
     ) -> None:
         self._state = state
         self._platform = platform
-        self._introduction = introduction
+        self._peer_discovery = peer_discovery
         self._rng = rng
         #: The fleet's key, where it lies at the platform and nowhere else.
-        self._agreed_key = agreed_key
+        self._fleet_key = fleet_key
         #: The newest era that was seen; 0 before the first.
         self._era = 0
 
     async def run(self) -> None:
         """Look for new eras until cancelled."""
         while True:
-            await self.look()
+            await self.check_era()
             await asyncio.sleep(CHECK_SECONDS)
 
-    async def look(self) -> None:
+    async def check_era(self) -> None:
         """Write again what may have been lost, where an era has begun since the last look."""
         era = era_of(self._state.upstreams.version)
         began, self._era = era > self._era > 0, max(era, self._era)
@@ -59,7 +59,7 @@
             return
         await asyncio.sleep(self._rng.random() * SPREAD_SECONDS)
         log.info("The platform came back from an older copy; what this router wrote is looked for.")
-        await self._introduction.run()
+        await self._peer_discovery.run()
         # One of each hall will do: whoever starts meanwhile would make a key of its own.
-        if self._agreed_key is not None and self._state.is_watcher():
-            await keep_key(self._platform, self._agreed_key)
+        if self._fleet_key is not None and self._state.is_watcher():
+            await restore_fleet_key(self._platform, self._fleet_key)
--- a/pondhatch/router/_starting.py
+++ b/pondhatch/router/_startup_wait.py
@@ -15,18 +15,18 @@
 #: Seconds after a router's start in which requests wait for what it serves by. A platform
 #: that is well told it within 0.1 s of the start on the users' bench; one that is not may
 #: take minutes, and callers are then refused at once.
-STARTING_SECONDS = 0.5
+STARTUP_SECONDS = 0.5
 #: Seconds that one request waits at most: half of the shortest objective of today's
 #: sites (0.2 s), so that it can still be answered in time.
-LONGEST_WAIT = 0.1
+MAX_WAIT_SECONDS = 0.1
 #: Seconds between looks at what is known.
-LOOK_SECONDS = 0.01
+POLL_SECONDS = 0.01
 #: Seconds after which to come back to a router that knows no configuration yet: it is
 #: read within a second of its start.
 NOT_READY_RETRY_AFTER = 0.5
 
 
-def not_ready(state: RouterState) -> NotRun | None:
+def not_ready_refusal(state: RouterState) -> NotRun | None:
     """Return the refusal of a router that does not know yet what it may send where."""
     if state.fleet.version > 0 and state.halls.evacuations.is_known:
         return None
@@ -34,24 +34,24 @@
     return NotRun("not-ready", f"this router does not know {lacks} yet", NOT_READY_RETRY_AFTER)
 
 
-class Starting:
+class StartupWait:
     """Holds requests for a moment while a router starts."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
-        self._until = state.clock() + STARTING_SECONDS
+        self._deadline = state.clock() + STARTUP_SECONDS
         #: Ends once the router is informed or its start is over; one for all that wait.
-        self._informed: asyncio.Task[None] | None = None
+        self._ready_task: asyncio.Task[None] | None = None
 
     async def wait(self) -> None:
         """Wait until the router knows what it serves by, for a moment at most."""
-        if self._state.is_informed() or self._state.clock() >= self._until:
+        if self._state.has_initial_state() or self._state.clock() >= self._deadline:
             return
-        if self._informed is None:
-            self._informed = asyncio.ensure_future(self._until_informed())
-        left = self._until - self._state.clock()
-        await asyncio.wait([self._informed], timeout=min(LONGEST_WAIT, left))
-
-    async def _until_informed(self) -> None:
-        while not self._state.is_informed() and self._state.clock() < self._until:
-            await asyncio.sleep(LOOK_SECONDS)
+        if self._ready_task is None:
+            self._ready_task = asyncio.ensure_future(self._wait_until_ready())
+        left = self._deadline - self._state.clock()
+        await asyncio.wait([self._ready_task], timeout=min(MAX_WAIT_SECONDS, left))
+
+    async def _wait_until_ready(self) -> None:
+        while not self._state.has_initial_state() and self._state.clock() < self._deadline:
+            await asyncio.sleep(POLL_SECONDS)
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -46,7 +46,7 @@
 from pondhatch.requests import DecisionNote, KeyHolder, KeyTable, LocalKeyHolder, Target
 from pondhatch.router._hall_states import HallStates
 from pondhatch.router._intakes import Intakes
-from pondhatch.router._lag import Lag
+from pondhatch.router._lag import ConfigurationLag
 from pondhatch.router._limits import FleetLimits
 from pondhatch.router._owners import Owners
 from pondhatch.router._upstream_changes import UpstreamChanges
@@ -63,13 +63,13 @@
 
 #: Seconds from a router's start in which it grants nothing at cold upstreams: until it has met
 #: its peers, it takes itself for the owner of all.
-ALONE_SECONDS = 0.5
+NO_COLD_GRANTS_SECONDS = 0.5
 #: Seconds after the last pace that was read for which load is still managed: engines that state
 #: one do so in each answer, and a service may see no request for a while.
-PACED_SECONDS = 60.0
+PACE_TIMEOUT_SECONDS = 60.0
 #: Idle connections to one engine that a router may keep, however many routers share it: with
 #: fewer, requests that overlap would open one each.
-LEAST_IDLE_CONNECTIONS = 2
+MIN_IDLE_CONNECTIONS = 2
 #: Decisions kept for the state dump.
 KEPT_DECISIONS = 64
 #: Who gave a configuration that no peer gave.
@@ -95,18 +95,18 @@
     gate: Gate = field(default_factory=Gate)
     cold_paces: ColdPaces = field(default_factory=ColdPaces)
     #: Tokens that requests hold at the engines that this router owns.
-    tokens: TokenCounts = field(default_factory=TokenCounts)
-    memory: SpillMemory = field(default_factory=SpillMemory)
+    token_counts: TokenCounts = field(default_factory=TokenCounts)
+    spill_memory: SpillMemory = field(default_factory=SpillMemory)
     #: Which engine answered a chat last through this router.
-    served: SpillMemory = field(default_factory=SpillMemory)
-    keys: KeyTable = field(default_factory=KeyTable)
+    last_served_engines: SpillMemory = field(default_factory=SpillMemory)
+    key_table: KeyTable = field(default_factory=KeyTable)
     health: Health = field(default_factory=Health)
     #: Requests under which engines ended.
     suspects: Suspects = field(default_factory=Suspects)
     limits: FleetLimits = field(init=False)
-    retries: RetryBudgets = field(default_factory=RetryBudgets)
+    retry_budgets: RetryBudgets = field(default_factory=RetryBudgets)
     #: Bytes held for callers and engines, by account.
-    held: HeldBytes = field(default_factory=HeldBytes)
+    held_bytes: HeldBytes = field(default_factory=HeldBytes)
     #: What upstreams said of themselves in their answers.
     notices: Notices = field(default_factory=Notices)
     #: How fast engines work now, as they report it.
@@ -119,21 +119,21 @@
     engine_queue: int = 0
     phase: Phase = Phase.LIVE
     #: Why the platform was last found out of reach; empty while it answers.
-    platform_lost: str = ""
+    platform_error: str = ""
     #: Why the newest configuration that was read here is none at all; None where it is in force.
-    refused: Rejected | None = None
+    rejected: Rejected | None = None
     #: When the configuration in force came into force, in seconds since 1970.
     in_force_at: float = 0.0
     #: Who gave the configuration in force: the platform, or a peer by name.
-    in_force_from: str = ""
+    configuration_source: str = ""
     #: Whether what differed did not fit what is in force here, so that peers are asked for the
     #: whole.
-    wants_whole: bool = False
+    needs_snapshot: bool = False
     #: For how long this router has known of a newer one.
-    lag: Lag = field(default_factory=Lag)
+    lag: ConfigurationLag = field(default_factory=ConfigurationLag)
     decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=KEPT_DECISIONS))
     #: This router's own side as a holder of keys.
-    local: KeyHolder = field(init=False)
+    local_key_holder: KeyHolder = field(init=False)
     _members: tuple[Member, ...] = ()
     #: Names of those that are neither draining nor gone: asked for ten times a second.
     _live_routers: tuple[str, ...] = ()
@@ -146,13 +146,13 @@
     def __post_init__(self) -> None:
         self.limits = FleetLimits(self.name, self.gossip, lambda: self.fleet)
         self._started_at = self.clock()
-        self.local = LocalKeyHolder(self.keys, self.clock)
+        self.local_key_holder = LocalKeyHolder(self.key_table, self.clock)
         self._upstream_changes = UpstreamChanges(self.upstreams, self.vanished, self.notices)
         self._intakes = Intakes(
             self.upstreams,
             self.vanished,
             self.halls,
-            self._upstream_changes.cold,
+            self._upstream_changes.cold_clocks,
             self.notices,
             lambda: self.clock(),
             lambda: self.fleet.service_by_name,
@@ -165,29 +165,29 @@
         """Return the routers that are believed to be there, this one included."""
         return self._members
 
-    def refresh(self) -> None:
+    def refresh_members(self) -> None:
         """Take in who is there now; called each round and after each packet's news."""
         members = self.gossip.members(self.clock())
         if members is self._members:
             return
         member_by_name = {member.name: member for member in members}
         for gone in self._member_by_name.keys() - member_by_name.keys():
-            self.keys.lost_router(gone)
+            self.key_table.lost_router(gone)
         self._members = members
         self._member_by_name = member_by_name
         live = tuple(member for member in members if member.phase == Phase.LIVE)
         self._live_routers = tuple(member.name for member in live)
         self.limits.set_live(live)
-        self._owners.follow(live)
+        self._owners.set_live(live)
 
     def owner_name(self, engine: str) -> str | None:
         """Return the router that owns an engine in this router's view."""
-        return self._owners.of(engine)
+        return self._owners.owner_name(engine)
 
     def key_holder(self, name: str) -> KeyHolder | None:
         """Return the way to a router as a holder of keys, or None where it is not known."""
         if name == self.name:
-            return self.local
+            return self.local_key_holder
         member = self._member_by_name.get(name)
         return self.connect(member) if member is not None else None
 
@@ -206,16 +206,16 @@
     def unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
         self.gossip.unreachable(name, self.clock())
-        self.refresh()
+        self.refresh_members()
 
     def is_reachable(self, name: str) -> bool:
         """Return whether a router counts as there for this one."""
         return name in self._member_by_name
 
-    def heard_from(self, name: str) -> None:
+    def note_contact(self, name: str) -> None:
         """Note a word of a router that could not be reached for a while."""
         self.gossip.heard_from(name)
-        self.refresh()
+        self.refresh_members()
 
     def is_watcher(self) -> bool:
         """Return whether this router watches the platform for its hall."""
@@ -225,7 +225,7 @@
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
         """Return the service's upstreams that take work bound to some regions, by name."""
-        return self._intakes.open_to(service, regions)
+        return self._intakes.open_upstreams(service, regions)
 
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
         """Return a chat's home engine were its hall not closed to it, and why it is closed."""
@@ -243,15 +243,15 @@
 
     def note_served(self, chat: int, engine: str) -> None:
         """Remember which engine answered a chat last."""
-        self.served.remember(chat, engine)
+        self.last_served_engines.remember(chat, engine)
 
     def last_served(self, chat: int) -> str | None:
         """Return the engine that answered a chat last, as far as this router saw."""
-        return self.served.engine_of(chat)
+        return self.last_served_engines.engine_of(chat)
 
     def is_young(self, engine: str) -> bool:
         """Return whether an upstream joined after this router knew the list, and lately."""
-        return self._upstream_changes.joins.is_young(engine, self.clock())
+        return self._upstream_changes.join_times.is_young(engine, self.clock())
 
     def resumes(self, engine: str) -> bool:
         """Return whether an engine can resume a broken stream."""
@@ -267,51 +267,53 @@
         names = [name for own in self.owned_by_service().values() for name in own]
         return tuple(self.upstreams.entry_by_name[name].upstream for name in names)
 
-    def take_listed_upstreams(self, listed: Listed) -> bool:
+    def apply_listed_upstreams(self, listed: Listed) -> bool:
         """Take in what the platform lists; return whether any was news."""
-        news = self._upstream_changes.take_listing(listed, self.clock())
-        self.upstreams_changed()
+        news = self._upstream_changes.apply_listing(listed, self.clock())
+        self.invalidate_upstream_caches()
         return news
 
-    def take_upstreams(self, update: UpstreamUpdate) -> bool:
+    def apply_upstreams(self, update: UpstreamUpdate) -> bool:
         """Take in a peer's entries; return whether any was news."""
-        news = self._upstream_changes.take(update, self.clock())
-        self.upstreams_changed()
+        news = self._upstream_changes.apply(update, self.clock())
+        self.invalidate_upstream_caches()
         return news
 
     def upstreams_since(self, version: int) -> UpstreamUpdate:
         """Return what a peer at a version lacks of the list of upstreams."""
         return self._upstream_changes.since(version, self.clock())
 
-    def take_upstream_event(self, event: WatchEvent) -> bool:
+    def apply_upstream_event(self, event: WatchEvent) -> bool:
         """Take in one event of a watch on upstreams; return whether it was news."""
-        news = self._upstream_changes.take_event(event, self.clock())
+        news = self._upstream_changes.apply_event(event, self.clock())
         if news:
-            self.upstreams_changed()
+            self.invalidate_upstream_caches()
         return news
 
-    def upstreams_changed(self) -> None:
+    def invalidate_upstream_caches(self) -> None:
         """Drop what was derived from the list of upstreams."""
-        self._intakes.forget()
-        self._owners.forget()
+        self._intakes.invalidate()
+        self._owners.invalidate()
 
     # -- data halls ---------------------------------------------------------
 
-    def take_listed_evacuations(self, listed: Listed) -> bool:
+    def apply_listed_evacuations(self, listed: Listed) -> bool:
         """Take in the evacuations that the platform lists; return whether any was news."""
-        return self._halls_changed(self.halls.take_listing(listed, self.clock()))
+        return self._invalidate_if_news(self.halls.apply_listing(listed, self.clock()))
 
-    def take_evacuation_event(self, event: WatchEvent) -> bool:
+    def apply_evacuation_event(self, event: WatchEvent) -> bool:
         """Take in one event of a watch on evacuations; return whether it was news."""
-        return self._halls_changed(self.halls.take_event(event, self.clock()))
+        return self._invalidate_if_news(self.halls.apply_event(event, self.clock()))
 
-    def take_evacuations(self, update: EvacuationUpdate | None) -> bool:
+    def apply_evacuations(self, update: EvacuationUpdate | None) -> bool:
         """Take in what a peer knows of evacuations; return whether any was news."""
-        return update is not None and self._halls_changed(self.halls.take(update, self.clock()))
+        return update is not None and self._invalidate_if_news(
+            self.halls.apply(update, self.clock())
+        )
 
-    def _halls_changed(self, is_news: bool) -> bool:
+    def _invalidate_if_news(self, is_news: bool) -> bool:
         if is_news:
-            self._intakes.forget()
+            self._intakes.invalidate()
         return is_news
 
     def target(self, engine: str) -> Target | None:
@@ -325,7 +327,7 @@
             url=upstream.url,
             intake=self._intakes.intake(upstream, service, self.clock()),
             bound=service.load_bound,
-            peers=self._intakes.working(upstream.service, self.clock()),
+            peers=self._intakes.count_open_not_resting(upstream.service, self.clock()),
             slots=upstream.slots or service.engine_slots,
             engine_queue=self.engine_queue,
             slack=service.load_slack,
@@ -333,24 +335,24 @@
             instance=upstream.instance,
             pace=self.paces.pace(engine, self.clock()),
             memory_tokens=service.engine_tokens,
-            most_idle=self._connections_share(service.max_connections),
+            most_idle=self._idle_connections_share(service.max_connections),
         )
 
-    def _connections_share(self, most: int | None) -> int | None:
+    def _idle_connections_share(self, most: int | None) -> int | None:
         """Return how many idle connections of an engine's are this router's, None for no bound."""
         if most is None or not self.load_managed():
             return None
-        return max(LEAST_IDLE_CONNECTIONS, most // max(1, len(self._live_routers)))
+        return max(MIN_IDLE_CONNECTIONS, most // max(1, len(self._live_routers)))
 
     def cold_count(self) -> int:
         """Return how many upstreams are cold by their own word."""
-        return self._upstream_changes.cold.count(self.clock())
+        return self._upstream_changes.cold_clocks.count(self.clock())
 
     def cold_seconds(self, upstream: str) -> float:
         """Return for how many seconds an upstream is still cold by its own word."""
-        return self._upstream_changes.cold.seconds_left(upstream, self.clock())
+        return self._upstream_changes.cold_clocks.seconds_left(upstream, self.clock())
 
-    def hear(self, upstream: str, notice: Notice, is_own: bool = True) -> bool:
+    def apply_notice(self, upstream: str, notice: Notice, is_first_hand: bool = True) -> bool:
         """Take in what an upstream said of itself in an answer; return whether it was news.
 
         A pace closes no upstream, so it is no news here.
@@ -359,25 +361,25 @@
         now = self.clock()
         if notice.pace > 0:
             self.paces.hear(upstream, notice.pace, now)
-            if is_own:
+            if is_first_hand:
                 self.pace_read_at = now
             if not notice:
                 return False
         known = self._intakes.upstream(upstream)
         is_start_known = known is not None and known.start > 0
-        is_news = self.notices.hear(upstream, notice, now, is_start_known, is_own)
+        is_news = self.notices.hear(upstream, notice, now, is_start_known, is_first_hand)
         if is_news and notice.rest > 0 and not notice.has_places:
             self.gate.rests(upstream, now, notice.rest)
         if is_news and notice.is_leaving:
-            self._intakes.forget()
+            self._intakes.invalidate()
         return is_news
 
-    def hear_staying(self, upstream: str) -> None:
+    def apply_staying_report(self, upstream: str) -> None:
         """Take in an upstream's own late report that it is not leaving."""
         if self.notices.reports_staying(upstream, self.clock()):
-            self._intakes.forget()
+            self._intakes.invalidate()
 
-    def owners_beside(self, engine: str) -> set[str]:
+    def owners_of_same_service(self, engine: str) -> set[str]:
         """Return the routers that own an engine's service's live upstreams."""
         upstream = self._intakes.upstream(engine)
         names = self.live_upstreams(upstream.service) if upstream is not None else ()
@@ -402,7 +404,7 @@
 
     # -- configuration ------------------------------------------------------
 
-    def take_change(self, change: Change, source: str = PLATFORM) -> Rejected | Gap | None:
+    def apply_change(self, change: Change, source: str = PLATFORM) -> Rejected | Gap | None:
         """Put the next change in force; None where it is in force now or was before.
 
         A rejected change is voided: its version passes, nothing of it is in force.
@@ -418,7 +420,7 @@
         self._put_in_force(following, source)
         return None
 
-    def take_fleet(self, fleet: Fleet, source: str = PLATFORM) -> bool:
+    def apply_fleet(self, fleet: Fleet, source: str = PLATFORM) -> bool:
         """Put a configuration in force if it is newer; return whether it was."""
         if fleet.version <= self.fleet.version:
             return False
@@ -427,36 +429,36 @@
 
     def _put_in_force(self, fleet: Fleet, source: str) -> None:
         self.fleet = fleet
-        self.in_force_from = source
-        self.wants_whole = False
-        self.refused = None
+        self.configuration_source = source
+        self.needs_snapshot = False
+        self.rejected = None
         self.in_force_at = time.time()
-        self._intakes.forget()
+        self._intakes.invalidate()
 
-    def knows_all(self, kind: str) -> bool:
+    def has_all_entries(self, kind: str) -> bool:
         """Return whether every entry of a kind is in force here as the operator wrote it.
 
         Where it is not, what a caller names may be in the part that is not, and "there is no
         such thing" would be false.
         """
-        return self.refused is None and self.fleet.is_whole(kind)
+        return self.rejected is None and self.fleet.is_whole(kind)
 
-    def take_update(self, update: Update, source: str = PLATFORM) -> Rejected | Gap | None:
+    def apply_update(self, update: Update, source: str = PLATFORM) -> Rejected | Gap | None:
         """Take in what a peer says that this router lacks."""
         if update.snapshot is not None and update.snapshot.version > self.fleet.version:
-            self.take_fleet(self.fleet.replaced_by(update.snapshot), source)
+            self.apply_fleet(self.fleet.replaced_by(update.snapshot), source)
         if update.difference is not None:
-            self._take_difference(update.difference, source)
-        wrongs = [self.take_change(change, source) for change in update.changes]
+            self._apply_difference(update.difference, source)
+        wrongs = [self.apply_change(change, source) for change in update.changes]
         return next((wrong for wrong in wrongs if wrong is not None), None)
 
-    def _take_difference(self, difference: Difference, source: str) -> None:
+    def _apply_difference(self, difference: Difference, source: str) -> None:
         if difference.version <= self.fleet.version:
             return
         following = self.fleet.with_difference(difference)
-        self.wants_whole = following is None
+        self.needs_snapshot = following is None
         if following is not None:
-            self.take_fleet(following, source)
+            self.apply_fleet(following, source)
 
     def update_since(self, version: int, takes_difference: bool = True) -> Update:
         """Return what a router at a version lacks."""
@@ -473,16 +475,16 @@
     def load_managed(self) -> bool:
         """Return whether the parts of load management are in force at this router now."""
         if self.load_management == "as-needed":
-            return self.clock() - self.pace_read_at < PACED_SECONDS
+            return self.clock() - self.pace_read_at < PACE_TIMEOUT_SECONDS
         return self.load_management == "on"
 
-    def begin(self, account: str) -> LimitVerdict:
+    def begin_request(self, account: str) -> LimitVerdict:
         """Hold a request against the account's limits."""
-        return self.limits.begin(account, self.clock())
+        return self.limits.begin_request(account, self.clock())
 
     # -- rounds -------------------------------------------------------------
 
-    def is_informed(self) -> bool:
+    def has_initial_state(self) -> bool:
         """Return whether this router knows all that it needs to send requests."""
         is_listed = self.upstreams.version > 0 and self.halls.evacuations.is_known
         return self.fleet.version > 0 and is_listed
@@ -498,24 +500,24 @@
             self.fleet.version,
             self.upstreams.version,
             self._loads(),
-            sees_platform=not self.platform_lost,
+            sees_platform=not self.platform_error,
             evacuations=self.halls.evacuations.version,
         )
 
     def tick(self) -> None:
         """Do what is due each round."""
         if self.vanished and self.vanished.forget_old(self.clock()):
-            self.upstreams_changed()
+            self.invalidate_upstream_caches()
         if self._upstream_changes.settle(self.clock()):
-            self.upstreams_changed()
-        self._halls_changed(self.halls.settle(self.clock()))
+            self.invalidate_upstream_caches()
+        self._invalidate_if_news(self.halls.settle(self.clock()))
         self.paces.forget_old(self.clock())
         if self.notices.forget_old(self.upstreams.entry_by_name, self.clock()):
-            self._intakes.forget()
-        self.refresh()
-        self.retries.set_routers(len(self.live_routers()), self.clock())
-        is_alone = self.clock() - self._started_at < ALONE_SECONDS
-        self.cold_paces.share = 0.0 if is_alone else self.retries.routers.share
+            self._intakes.invalidate()
+        self.refresh_members()
+        self.retry_budgets.set_routers(len(self.live_routers()), self.clock())
+        is_alone = self.clock() - self._started_at < NO_COLD_GRANTS_SECONDS
+        self.cold_paces.share = 0.0 if is_alone else self.retry_budgets.routers.share
         self.publish()
         self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
 
--- a/pondhatch/router/_beliefs.py
+++ b/pondhatch/router/_state_recorder.py
@@ -18,10 +18,10 @@
 
 #: Records of one round at most: a platform that drops all of 2,100 entries must not flood
 #: the log. What is left out is counted in a record of its own.
-MOST_A_ROUND = 100
+MAX_RECORDS_PER_ROUND = 100
 
 
-class Beliefs(msgspec.Struct):
+class StateRecorder(msgspec.Struct):
     """Notes what changed since the last look."""
 
     state: RouterState
@@ -30,7 +30,7 @@
     #: The version of the configuration in force.
     _configuration_version: int = 0
     #: Why the newest configuration was none; empty where it was in force.
-    _refused: str = ""
+    _rejection: str = ""
     #: What was wrong with entries of the configuration in force.
     _misfits_by_entry: Mapping[EntryKey, tuple[Misfit, ...]] = msgspec.field(default_factory=dict)
     #: The version of the list of upstreams.
@@ -40,88 +40,93 @@
     #: "down" or "ailing" by upstream; one that is well is not listed.
     _health: Mapping[str, str] = msgspec.field(default_factory=dict)
     #: Why the platform was out of reach; empty while it answered.
-    _platform_lost: str = ""
+    _platform_error: str = ""
     #: What upstreams said of themselves: "leaving", "resting" or both.
-    _said: Mapping[str, str] = msgspec.field(default_factory=dict)
+    _notice_by_upstream: Mapping[str, str] = msgspec.field(default_factory=dict)
     #: The halls that were evacuated.
-    _evacuated: frozenset[str] = frozenset()
+    _evacuated_hall_names: frozenset[str] = frozenset()
 
-    def look(self) -> None:
+    def record_changes(self) -> None:
         """Note every change since the last look, up to the bound."""
         changes = [
-            *self._platform(),
-            *self._configuration_in_force(),
-            *self._configuration_refused(),
-            *self._entries(),
-            *self._evacuated_halls(),
-            *self._upstream_list(),
-            *self._routers(),
-            *self._upstreams_health(),
-            *self._upstreams_notices(),
+            *self._platform_changes(),
+            *self._configuration_changes(),
+            *self._rejection_changes(),
+            *self._misfit_changes(),
+            *self._hall_changes(),
+            *self._upstream_changes(),
+            *self._router_changes(),
+            *self._health_changes(),
+            *self._notice_changes(),
         ]
-        for change in changes[:MOST_A_ROUND]:
+        for change in changes[:MAX_RECORDS_PER_ROUND]:
             self.records.note(change)
-        left_out = len(changes) - MOST_A_ROUND
+        left_out = len(changes) - MAX_RECORDS_PER_ROUND
         if left_out > 0:
             self.records.note(Believed("records", "", f"{left_out} left out"))
 
-    def note_process(self, now: str, why: str = "") -> None:
+    def record_process(self, now: str, why: str = "") -> None:
         """Note a change of the process itself: its start, its stop, its settings."""
         self.records.note(Believed("process", self.state.name, now, why=why))
 
-    def _platform(self) -> list[Believed]:
-        lost = self.state.platform_lost
-        if lost == self._platform_lost:
+    def _platform_changes(self) -> list[Believed]:
+        error = self.state.platform_error
+        if error == self._platform_error:
             return []
-        self._platform_lost = lost
-        return [Believed("platform", "store", "lost" if lost else "answering", why=lost)]
+        self._platform_error = error
+        return [Believed("platform", "store", "lost" if error else "answering", why=error)]
 
-    def _configuration_in_force(self) -> list[Believed]:
+    def _configuration_changes(self) -> list[Believed]:
         version = self.state.fleet.version
         if version == self._configuration_version:
             return []
         before, self._configuration_version = self._configuration_version, version
         follows = f"follows {before}" if before else "the first"
-        why = f"{follows}, from {self.state.in_force_from}"
+        why = f"{follows}, from {self.state.configuration_source}"
         return [Believed("configuration", "", "in force", version, why)]
 
-    def _configuration_refused(self) -> list[Believed]:
-        refused = str(self.state.refused or "")
-        if refused == self._refused:
+    def _rejection_changes(self) -> list[Believed]:
+        rejection = str(self.state.rejected or "")
+        if rejection == self._rejection:
             return []
-        self._refused = refused
-        return [Believed("configuration", "", "refused" if refused else "taken again", why=refused)]
+        self._rejection = rejection
+        return [
+            Believed("configuration", "", "refused" if rejection else "taken again", why=rejection)
+        ]
 
-    def _entries(self) -> list[Believed]:
+    def _misfit_changes(self) -> list[Believed]:
         misfits_by_entry = self.state.fleet.misfits_by_entry
         if misfits_by_entry == self._misfits_by_entry:
             return []
         before, self._misfits_by_entry = self._misfits_by_entry, misfits_by_entry
         version = self.state.fleet.version
-        wrong = {key: told(found) for key, found in misfits_by_entry.items()}
-        changed = [key for key in wrong if before.get(key) != misfits_by_entry[key]]
-        mended = sorted(before.keys() - wrong.keys())
+        text_by_entry = {key: told(found) for key, found in misfits_by_entry.items()}
+        changed = [key for key in text_by_entry if before.get(key) != misfits_by_entry[key]]
+        mended = sorted(before.keys() - text_by_entry.keys())
         return [
-            *(Believed("entry", " ".join(key), "misfit", version, wrong[key]) for key in changed),
+            *(
+                Believed("entry", " ".join(key), "misfit", version, text_by_entry[key])
+                for key in changed
+            ),
             *(Believed("entry", " ".join(key), "mended or gone", version) for key in mended),
         ]
 
-    def _evacuated_halls(self) -> list[Believed]:
+    def _hall_changes(self) -> list[Believed]:
         evacuations = self.state.halls.evacuations
-        if evacuations.halls == self._evacuated:
+        if evacuations.halls == self._evacuated_hall_names:
             return []
-        before, self._evacuated = self._evacuated, evacuations.halls
+        before, self._evacuated_hall_names = self._evacuated_hall_names, evacuations.halls
         return [
             Believed(
                 "hall",
                 hall,
-                "evacuated" if hall in self._evacuated else "open",
+                "evacuated" if hall in self._evacuated_hall_names else "open",
                 evacuations.word_by_hall[hall].version,
             )
-            for hall in sorted(before ^ self._evacuated)
+            for hall in sorted(before ^ self._evacuated_hall_names)
         ]
 
-    def _upstream_list(self) -> list[Believed]:
+    def _upstream_changes(self) -> list[Believed]:
         upstreams = self.state.upstreams
         if upstreams.version == self._upstreams_version:
             return []
@@ -139,7 +144,7 @@
         entry = self.state.upstreams.entry_by_name.get(upstream)
         return entry.version if entry is not None else self.state.upstreams.version
 
-    def _routers(self) -> list[Believed]:
+    def _router_changes(self) -> list[Believed]:
         members = self.state.members()
         if members is self._members:
             return []
@@ -153,7 +158,7 @@
     def _absence(self, router: str) -> str:
         return "gone" if self.state.gossip.is_gone(router) else "out of reach"
 
-    def _upstreams_health(self) -> list[Believed]:
+    def _health_changes(self) -> list[Believed]:
         health = self.state.health.states(self.state.clock())
         if health == self._health:
             return []
@@ -161,17 +166,17 @@
         self._health = health
         return [Believed("health", name, now, why=why) for name, now, why in changed]
 
-    def _upstreams_notices(self) -> list[Believed]:
+    def _notice_changes(self) -> list[Believed]:
         in_force = self.state.notices.in_force(self.state.clock())
-        said = {name: _told(notice) for name, notice in in_force.items()}
-        if said == self._said:
+        text_by_upstream = {name: _notice_text(notice) for name, notice in in_force.items()}
+        if text_by_upstream == self._notice_by_upstream:
             return []
-        changed = _differences(self._said, said, "nothing")
-        self._said = said
+        changed = _differences(self._notice_by_upstream, text_by_upstream, "nothing")
+        self._notice_by_upstream = text_by_upstream
         return [Believed("notice", name, now, why=why) for name, now, why in changed]
 
 
-def _told(notice: Notice) -> str:
+def _notice_text(notice: Notice) -> str:
     """Return what an upstream said of itself in a word or two."""
     words = ["leaving"] if notice.is_leaving else []
     return " ".join([*words, "resting"] if notice.rest > 0 else words)
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -24,7 +24,7 @@
 from pondhatch.kernel import Backoff, Tasks
 from pondhatch.membership import Member, Versions
 from pondhatch.observing import log_for
-from pondhatch.router._introduction import Introduction
+from pondhatch.router._peer_discovery import PeerDiscovery
 from pondhatch.router._state import RouterState
 from pondhatch.store import (
     EvacuationUpdate,
@@ -49,7 +49,7 @@
 #: platform and two exchanges of packets, 0.1 s on the users' bench. Until then it reads
 #: what the platform holds, and does not watch: one of each hall will, and all of a fleet
 #: that starts would be told of each upstream that lists itself.
-MEETING_SECONDS = 0.4
+PEER_DISCOVERY_SECONDS = 0.4
 #: Seconds from which a pull is told in the log: a sixth of the time in which a change is to
 #: be in force everywhere.
 SLOW_PULL_SECONDS = 0.5
@@ -58,20 +58,20 @@
 #: give no answer in a row cost 1.4 s so, of the 2 s in which small fleets have a change in force,
 #: and not the 4 s of two calls' time-outs. A shorter one would have the whole fleet ask twice for
 #: what is large.
-NEXT_PEER_SECONDS = 0.7
+PULL_HEDGE_SECONDS = 0.7
 #: Milliseconds by which a peer's start lies before this router's where the peer knows more of
 #: who joined: VMs that start together differ by less, their clocks included, and what joined
 #: within such a time is a small part of what counts as new for minutes.
-ELDER_MS = 10_000
+MIN_AGE_DIFFERENCE_MS = 10_000
 #: Peers asked side by side at most: so many answers may wait in memory.
-MOST_ASKED = 3
+MAX_CONCURRENT_PULLS = 3
 #: Seconds before a lost watch is tried again, first and at most: a platform that comes
 #: back is not rushed.
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 2.0
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 2.0
 
 
-class Lacking(Protocol):
+class PulledState(Protocol):
     """A peer's answer to a pull."""
 
     @property
@@ -91,7 +91,7 @@
 _EVACUATIONS = operator.attrgetter("evacuations")
 _UPSTREAMS = operator.attrgetter("upstreams")
 
-Pull = Callable[[Member, int, int], Awaitable[Lacking | None]]
+Pull = Callable[[Member, int, int], Awaitable[PulledState | None]]
 
 
 class Sync:
@@ -103,134 +103,134 @@
         platform: Platform,
         source: ConfigurationSource,
         pull: Pull,
-        spread: Callable[[], None],
+        announce: Callable[[], None],
         rng: random.Random,
-        introduction: Introduction,
+        peer_discovery: PeerDiscovery,
     ) -> None:
         self._state = state
         self._platform = platform
         self._source = source
         self._pull = pull
         #: Tells some peers at once that this router has something new.
-        self._spread = spread
+        self._announce = announce
         self._rng = rng
         #: Lists this router at the platform, and finds its peers there.
-        self._introduction = introduction
+        self._peer_discovery = peer_discovery
         #: Set once this router had time to hear who else is there.
-        self._has_met_peers = asyncio.Event()
+        self._peers_discovered = asyncio.Event()
         #: Whether peers are being asked for what this router lacks.
-        self._pulling = False
+        self._is_pulling = False
         #: Names of the peers whose answer to a pull is out.
-        self._asked: set[str] = set()
+        self._pending_peers: set[str] = set()
         self._tasks = Tasks()
         #: The watches of the configuration and of the list of upstreams, where it watches.
-        self._watching: tuple[asyncio.Task[None], ...] = ()
+        self._watch_tasks: tuple[asyncio.Task[None], ...] = ()
 
     async def run(self) -> None:
         """Keep up until cancelled."""
         try:
-            self._tasks.start(self._introduction.run())
-            self._begin_watching()
+            self._tasks.start(self._peer_discovery.run())
+            self._start_watching()
             await self._pull_if_behind()
-            await asyncio.sleep(MEETING_SECONDS)
-            self._has_met_peers.set()
+            await asyncio.sleep(PEER_DISCOVERY_SECONDS)
+            self._peers_discovered.set()
             # Beside the rest: a peer that gives no answer must not keep this router behind.
-            self._tasks.start(self._ask_who_joined_lately())
+            self._tasks.start(self._pull_recent_joins())
             while True:
-                self._watch_if_due()
+                self._start_or_stop_watching()
                 await self._pull_if_behind()
                 await asyncio.sleep(CHECK_SECONDS)
         finally:
             self._tasks.cancel_all()
 
-    async def heard_news(self) -> None:
+    async def on_peer_ahead(self) -> None:
         """React at once to a peer's word that it holds something newer."""
         await self._pull_if_behind()
 
     # -- from the platform --------------------------------------------------
 
-    def _watch_if_due(self) -> None:
+    def _start_or_stop_watching(self) -> None:
         """Begin or end watching, as this router is or is not one of its hall's watchers."""
         due = self._state.is_watcher()
-        if due and not self._watching:
+        if due and not self._watch_tasks:
             log.info("Watching the platform for hall {}.", self._state.hall)
-            self._begin_watching()
+            self._start_watching()
         # One that lost the platform goes on looking for it: another watches meanwhile.
-        if not due and self._watching and not self._state.platform_lost:
+        if not due and self._watch_tasks and not self._state.platform_error:
             log.info("Leaving the watch to another router of the hall.")
-            for task in self._watching:
+            for task in self._watch_tasks:
                 task.cancel()
-            self._watching = ()
+            self._watch_tasks = ()
             # Who does not watch cannot tell whether the platform answers, nor what it holds.
-            self._state.platform_lost = ""
-            self._state.refused = None
+            self._state.platform_error = ""
+            self._state.rejected = None
 
-    def _begin_watching(self) -> None:
+    def _start_watching(self) -> None:
         """Read what the platform holds; what follows, only once it is known who watches."""
-        self._watching = (
-            self._tasks.start(self._keep(self._watch_changes)),
-            self._tasks.start(self._keep(self._watch_upstreams)),
-            self._tasks.start(self._keep(self._watch_evacuations)),
+        self._watch_tasks = (
+            self._tasks.start(self._watch_with_retry(self._watch_changes)),
+            self._tasks.start(self._watch_with_retry(self._watch_upstreams)),
+            self._tasks.start(self._watch_with_retry(self._watch_evacuations)),
         )
 
-    async def _keep(self, watch: Callable[[], Awaitable[None]]) -> None:
+    async def _watch_with_retry(self, watch: Callable[[], Awaitable[None]]) -> None:
         """Begin a watch again whenever it ends, until cancelled."""
-        backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, self._rng)
+        backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         while True:
             begun = self._state.clock()
             try:
                 await watch()
             except PlatformLost as error:
-                self._lost_platform(str(error))
+                self._note_platform_lost(str(error))
                 log.warning("Watch lost: {}.", error)
             except TooOld:
                 log.info("Watch too old, listing anew.")
             except Exception:
                 # What cannot be read now may be mended at the platform; nobody else watches.
                 log.exception("A watch ended in an error of this router; it begins again.")
-            if self._state.clock() - begun > LONGEST_PAUSE:
+            if self._state.clock() - begun > MAX_BACKOFF_SECONDS:
                 backoff.reset()
             await asyncio.sleep(backoff.next())
 
-    def _lost_platform(self, why: str) -> None:
+    def _note_platform_lost(self, why: str) -> None:
         """Note that the platform is out of reach, and tell peers at once: another watches then.
 
         They would wait for this router's word else, and miss what others of their hall can
         read: a change is to be in force everywhere within 3 s.
         """
-        is_news = not self._state.platform_lost
-        self._state.platform_lost = why
+        is_news = not self._state.platform_error
+        self._state.platform_error = why
         if is_news:
-            self._spread()
+            self._announce()
 
     async def _watch_changes(self) -> None:
         async for news in self._source.follow(lambda: self._state.fleet):
-            self._take_news(news)
-            self._state.platform_lost = ""
-            await self._has_met_peers.wait()
+            self._apply_news(news)
+            self._state.platform_error = ""
+            await self._peers_discovered.wait()
 
-    def _take_news(self, news: News) -> None:
+    def _apply_news(self, news: News) -> None:
         if isinstance(news, Change):
-            self._take_change(news)
+            self._apply_change(news)
         elif isinstance(news, Rejected):
-            self._state.refused = news
+            self._state.rejected = news
         elif isinstance(news, Broken):
             log.error("Configuration cannot be read: {}.", news.reason)
         else:
             # Also where it is not newer: what was refused is gone then.
-            self._state.refused = None
-            if self._state.take_fleet(news):
-                self._spread()
+            self._state.rejected = None
+            if self._state.apply_fleet(news):
+                self._announce()
 
-    def _take_change(self, change: Change) -> None:
-        wrong = self._state.take_change(change)
-        self._log_void(wrong)
+    def _apply_change(self, change: Change) -> None:
+        wrong = self._state.apply_change(change)
+        self._log_if_rejected(wrong)
         if wrong is None:
-            self._spread()
+            self._announce()
 
     async def _watch_upstreams(self) -> None:
         state = self._state
-        await self._watch(UPSTREAM_KIND, state.take_listed_upstreams, state.take_upstream_event)
+        await self._watch(UPSTREAM_KIND, state.apply_listed_upstreams, state.apply_upstream_event)
 
     async def _watch_evacuations(self) -> None:
         state = self._state
@@ -239,8 +239,8 @@
         may_be_old = not state.halls.evacuations.is_known
         await self._watch(
             EVACUATION_KIND,
-            state.take_listed_evacuations,
-            state.take_evacuation_event,
+            state.apply_listed_evacuations,
+            state.apply_evacuation_event,
             may_be_old,
         )
 
@@ -255,13 +255,13 @@
         listed = await self._platform.list(kind, may_be_old)
         if isinstance(listed, Unavailable):
             raise PlatformLost(listed.reason)
-        self._state.platform_lost = ""
+        self._state.platform_error = ""
         if take_listed(listed):
-            self._spread()
-        await self._has_met_peers.wait()
+            self._announce()
+        await self._peers_discovered.wait()
         async for event in self._platform.watch(kind, listed.version):
             if take_event(event):
-                self._spread()
+                self._announce()
 
     # -- from peers ---------------------------------------------------------
 
@@ -271,80 +271,84 @@
         Each packet of a peer that is ahead leads here. A pull for each would ask many peers for
         the same, and keep whole configurations waiting in memory.
         """
-        if self._pulling:
+        if self._is_pulling:
             return
-        self._pulling = True
+        self._is_pulling = True
         try:
-            while ahead := self._ahead():
-                if not await self._pull_from(ahead):
+            while ahead := self._peers_to_pull_from():
+                if not await self._pull_hedged(ahead):
                     return
         finally:
-            self._pulling = False
+            self._is_pulling = False
 
-    async def _ask_who_joined_lately(self) -> None:
+    async def _pull_recent_joins(self) -> None:
         """Ask one peer for the whole list: only those that run know who joined when.
 
         Where all start at once, as after a power cut, nobody knows, and nobody is asked.
         """
         others = [member for member in self._state.members() if member.name != self._state.name]
         own_start = self._state.gossip.membership.own.incarnation
-        elders = [each for each in others if own_start - each.incarnation > ELDER_MS]
-        if not elders:
+        older_peers = [
+            each for each in others if own_start - each.incarnation > MIN_AGE_DIFFERENCE_MS
+        ]
+        if not older_peers:
             return
-        near = [member for member in elders if member.hall == self._state.hall]
-        lacking = await self._pull(self._rng.choice(near or elders), self._state.fleet.version, 0)
-        if lacking is not None:
-            self._state.take_evacuations(lacking.evacuations)
-            self._state.take_upstreams(lacking.upstreams)
+        near = [member for member in older_peers if member.hall == self._state.hall]
+        pulled = await self._pull(
+            self._rng.choice(near or older_peers), self._state.fleet.version, 0
+        )
+        if pulled is not None:
+            self._state.apply_evacuations(pulled.evacuations)
+            self._state.apply_upstreams(pulled.upstreams)
 
-    async def _pull_from(self, ahead: list[Member]) -> bool:
+    async def _pull_hedged(self, ahead: list[Member]) -> bool:
         """Ask some of the peers, another one each time that the last is slow or lost.
 
         Return whether that brought anything new. Whoever is slow goes on being waited for, and
         is not asked again meanwhile.
         """
-        free = [peer for peer in ahead if peer.name not in self._asked]
-        most = min(MOST_ASKED - len(self._asked), len(free))
+        free = [peer for peer in ahead if peer.name not in self._pending_peers]
+        most = min(MAX_CONCURRENT_PULLS - len(self._pending_peers), len(free))
         pulls: set[asyncio.Task[bool]] = set()
         for peer in self._rng.sample(free, most):
-            pulls.add(self._tasks.start(self._ask(peer)))
+            pulls.add(self._tasks.start(self._pull_from_peer(peer)))
             done, pulls = await asyncio.wait(
-                pulls, timeout=NEXT_PEER_SECONDS, return_when=asyncio.FIRST_COMPLETED
+                pulls, timeout=PULL_HEDGE_SECONDS, return_when=asyncio.FIRST_COMPLETED
             )
             if any(pull.result() for pull in done):
                 return True
         # What is still out is taken in when it comes; others may be ahead by now.
         return False
 
-    async def _ask(self, peer: Member) -> bool:
+    async def _pull_from_peer(self, peer: Member) -> bool:
         """Ask a peer for what this router lacks; return whether that brought anything new."""
         begun = self._state.clock()
-        self._asked.add(peer.name)
+        self._pending_peers.add(peer.name)
         try:
             state = self._state
-            lacking = await self._pull(peer, state.fleet.version, state.upstreams.version)
+            pulled = await self._pull(peer, state.fleet.version, state.upstreams.version)
         finally:
-            self._asked.discard(peer.name)
+            self._pending_peers.discard(peer.name)
         waited = self._state.clock() - begun
-        if lacking is None:
+        if pulled is None:
             log.warning("Router {}, which is ahead, gave nothing in {:.2f} s.", peer.name, waited)
             return False
         if waited > SLOW_PULL_SECONDS:
             log.info("Router {}, which is ahead, took {:.2f} s to answer.", peer.name, waited)
-        return self._take(peer, lacking)
+        return self._apply_pulled(peer, pulled)
 
-    def _take(self, peer: Member, lacking: Lacking) -> bool:
+    def _apply_pulled(self, peer: Member, pulled: PulledState) -> bool:
         # Read after the pull: a watch or another peer may have brought something meanwhile.
         before = self._versions()
-        asked_for_whole = self._state.wants_whole
-        self._log_void(self._state.take_update(lacking.configuration, peer.name))
+        asked_for_snapshot = self._state.needs_snapshot
+        self._log_if_rejected(self._state.apply_update(pulled.configuration, peer.name))
         # Before the upstreams, since it says which of them may get nothing.
-        self._state.take_evacuations(lacking.evacuations)
-        self._state.take_upstreams(lacking.upstreams)
+        self._state.apply_evacuations(pulled.evacuations)
+        self._state.apply_upstreams(pulled.upstreams)
         if self._versions() != before:
-            self._spread()
+            self._announce()
             return True
-        if asked_for_whole or not self._state.wants_whole:
+        if asked_for_snapshot or not self._state.needs_snapshot:
             return False
         log.warning("What router {} says has changed does not fit; the whole is asked.", peer.name)
         return True
@@ -356,7 +360,7 @@
             state.fleet.version, state.upstreams.version, state.halls.evacuations.version
         )
 
-    def _ahead(self) -> list[Member]:
+    def _peers_to_pull_from(self) -> list[Member]:
         """Return the peers that hold the newest, those of this hall alone where there are any.
 
         A peer that was cut off since holds an older version, and costs a call's time-out (2 s)
@@ -367,11 +371,11 @@
         if not names:
             return []
         ahead = [member for member in self._state.members() if member.name in names]
-        newest = self._newest(ahead)
+        newest = self._with_newest_version(ahead)
         near = [member for member in newest if member.hall == self._state.hall]
         return near or newest
 
-    def _newest(self, ahead: list[Member]) -> list[Member]:
+    def _with_newest_version(self, ahead: list[Member]) -> list[Member]:
         """Return those with the newest of what matters most of what is newer than here.
 
         A router that sends to an evacuated hall does harm; one that lacks an upstream does not.
@@ -384,6 +388,6 @@
                 return [each for each in ahead if version_of(held[each.name]) == best]
         return []
 
-    def _log_void(self, wrong: Rejected | Gap | None) -> None:
-        if isinstance(wrong, Rejected):
-            log.error("Change {} is void: {}.", self._state.fleet.version, wrong)
+    def _log_if_rejected(self, error: Rejected | Gap | None) -> None:
+        if isinstance(error, Rejected):
+            log.error("Change {} is void: {}.", self._state.fleet.version, error)
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -31,14 +31,14 @@
 
 #: Seconds by which two routers may differ on when an upstream joined: what a packet and a
 #: pull take, several times over.
-SLACK_SECONDS = 1.0
+JOIN_TIME_SKEW_SECONDS = 1.0
 #: Seconds after the first list in which upstreams that appear are taken to have been there
 #: before: those of a fleet that starts list themselves one after the other, and no chat
 #: has its context at the engine ranked second.
-STARTING_SECONDS = 20.0
+FLEET_START_SECONDS = 20.0
 
 
-class Joins(msgspec.Struct):
+class JoinTimes(msgspec.Struct):
     """When upstreams joined, but for those of a fleet that starts."""
 
     #: In the clock's seconds, by the upstream's name.
@@ -59,13 +59,15 @@
         """Return the seconds since upstreams joined, for those that are young."""
         return {name: now - at for name, at in self._joined_at.items() if now - at < YOUNG_SECONDS}
 
-    def told(self, known_for: float, age_by_name: Mapping[str, float], now: float) -> None:
+    def merge_from_peer(
+        self, known_for: float, age_by_name: Mapping[str, float], now: float
+    ) -> None:
         """Take in what a peer knows that has known the list for longer.
 
         So a router that restarts in a fleet that runs tells newcomers from others as the
         others do: it would send their chats to engines that never saw them otherwise.
         """
-        if known_for <= self.known_for(now) + SLACK_SECONDS:
+        if known_for <= self.known_for(now) + JOIN_TIME_SKEW_SECONDS:
             return
         self._listed_at = now - known_for
         self._joined_at.update({name: now - age for name, age in age_by_name.items()})
@@ -74,7 +76,7 @@
         """Note the upstreams that are new; ``before`` and ``after`` are the names listed."""
         if not before:
             self._listed_at = now
-        if now - self._listed_at < STARTING_SECONDS:
+        if now - self._listed_at < FLEET_START_SECONDS:
             return
         old = [name for name, at in self._joined_at.items() if now - at >= YOUNG_SECONDS]
         for name in old:
@@ -83,31 +85,31 @@
             self._joined_at[name] = now
 
 
-class Settling(msgspec.Struct):
+class EraSettling(msgspec.Struct):
     """When the platform's era began, as this router saw it."""
 
     _era: int = 0
     #: Until when the era settles, in the clock's seconds; infinitely long ago where none does.
-    _until: float = float("-inf")
+    _settles_at: float = float("-inf")
 
     def note(self, version: Position, now: float) -> None:
         """Take in the position that the list has come to."""
         era = era_of(version)
         if era > self._era:
             # The first era that a router hears of follows no other here.
-            self._until = now + SETTLE_SECONDS if self._era else float("-inf")
+            self._settles_at = now + SETTLE_SECONDS if self._era else float("-inf")
             self._era = era
 
-    def begins(self, version: Position, now: float) -> bool:
+    def is_settling(self, version: Position, now: float) -> bool:
         """Return whether what is as of a position comes while its era settles."""
-        begins = bool(self._era) and era_of(version) > self._era
-        return begins or now < self._until
+        is_new_era = bool(self._era) and era_of(version) > self._era
+        return is_new_era or now < self._settles_at
 
-    def is_over(self, now: float) -> bool:
+    def poll_settled(self, now: float) -> bool:
         """Return, once for each era, whether it has settled."""
-        if self._until == float("-inf") or now < self._until:
+        if self._settles_at == float("-inf") or now < self._settles_at:
             return False
-        self._until = float("-inf")
+        self._settles_at = float("-inf")
         return True
 
 
@@ -118,23 +120,27 @@
     vanished: Vanished
     #: What upstreams said of themselves.
     notices: Notices = msgspec.field(default_factory=Notices)
-    joins: Joins = msgspec.field(default_factory=Joins)
+    join_times: JoinTimes = msgspec.field(default_factory=JoinTimes)
     reader: UpstreamReader = msgspec.field(default_factory=UpstreamReader)
-    settling: Settling = msgspec.field(default_factory=Settling)
-    cold: ColdClocks = msgspec.field(default_factory=ColdClocks)
+    era_settling: EraSettling = msgspec.field(default_factory=EraSettling)
+    cold_clocks: ColdClocks = msgspec.field(default_factory=ColdClocks)
 
-    def take_listing(self, listed: Listed, now: float) -> bool:
+    def apply_listing(self, listed: Listed, now: float) -> bool:
         """Take in what the platform lists; return whether any was news."""
-        return self.take(self.reader.listing(listed), now)
+        return self.apply(self.reader.listing(listed), now)
 
-    def take(self, update: UpstreamUpdate, now: float) -> bool:
+    def apply(self, update: UpstreamUpdate, now: float) -> bool:
         """Take in a listing's or a peer's entries; return whether any was news."""
-        names, live, leaving = self._names(), self._in_state(LIVE), self._known_leaving()
-        news = self.upstreams.take(update, self.settling.begins(update.version, now))
-        self.settling.note(self.upstreams.version, now)
-        self._note(names, live, now)
+        names, live, leaving = (
+            self._names(),
+            self._in_state(LIVE),
+            self._leaving_by_list_and_notice(),
+        )
+        news = self.upstreams.take(update, self.era_settling.is_settling(update.version, now))
+        self.era_settling.note(self.upstreams.version, now)
+        self._note_changes(names, live, now)
         self._note_staying(leaving)
-        self.joins.told(update.known_for, update.age_by_name, now)
+        self.join_times.merge_from_peer(update.known_for, update.age_by_name, now)
         return news
 
     def since(self, version: int, now: float) -> UpstreamUpdate:
@@ -142,26 +148,30 @@
         update = self.upstreams.since(version)
         return replace(
             update,
-            entries=tuple(self.cold.as_of(entry, now) for entry in update.entries),
-            known_for=self.joins.known_for(now),
-            age_by_name=self.joins.age_by_name(now),
+            entries=tuple(self.cold_clocks.as_of(entry, now) for entry in update.entries),
+            known_for=self.join_times.known_for(now),
+            age_by_name=self.join_times.age_by_name(now),
         )
 
-    def take_event(self, event: WatchEvent, now: float) -> bool:
+    def apply_event(self, event: WatchEvent, now: float) -> bool:
         """Take in one event of a watch on upstreams; return whether it was news."""
-        names, live, leaving = self._names(), self._in_state(LIVE), self._known_leaving()
-        news = self._apply(event)
-        self.settling.note(self.upstreams.version, now)
+        names, live, leaving = (
+            self._names(),
+            self._in_state(LIVE),
+            self._leaving_by_list_and_notice(),
+        )
+        news = self._apply_to_list(event)
+        self.era_settling.note(self.upstreams.version, now)
         if news:
-            self._note(names, live, now)
+            self._note_changes(names, live, now)
             self._note_staying(leaving)
         return news
 
     def settle(self, now: float) -> bool:
         """Do what is due once an era has settled; return whether the list has changed."""
-        return self.settling.is_over(now) and self.upstreams.settle()
+        return self.era_settling.poll_settled(now) and self.upstreams.settle()
 
-    def _apply(self, event: WatchEvent) -> bool:
+    def _apply_to_list(self, event: WatchEvent) -> bool:
         if event.type == "set":
             upstream = self.reader.upstream(event.name, event.version, event.value)
             if upstream is not None:
@@ -172,11 +182,11 @@
             return self.upstreams.remove(event.name, event.version)
         return False
 
-    def _note(
+    def _note_changes(
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
-        self.joins.note(names_before, self._names(), now)
-        self.cold.note(self.upstreams.entry_by_name.values(), now)
+        self.join_times.note(names_before, self._names(), now)
+        self.cold_clocks.note(self.upstreams.entry_by_name.values(), now)
         self._note_vanished(live_before, now)
 
     def _note_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
@@ -184,14 +194,14 @@
         for name, entry in self.upstreams.entry_by_name.items():
             if entry.upstream.state != REMOVED:
                 self.vanished.returned(entry.upstream.id)
-            elif name in live_before and not self._started_again(entry.upstream):
+            elif name in live_before and not self._has_restarted(entry.upstream):
                 self.vanished.note(live_before[name], now)
 
-    def _known_leaving(self) -> frozenset[str]:
+    def _leaving_by_list_and_notice(self) -> frozenset[str]:
         """Return the upstreams that leave both by the list and by an answer of theirs."""
         by_name = self.upstreams.entry_by_name
-        said = (name for name in self.notices.names() if name in by_name)
-        return frozenset(name for name in said if by_name[name].upstream.state == LEAVING)
+        notified = (name for name in self.notices.names() if name in by_name)
+        return frozenset(name for name in notified if by_name[name].upstream.state == LEAVING)
 
     def _note_staying(self, leaving_before: frozenset[str]) -> None:
         """Note the upstreams that say that they take work again after they had said they leave.
@@ -203,7 +213,7 @@
             if entry is not None and entry.upstream.state == LIVE:
                 self.notices.stays(name)
 
-    def _started_again(self, ended: Upstream) -> bool:
+    def _has_restarted(self, ended: Upstream) -> bool:
         newest = self.upstreams.newest(ended.id)
         return newest is not None and newest.upstream.name != ended.name
 
--- a/pondhatch/router/tests/test_beliefs.py
+++ b/pondhatch/router/tests/test_beliefs.py
@@ -15,8 +15,8 @@
 from pondhatch.observing import Believed, Record
 from pondhatch.observing._records import _sentence
 from pondhatch.placement._health import FAILURES, FIRST_PASSED_OVER
-from pondhatch.router import Beliefs
-from pondhatch.router._beliefs import MOST_A_ROUND
+from pondhatch.router import StateRecorder
+from pondhatch.router._state_recorder import MAX_RECORDS_PER_ROUND
 from pondhatch.router.tests.test_sync import FIRST, meet, router, syncing
 from pondhatch.store import LEAVING, Upstream, WatchEvent
 
@@ -34,21 +34,21 @@
         self.now = 0.0
         self.state = router("r0")
         self.state.clock = lambda: self.now
-        self.state.refresh()
+        self.state.refresh_members()
         self.kept = Kept()
-        self.beliefs = Beliefs(self.state, self.kept)
+        self.beliefs = StateRecorder(self.state, self.kept)
         self.looked()
 
     def looked(self) -> list[tuple[str, str, str, int]]:
         """Return what one look records: about what, which, what it is now, as of what."""
         self.kept.records.clear()
-        self.beliefs.look()
+        self.beliefs.record_changes()
         found = [each for each in self.kept.records if isinstance(each, Believed)]
         return [(each.about, each.name, each.now, each.version) for each in found]
 
     def upstream(self, name: str, version: int, state: str = "live") -> None:
         upstream = Upstream(name, "lang", "http://10.0.0.1:80", "h1", state)
-        self.state.take_upstream_event(
+        self.state.apply_upstream_event(
             WatchEvent("set", version, name, msgspec.to_builtins(upstream))
         )
 
@@ -56,18 +56,18 @@
         self.assertEqual(self.looked(), [])
 
     def test_a_configuration(self) -> None:
-        self.state.take_change(FIRST)
+        self.state.apply_change(FIRST)
         self.assertEqual(self.looked(), [("configuration", "", "in force", 1)])
-        self.state.take_change(change(2, account("a")))
+        self.state.apply_change(change(2, account("a")))
         self.assertEqual(self.looked(), [("configuration", "", "in force", 2)])
         self.assertEqual(self.looked(), [])
 
     def test_a_configuration_that_cannot_be_read(self) -> None:
-        self.state.refused = Rejected(((("document", "main"), Misfit((), "none at all")),))
+        self.state.rejected = Rejected(((("document", "main"), Misfit((), "none at all")),))
         self.assertEqual(self.looked(), [("configuration", "", "refused", 0)])
-        self.state.refused = Rejected(((("document", "main"), Misfit((), "none at all")),))
+        self.state.rejected = Rejected(((("document", "main"), Misfit((), "none at all")),))
         self.assertEqual(self.looked(), [])
-        self.state.take_fleet(Fleet(version=5))
+        self.state.apply_fleet(Fleet(version=5))
         self.assertEqual(
             self.looked(),
             [("configuration", "", "in force", 5), ("configuration", "", "taken again", 0)],
@@ -75,7 +75,7 @@
 
     def test_an_entry_that_is_not_in_force_as_it_stands(self) -> None:
         wrong = Edit("account", "a", {"template": "none", "key_hashes": ["0" * 64]})
-        self.state.take_fleet(Fleet.from_snapshot(Snapshot(3, (SERVICE, TEMPLATE, wrong))))
+        self.state.apply_fleet(Fleet.from_snapshot(Snapshot(3, (SERVICE, TEMPLATE, wrong))))
         self.assertEqual(
             self.looked(),
             [("configuration", "", "in force", 3), ("entry", "account a", "misfit", 3)],
@@ -83,7 +83,7 @@
         (told,) = [each for each in self.kept.records if getattr(each, "about", "") == "entry"]
         self.assertIn("undefined template 'none'", str(told))
         self.assertEqual(self.looked(), [])
-        self.state.take_fleet(Fleet.from_snapshot(Snapshot(4, (SERVICE, TEMPLATE))))
+        self.state.apply_fleet(Fleet.from_snapshot(Snapshot(4, (SERVICE, TEMPLATE))))
         self.assertEqual(
             self.looked(),
             [("configuration", "", "in force", 4), ("entry", "account a", "mended or gone", 4)],
@@ -94,7 +94,7 @@
         self.assertEqual(self.looked(), [("upstream", "e0", "live", 5)])
         self.upstream("e0", 6, LEAVING)
         self.assertEqual(self.looked(), [("upstream", "e0", "leaving", 6)])
-        self.state.take_upstream_event(WatchEvent("removed", 7, "e0"))
+        self.state.apply_upstream_event(WatchEvent("removed", 7, "e0"))
         self.assertEqual(self.looked(), [("upstream", "e0", "removed", 7)])
 
     def test_an_upstreams_health(self) -> None:
@@ -117,21 +117,21 @@
         self.assertEqual(self.looked(), [("router", "r1", "out of reach", 0)])
 
     def test_the_platform_lost_and_answering_again(self) -> None:
-        self.state.platform_lost = "no answer in 2.5 s"
+        self.state.platform_error = "no answer in 2.5 s"
         self.assertEqual(self.looked(), [("platform", "store", "lost", 0)])
-        self.state.platform_lost = ""
+        self.state.platform_error = ""
         self.assertEqual(self.looked(), [("platform", "store", "answering", 0)])
 
     def test_a_flood_is_bounded_and_counted(self) -> None:
-        for at in range(MOST_A_ROUND + 20):
+        for at in range(MAX_RECORDS_PER_ROUND + 20):
             self.upstream(f"e{at}", at + 1)
         found = self.looked()
-        self.assertEqual(len(found), MOST_A_ROUND + 1)
+        self.assertEqual(len(found), MAX_RECORDS_PER_ROUND + 1)
         self.assertEqual(found[-1], ("records", "", "20 left out", 0))
 
     def test_the_process(self) -> None:
         self.kept.records.clear()
-        self.beliefs.note_process("draining", "2 requests in flight")
+        self.beliefs.record_process("draining", "2 requests in flight")
         self.assertEqual(
             self.kept.records, [Believed("process", "r0", "draining", why="2 requests in flight")]
         )
@@ -144,13 +144,13 @@
             await publish(platform, FIRST)
             platform.faults.arm("outage", count=12)
             state = router("r0")
-            state.refresh()
+            state.refresh_members()
             task = asyncio.ensure_future(syncing(state, platform, None).run())
             await asyncio.sleep(0.1)
-            during = state.platform_lost
+            during = state.platform_error
             await asyncio.sleep(30)
             task.cancel()
-            return during, state.platform_lost
+            return during, state.platform_error
 
         self.assertEqual(run_virtually(main()), ("outage", ""))
 
@@ -166,7 +166,7 @@
             task = asyncio.ensure_future(syncing(state, platform, None).run())
             await asyncio.sleep(30)
             task.cancel()
-            return state.platform_lost
+            return state.platform_error
 
         self.assertEqual(run_virtually(main()), "")
 
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -60,7 +60,7 @@
     """Let a router read versions of the document as the platform's watch brings them."""
     reader = ConfigurationReader(ServiceDefaults())
     for document in documents:
-        state.take_fleet(state.fleet.replaced_by(reader.decode(document)))
+        state.apply_fleet(state.fleet.replaced_by(reader.decode(document)))
 
 
 class OneAccountBesideManyRoutesTest(unittest.TestCase):
@@ -82,7 +82,7 @@
         self.giver, self.taker = router("r0"), router("r1")
         self.first = large(3)
         watching(self.giver, self.first)
-        self.taker.take_update(self.giver.update_since(0))
+        self.taker.apply_update(self.giver.update_since(0))
         watching(self.giver, changed(self.first, 6))
 
     def given(self) -> Update:
@@ -96,7 +96,7 @@
     def test_who_takes_it_compares_only_what_changed(self) -> None:
         given = self.given()
         with patch.object(Fleet, "replaced_by", side_effect=AssertionError("compared whole")):
-            self.taker.take_update(given)
+            self.taker.apply_update(given)
         self.assertEqual(self.taker.fleet.version, 6)
         self.assertEqual(self.taker.fleet.raw_by_entry, self.giver.fleet.raw_by_entry)
 
@@ -107,7 +107,7 @@
     def setUp(self) -> None:
         self.giver, self.taker = router("r0"), router("r1")
         watching(self.giver, CONFIGURATION)
-        self.taker.take_update(self.giver.update_since(0))
+        self.taker.apply_update(self.giver.update_since(0))
         watching(self.giver, changed(CONFIGURATION, CONFIGURATION["Version"] + 2))
 
     def test_a_peer_of_an_earlier_version_of_the_program_gets_the_whole(self) -> None:
@@ -127,16 +127,16 @@
         asked: list[bool] = []
 
         async def pull(member: Member, configuration: int, upstreams: int) -> PullReply | None:
-            asked.append(not taker.wants_whole)
+            asked.append(not taker.needs_snapshot)
             update = peer.update_since(configuration, takes_difference=asked[-1])
             if asked[-1]:
                 self.assertIs(taker.fleet, before)
             return PullReply(update, UpstreamUpdate(1, (), whole=False))
 
         async def main() -> None:
-            await pulling(taker, pull).heard_news()
+            await pulling(taker, pull).on_peer_ahead()
 
         run_virtually(main())
         self.assertEqual(asked, [True, False])
         self.assertEqual(taker.fleet.raw_by_entry, peer.fleet.raw_by_entry)
-        self.assertFalse(taker.wants_whole)
+        self.assertFalse(taker.needs_snapshot)
--- a/pondhatch/router/tests/test_crash_guarding.py
+++ b/pondhatch/router/tests/test_crash_guarding.py
@@ -28,8 +28,8 @@
 from pondhatch.placement import OPEN
 from pondhatch.quarantine import ENDS_TO_QUARANTINE
 from pondhatch.requests import QUARANTINED, Target
-from pondhatch.router import CRASH_MARK, CrashGuarding, RouterState
-from pondhatch.router._crash_guarding import FIRST_PROBES, PUSH_SECONDS
+from pondhatch.router import CRASH_PACKET_PREFIX, CrashEvidenceExchange, RouterState
+from pondhatch.router._crash_evidence_exchange import FIRST_PROBE_DELAYS, SAMPLE_INTERVAL_SECONDS
 
 CAUSE = 1
 #: Seconds for which one packet travels.
@@ -53,7 +53,7 @@
     loss: float = 0.0
     #: Seconds for which an engine that ended still takes connections.
     lingers: float = 0.0
-    guards: list[CrashGuarding] = field(default_factory=list)
+    guards: list[CrashEvidenceExchange] = field(default_factory=list)
     live: dict[str, asyncio.Event] = field(default_factory=dict)
     #: Engines that ended, by the request that ended them.
     ended: list[int] = field(default_factory=list)
@@ -73,13 +73,15 @@
         for _ in range(self.engines):
             self.start_engine()
 
-    def new_guard(self, member: Member) -> CrashGuarding:
+    def new_guard(self, member: Member) -> CrashEvidenceExchange:
         own = Alive(short_id(member.name), 1, Phase.LIVE, member.name, "10.0.0.1", 7, "h1")
         gossip = Gossip(own, MembershipLimits(), random.Random(1))
         nobody: Any = None
         state = RouterState(member.name, "h1", gossip, self.loop.time, lambda _: nobody)
         state._members = self.members
-        return CrashGuarding(state, self.send, self.tasks, self.rng, NoRecords(), self.has_ended)
+        return CrashEvidenceExchange(
+            state, self.send, self.tasks, self.rng, NoRecords(), self.has_ended
+        )
 
     async def has_ended(self, target: Target) -> bool:
         await asyncio.sleep(TRAVEL)
@@ -89,7 +91,7 @@
     def send(self, datagrams: Iterable[Datagram]) -> None:
         for each in datagrams:
             if self.rng.random() >= self.loss:
-                payload = each.payload.removeprefix(CRASH_MARK)
+                payload = each.payload.removeprefix(CRASH_PACKET_PREFIX)
                 self.loop.call_later(TRAVEL, self.guards[each.to.port].receive, payload)
 
     def start_engine(self) -> None:
@@ -136,7 +138,7 @@
             watch.run_was_whole()
             return True
         ended = await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8))
-        if not ended and self.lingers < FIRST_PROBES[-1]:
+        if not ended and self.lingers < FIRST_PROBE_DELAYS[-1]:
             raise AssertionError("an end that the first probes can see was not seen")
         return False
 
@@ -223,7 +225,7 @@
         rounds = asyncio.ensure_future(world.rounds())
         for at in range(3):
             await world.attempt(at, CAUSE)
-        await asyncio.sleep(10 * PUSH_SECONDS)
+        await asyncio.sleep(10 * SAMPLE_INTERVAL_SECONDS)
         rounds.cancel()
         for guard in world.guards:
             self.assertTrue(guard.is_quarantined(CAUSE))
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -20,9 +20,9 @@
 class DumpTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = router("r0")
-        self.state.take_change(FIRST)
-        self.state.take_change(change(2, account("atelier")))
-        self.state.refresh()
+        self.state.apply_change(FIRST)
+        self.state.apply_change(change(2, account("atelier")))
+        self.state.refresh_members()
 
     def dump(self, counters: dict[str, int]) -> dict[str, Any]:
         rng = random.Random(1)
@@ -50,9 +50,9 @@
         self.assertEqual(self.dump({})["upstreams_paces"], shown)
 
     def test_it_shows_the_accounts_that_hold_most_bytes_first(self) -> None:
-        self.state.held.bound = 100
+        self.state.held_bytes.bound = 100
         for name, amount in (("atelier", 30), ("studio", 80)):
-            self.state.held.change(name, amount)
+            self.state.held_bytes.change(name, amount)
         dump = self.dump({})
         self.assertEqual((dump["held_bytes"], dump["held_bytes_bound"]), (110, 100))
         shown = [(each["name"], each["bytes"], each["slowed"]) for each in dump["held_by_account"]]
@@ -63,7 +63,7 @@
         self.assertNotIn(hashed.encode(), msgspec.json.encode(self.dump({})))
 
     def test_it_shows_what_requests_hold_of_engines_memory(self) -> None:
-        self.state.tokens.add("e0", 1, TokenNeed(700), 0.0)
+        self.state.token_counts.add("e0", 1, TokenNeed(700), 0.0)
         (shown,) = self.dump({})["engine_tokens"]
         self.assertEqual((shown["name"], shown["tokens"], shown["requests"]), ("e0", 700, 1))
 
--- a/pondhatch/router/tests/test_fleet_key.py
+++ b/pondhatch/router/tests/test_fleet_key.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fakes._platform_in_memory import PlatformInMemory
-from pondhatch.router import agreed_key
+from pondhatch.router import obtain_fleet_key
 from pondhatch.router._fleet_key import KEY_KIND, KEY_NAME
 from pondhatch.store import Accepted, Conflict, Found, Missing, OutcomeUnknown, Unavailable
 
@@ -44,7 +44,7 @@
         self.pauses.append(seconds)
 
     async def agreed(self, platform: PlatformInMemory, key: str) -> bytes:
-        return await agreed_key(platform, key, random.Random(1), self.sleep)
+        return await obtain_fleet_key(platform, key, random.Random(1), self.sleep)
 
     async def test_all_get_the_first_ones_key(self) -> None:
         platform = PlatformInMemory()
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -11,9 +11,9 @@
 from fakes._platform_in_memory import PlatformInMemory
 from pondhatch.configuration import Change, Edit, publish
 from pondhatch.placement import Closed
-from pondhatch.router import EVACUATION_KIND, Sync, not_ready
-from pondhatch.router._hall_states import JUST_OPENED_SECONDS
-from pondhatch.router._state import ALONE_SECONDS
+from pondhatch.router import EVACUATION_KIND, Sync, not_ready_refusal
+from pondhatch.router._hall_states import JUST_REOPENED_SECONDS
+from pondhatch.router._state import NO_COLD_GRANTS_SECONDS
 from pondhatch.router.tests.test_sync import FIRST, meet, router, syncing
 from pondhatch.store import Listed, StoredObject, WatchEvent
 from pondhatch.store._evacuations import NONE_EVER
@@ -38,20 +38,20 @@
         self.state = router("r0")
         self.state.clock = lambda: self.now
         self.state.halls.region_by_hall = REGIONS
-        self.state.take_change(with_cold_pace(13.0))
+        self.state.apply_change(with_cold_pace(13.0))
         for at, hall in enumerate(HALLS):
             self.set_upstream(at, at + 1, hall=hall)
-        self.state.take_listed_evacuations(Listed(10, ()))
+        self.state.apply_listed_evacuations(Listed(10, ()))
 
     def set_upstream(self, at: int, version: int, **fields: Any) -> None:
         value = {"name": f"e{at}", "service": "lang", "url": f"http://10.0.0.{at + 1}:80", **fields}
-        self.state.take_upstream_event(WatchEvent("set", version, f"e{at}", value))
+        self.state.apply_upstream_event(WatchEvent("set", version, f"e{at}", value))
 
     def evacuate(self, hall: str, version: int) -> None:
-        self.state.take_evacuation_event(WatchEvent("set", version, hall, {}))
+        self.state.apply_evacuation_event(WatchEvent("set", version, hall, {}))
 
     def end(self, hall: str, version: int) -> None:
-        self.state.take_evacuation_event(WatchEvent("removed", version, hall))
+        self.state.apply_evacuation_event(WatchEvent("removed", version, hall))
 
     def pace(self, engine: str) -> float | None:
         target = self.state.target(engine)
@@ -84,11 +84,11 @@
 
     def test_a_router_that_does_not_know_whether_any_is_refuses(self) -> None:
         state = router("r1")
-        state.take_change(FIRST)
-        refused = not_ready(state)
+        state.apply_change(FIRST)
+        refused = not_ready_refusal(state)
         self.assertTrue(refused and "evacuated" in refused.reason)
-        state.take_listed_evacuations(Listed(3, ()))
-        self.assertIsNone(not_ready(state))
+        state.apply_listed_evacuations(Listed(3, ()))
+        self.assertIsNone(not_ready_refusal(state))
 
 
 class RegionsTest(HallsCase):
@@ -133,25 +133,25 @@
         self.set_upstream(0, 11, hall="h1", cold_seconds=3.0)
         self.now = 2.0
         peer = router("r1")
-        peer.take_upstreams(self.state.upstreams_since(0))
+        peer.apply_upstreams(self.state.upstreams_since(0))
         self.assertAlmostEqual(peer.cold_seconds("e0"), 1.0)
 
     def test_a_hall_that_was_evacuated_counts_as_cold_for_a_moment(self) -> None:
         self.evacuate("h1", 11)
         self.end("h1", 12)
         self.assertEqual((self.pace("e0"), self.pace("e2")), (13.0, None))
-        self.now = JUST_OPENED_SECONDS
+        self.now = JUST_REOPENED_SECONDS
         self.assertIsNone(self.pace("e0"))
 
     def test_nothing_is_granted_there_before_a_router_has_met_its_peers(self) -> None:
         self.state.tick()
         self.assertEqual(self.state.cold_paces.share, 0.0)
-        self.now = ALONE_SECONDS
+        self.now = NO_COLD_GRANTS_SECONDS
         self.state.tick()
         self.assertEqual(self.state.cold_paces.share, 1.0)
 
     def test_a_router_that_misses_others_takes_the_part_of_those_it_sees(self) -> None:
-        self.now = ALONE_SECONDS
+        self.now = NO_COLD_GRANTS_SECONDS
         for at in range(1, 4):
             meet(self.state, router(f"r{at}"))
         self.state.tick()
@@ -175,14 +175,14 @@
     async def test_the_platform_and_peers_tell_of_evacuated_halls(self) -> None:
         await self.platform.create(EVACUATION_KIND, "h1", {})
         state = router("r0")
-        state.refresh()
+        state.refresh_members()
         await self.run_for(syncing(state, self.platform, None))
         self.assertEqual(state.halls.evacuations.halls, {"h1"})
 
     async def test_one_that_cannot_read_the_platform_is_told_by_a_peer(self) -> None:
         peer = router("r1")
-        peer.take_change(FIRST)
-        peer.take_listed_evacuations(Listed(9, (StoredObject(EVACUATION_KIND, "h2", 9, {}),)))
+        peer.apply_change(FIRST)
+        peer.apply_listed_evacuations(Listed(9, (StoredObject(EVACUATION_KIND, "h2", 9, {}),)))
         self.platform.faults.arm("outage", 1000)
         state = router("r0")
         meet(state, peer)
@@ -192,8 +192,8 @@
     async def test_one_that_lacks_nothing_else_still_asks_whether_there_are_any(self) -> None:
         peer, state = router("r1"), router("r0")
         for each in (peer, state):
-            each.take_change(FIRST)
-        peer.take_listed_evacuations(Listed(9, ()))
+            each.apply_change(FIRST)
+        peer.apply_listed_evacuations(Listed(9, ()))
         self.platform.faults.arm("outage", 1000)
         meet(state, peer)
         await self.run_for(syncing(state, self.platform, peer))
--- a/pondhatch/router/tests/test_introduction.py
+++ b/pondhatch/router/tests/test_introduction.py
@@ -12,8 +12,8 @@
 from fakes._platform_in_memory import PlatformInMemory
 from fakes._virtual_loop import run_virtually
 from pondhatch.configuration import publish
-from pondhatch.router import Introduction, RouterState
-from pondhatch.router._introduction import VM_KIND
+from pondhatch.router import PeerDiscovery, RouterState
+from pondhatch.router._peer_discovery import VM_KIND
 from pondhatch.router.tests.test_sync import FIRST, router, syncing
 from pondhatch.store import Accepted, Conflict, Listed, OutcomeUnknown, Unavailable
 
@@ -31,9 +31,9 @@
         return await super().create(kind, name, value)
 
 
-def introduction(state: RouterState, platform: PlatformInMemory, port: int) -> Introduction:
+def introduction(state: RouterState, platform: PlatformInMemory, port: int) -> PeerDiscovery:
     address = f"127.0.0.1:{port}"
-    return Introduction(state.name, state.gossip, platform, random.Random(port), address)
+    return PeerDiscovery(state.name, state.gossip, platform, random.Random(port), address)
 
 
 def seeds(state: RouterState) -> set[int]:
@@ -48,7 +48,7 @@
             await publish(platform, FIRST)
             platform.turns_away = True
             state = router("r0")
-            state.refresh()
+            state.refresh_members()
             task = asyncio.ensure_future(syncing(state, platform, None, "127.0.0.1:1").run())
             await asyncio.sleep(1.0)
             task.cancel()
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -11,15 +11,15 @@
 from pondhatch.configuration.tests.test_fleet import account, change
 from pondhatch.membership import Member
 from pondhatch.observing import Believed
-from pondhatch.router._beliefs import Beliefs
-from pondhatch.router._lag import Lag
+from pondhatch.router._lag import ConfigurationLag
+from pondhatch.router._state_recorder import StateRecorder
 from pondhatch.router.tests.test_beliefs import Kept
 from pondhatch.router.tests.test_sync import FIRST, Lacking, meet, pulling, router
 
 
 class LagTest(unittest.TestCase):
     def test_it_counts_from_the_first_word_of_a_newer_version(self) -> None:
-        lag = Lag()
+        lag = ConfigurationLag()
         for at, in_force, newest, expected in (
             (1.0, 3, 3, 0.0),
             (2.0, 3, 4, 0.0),
@@ -35,12 +35,12 @@
         now = 0.0
         peer, state = router("r1"), router("r0")
         state.clock = lambda: now
-        peer.take_change(FIRST)
+        peer.apply_change(FIRST)
         meet(state, peer)
         for now, expected in ((1.0, 0.0), (3.5, 2.5)):
             state.tick()
             self.assertEqual(state.lag.seconds(now), expected)
-        state.take_change(FIRST)
+        state.apply_change(FIRST)
         state.tick()
         self.assertEqual(state.lag.seconds(now), 0.0)
 
@@ -49,13 +49,13 @@
     def test_the_record_names_who_gave_a_version(self) -> None:
         peer, state = router("r1"), router("r0")
         for each in (FIRST, change(2, account("a"))):
-            peer.take_change(each)
+            peer.apply_change(each)
         kept = Kept()
-        beliefs = Beliefs(state, kept)
-        state.take_change(FIRST)
-        beliefs.look()
-        state.take_update(peer.update_since(1), peer.name)
-        beliefs.look()
+        beliefs = StateRecorder(state, kept)
+        state.apply_change(FIRST)
+        beliefs.record_changes()
+        state.apply_update(peer.update_since(1), peer.name)
+        beliefs.record_changes()
         whys = [each.why for each in kept.records if isinstance(each, Believed)]
         self.assertEqual(whys, ["the first, from the platform", "follows 1, from r1"])
 
@@ -65,7 +65,7 @@
 
     def lines(self, seconds: float, lost: bool) -> list[str]:
         peer, state = router("r1"), router("r0")
-        peer.take_change(FIRST)
+        peer.apply_change(FIRST)
         meet(state, peer)
         found: list[str] = []
         number = logger.add(found.append, level="INFO", format="{message}")
@@ -78,7 +78,7 @@
         async def main() -> None:
             loop = asyncio.get_running_loop()
             state.clock = loop.time
-            await pulling(state, pull).heard_news()
+            await pulling(state, pull).on_peer_ahead()
             # A slow one is waited for in the background.
             await asyncio.sleep(2.0)
 
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -72,7 +72,7 @@
         self.assertEqual(asked.call_count, 0)
 
     def test_an_upstream_of_a_hall_without_routers_follows_all(self) -> None:
-        self.state.take_listed_upstreams(
+        self.state.apply_listed_upstreams(
             Listed(200, (listed_upstream(0, "h0"), listed_upstream(150, "elsewhere")))
         )
         owner = self.state.owner_name("e150")
--- a/pondhatch/router/tests/test_load_switch.py
+++ b/pondhatch/router/tests/test_load_switch.py
@@ -9,7 +9,7 @@
 from pondhatch.platform import PreparedMachines
 from pondhatch.requests import KeyHolder
 from pondhatch.router import RouterState
-from pondhatch.router._state import PACED_SECONDS
+from pondhatch.router._state import PACE_TIMEOUT_SECONDS
 
 
 def _connect(member: Member) -> KeyHolder:
@@ -36,7 +36,7 @@
         self.assertFalse(state.load_managed())
         state.pace_read_at = 100.0
         self.assertTrue(state.load_managed())
-        state.pace_read_at = 100.0 - PACED_SECONDS
+        state.pace_read_at = 100.0 - PACE_TIMEOUT_SECONDS
         self.assertFalse(state.load_managed())
 
     def test_the_prepared_machines_ask_for_it_where_callers_compete(self) -> None:
--- a/pondhatch/router/tests/test_notice_keeping.py
+++ b/pondhatch/router/tests/test_notice_keeping.py
@@ -11,8 +11,8 @@
 from pondhatch.membership import Alive, Datagram, Gossip, MembershipLimits, Phase, short_id
 from pondhatch.placement import Closed, Granted, Notice, Rest
 from pondhatch.requests import RequestHead
-from pondhatch.router import NOTICE_MARK, NoticeKeeping, RouterState
-from pondhatch.router._notice_keeping import REST_PACKETS_A_ROUND
+from pondhatch.router import NOTICE_PACKET_PREFIX, NoticeExchange, RouterState
+from pondhatch.router._notice_exchange import REST_PACKETS_PER_ROUND
 from pondhatch.router.tests.test_sync import FIRST, Nobody, meet
 from pondhatch.store import Listed, WatchEvent
 
@@ -41,10 +41,10 @@
         own = Alive(short_id(name), 1, Phase.LIVE, name, "127.0.0.1", port, "h1")
         gossip = Gossip(own, MembershipLimits(), random.Random(1))
         state = RouterState(name, "h1", gossip, lambda: self.now, lambda member: Nobody())
-        state.take_change(FIRST)
+        state.apply_change(FIRST)
         for at, engine in enumerate(ENGINES):
             self.write(state, engine, at + 1)
-        state.take_listed_evacuations(Listed(10, ()))
+        state.apply_listed_evacuations(Listed(10, ()))
         return state
 
     def write(self, router: RouterState, engine: str, version: int, **fields: object) -> None:
@@ -56,20 +56,20 @@
             "hall": "h1",
             "start": 7,
         }
-        router.take_upstream_event(WatchEvent("set", version, engine, {**value, **fields}))
+        router.apply_upstream_event(WatchEvent("set", version, engine, {**value, **fields}))
 
     def meet_all(self, names: Iterable[str]) -> None:
         for name in names:
             for other in names:
                 if other != name:
                     meet(self.states[name], self.states[other])
-            self.states[name].refresh()
+            self.states[name].refresh_members()
 
-    def new_keeping(self, name: str) -> NoticeKeeping:
+    def new_keeping(self, name: str) -> NoticeExchange:
         def send(datagrams: Iterable[Datagram]) -> None:
             self.sent += [(name, each) for each in datagrams]
 
-        return NoticeKeeping(self.states[name], send)
+        return NoticeExchange(self.states[name], send)
 
     def deliver(self) -> list[str]:
         """Have what was sent arrive; return to whom it went."""
@@ -77,7 +77,7 @@
         reached = [self.names[each.to.port - 7000] for _, each in sent]
         if not self.is_lost:
             for name, (_, each) in zip(reached, sent, strict=True):
-                self.keepings[name].receive(each.payload.removeprefix(NOTICE_MARK))
+                self.keepings[name].receive(each.payload.removeprefix(NOTICE_PACKET_PREFIX))
         return reached
 
     def start(self, at: int) -> str:
@@ -152,7 +152,7 @@
     def test_owners_of_the_service_know_it_until_it_is_over(self) -> None:
         engine = self.start(0)
         state = self.states["r0"]
-        owners = state.owners_beside(engine) - {"r0"}
+        owners = state.owners_of_same_service(engine) - {"r0"}
         self.keepings["r0"].heard(engine, Notice(rest=3.0))
         self.assertEqual(set(self.deliver()), owners)
         for name in owners:
@@ -182,7 +182,7 @@
 
     def test_the_others_carry_its_load(self) -> None:
         for at in range(2):
-            self.states["r0"].hear(self.start(at), Notice(rest=3.0))
+            self.states["r0"].apply_notice(self.start(at), Notice(rest=3.0))
         target = self.states["r0"].target(self.start(2))
         assert target is not None
         self.assertEqual(target.peers, 1)
@@ -192,7 +192,7 @@
         engine, gate = self.start(0), self.states["r0"].gate
         for _ in range(4):
             gate.ask(engine, self.now, 9.0, 0, 1)
-        self.states["r0"].hear(engine, Notice(rest=3.0))
+        self.states["r0"].apply_notice(engine, Notice(rest=3.0))
         for _ in range(4):
             gate.release(engine)
         self.now = 3.1
@@ -216,7 +216,7 @@
         for at in range(2000):
             self.keepings["r0"].heard(self.start(at % 3), Notice(rest=3.0 + at))
         without_owners = len(self.sent) - 2000
-        self.assertLess(without_owners, 10 * REST_PACKETS_A_ROUND + 1)
+        self.assertLess(without_owners, 10 * REST_PACKETS_PER_ROUND + 1)
 
     def test_a_packet_that_does_not_parse_is_dropped(self) -> None:
         for payload in (b"", b"\xc1", b"\x93\x46\x01"):
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from pondhatch.placement import USUAL_PACE, Notice
-from pondhatch.router import NOTICE_MARK
-from pondhatch.router._notice_keeping import NoticePacket, ToldNotice
-from pondhatch.router._pace_reports import REPORTS_A_ROUND, SAVED_REPORTS
+from pondhatch.router import NOTICE_PACKET_PREFIX
+from pondhatch.router._notice_exchange import NoticePacket, WireNotice
+from pondhatch.router._pace_reports import REPORTS_BURST, REPORTS_PER_ROUND
 from pondhatch.router.tests.test_notice_keeping import FleetCase
 
 SLOW = Notice(pace=250)
@@ -54,10 +54,10 @@
         reports = self.keepings[self.entry]._pace_reports
         for at in range(1000):
             if reports.is_due(f"e{at}", 250, 0.0):
-                reports.reported(f"e{at}", 0.0)
+                reports.note_reported(f"e{at}", 0.0)
             if at % 100 == 99:
                 reports.tick(0.0)
-        self.assertEqual(len(reports._reported_at_by_engine), SAVED_REPORTS + 9 * REPORTS_A_ROUND)
+        self.assertEqual(len(reports._reported_at_by_engine), REPORTS_BURST + 9 * REPORTS_PER_ROUND)
 
     # A fleet that does not manage load sends what it always sent, whatever engines state.
     def test_while_load_is_not_managed_nothing_is_told_and_no_byte_differs(self) -> None:
@@ -67,7 +67,7 @@
         self.assertEqual(self.sent, [])
         self.keepings[self.entry].heard(self.engine, Notice(rest=3.0, has_places=True, pace=250))
         payload = msgspec.msgpack.encode([70, [[self.engine, False, 3.0, True]]])
-        self.assertEqual([each.payload for _, each in self.sent], [NOTICE_MARK + payload])
+        self.assertEqual([each.payload for _, each in self.sent], [NOTICE_PACKET_PREFIX + payload])
         self.assertEqual(self.states[self.entry].pace_read_at, self.now)
 
     def test_only_who_reads_a_pace_itself_manages_load_where_it_is_as_needed(self) -> None:
@@ -80,7 +80,7 @@
 
     def test_packets_of_and_for_routers_that_know_no_pace(self) -> None:
         old = msgspec.msgpack.encode([70, [["e", True, 0.0, False]]])
-        told = ToldNotice("e", True, 0.0)
+        told = WireNotice("e", True, 0.0)
         self.assertEqual(msgspec.msgpack.decode(old, type=NoticePacket).notices, (told,))
         self.keepings[self.entry].receive(msgspec.msgpack.encode([70, [["e", 0, 0.0, 0, -1]]]))
         self.assertEqual(self.states[self.entry].paces.in_force(self.now), {})
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -22,8 +22,8 @@
     def pulls(self, news: int, lost: bool = False) -> tuple[int, int, int]:
         """Return the pulls side by side at most, all of them, and the version in force."""
         peer, state = router("r1"), router("r0")
-        peer.take_change(FIRST)
-        peer.take_change(change(2, account("a")))
+        peer.apply_change(FIRST)
+        peer.apply_change(change(2, account("a")))
         meet(state, peer)
         running: list[int] = []
         most = made = 0
@@ -39,7 +39,7 @@
 
         async def main() -> None:
             sync = pulling(state, pull)
-            heard = [asyncio.ensure_future(sync.heard_news()) for _ in range(news)]
+            heard = [asyncio.ensure_future(sync.on_peer_ahead()) for _ in range(news)]
             await asyncio.wait(heard)
 
         run_virtually(main())
@@ -61,13 +61,13 @@
 
     def setUp(self) -> None:
         self.state = router("r0")
-        self.state.take_change(FIRST)
+        self.state.apply_change(FIRST)
 
     def holder(self, name: str) -> RouterState:
         """Return a peer that holds a change which the router has not."""
         peer = router(name)
-        peer.take_change(FIRST)
-        peer.take_change(change(2, account("a")))
+        peer.apply_change(FIRST)
+        peer.apply_change(change(2, account("a")))
         return peer
 
     def seconds_behind(
@@ -152,7 +152,7 @@
             meet(state, peer)
             state.gossip.membership.table.heard_from(short_id(peer.name), held_by_name[peer.name])
         sync = syncing(state, PlatformInMemory(), None)
-        return {member.name for member in sync._ahead()}
+        return {member.name for member in sync._peers_to_pull_from()}
 
     def test_only_who_holds_the_newest_configuration_is_asked(self) -> None:
         held = {"r1": Versions(38, 9), "r2": Versions(40, 5), "r3": Versions(38, 9)}
--- a/pondhatch/router/tests/test_restoring.py
+++ b/pondhatch/router/tests/test_restoring.py
@@ -7,9 +7,9 @@
 
 from fakes._platform_in_memory import PlatformInMemory
 from fakes._virtual_loop import run_virtually
-from pondhatch.router import Restoring, RouterState
+from pondhatch.router import PlatformRestorer, RouterState
 from pondhatch.router._fleet_key import KEY_KIND, KEY_NAME
-from pondhatch.router._introduction import VM_KIND
+from pondhatch.router._peer_discovery import VM_KIND
 from pondhatch.router.tests.test_introduction import introduction
 from pondhatch.router.tests.test_sync import router
 from pondhatch.store import Found, Listed, Missing, position_of
@@ -20,9 +20,9 @@
 
 
 class RestoringTest(unittest.TestCase):
-    def restoring(self, platform: PlatformInMemory, state: RouterState) -> Restoring:
-        state.refresh()
-        return Restoring(
+    def restoring(self, platform: PlatformInMemory, state: RouterState) -> PlatformRestorer:
+        state.refresh_members()
+        return PlatformRestorer(
             state, platform, introduction(state, platform, 1), random.Random(1), b"the key"
         )
 
@@ -31,10 +31,10 @@
             platform, state = PlatformInMemory(), router("r0")
             restoring = self.restoring(platform, state)
             in_era(state, 1)
-            await restoring.look()
+            await restoring.check_era()
             self.assertIsInstance(await platform.get(KEY_KIND, KEY_NAME), Missing)
             in_era(state, 2)
-            await restoring.look()
+            await restoring.check_era()
             listed = await platform.list(VM_KIND)
             assert isinstance(listed, Listed)
             self.assertEqual([each.name for each in listed.objects], ["r0"])
@@ -51,7 +51,7 @@
             await platform.create(KEY_KIND, KEY_NAME, {"key": "another"})
             for era in (3, 4):
                 in_era(state, era)
-                await restoring.look()
+                await restoring.check_era()
             found = await platform.get(KEY_KIND, KEY_NAME)
             assert isinstance(found, Found)
             self.assertEqual(found.object.value, {"key": "another"})
@@ -64,7 +64,7 @@
             restoring = self.restoring(platform, state)
             for revision in (5, 900):
                 state.upstreams.seen(revision)
-                await restoring.look()
+                await restoring.check_era()
             listed = await platform.list(VM_KIND)
             assert isinstance(listed, Listed)
             self.assertEqual(listed.objects, ())
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -42,7 +42,13 @@
     Ways,
     Whole,
 )
-from pondhatch.router import GRANT_MARK, NOTICE_MARK, Granting, NoticeKeeping, RouterState
+from pondhatch.router import (
+    GRANT_PACKET_PREFIX,
+    NOTICE_PACKET_PREFIX,
+    GrantExchange,
+    NoticeExchange,
+    RouterState,
+)
 from pondhatch.router.tests.test_sync import Nobody
 from pondhatch.store import Listed, WatchEvent
 
@@ -102,7 +108,7 @@
         self.running: Counter[str] = Counter()
         self._dialect = EngineDialect()
 
-    async def answer(self, engine: str, keeping: NoticeKeeping) -> Opened:
+    async def answer(self, engine: str, keeping: NoticeExchange) -> Opened:
         self.running[engine] += 1
         pace = SLOW_PACE if engine == self.slow else 100
         await asyncio.sleep(FIRST_SECONDS * pace / 100)
@@ -124,7 +130,7 @@
 class Connections:
     """One router's connections; see Upstreams."""
 
-    def __init__(self, engines: Engines, keeping: NoticeKeeping) -> None:
+    def __init__(self, engines: Engines, keeping: NoticeExchange) -> None:
         self._engines, self._keeping = engines, keeping
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
@@ -142,25 +148,25 @@
         gossip = Gossip(own, MembershipLimits(), random.Random(name), seeds)
         self.state = RouterState(name, "h1", gossip, clock, lambda member: Nobody())
         self.state.load_management = "as-needed"
-        self.state.take_change(Change(1, "first", "root", 0.0, "", (SERVICE,)))
+        self.state.apply_change(Change(1, "first", "root", 0.0, "", (SERVICE,)))
         for version, engine in enumerate(ENGINES, 1):
             value = {"name": engine, "service": "lang", "url": "http://10.0.0.1:80", "hall": "h1"}
-            self.state.take_upstream_event(WatchEvent("set", version, engine, value))
-        self.state.take_listed_evacuations(Listed(10, ()))
+            self.state.apply_upstream_event(WatchEvent("set", version, engine, value))
+        self.state.apply_listed_evacuations(Listed(10, ()))
         self.send: Callable[[Iterable[Datagram]], None] = partial(fleet.send, address)
-        self.keeping = NoticeKeeping(self.state, self.send)
-        self.granting = Granting(self.state, self.send, Tasks(), 1)
+        self.keeping = NoticeExchange(self.state, self.send)
+        self.granting = GrantExchange(self.state, self.send, Tasks(), 1)
         connections = Connections(fleet.engines, self.keeping)
         self._ways = Ways(self.granting.entry, connections)
 
     def receive(self, payload: bytes, source: Address) -> None:
-        if payload.startswith(GRANT_MARK):
-            self.granting.receive(payload.removeprefix(GRANT_MARK), source)
-        elif payload.startswith(NOTICE_MARK):
-            self.keeping.receive(payload.removeprefix(NOTICE_MARK))
+        if payload.startswith(GRANT_PACKET_PREFIX):
+            self.granting.receive(payload.removeprefix(GRANT_PACKET_PREFIX), source)
+        elif payload.startswith(NOTICE_PACKET_PREFIX):
+            self.keeping.receive(payload.removeprefix(NOTICE_PACKET_PREFIX))
         else:
             self.send(self.state.gossip.receive(payload, source, self.state.clock()))
-            self.state.refresh()
+            self.state.refresh_members()
             self.granting.follow_members()
 
     def tick(self) -> None:
@@ -204,7 +210,7 @@
     def send(self, source: Address, datagrams: Iterable[Datagram]) -> None:
         loop = asyncio.get_running_loop()
         for each in datagrams:
-            if not (self.are_notices_lost and each.payload.startswith(NOTICE_MARK)):
+            if not (self.are_notices_lost and each.payload.startswith(NOTICE_PACKET_PREFIX)):
                 name = ROUTERS[each.to.port - 7000]
                 router = self.router_by_name[name]
                 loop.call_later(0.001, router.receive, each.payload, source)
--- a/pondhatch/router/tests/test_starting.py
+++ b/pondhatch/router/tests/test_starting.py
@@ -6,8 +6,8 @@
 import unittest
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.router import RouterState, Starting
-from pondhatch.router._starting import LONGEST_WAIT, STARTING_SECONDS
+from pondhatch.router import RouterState, StartupWait
+from pondhatch.router._startup_wait import MAX_WAIT_SECONDS, STARTUP_SECONDS
 from pondhatch.router.tests.test_sync import FIRST, router
 from pondhatch.store import Listed, Upstream
 
@@ -16,13 +16,13 @@
     return asyncio.get_running_loop().time()
 
 
-def starting() -> tuple[RouterState, Starting]:
+def starting() -> tuple[RouterState, StartupWait]:
     state = router("r0")
     state.clock = now
-    return state, Starting(state)
+    return state, StartupWait(state)
 
 
-async def waited(start: Starting) -> float:
+async def waited(start: StartupWait) -> float:
     begun = now()
     await start.wait()
     return now() - begun
@@ -33,10 +33,10 @@
         async def main() -> float:
             state, start = starting()
             loop = asyncio.get_running_loop()
-            loop.call_later(0.02, state.take_change, FIRST)
+            loop.call_later(0.02, state.apply_change, FIRST)
             upstream = Upstream("e0", "lang", "http://x", "h1")
             loop.call_later(0.03, state.upstreams.set, upstream, 5)
-            loop.call_later(0.05, state.take_listed_evacuations, Listed(5, ()))
+            loop.call_later(0.05, state.apply_listed_evacuations, Listed(5, ()))
             return await waited(start)
 
         self.assertAlmostEqual(run_virtually(main()), 0.05, delta=0.015)
@@ -45,18 +45,18 @@
         async def main() -> float:
             return await waited(starting()[1])
 
-        self.assertAlmostEqual(run_virtually(main()), LONGEST_WAIT)
+        self.assertAlmostEqual(run_virtually(main()), MAX_WAIT_SECONDS)
 
     def test_later_ones_wait_for_what_is_left_of_the_start_and_then_not_at_all(self) -> None:
         async def main() -> list[float]:
             _, start = starting()
-            await asyncio.sleep(STARTING_SECONDS - LONGEST_WAIT / 2)
+            await asyncio.sleep(STARTUP_SECONDS - MAX_WAIT_SECONDS / 2)
             found = [await waited(start)]
             await asyncio.sleep(60)
             return [*found, await waited(start)]
 
         last, after = run_virtually(main())
-        self.assertAlmostEqual(last, LONGEST_WAIT / 2, delta=0.011)
+        self.assertAlmostEqual(last, MAX_WAIT_SECONDS / 2, delta=0.011)
         self.assertEqual(after, 0.0)
 
     def test_one_that_gives_up_ends_nobody_elses_wait(self) -> None:
@@ -69,4 +69,4 @@
             leaving.cancel()
             return await staying
 
-        self.assertAlmostEqual(run_virtually(main()), LONGEST_WAIT)
+        self.assertAlmostEqual(run_virtually(main()), MAX_WAIT_SECONDS)
