--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -29,10 +29,10 @@
 from pondhatch.membership import Address, Alive, Gossip, Member, MembershipLimits, Phase, short_id
 from pondhatch.placement import YOUNG_SECONDS
 from pondhatch.requests import Claim, KeyRecord
-from pondhatch.router import Introduction, RouterState, Sync
+from pondhatch.router import PeerDiscovery, RouterState, Sync
 from pondhatch.router._order_duties import OrderDuties
-from pondhatch.router._sync import MEETING_SECONDS, Pull
-from pondhatch.router._upstream_changes import STARTING_SECONDS, Joins
+from pondhatch.router._sync import PEER_DISCOVERY_SECONDS, Pull
+from pondhatch.router._upstream_changes import FLEET_START_SECONDS, JoinTimes
 from pondhatch.store import (
     LEAVING,
     EvacuationUpdate,
@@ -87,14 +87,14 @@
         return Lacking(peer, configuration, upstreams) if peer is not None else None
 
     rng = random.Random(1)
-    introduction = Introduction(state.name, state.gossip, platform, rng, own_address)
+    introduction = PeerDiscovery(state.name, state.gossip, platform, rng, own_address)
     return Sync(state, platform, ChangeLog(platform), pull, lambda: None, rng, introduction)
 
 
 def pulling(state: RouterState, pull: Pull) -> Sync:
     """Return what keeps a router up to date from its peers alone."""
     platform, rng = PlatformInMemory(), random.Random(1)
-    introduction = Introduction(state.name, state.gossip, platform, rng)
+    introduction = PeerDiscovery(state.name, state.gossip, platform, rng)
     return Sync(state, platform, Told(), pull, state.publish, rng, introduction)
 
 
@@ -106,7 +106,7 @@
     versions = peer.gossip.versions()[peer.name]
     table.heard_from(short_id(peer.name), versions)
     state.publish()
-    state.refresh()
+    state.refresh_members()
 
 
 class SyncTest(unittest.IsolatedAsyncioTestCase):
@@ -122,7 +122,7 @@
 
     async def test_a_router_alone_reads_the_platform(self) -> None:
         state = router("r0")
-        state.refresh()
+        state.refresh_members()
         await self.run_for(syncing(state, self.platform, None))
         self.assertEqual(state.fleet.version, 1)
 
@@ -138,7 +138,7 @@
         state = router("r0", started=100_000)
         for at, started in enumerate(starts, 1):
             meet(state, router(f"r{at}", started=started))
-        await self.run_for(pulling(state, pull), MEETING_SECONDS + 0.2)
+        await self.run_for(pulling(state, pull), PEER_DISCOVERY_SECONDS + 0.2)
         return asked
 
     async def test_where_all_start_together_nobody_is_asked_who_joined_lately(self) -> None:
@@ -149,8 +149,8 @@
 
     async def test_a_router_that_starts_during_an_outage_learns_from_a_peer(self) -> None:
         peer, state = router("r1"), router("r0")
-        peer.take_change(FIRST)
-        peer.take_change(change(2, account("a")))
+        peer.apply_change(FIRST)
+        peer.apply_change(change(2, account("a")))
         peer.upstreams.set(Upstream("e0", "lang", "http://x", "h1"), 5)
         meet(state, peer)
         self.platform.faults.arm("outage", count=1000)
@@ -162,10 +162,10 @@
         peer, state = router("r1"), router("r0")
         restored = Fleet.from_snapshot(self.fleet_with(9).snapshot())
         assert isinstance(restored, Fleet)
-        peer.take_fleet(restored)
+        peer.apply_fleet(restored)
         update = peer.update_since(0)
         self.assertIsNotNone(update.snapshot)
-        self.assertIsNone(state.take_update(update))
+        self.assertIsNone(state.apply_update(update))
         self.assertEqual(state.fleet.version, 9)
 
     def fleet_with(self, version: int) -> Fleet:
@@ -197,52 +197,52 @@
 
     async def after(self, *news: Fleet | Rejected) -> RouterState:
         state = router("r0")
-        state.refresh()
+        state.refresh_members()
         sync = syncing(state, PlatformInMemory(), None)
         sync._source = Told(*news)
         task = asyncio.ensure_future(sync.run())
         # The second is told once the router has met its peers.
-        await asyncio.sleep(MEETING_SECONDS + 0.1)
+        await asyncio.sleep(PEER_DISCOVERY_SECONDS + 0.1)
         task.cancel()
         await asyncio.wait([task])
         return state
 
     async def test_the_older_one_stays_in_force_and_nothing_is_refused_for_good(self) -> None:
         state = await self.after(Fleet(version=3), self.REFUSED)
-        self.assertEqual((state.fleet.version, state.refused), (3, self.REFUSED))
-        self.assertFalse(state.knows_all("route"))
+        self.assertEqual((state.fleet.version, state.rejected), (3, self.REFUSED))
+        self.assertFalse(state.has_all_entries("route"))
 
     async def test_the_same_version_put_back_ends_it(self) -> None:
         state = await self.after(Fleet(version=3), self.REFUSED, Fleet(version=3))
-        self.assertIsNone(state.refused)
-        self.assertTrue(state.knows_all("route"))
+        self.assertIsNone(state.rejected)
+        self.assertTrue(state.has_all_entries("route"))
 
 
 class NeverRevertsTest(unittest.TestCase):
     def test_stale_news_changes_nothing(self) -> None:
         state = router("r0")
         for each in (FIRST, change(2, account("a")), change(3, account("a", 7.0))):
-            state.take_change(each)
+            state.apply_change(each)
         before = state.fleet
         stale = Fleet().with_change(FIRST)
         assert isinstance(stale, Fleet)
-        self.assertFalse(state.take_fleet(stale))
-        self.assertIsNone(state.take_change(change(2, account("a", 1.0))))
-        self.assertIsNone(state.take_update(Update(snapshot=stale.snapshot())))
+        self.assertFalse(state.apply_fleet(stale))
+        self.assertIsNone(state.apply_change(change(2, account("a", 1.0))))
+        self.assertIsNone(state.apply_update(Update(snapshot=stale.snapshot())))
         self.assertIs(state.fleet, before)
 
     def test_a_gap_is_seen_and_nothing_is_skipped(self) -> None:
         state = router("r0")
-        state.take_change(FIRST)
-        self.assertEqual(state.take_change(change(3, account("a"))), Gap(1, 3))
+        state.apply_change(FIRST)
+        self.assertEqual(state.apply_change(change(3, account("a"))), Gap(1, 3))
         self.assertEqual(state.fleet.version, 1)
 
     def test_a_change_that_fails_its_check_is_void_and_the_log_goes_on(self) -> None:
         state = router("r0")
-        state.take_change(FIRST)
+        state.apply_change(FIRST)
         bad = change(2, Edit("account", "x", {"template": "none"}))
-        self.assertIsInstance(state.take_change(bad), Rejected)
-        self.assertIsNone(state.take_change(change(3, account("a"))))
+        self.assertIsInstance(state.apply_change(bad), Rejected)
+        self.assertIsNone(state.apply_change(change(3, account("a"))))
         self.assertEqual(set(state.fleet.policy_by_account), {"a"})
 
     def test_an_older_word_on_an_upstream_never_replaces_a_newer_one(self) -> None:
@@ -252,9 +252,9 @@
         state.upstreams.set(Upstream("e0", "lang", "http://x", "h1"), 7)
         self.assertEqual(state.upstreams.of_service("lang"), ())
         stale = UpstreamUpdate(8, (), whole=True)
-        state.take_upstreams(stale)
+        state.apply_upstreams(stale)
         self.assertIsNotNone(state.upstreams.upstream("e0"))
-        state.take_upstreams(UpstreamUpdate(10, (), whole=True))
+        state.apply_upstreams(UpstreamUpdate(10, (), whole=True))
         self.assertIsNone(state.upstreams.upstream("e0"))
 
 
@@ -264,62 +264,62 @@
         now = 0.0
         state.clock = lambda: now
         first = UpstreamEntry(Upstream("e0", "lang", "http://x", "h1"), 1)
-        state.take_upstreams(UpstreamUpdate(1, (first,), whole=True))
+        state.apply_upstreams(UpstreamUpdate(1, (first,), whole=True))
         joined = WatchEvent("set", 2, "e1", msgspec.to_builtins(Upstream("e1", "lang", "", "h1")))
-        self.assertTrue(state.take_upstream_event(joined))
+        self.assertTrue(state.apply_upstream_event(joined))
         self.assertEqual([state.is_young(name) for name in ("e0", "e1")], [False, False])
-        now = STARTING_SECONDS + 1
+        now = FLEET_START_SECONDS + 1
         later = WatchEvent("set", 3, "e2", msgspec.to_builtins(Upstream("e2", "lang", "", "h1")))
-        self.assertTrue(state.take_upstream_event(later))
+        self.assertTrue(state.apply_upstream_event(later))
         self.assertEqual(
             [state.is_young(name) for name in ("e0", "e1", "e2")], [False, False, True]
         )
 
     def test_a_router_that_restarts_learns_from_a_peer_who_joined_lately(self) -> None:
         """The pattern: routers restart one after the other while engines are replaced."""
-        clock = STARTING_SECONDS + 10
+        clock = FLEET_START_SECONDS + 10
         peer, state = router("r1"), router("r0")
         for each in (peer, state):
             each.clock = lambda: clock
-        joins = peer._upstream_changes.joins
+        joins = peer._upstream_changes.join_times
         joins.note(frozenset(), frozenset({"e0"}), 0.0)
         joins.note(frozenset({"e0"}), frozenset({"e0", "e1"}), clock - 5)
         for name, version in (("e0", 1), ("e1", 2)):
             upstream = Upstream(name, "lang", "http://x", "h1")
             peer.upstreams.set(upstream, version)
             listed = WatchEvent("set", version, name, msgspec.to_builtins(upstream))
-            state.take_upstream_event(listed)
+            state.apply_upstream_event(listed)
         self.assertFalse(state.is_young("e1"))
-        state.take_upstreams(peer.upstreams_since(0))
+        state.apply_upstreams(peer.upstreams_since(0))
         self.assertEqual([state.is_young(name) for name in ("e0", "e1")], [False, True])
         clock += YOUNG_SECONDS - 4
         self.assertFalse(state.is_young("e1"))
 
     def test_routers_that_start_together_take_no_engine_for_a_newcomer(self) -> None:
-        joins = Joins()
+        joins = JoinTimes()
         joins.note(frozenset(), frozenset({"e0"}), 1.0)
-        joins.told(1.5, {"e0": 0.5}, 2.0)
+        joins.merge_from_peer(1.5, {"e0": 0.5}, 2.0)
         self.assertFalse(joins.is_young("e0", 2.0))
 
     def test_what_joined_long_ago_is_not_remembered(self) -> None:
-        joins = Joins()
+        joins = JoinTimes()
         joins.note(frozenset(), frozenset({"e0"}), 0.0)
         joined = frozenset({"e0", "e1"})
-        joins.note(frozenset({"e0"}), joined, STARTING_SECONDS)
-        self.assertTrue(joins.is_young("e1", STARTING_SECONDS))
-        joins.note(joined, joined, STARTING_SECONDS + YOUNG_SECONDS)
+        joins.note(frozenset({"e0"}), joined, FLEET_START_SECONDS)
+        self.assertTrue(joins.is_young("e1", FLEET_START_SECONDS))
+        joins.note(joined, joined, FLEET_START_SECONDS + YOUNG_SECONDS)
         self.assertEqual(joins._joined_at, {})
 
     def test_one_that_may_have_gone_is_given_no_orders(self) -> None:
         state = router("r0")
-        state.take_change(FIRST)
+        state.apply_change(FIRST)
         entries = tuple(
             UpstreamEntry(Upstream(name, "lang", "http://x", "h1"), 1) for name in ("e0", "e1")
         )
-        state.take_upstreams(UpstreamUpdate(1, entries, whole=True))
+        state.apply_upstreams(UpstreamUpdate(1, entries, whole=True))
         duties = OrderDuties(state)
         self.assertEqual([each.name for each in duties.engines_of("lang")], ["e0", "e1"])
-        state.take_upstreams(UpstreamUpdate(2, (), whole=True))
+        state.apply_upstreams(UpstreamUpdate(2, (), whole=True))
         self.assertEqual(len(state.live_upstreams("lang")), 2)
         self.assertEqual(duties.engines_of("lang"), ())
 
@@ -343,7 +343,7 @@
         async def main() -> int:
             platform = Faulty()
             sync = syncing(router("r0"), platform, None)
-            task = asyncio.ensure_future(sync._keep(sync._watch_upstreams))
+            task = asyncio.ensure_future(sync._watch_with_retry(sync._watch_upstreams))
             await asyncio.sleep(5)
             task.cancel()
             return platform.lists
@@ -371,8 +371,8 @@
                 await platform.create("upstream", f"e{at}", entry)
             state = router("r0")
             sync = syncing(state, platform, None)
-            sync._has_met_peers.set()
-            task = asyncio.ensure_future(sync._keep(sync._watch_upstreams))
+            sync._peers_discovered.set()
+            task = asyncio.ensure_future(sync._watch_with_retry(sync._watch_upstreams))
             await asyncio.sleep(5)
             task.cancel()
             return state
@@ -395,7 +395,7 @@
 
     def test_a_change_that_makes_no_sense_ends_new_work_there_and_nowhere_else(self) -> None:
         state = self.starting(ENTRY, {**ENTRY, "name": "e1"})
-        self.assertTrue(state.take_upstream_event(WatchEvent("set", 9, "e0", {"name": "e0"})))
+        self.assertTrue(state.apply_upstream_event(WatchEvent("set", 9, "e0", {"name": "e0"})))
         self.assertEqual([each.name for each in state.upstreams.of_service("lang")], ["e1"])
         self.assertIsNotNone(state.upstreams.upstream("e0"))
 
@@ -403,7 +403,7 @@
         state = self.starting(ENTRY)
         for version in (9, 10):
             listed = Listed(version, (StoredObject("upstream", "e0", 9, {**ENTRY, "slots": None}),))
-            state.take_listed_upstreams(listed)
+            state.apply_listed_upstreams(listed)
         self.assertIsNotNone(state.upstreams.upstream("e0"))
         self.assertEqual(state.upstreams.of_service("lang"), ())
         self.assertEqual(len(self.lines), 1, self.lines)
@@ -411,13 +411,13 @@
     def test_each_version_of_it_is_told(self) -> None:
         state = self.starting(ENTRY)
         for version in (9, 10, 10):
-            state.take_upstream_event(WatchEvent("set", version, "e0", None))
+            state.apply_upstream_event(WatchEvent("set", version, "e0", None))
         self.assertEqual(len(self.lines), 2, self.lines)
 
     def test_one_that_leaves_gets_no_new_work_whatever_else_it_says(self) -> None:
         state = self.starting(ENTRY)
         leaving = {**ENTRY, "state": LEAVING, "slots": None}
-        state.take_upstream_event(WatchEvent("set", 9, "e0", leaving))
+        state.apply_upstream_event(WatchEvent("set", 9, "e0", leaving))
         self.assertEqual(state.upstreams.of_service("lang"), ())
 
 
@@ -432,7 +432,7 @@
                 objects = [
                     StoredObject("upstream", f"e{at}", 1, each) for at, each in enumerate(entries)
                 ]
-                state.take_listed_upstreams(Listed(1, tuple(objects)))
+                state.apply_listed_upstreams(Listed(1, tuple(objects)))
                 self.assertEqual([e.name for e in state.upstreams.of_service("lang")], ["e1"])
 
     def test_one_that_was_there_takes_no_more_and_may_come_back(self) -> None:
@@ -442,7 +442,7 @@
             (2, "http://nowhere", []),
             (3, "http://10.0.0.1:81", ["e0"]),
         ):
-            state.take_upstream_event(WatchEvent("set", version, "e0", {**ENTRY, "url": url}))
+            state.apply_upstream_event(WatchEvent("set", version, "e0", {**ENTRY, "url": url}))
             self.assertEqual([e.name for e in state.upstreams.of_service("lang")], expected)
 
 
@@ -474,7 +474,7 @@
             await publish(platform, FIRST)
             own.clock = lambda: asyncio.get_running_loop().time()
             task = asyncio.ensure_future(syncing(own, platform, None).run())
-            await asyncio.sleep(MEETING_SECONDS / 2)
+            await asyncio.sleep(PEER_DISCOVERY_SECONDS / 2)
             version, soon = own.fleet.version, platform.watches
             await asyncio.sleep(1.0)
             task.cancel()
@@ -518,7 +518,7 @@
                 for asked in state.gossip.tick(now):
                     for answer in other.gossip.receive(asked.payload, ADDRESS, now):
                         state.gossip.receive(answer.payload, ADDRESS, now)
-                other.refresh()
+                other.refresh_members()
             await asyncio.sleep(0.1)
 
     def learned(self, cut: bool) -> int:
@@ -538,7 +538,7 @@
                 peer = states[other if name == watcher else watcher]
                 sync = syncing(states[name], platforms[name], peer)
                 tasks.append(asyncio.ensure_future(sync.run()))
-            await asyncio.sleep(MEETING_SECONDS + 1.0)
+            await asyncio.sleep(PEER_DISCOVERY_SECONDS + 1.0)
             if cut:
                 platforms[watcher].faults.arm("outage", count=1000)
             else:
@@ -565,15 +565,15 @@
         self.now = 0.0
         self.state = router("r0")
         self.state.clock = lambda: self.now
-        self.state.take_change(FIRST)
-        self.state.refresh()
+        self.state.apply_change(FIRST)
+        self.state.refresh_members()
         self.listed(1, "e0", "e1", "e2")
 
     def listed(self, version: int, *names: str) -> None:
         entries = tuple(
             UpstreamEntry(Upstream(name, "lang", "http://x", "h1"), version) for name in names
         )
-        self.state.take_upstreams(UpstreamUpdate(version, entries, whole=True))
+        self.state.apply_upstreams(UpstreamUpdate(version, entries, whole=True))
 
     def takes_work(self) -> list[str]:
         targets = [self.state.target(name) for name in ("e0", "e1", "e2")]
@@ -597,7 +597,7 @@
     def test_one_that_said_that_it_leaves_is_in_no_doubt(self) -> None:
         for at, name in enumerate(("e0", "e1")):
             leaving = msgspec.to_builtins(Upstream(name, "lang", "http://x", "h1", LEAVING))
-            self.state.take_upstream_event(WatchEvent("set", 2 + at, name, leaving))
+            self.state.apply_upstream_event(WatchEvent("set", 2 + at, name, leaving))
         self.listed(5)
         self.assertEqual(self.takes_work(), [])
 
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -33,8 +33,8 @@
     Admitted,
     admit,
     identify,
-    memory_limited,
-    not_ready,
+    memory_limited_refusal,
+    not_ready_refusal,
     service_of_path,
 )
 from pondhatch.standard._answers import OpenAiAnswers
@@ -135,13 +135,13 @@
 
     async def _admitted(self, request: Any, prepare: Prepare) -> Work | NotRun:
         await self._starting.wait()
-        unready = not_ready(self._state)
+        unready = not_ready_refusal(self._state)
         if unready is not None:
             return unready
         account = identify(self._state, _header(request, "Authorization"))
         if isinstance(account, NotRun):
             return account
-        hold = self._state.held.counter(account.name)
+        hold = self._state.held_bytes.counter(account.name)
         work: Work | NotRun | None = None
         try:
             work = await prepare(request, account, hold)
@@ -152,7 +152,7 @@
 
     def _limited(self, limited: Limited) -> NotRun:
         self._metrics.count("held.refused")
-        return memory_limited(limited)
+        return memory_limited_refusal(limited)
 
     async def _prepare_chat(
         self, request: CallerRequest, account: Account, hold: HeldCounter
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -48,7 +48,7 @@
     except Exception:
         return
     if load.leaving:
-        state.hear(engine, Notice(is_leaving=True))
+        state.apply_notice(engine, Notice(is_leaving=True))
     else:
-        state.hear_staying(engine)
+        state.apply_staying_report(engine)
     state.gate.report(engine, state.clock(), load.running + load.waiting)
--- a/pondhatch/store/tests/test_starts.py
+++ b/pondhatch/store/tests/test_starts.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from pondhatch.placement import Notice, id_of, name_of_start, ranked, winner
-from pondhatch.router._upstream_changes import STARTING_SECONDS
+from pondhatch.router._upstream_changes import FLEET_START_SECONDS
 from pondhatch.router.tests.test_sync import FIRST, router
 from pondhatch.store import (
     LEAVING,
@@ -22,7 +22,7 @@
     WatchEvent,
 )
 
-NOW = STARTING_SECONDS + 10
+NOW = FLEET_START_SECONDS + 10
 
 
 def value(name: str, start: int, state: str = LIVE) -> dict[str, Any]:
@@ -43,11 +43,11 @@
 class StartedAgainTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = router("r0")
-        self.state.take_change(FIRST)
-        self.state.refresh()
+        self.state.apply_change(FIRST)
+        self.state.refresh_members()
         self.now = 0.0
         self.state.clock = lambda: self.now
-        self.state.take_listed_upstreams(listed(3, ("e0", 100), ("e1", 100)))
+        self.state.apply_listed_upstreams(listed(3, ("e0", 100), ("e1", 100)))
         self.now = NOW
         self.before = self.name("e0")
 
@@ -57,7 +57,7 @@
         return entry.upstream.name
 
     def test_it_has_another_name_and_answers_to_the_same_id(self) -> None:
-        self.state.take_upstream_event(heard(5, "e0", 200))
+        self.state.apply_upstream_event(heard(5, "e0", 200))
         after = self.name("e0")
         self.assertNotEqual(after, self.before)
         target = self.state.target(after)
@@ -69,9 +69,9 @@
 
     def test_what_was_taken_to_be_so_of_the_earlier_start_ends_with_it(self) -> None:
         self.state.note_served(7, self.before)
-        self.state.hear(self.before, Notice(is_leaving=True))
+        self.state.apply_notice(self.before, Notice(is_leaving=True))
         self.state.gate.ask(self.before, NOW, 1.0, 0, 1, 1, 0)
-        self.state.take_upstream_event(heard(5, "e0", 200))
+        self.state.apply_upstream_event(heard(5, "e0", 200))
         after = self.name("e0")
         self.assertNotEqual(self.state.last_served(7), after)
         self.assertFalse(self.state.notices.is_leaving(after, NOW))
@@ -81,42 +81,42 @@
         self.assertTrue(target.intake.takes_new)
 
     def test_it_joined_lately_and_has_not_vanished(self) -> None:
-        self.state.take_upstream_event(heard(5, "e0", 200))
+        self.state.apply_upstream_event(heard(5, "e0", 200))
         self.assertTrue(self.state.is_young(self.name("e0")))
         self.assertFalse(self.state.vanished)
 
     def test_one_that_lapsed_and_is_back_with_its_start_is_the_same(self) -> None:
-        self.state.take_upstream_event(WatchEvent("removed", 5, "e0"))
-        self.state.take_upstream_event(heard(6, "e0", 100))
+        self.state.apply_upstream_event(WatchEvent("removed", 5, "e0"))
+        self.state.apply_upstream_event(heard(6, "e0", 100))
         self.assertEqual(self.name("e0"), self.before)
         self.assertFalse(self.state.is_young(self.before))
 
     def test_one_that_lapsed_and_is_back_with_another_start_is_in_no_doubt(self) -> None:
         for name in ("e0", "e1"):
-            self.state.take_upstream_event(WatchEvent("removed", 5, name))
+            self.state.apply_upstream_event(WatchEvent("removed", 5, name))
         self.assertEqual(len(self.state.live_upstreams("lang")), 2)
         for at, name in enumerate(("e0", "e1")):
-            self.state.take_upstream_event(heard(6 + at, name, 200))
+            self.state.apply_upstream_event(heard(6 + at, name, 200))
         self.assertFalse(self.state.vanished)
         self.assertEqual(set(self.state.live_upstreams("lang")), {self.name("e0"), self.name("e1")})
 
     def test_a_late_word_of_the_earlier_start_brings_it_not_back(self) -> None:
-        self.state.take_upstream_event(heard(9, "e0", 200))
+        self.state.apply_upstream_event(heard(9, "e0", 200))
         after = self.name("e0")
-        self.assertFalse(self.state.take_upstream_event(heard(7, "e0", 100)))
+        self.assertFalse(self.state.apply_upstream_event(heard(7, "e0", 100)))
         self.assertEqual(self.name("e0"), after)
 
     def test_a_start_whose_clock_stepped_back_is_the_newer_one_all_the_same(self) -> None:
-        self.state.take_upstream_event(heard(9, "e0", 50))
+        self.state.apply_upstream_event(heard(9, "e0", 50))
         self.assertEqual(self.name("e0"), "e0~50")
 
     def test_one_that_leaves_and_does_not_say_when_it_started_is_the_one_known(self) -> None:
-        self.state.take_upstream_event(heard(9, "e0", 0, LEAVING))
+        self.state.apply_upstream_event(heard(9, "e0", 0, LEAVING))
         self.assertEqual(self.name("e0"), self.before)
         self.assertEqual(len(self.state.live_upstreams("lang")), 1)
 
     def test_where_nobody_says_the_start_the_id_is_the_name(self) -> None:
-        self.state.take_upstream_event(heard(9, "e5", 0))
+        self.state.apply_upstream_event(heard(9, "e5", 0))
         self.assertEqual(self.name("e5"), "e5")
         target = self.state.target("e5")
         assert target is not None
@@ -125,7 +125,7 @@
     def test_a_peer_hears_of_it_under_its_id_and_knows_the_same(self) -> None:
         peer = UpstreamList()
         peer.take(self.state.upstreams.since(0))
-        self.state.take_upstream_event(heard(5, "e0", 200))
+        self.state.apply_upstream_event(heard(5, "e0", 200))
         update = self.state.upstreams.since(3)
         self.assertEqual([each.upstream.name for each in update.entries], ["e0"])
         peer.take(update)
--- a/pondhatch/transport/_interface.py
+++ b/pondhatch/transport/_interface.py
@@ -18,7 +18,7 @@
 from pondhatch.kernel import Tasks
 from pondhatch.observing import Metrics, Records
 from pondhatch.requests import UpstreamDialect, Ways
-from pondhatch.router import RouterState, Starting
+from pondhatch.router import RouterState, StartupWait
 from pondhatch.store import Platform
 
 #: Kind of the plug-ins that implement Interface.
@@ -37,7 +37,7 @@
     tasks: Tasks
     rng: random.Random
     #: Holds requests for a moment while the router starts.
-    starting: Starting
+    starting: StartupWait
 
 
 class Callers(Protocol):
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -25,7 +25,7 @@
     digest_of,
 )
 from pondhatch.router import (
-    ANYBODY,
+    ANONYMOUS,
     MEMORY_LIMITED,
     NO_ROUTE,
     Account,
@@ -33,10 +33,10 @@
     RouterState,
     admit_routed,
     identify_key,
-    if_all_known,
-    memory_limited,
-    not_in_force,
-    not_ready,
+    memory_limited_refusal,
+    not_in_force_refusal,
+    not_ready_refusal,
+    unknown_entry_refusal,
 )
 from pondhatch.transport._answers import fail
 from pondhatch.transport._caller_channel import CallerRequest, drain, read_whole
@@ -163,7 +163,7 @@
         if isinstance(wanted, NotRun):
             return wanted
         _, account = wanted
-        hold = self._state.held.counter(account.name)
+        hold = self._state.held_bytes.counter(account.name)
         work: Work | NotRun | None = None
         try:
             work = await self._with_body(request, facts, headers, hold)
@@ -180,10 +180,10 @@
         body = await read_whole(request.body(), most, hold)
         if body is None:
             wrong = NotRun("body-too-large", f"expected at most {most} bytes", 0.0, TOO_LARGE)
-            return if_all_known(self._state, "bounds", wrong)
+            return unknown_entry_refusal(self._state, "bounds", wrong)
         if isinstance(body, Limited):
             self._metrics.count("held.refused")
-            return memory_limited(body)
+            return memory_limited_refusal(body)
         # The configuration may have changed while the body came.
         wanted = self._wanted(request, facts)
         if isinstance(wanted, NotRun):
@@ -197,11 +197,11 @@
         route = self._route(request)
         if isinstance(route, NotRun):
             return route
-        account = ANYBODY if route.spec.public else identify_key(self._state, facts.key)
+        account = ANONYMOUS if route.spec.public else identify_key(self._state, facts.key)
         return account if isinstance(account, NotRun) else (route, account)
 
     def _route(self, request: CallerRequest) -> Route | NotRun:
-        unready = not_ready(self._state)
+        unready = not_ready_refusal(self._state)
         if unready is not None:
             return unready
         if not self.takes_work:
@@ -210,9 +210,9 @@
         path = request.uri.decode("latin-1")
         route = self._state.fleet.routes.find(host, path)
         if isinstance(route, Withheld):
-            return not_in_force("route")
+            return not_in_force_refusal("route")
         if route is None:
-            return if_all_known(self._state, "route", NO_ROUTE)
+            return unknown_entry_refusal(self._state, "route", NO_ROUTE)
         # A route for all paths of a host is no leave to have engines move or free memory.
         forbidden = self._dialect.asks_for_routers_call(path, route.spec.path_prefix)
         if forbidden and self._leads_to_engines(route):
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -35,7 +35,7 @@
     kept,
     refusal_of,
 )
-from pondhatch.router import ANYBODY, Account, Admitted
+from pondhatch.router import ANONYMOUS, Account, Admitted
 from pondhatch.transport._answers import Answers, replay
 from pondhatch.transport._caller_request import CallerRequest
 from pondhatch.transport._caller_writer import CallerWriter
@@ -158,8 +158,8 @@
             else:
                 await self._run(request, work, started, AnswerCopy())
         finally:
-            if work.account is not ANYBODY:
-                self._state.limits.end(work.account.name)
+            if work.account is not ANONYMOUS:
+                self._state.limits.end_request(work.account.name)
 
     async def _run_keyed(
         self, request: CallerRequest, work: Work, key: str, started: float
@@ -191,7 +191,7 @@
         walk = Walk(
             self._state,
             self._ways,
-            self._state.retries.of(work.head.service),
+            self._state.retry_budgets.of(work.head.service),
             work.head,
             work.body,
             lambda: deadline - time.monotonic(),
@@ -231,7 +231,7 @@
             self._answers.begin(request, answer.status, answer.headers, work.head.request_id)
             copy.status, copy.headers = answer.status, answer.headers
 
-        writer = CallerWriter(request, self._state.held.counter(work.account.name))
+        writer = CallerWriter(request, self._state.held_bytes.counter(work.account.name))
         sink = _CopyingSink(copy, writer) if work.key else writer
         delivery = Delivery(walk, placed, sink, begin)
         try:
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -84,7 +84,7 @@
         for at in range(4, ENGINES + 2):
             entry = Upstream(f"i-{at}", "lang", f"http://10.0.0.{at}:80", "hall-1")
             self.state.upstreams.set(entry, at + 1)
-        self.state.upstreams_changed()
+        self.state.invalidate_upstream_caches()
         self.state.load_management = switch
         self.metrics = ServedMetrics("r0")
         self.client = HttpClient(self)
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -61,7 +61,7 @@
 class HeldTest(HttpRoutedTest):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.held = self.state.held
+        self.held = self.state.held_bytes
         http = HttpUpstreams(HttpClient(self.reactor), EngineDialect(), held=self.held)
         self.upstreams.send = http.send  # type: ignore[method-assign]
         #: The caller's connection and its wire, for each that reads slowly.
@@ -220,11 +220,11 @@
         self.upstreams.hold = asyncio.Event()
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Content-Length: {9 * HIGH_WATER}\r\n\r\n".encode() + b"abc")
-        self.assertEqual(self.state.held.whole, 0)
+        self.assertEqual(self.state.held_bytes.whole, 0)
         await self.send(b"x" * 2 * HIGH_WATER)
-        self.assertEqual(self.state.held.bytes_by_account, {"pina": 2 * HIGH_WATER})
+        self.assertEqual(self.state.held_bytes.bytes_by_account, {"pina": 2 * HIGH_WATER})
         await self.lose()
-        self.assertEqual(self.state.held.whole, 0)
+        self.assertEqual(self.state.held_bytes.whole, 0)
 
     async def test_one_with_a_key_is_counted_until_its_run_ends(self) -> None:
         self.upstreams.hold = asyncio.Event()
@@ -232,12 +232,12 @@
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Idempotency-Key: 7\r\nContent-Length: 4\r\n\r\nab".encode())
         await self.send(b"cd")
-        self.assertEqual(self.state.held.bytes_by_account, {"pina": 2})
+        self.assertEqual(self.state.held_bytes.bytes_by_account, {"pina": 2})
         await self.lose()
-        self.assertEqual(self.state.held.bytes_by_account, {"pina": 2})
+        self.assertEqual(self.state.held_bytes.bytes_by_account, {"pina": 2})
         self.upstreams.hold.set()
         await self.settle()
-        self.assertEqual(self.state.held.whole, 0)
+        self.assertEqual(self.state.held_bytes.whole, 0)
 
     async def test_what_waits_in_an_engines_connection_is_counted_until_it_is_lost(self) -> None:
         held, wire = HeldBytes(), SlowWire()
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -178,18 +178,18 @@
                     revision = 100 + 10 * at + int(engine[-1])
                     entry = Upstream(engine, "portal", url, "hall-1")
                     self.state.upstreams.set(entry, revision)
-                    self.state.upstreams_changed()
+                    self.state.invalidate_upstream_caches()
                     told = await self.begin(b"GET /x HTTP/1.1")
                     self.assertEqual(told, b"")
                     self.assertIn(b"GET /x HTTP/1.1", self.reactor.sent())
                     whole = Upstream(engine, "portal", "http://10.0.0.9:80", "hall-1")
                     self.state.upstreams.set(whole, revision + 5)
-                    self.state.upstreams_changed()
+                    self.state.invalidate_upstream_caches()
 
     async def test_where_none_has_one_it_is_refused_as_not_run(self) -> None:
         for engine in ("i-2", "i-3"):
             entry = Upstream(engine, "portal", "http://nowhere", "hall-1")
             self.state.upstreams.set(entry, 100 + int(engine[-1]))
-        self.state.upstreams_changed()
+        self.state.invalidate_upstream_caches()
         told = await self.begin(b"GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 503"), told)
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -15,7 +15,7 @@
 from pondhatch.kernel import Tasks
 from pondhatch.observing import NoMetrics
 from pondhatch.requests import CallerGone, Ended, Headers, Opened, Ways
-from pondhatch.router import Starting
+from pondhatch.router import StartupWait
 from pondhatch.standard._callers import OpenAiCallers
 from pondhatch.store import Listed
 from pondhatch.transport._caller_channel import CallerSite
@@ -53,8 +53,8 @@
 class OpenAiCallersTest(RoutedCallersTest):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.state.take_fleet(_fleet())
-        self.state.take_listed_evacuations(Listed(1, ()))
+        self.state.apply_fleet(_fleet())
+        self.state.apply_listed_evacuations(Listed(1, ()))
         parts = CallerParts(
             self.state,
             Ways(self.grants, self.upstreams),
@@ -63,7 +63,7 @@
             self.noted,
             Tasks(),
             random.Random(1),
-            Starting(self.state),
+            StartupWait(self.state),
         )
         self.openai = OpenAiCallers(parts)
         resource: Any = self.openai.resource()
@@ -162,7 +162,7 @@
         return await self.post()
 
     def key_states(self) -> list[str]:
-        return [record.state for record in self.state.keys.record_by_key.values()]
+        return [record.state for record in self.state.key_table.record_by_key.values()]
 
     async def test_it_goes_on_and_its_answer_is_there_when_it_is_asked_for_again(self) -> None:
         self.upstreams.replies = [Opened(Answer((b"ye", b"s!"), headers=UNFRAMED))]
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -41,8 +41,8 @@
     Unknown,
     Ways,
 )
-from pondhatch.router import RouterState, Starting
-from pondhatch.router._starting import STARTING_SECONDS
+from pondhatch.router import RouterState, StartupWait
+from pondhatch.router._startup_wait import STARTUP_SECONDS
 from pondhatch.store import LEAVING, Listed, Upstream
 from pondhatch.transport._caller_channel import CallerSite
 from pondhatch.transport._interface import CallerParts
@@ -149,19 +149,19 @@
     gossip = Gossip(own, MembershipLimits(), random.Random(1))
     nobody: Any = None
     state = RouterState("r0", "hall-1", gossip, lambda: 0.0, lambda member: nobody)
-    state.refresh()
+    state.refresh_members()
     for at, service in enumerate(("lang", "lang", "portal", "portal")):
         state.upstreams.set(
             Upstream(f"i-{at}", service, f"http://10.0.0.{at}:80", "hall-1"), at + 1
         )
-    state.upstreams_changed()
+    state.invalidate_upstream_caches()
     put_in_force(state, configuration)
     return state
 
 
 def put_in_force(state: RouterState, configuration: Any) -> None:
-    state.take_fleet(Fleet().replaced_by(decode_configuration(configuration, ServiceDefaults())))
-    state.take_listed_evacuations(Listed(1, ()))
+    state.apply_fleet(Fleet().replaced_by(decode_configuration(configuration, ServiceDefaults())))
+    state.apply_listed_evacuations(Listed(1, ()))
 
 
 class RoutedCallersTest(unittest.IsolatedAsyncioTestCase):
@@ -173,9 +173,9 @@
         self.limits = CallerLimits()
 
     async def asyncSetUp(self) -> None:
-        starting = Starting(self.state)
+        starting = StartupWait(self.state)
         # These tests' router started some time ago, but for those of its start.
-        self.state.clock = lambda: STARTING_SECONDS
+        self.state.clock = lambda: STARTUP_SECONDS
         parts = CallerParts(
             self.state,
             Ways(self.grants, self.upstreams),
@@ -342,7 +342,7 @@
         self.assertEqual(len(set(engines)), 2)
 
     async def test_an_engine_that_cannot_be_reached_costs_no_retry(self) -> None:
-        budget = self.state.retries.of("portal")
+        budget = self.state.retry_budgets.of("portal")
         budget.ratio = budget.saved = 0.0
         self.upstreams.replies = [
             NotRun("upstream-unreachable", "refused"),
@@ -352,9 +352,9 @@
         self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
 
     async def test_one_service_spends_nothing_of_anothers_retries(self) -> None:
-        budget = self.state.retries.of("portal")
+        budget = self.state.retry_budgets.of("portal")
         budget.ratio = budget.saved = 0.0
-        self.state.retries.of("lang").saved = 5.0
+        self.state.retry_budgets.of("lang").saved = 5.0
         self.upstreams.replies = [Opened(Answer((), whole=False)), Opened(Answer((b"yes!",)))]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
@@ -449,7 +449,7 @@
 
     async def test_beside_a_full_holder_from_whoever_served_it_last(self) -> None:
         home = await self.home()
-        chat = next(iter(self.state.served.engine_by_chat))
+        chat = next(iter(self.state.last_served_engines.engine_by_chat))
         self.state.note_served(chat, self.other(home))
         self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
 
@@ -457,7 +457,7 @@
         home = await self.home()
         leaving = Upstream(home, "lang", f"http://{self.address(home)}", "hall-1", LEAVING)
         self.state.upstreams.set(leaving, 9)
-        self.state.upstreams_changed()
+        self.state.invalidate_upstream_caches()
         self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
 
     async def test_from_nowhere_where_engines_take_nothing_over(self) -> None:
@@ -529,7 +529,7 @@
                 self.assertEqual(told, no_key)
 
     async def test_nor_where_the_newest_configuration_cannot_be_read_at_all(self) -> None:
-        self.state.refused = Rejected(((("document", "main"), Misfit((), "none at all")),))
+        self.state.rejected = Rejected(((("document", "main"), Misfit((), "none at all")),))
         told = await self.status("GET /x HTTP/1.1", "Host: other.example")
         self.assertEqual(told, b"503")
         self.assertEqual(await self.status("POST /proofs/a HTTP/1.1", self.OTHERS_KEY), b"503")
@@ -590,7 +590,7 @@
                 self.assertTrue(self.wire.aborted)
 
 
-class Held(Starting):
+class Held(StartupWait):
     """Holds requests until it is told."""
 
     def __init__(self, state: RouterState) -> None:
