--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -30,7 +30,7 @@
 from pondhatch.platform._configuration import ConfigurationReader
 from pondhatch.platform.tests._wire import CONFIGURATION
 from pondhatch.router import RouterState
-from pondhatch.router.tests.test_sync import meet, pulling, router
+from pondhatch.router.tests.test_sync import meet, new_peer_sync, router
 from pondhatch.store import UpstreamUpdate
 from pondhatch.transport._wire import PACKED_FROM, MessagePackCodec, PullReply
 
@@ -38,7 +38,7 @@
 ROUTES = 1700
 
 
-def large(version: int) -> dict[str, Any]:
+def large_configuration(version: int) -> dict[str, Any]:
     """Return a configuration of many routes."""
     document = copy.deepcopy(CONFIGURATION)
     document["Version"] = version
@@ -49,14 +49,14 @@
     return document
 
 
-def changed(document: dict[str, Any], version: int) -> dict[str, Any]:
+def with_changed_route(document: dict[str, Any], version: int) -> dict[str, Any]:
     """Return the configuration after a change of one route."""
     later = {**document, "Version": version, "Routes": list(document["Routes"])}
     later["Routes"][-1] = {**later["Routes"][-1], "TimeoutMs": 1000 + version}
     return later
 
 
-def watching(state: RouterState, *documents: dict[str, Any]) -> None:
+def apply_documents(state: RouterState, *documents: dict[str, Any]) -> None:
     """Let a router read versions of the document as the platform's watch brings them."""
     reader = ConfigurationReader(ServiceDefaults())
     for document in documents:
@@ -64,79 +64,81 @@
 
 
 class OneAccountBesideManyRoutesTest(unittest.TestCase):
-    def test_routes_are_left_alone(self) -> None:
+    def test_a_changed_account_leaves_routes_unprocessed(self) -> None:
         state = router("r0")
-        document = large(3)
-        watching(state, document)
+        document = large_configuration(3)
+        apply_documents(state, document)
         before = state.fleet.routes
         tenants = [*document["Tenants"], {"Name": "added", "ApiKeys": ["key-added"]}]
         usable_routes = "pondhatch.configuration._editing.usable_routes"
         with patch(usable_routes, side_effect=AssertionError("went through all routes")):
-            watching(state, {**document, "Version": 6, "Tenants": tenants})
+            apply_documents(state, {**document, "Version": 6, "Tenants": tenants})
         self.assertIn("added", state.fleet.policy_by_account)
         self.assertIs(state.fleet.routes, before)
 
 
 class OneChangeOfManyRoutesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.giver, self.taker = router("r0"), router("r1")
-        self.first = large(3)
-        watching(self.giver, self.first)
-        self.taker.apply_update(self.giver.update_since(0))
-        watching(self.giver, changed(self.first, 6))
+        self.sender, self.receiver = router("r0"), router("r1")
+        self.first = large_configuration(3)
+        apply_documents(self.sender, self.first)
+        self.receiver.apply_update(self.sender.update_since(0))
+        apply_documents(self.sender, with_changed_route(self.first, 6))
 
-    def given(self) -> Update:
-        return self.giver.update_since(self.taker.fleet.version)
+    def update(self) -> Update:
+        return self.sender.update_since(self.receiver.fleet.version)
 
-    def test_what_is_passed_on_is_as_large_as_the_change(self) -> None:
-        reply = PullReply(self.given(), UpstreamUpdate(1, (), whole=False))
+    def test_the_update_is_as_small_as_the_change(self) -> None:
+        reply = PullReply(self.update(), UpstreamUpdate(1, (), whole=False))
         encoded = MessagePackCodec().encode(reply, PullReply)
         self.assertLess(len(encoded), PACKED_FROM)
 
-    def test_who_takes_it_compares_only_what_changed(self) -> None:
-        given = self.given()
+    def test_the_receiver_compares_only_what_changed(self) -> None:
+        update = self.update()
         with patch.object(Fleet, "replaced_by", side_effect=AssertionError("compared whole")):
-            self.taker.apply_update(given)
-        self.assertEqual(self.taker.fleet.version, 6)
-        self.assertEqual(self.taker.fleet.raw_by_entry, self.giver.fleet.raw_by_entry)
+            self.receiver.apply_update(update)
+        self.assertEqual(self.receiver.fleet.version, 6)
+        self.assertEqual(self.receiver.fleet.raw_by_entry, self.sender.fleet.raw_by_entry)
 
 
-class WhoCannotTakeItTest(unittest.TestCase):
+class DifferenceNotApplicableTest(unittest.TestCase):
     """A difference that does not fit, and a peer that knows none: both get the whole."""
 
     def setUp(self) -> None:
-        self.giver, self.taker = router("r0"), router("r1")
-        watching(self.giver, CONFIGURATION)
-        self.taker.apply_update(self.giver.update_since(0))
-        watching(self.giver, changed(CONFIGURATION, CONFIGURATION["Version"] + 2))
-
-    def test_a_peer_of_an_earlier_version_of_the_program_gets_the_whole(self) -> None:
-        given = self.giver.update_since(self.taker.fleet.version, takes_difference=False)
-        self.assertIsNone(given.difference)
-        assert given.snapshot is not None
-        self.assertEqual(given.snapshot.version, self.giver.fleet.version)
-
-    def test_what_does_not_fit_changes_nothing_and_the_whole_is_asked_at_once(self) -> None:
+        self.sender, self.receiver = router("r0"), router("r1")
+        apply_documents(self.sender, CONFIGURATION)
+        self.receiver.apply_update(self.sender.update_since(0))
+        apply_documents(
+            self.sender, with_changed_route(CONFIGURATION, CONFIGURATION["Version"] + 2)
+        )
+
+    def test_a_peer_that_takes_no_difference_gets_a_snapshot(self) -> None:
+        update = self.sender.update_since(self.receiver.fleet.version, takes_difference=False)
+        self.assertIsNone(update.difference)
+        assert update.snapshot is not None
+        self.assertEqual(update.snapshot.version, self.sender.fleet.version)
+
+    def test_a_misfit_difference_changes_nothing_and_a_snapshot_is_pulled_at_once(self) -> None:
         other = copy.deepcopy(CONFIGURATION)
         other["Routes"][0]["Priority"] += 1
-        taker = router("r1")
-        watching(taker, other)
-        before = taker.fleet
-        peer = self.giver
-        meet(taker, peer)
+        receiver = router("r1")
+        apply_documents(receiver, other)
+        before = receiver.fleet
+        peer = self.sender
+        meet(receiver, peer)
         asked: list[bool] = []
 
         async def pull(member: Member, configuration: int, upstreams: int) -> PullReply | None:
-            asked.append(not taker.needs_snapshot)
+            asked.append(not receiver.needs_snapshot)
             update = peer.update_since(configuration, takes_difference=asked[-1])
             if asked[-1]:
-                self.assertIs(taker.fleet, before)
+                self.assertIs(receiver.fleet, before)
             return PullReply(update, UpstreamUpdate(1, (), whole=False))
 
         async def main() -> None:
-            await pulling(taker, pull).on_peer_ahead()
+            await new_peer_sync(receiver, pull).on_peer_ahead()
 
         run_virtually(main())
         self.assertEqual(asked, [True, False])
-        self.assertEqual(taker.fleet.raw_by_entry, peer.fleet.raw_by_entry)
-        self.assertFalse(taker.needs_snapshot)
+        self.assertEqual(receiver.fleet.raw_by_entry, peer.fleet.raw_by_entry)
+        self.assertFalse(receiver.needs_snapshot)
--- a/pondhatch/router/tests/test_crash_guarding.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -31,19 +31,19 @@
 from pondhatch.router import CRASH_PACKET_PREFIX, CrashEvidenceExchange, RouterState
 from pondhatch.router._crash_evidence_exchange import FIRST_PROBE_DELAYS, SAMPLE_INTERVAL_SECONDS
 
-CAUSE = 1
+CRASHING_DIGEST = 1
 #: Seconds for which one packet travels.
-TRAVEL = 0.003
+PACKET_SECONDS = 0.003
 #: Seconds from the begin of a run to its end, or to its engine's.
-RUN, END = 0.4, 0.1
+RUN_SECONDS, CRASH_SECONDS = 0.4, 0.1
 #: Seconds after which an engine that ended is back, under another name.
-BACK = 3.0
+RESTART_SECONDS = 3.0
 #: Engines that one attempt may be sent to.
 MOST_TRIES = 2
 
 
 @dataclass
-class World:
+class Simulation:
     """Routers that hear each other, and engines."""
 
     routers: int
@@ -52,7 +52,7 @@
     #: Share of packets that are lost.
     loss: float = 0.0
     #: Seconds for which an engine that ended still takes connections.
-    lingers: float = 0.0
+    port_open_seconds: float = 0.0
     guards: list[CrashEvidenceExchange] = field(default_factory=list)
     live: dict[str, asyncio.Event] = field(default_factory=dict)
     #: Engines that ended, by the request that ended them.
@@ -84,15 +84,15 @@
         )
 
     async def has_ended(self, target: Target) -> bool:
-        await asyncio.sleep(TRAVEL)
+        await asyncio.sleep(PACKET_SECONDS)
         ended_at = self.ended_at.get(target.name, float("inf"))
-        return self.loop.time() >= ended_at + self.lingers
+        return self.loop.time() >= ended_at + self.port_open_seconds
 
     def send(self, datagrams: Iterable[Datagram]) -> None:
         for each in datagrams:
             if self.rng.random() >= self.loss:
                 payload = each.payload.removeprefix(CRASH_PACKET_PREFIX)
-                self.loop.call_later(TRAVEL, self.guards[each.to.port].receive, payload)
+                self.loop.call_later(PACKET_SECONDS, self.guards[each.to.port].receive, payload)
 
     def start_engine(self) -> None:
         self.live[f"i-{len(self.live)}-{len(self.ended)}-{self.rng.random()}"] = asyncio.Event()
@@ -101,7 +101,7 @@
         self.live.pop(name).set()
         self.ended.append(digest)
         self.ended_at[name] = self.loop.time()
-        self.loop.call_later(BACK, self.start_engine)
+        self.loop.call_later(RESTART_SECONDS, self.start_engine)
 
     async def attempt(self, router: int, digest: int) -> str:
         """Have a request run at one engine after another; return how that ended."""
@@ -129,24 +129,24 @@
     async def _run(self, watch: Any, digest: int) -> bool:
         engine = self.rng.choice(sorted(self.live))
         gone = self.live[engine]
-        if digest == CAUSE:
-            self.loop.call_later(END, self._end_if_there, engine)
+        if digest == CRASHING_DIGEST:
+            self.loop.call_later(CRASH_SECONDS, self._end_if_live, engine)
         try:
-            async with asyncio.timeout(RUN):
+            async with asyncio.timeout(RUN_SECONDS):
                 await gone.wait()
         except TimeoutError:
             watch.run_was_whole()
             return True
         ended = await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8))
-        if not ended and self.lingers < FIRST_PROBE_DELAYS[-1]:
+        if not ended and self.port_open_seconds < FIRST_PROBE_DELAYS[-1]:
             raise AssertionError("an end that the first probes can see was not seen")
         return False
 
-    def _end_if_there(self, engine: str) -> None:
+    def _end_if_live(self, engine: str) -> None:
         if engine in self.live:
-            self.end_engine(engine, CAUSE)
+            self.end_engine(engine, CRASHING_DIGEST)
 
-    async def rounds(self) -> None:
+    async def run_rounds(self) -> None:
         """Run all routers' rounds, until cancelled."""
         while True:
             for guard in self.guards:
@@ -154,7 +154,7 @@
             await asyncio.sleep(0.1)
 
 
-class HistoryTest(unittest.TestCase):
+class SimulatedFleetTest(unittest.TestCase):
     @settings(max_examples=150, deadline=None)
     @given(
         seed=st.integers(0, 2**32),
@@ -162,37 +162,43 @@
         engines=st.integers(2, 9),
         copies=st.integers(1, 2),
         pause=st.sampled_from((0.02, 0.3, 1.0)),
-        innocents=st.integers(0, 40),
-        lingers=st.sampled_from((0.0, 0.015)),
+        others_count=st.integers(0, 40),
+        port_open_seconds=st.sampled_from((0.0, 0.015)),
     )
-    def test_one_request_ends_three_engines_and_no_other_is_held_back(
+    def test_one_request_ends_three_engines_and_no_other_is_quarantined(
         self,
         seed: int,
         routers: int,
         engines: int,
         copies: int,
         pause: float,
-        innocents: int,
-        lingers: float,
+        others_count: int,
+        port_open_seconds: float,
     ) -> None:
-        run_virtually(self.history(seed, routers, engines, copies, pause, innocents, lingers))
+        run_virtually(
+            self.run_crashing_and_other_requests(
+                seed, routers, engines, copies, pause, others_count, port_open_seconds
+            )
+        )
 
-    async def history(
+    async def run_crashing_and_other_requests(
         self,
         seed: int,
         routers: int,
         engines: int,
         copies: int,
         pause: float,
-        innocents: int,
-        lingers: float,
+        others_count: int,
+        port_open_seconds: float,
     ) -> None:
-        world = World(routers, engines, random.Random(seed), lingers=lingers)
-        rounds = asyncio.ensure_future(world.rounds())
+        world = Simulation(
+            routers, engines, random.Random(seed), port_open_seconds=port_open_seconds
+        )
+        rounds = asyncio.ensure_future(world.run_rounds())
 
         async def repeat_cause() -> None:
             for _ in range(8):
-                await world.attempt(world.rng.randrange(routers), CAUSE)
+                await world.attempt(world.rng.randrange(routers), CRASHING_DIGEST)
                 await asyncio.sleep(pause)
 
         async def repeat_other(digest: int) -> None:
@@ -204,59 +210,63 @@
                 await asyncio.sleep(pause)
 
         callers = [repeat_cause() for _ in range(copies)]
-        callers += [repeat_other(100 + at) for at in range(innocents)]
+        callers += [repeat_other(100 + at) for at in range(others_count)]
         await asyncio.gather(*callers)
         rounds.cancel()
         self.assertLessEqual(len(world.ended), ENDS_TO_QUARANTINE)
-        told = [outcome for digest, outcome in world.outcomes if digest == CAUSE]
-        self.assertEqual(told[-1], QUARANTINED.code)
-        others = [outcome for digest, outcome in world.outcomes if digest != CAUSE]
+        cause_outcomes = [
+            outcome for digest, outcome in world.outcomes if digest == CRASHING_DIGEST
+        ]
+        self.assertEqual(cause_outcomes[-1], QUARANTINED.code)
+        others = [outcome for digest, outcome in world.outcomes if digest != CRASHING_DIGEST]
         self.assertNotIn(QUARANTINED.code, others)
 
     @settings(max_examples=50, deadline=None)
     @given(seed=st.integers(0, 2**32))
-    def test_where_a_fifth_of_all_packets_is_lost_it_is_known_everywhere_soon(
-        self, seed: int
-    ) -> None:
-        run_virtually(self.lossy_history(seed))
+    def test_all_routers_quarantine_soon_though_a_fifth_of_packets_is_lost(self, seed: int) -> None:
+        run_virtually(self.run_with_packet_loss(seed))
 
-    async def lossy_history(self, seed: int) -> None:
-        world = World(6, 9, random.Random(seed), loss=0.2)
-        rounds = asyncio.ensure_future(world.rounds())
+    async def run_with_packet_loss(self, seed: int) -> None:
+        world = Simulation(6, 9, random.Random(seed), loss=0.2)
+        rounds = asyncio.ensure_future(world.run_rounds())
         for at in range(3):
-            await world.attempt(at, CAUSE)
+            await world.attempt(at, CRASHING_DIGEST)
         await asyncio.sleep(10 * SAMPLE_INTERVAL_SECONDS)
         rounds.cancel()
         for guard in world.guards:
-            self.assertTrue(guard.is_quarantined(CAUSE))
+            self.assertTrue(guard.is_quarantined(CRASHING_DIGEST))
 
 
 class OneRouterTest(unittest.TestCase):
-    def test_a_caller_that_leaves_after_the_cut_leaves_the_evidence(self) -> None:
+    def test_evidence_is_kept_though_the_caller_leaves_after_the_cut(self) -> None:
         async def history() -> None:
-            world = World(2, 3, random.Random(1))
-            attempt = asyncio.ensure_future(world.attempt(0, CAUSE))
-            await asyncio.sleep(END + TRAVEL / 2)
+            world = Simulation(2, 3, random.Random(1))
+            attempt = asyncio.ensure_future(world.attempt(0, CRASHING_DIGEST))
+            await asyncio.sleep(CRASH_SECONDS + PACKET_SECONDS / 2)
             attempt.cancel()
             await asyncio.sleep(1.0)
-            self.assertEqual([guard.suspects.ends(CAUSE) for guard in world.guards], [1, 1])
+            self.assertEqual(
+                [guard.suspects.ends(CRASHING_DIGEST) for guard in world.guards], [1, 1]
+            )
 
         run_virtually(history())
 
-    def test_an_end_that_shows_late_is_evidence_all_the_same(self) -> None:
+    def test_an_end_that_only_a_later_probe_sees_is_evidence(self) -> None:
         async def history() -> None:
-            world = World(2, 3, random.Random(1), lingers=0.3)
-            await world.attempt(0, CAUSE)
+            world = Simulation(2, 3, random.Random(1), port_open_seconds=0.3)
+            await world.attempt(0, CRASHING_DIGEST)
             await asyncio.sleep(1.0)
-            self.assertEqual([guard.suspects.ends(CAUSE) for guard in world.guards], [2, 2])
+            self.assertEqual(
+                [guard.suspects.ends(CRASHING_DIGEST) for guard in world.guards], [2, 2]
+            )
 
         run_virtually(history())
 
-    def test_an_engine_that_lives_on_is_looked_at_four_times_and_no_evidence(self) -> None:
+    def test_a_cut_at_an_engine_that_lives_on_is_no_evidence(self) -> None:
         async def history() -> None:
-            world = World(1, 1, random.Random(1))
+            world = Simulation(1, 1, random.Random(1))
             (engine,) = world.live
-            watch, began = world.guards[0].watch(CAUSE), world.loop.time()
+            watch, began = world.guards[0].watch(CRASHING_DIGEST), world.loop.time()
             self.assertFalse(await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8)))
             self.assertLess(world.loop.time() - began, 0.03)
             await asyncio.sleep(1.0)
@@ -264,25 +274,25 @@
 
         run_virtually(history())
 
-    def test_a_router_that_starts_is_told_what_the_others_know(self) -> None:
+    def test_a_router_that_starts_receives_the_evidence_of_others(self) -> None:
         async def history() -> None:
-            world = World(4, 9, random.Random(1))
+            world = Simulation(4, 9, random.Random(1))
             for at in range(2):
-                await world.attempt(at, CAUSE)
+                await world.attempt(at, CRASHING_DIGEST)
             world.guards[3] = world.new_guard(world.members[3])
             for guard in world.guards[:3]:
                 guard._state._members = world.members[:3]
                 guard.tick()
                 guard._state._members = world.members
                 guard.tick()
-            await asyncio.sleep(2 * TRAVEL)
-            self.assertTrue(world.guards[3].is_quarantined(CAUSE))
+            await asyncio.sleep(2 * PACKET_SECONDS)
+            self.assertTrue(world.guards[3].is_quarantined(CRASHING_DIGEST))
 
         run_virtually(history())
 
-    def test_a_quiet_fleet_sends_nothing(self) -> None:
+    def test_without_crashes_no_packets_are_sent(self) -> None:
         async def history() -> None:
-            world = World(2, 1, random.Random(1))
+            world = Simulation(2, 1, random.Random(1))
             sent: list[Datagram] = []
             world.guards[0]._send = sent.extend
             await world.attempt(0, 5)
@@ -293,11 +303,11 @@
 
         run_virtually(history())
 
-    def test_what_does_not_parse_is_dropped(self) -> None:
+    def test_packets_that_do_not_parse_are_dropped(self) -> None:
         async def history() -> None:
-            world = World(1, 1, random.Random(1))
+            world = Simulation(1, 1, random.Random(1))
             for payload in (b"", b"\x93\x50", b"nonsense", b"\x92\x50\x91\x92\x01\x02"):
                 world.guards[0].receive(payload)
-            self.assertEqual(world.guards[0].suspects.ends(CAUSE), 0)
+            self.assertEqual(world.guards[0].suspects.ends(CRASHING_DIGEST), 0)
 
         run_virtually(history())
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -43,7 +43,7 @@
     def test_it_shows_the_capacity_of_each_member(self) -> None:
         self.assertEqual([member["capacity"] for member in self.dump({})["members"]], [1.0])
 
-    def test_it_shows_each_pace_that_holds_and_its_age(self) -> None:
+    def test_it_shows_each_pace_in_force_and_its_age(self) -> None:
         self.state.paces.hear("e0", 250, -0.2)
         self.state.paces.hear("e1", 250, -5.0)
         shown = [{"name": "e0", "pace": 250, "age_seconds": 0.2}]
--- a/pondhatch/router/tests/test_granting.py
+++ b/pondhatch/router/tests/test_grant_exchange.py
@@ -31,14 +31,14 @@
         gossip = Gossip(own, MembershipLimits(), random.Random(1))
         nobody: Any = None
         self.state = RouterState("r0", "h1", gossip, lambda: 0.0, lambda member: nobody)
-        self.granting = GrantExchange(self.state, lambda datagrams: None, Tasks(), 1)
+        self.exchange = GrantExchange(self.state, lambda datagrams: None, Tasks(), 1)
         self.peer = Member("r1", Address("127.0.0.1", 7001), "h1", Phase.LIVE, incarnation=5_000)
 
     def restarted(self, *members: Member) -> list[str]:
         self.state._members = members
-        return self.granting._restarted_routers()
+        return self.exchange._restarted_routers()
 
-    def test_a_new_process_is_told_from_a_contradicted_suspicion(self) -> None:
+    def test_a_new_process_differs_from_a_contradicted_suspicion(self) -> None:
         rows: tuple[tuple[int, list[str]], ...] = (
             (5_000, []),
             (5_001, []),
@@ -51,7 +51,7 @@
                 found = self.restarted(replace(self.peer, incarnation=incarnation))
                 self.assertEqual(found, expected)
 
-    def test_one_that_was_missed_for_a_while_is_known_again_as_another_process(self) -> None:
+    def test_a_restart_is_seen_though_the_router_was_missing_between(self) -> None:
         self.restarted(self.peer)
         self.assertEqual(self.restarted(), [])
         back = replace(self.peer, incarnation=5_000 + RESTART_INCARNATION_STEP)
@@ -76,26 +76,26 @@
         owned = (name for name in self.state.upstreams.entry_by_name)
         self.engine = next(name for name in owned if self.state.owner_name(name) == "r1")
         self.sent: list[Datagram] = []
-        self.granting = GrantExchange(self.state, self.sent.extend, Tasks(), 1)
-        self.granting.follow_members()
-        self.granting.entry.held_by_number[7] = Held(self.engine, "r1")
+        self.exchange = GrantExchange(self.state, self.sent.extend, Tasks(), 1)
+        self.exchange.follow_members()
+        self.exchange.entry.held_by_number[7] = Held(self.engine, "r1")
 
-    def told(self) -> list[object]:
+    def sent_packets(self) -> list[object]:
         packets = [each.payload[len(GRANT_PACKET_PREFIX) :] for each in self.sent]
         self.sent.clear()
         return [decode_grant_packet(packet) for packet in packets]
 
-    def test_the_next_owner_is_told_as_soon_as_the_word_of_it_comes(self) -> None:
+    def test_running_requests_are_held_at_the_next_owner_at_once(self) -> None:
         self.peer.gossip.membership.publish(Phase.DRAINING, 0, 0)
         self.state.gossip.membership.table.take_alive(self.peer.gossip.membership.own, 0.0)
         self.state.refresh_members()
         self.assertEqual(self.state.owner_name(self.engine), "r0")
-        self.granting.follow_members()
-        self.assertEqual(self.granting.entry.held_by_number[7], Held(self.engine, "r0"))
+        self.exchange.follow_members()
+        self.assertEqual(self.exchange.entry.held_by_number[7], Held(self.engine, "r0"))
         self.assertEqual(self.state.gate.in_flight(self.engine, 0.0), 1)
-        self.assertEqual([type(each) for each in self.told()], [Release])
+        self.assertEqual([type(each) for each in self.sent_packets()], [Release])
 
-    def test_nobody_is_told_while_nothing_changes(self) -> None:
+    def test_nothing_is_sent_while_owners_stay_the_same(self) -> None:
         self.state.refresh_members()
-        self.granting.follow_members()
-        self.assertEqual(self.told(), [])
+        self.exchange.follow_members()
+        self.assertEqual(self.sent_packets(), [])
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -14,7 +14,7 @@
 from pondhatch.router import EVACUATION_KIND, Sync, not_ready_refusal
 from pondhatch.router._hall_states import JUST_REOPENED_SECONDS
 from pondhatch.router._state import NO_COLD_GRANTS_SECONDS
-from pondhatch.router.tests.test_sync import FIRST, meet, router, syncing
+from pondhatch.router.tests.test_sync import FIRST, meet, new_sync, router
 from pondhatch.store import Listed, StoredObject, WatchEvent
 from pondhatch.store._evacuations import NONE_EVER
 
@@ -50,17 +50,17 @@
     def evacuate(self, hall: str, version: int) -> None:
         self.state.apply_evacuation_event(WatchEvent("set", version, hall, {}))
 
-    def end(self, hall: str, version: int) -> None:
+    def end_evacuation(self, hall: str, version: int) -> None:
         self.state.apply_evacuation_event(WatchEvent("removed", version, hall))
 
-    def pace(self, engine: str) -> float | None:
+    def cold_pace(self, engine: str) -> float | None:
         target = self.state.target(engine)
         assert target is not None
         return target.intake.cold_pace
 
 
 class EvacuatedHallsTest(HallsCase):
-    def test_its_upstreams_are_no_choice_and_the_others_carry_the_load(self) -> None:
+    def test_its_upstreams_get_no_requests_and_the_others_carry_the_load(self) -> None:
         self.assertEqual(self.state.live_upstreams("lang"), ("e0", "e1", "e2"))
         self.evacuate("h1", 11)
         self.assertEqual(self.state.live_upstreams("lang"), ("e2",))
@@ -68,12 +68,12 @@
         self.assertTrue(found["e0"] and found["e0"].intake.is_evacuated)
         self.assertTrue(found["e2"] and found["e2"].peers == 1)
 
-    def test_an_upstream_that_appears_there_later_gets_nothing(self) -> None:
+    def test_an_upstream_that_joins_there_later_gets_no_requests(self) -> None:
         self.evacuate("h2", 11)
         self.set_upstream(7, 12, hall="h2")
         self.assertEqual(self.state.live_upstreams("lang"), ("e0", "e1"))
 
-    def test_a_request_that_is_turned_elsewhere_is_told_from_where(self) -> None:
+    def test_closed_home_names_the_engine_and_why_it_is_closed(self) -> None:
         chats = [str(at) for at in range(30)]
         homes = {chat: self.state.closed_home("lang", chat, None) for chat in chats}
         self.assertEqual(set(homes.values()), {None})
@@ -82,7 +82,7 @@
         self.assertIn(("e0", Closed.EVACUATED.value), found)
         self.assertIn(None, found)
 
-    def test_a_router_that_does_not_know_whether_any_is_refuses(self) -> None:
+    def test_a_router_that_knows_no_evacuations_yet_refuses(self) -> None:
         state = router("r1")
         state.apply_change(FIRST)
         refused = not_ready_refusal(state)
@@ -92,7 +92,7 @@
 
 
 class RegionsTest(HallsCase):
-    def test_upstreams_of_other_regions_are_no_choice(self) -> None:
+    def test_upstreams_of_other_regions_are_left_out(self) -> None:
         rows = (
             (None, ("e0", "e1", "e2")),
             (("north",), ("e0", "e1")),
@@ -104,7 +104,7 @@
             with self.subTest(regions=regions):
                 self.assertEqual(self.state.live_upstreams("lang", regions), expected)
 
-    def test_answers_are_kept_at_routers_of_the_regions_alone(self) -> None:
+    def test_key_holders_are_routers_of_the_regions_alone(self) -> None:
         meet(self.state, router("r1", hall="h2"))
         self.assertEqual(set(self.state.key_holders("k")), {"r0", "r1"})
         self.assertEqual(self.state.key_holders("k", ("south",)), ("r1",))
@@ -112,45 +112,45 @@
 
 
 class ColdUpstreamsTest(HallsCase):
-    def test_one_is_cold_for_as_long_as_it_said(self) -> None:
-        self.assertIsNone(self.pace("e0"))
+    def test_an_upstream_is_cold_for_the_seconds_it_reported(self) -> None:
+        self.assertIsNone(self.cold_pace("e0"))
         self.set_upstream(0, 11, hall="h1", cold_seconds=3.0)
-        self.assertEqual((self.pace("e0"), self.pace("e1")), (13.0, None))
+        self.assertEqual((self.cold_pace("e0"), self.cold_pace("e1")), (13.0, None))
         self.now = 2.9
-        self.assertEqual(self.pace("e0"), 13.0)
+        self.assertEqual(self.cold_pace("e0"), 13.0)
         self.now = 3.0
-        self.assertIsNone(self.pace("e0"))
+        self.assertIsNone(self.cold_pace("e0"))
 
-    def test_one_that_was_warm_may_turn_cold_again_and_warm_before_its_time(self) -> None:
+    def test_an_upstream_may_turn_cold_again_and_warm_early(self) -> None:
         self.set_upstream(0, 11, hall="h1", cold_seconds=3.0)
         self.now = 60.0
         self.set_upstream(0, 12, hall="h1", cold_seconds=5.0)
-        self.assertEqual(self.pace("e0"), 13.0)
+        self.assertEqual(self.cold_pace("e0"), 13.0)
         self.set_upstream(0, 13, hall="h1")
-        self.assertIsNone(self.pace("e0"))
+        self.assertIsNone(self.cold_pace("e0"))
 
-    def test_a_peer_is_told_what_is_left(self) -> None:
+    def test_a_peer_gets_the_seconds_that_are_left(self) -> None:
         self.set_upstream(0, 11, hall="h1", cold_seconds=3.0)
         self.now = 2.0
         peer = router("r1")
         peer.apply_upstreams(self.state.upstreams_since(0))
         self.assertAlmostEqual(peer.cold_seconds("e0"), 1.0)
 
-    def test_a_hall_that_was_evacuated_counts_as_cold_for_a_moment(self) -> None:
+    def test_a_reopened_hall_counts_as_cold_for_a_moment(self) -> None:
         self.evacuate("h1", 11)
-        self.end("h1", 12)
-        self.assertEqual((self.pace("e0"), self.pace("e2")), (13.0, None))
+        self.end_evacuation("h1", 12)
+        self.assertEqual((self.cold_pace("e0"), self.cold_pace("e2")), (13.0, None))
         self.now = JUST_REOPENED_SECONDS
-        self.assertIsNone(self.pace("e0"))
+        self.assertIsNone(self.cold_pace("e0"))
 
-    def test_nothing_is_granted_there_before_a_router_has_met_its_peers(self) -> None:
+    def test_nothing_is_granted_there_before_peers_are_discovered(self) -> None:
         self.state.tick()
         self.assertEqual(self.state.cold_paces.share, 0.0)
         self.now = NO_COLD_GRANTS_SECONDS
         self.state.tick()
         self.assertEqual(self.state.cold_paces.share, 1.0)
 
-    def test_a_router_that_misses_others_takes_the_part_of_those_it_sees(self) -> None:
+    def test_the_share_of_cold_grants_stays_when_peers_become_unreachable(self) -> None:
         self.now = NO_COLD_GRANTS_SECONDS
         for at in range(1, 4):
             meet(self.state, router(f"r{at}"))
@@ -161,7 +161,7 @@
         self.assertEqual(self.state.cold_paces.share, 0.25)
 
 
-class HeardOfEvacuationsTest(unittest.IsolatedAsyncioTestCase):
+class EvacuationSyncTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.platform = PlatformInMemory()
         await publish(self.platform, FIRST)
@@ -172,30 +172,30 @@
         task.cancel()
         await asyncio.wait([task])
 
-    async def test_the_platform_and_peers_tell_of_evacuated_halls(self) -> None:
+    async def test_evacuations_are_read_from_the_platform(self) -> None:
         await self.platform.create(EVACUATION_KIND, "h1", {})
         state = router("r0")
         state.refresh_members()
-        await self.run_for(syncing(state, self.platform, None))
+        await self.run_for(new_sync(state, self.platform, None))
         self.assertEqual(state.halls.evacuations.halls, {"h1"})
 
-    async def test_one_that_cannot_read_the_platform_is_told_by_a_peer(self) -> None:
+    async def test_evacuations_are_pulled_from_a_peer_during_an_outage(self) -> None:
         peer = router("r1")
         peer.apply_change(FIRST)
         peer.apply_listed_evacuations(Listed(9, (StoredObject(EVACUATION_KIND, "h2", 9, {}),)))
         self.platform.faults.arm("outage", 1000)
         state = router("r0")
         meet(state, peer)
-        await self.run_for(syncing(state, self.platform, peer))
+        await self.run_for(new_sync(state, self.platform, peer))
         self.assertEqual(state.halls.evacuations.halls, {"h2"})
 
-    async def test_one_that_lacks_nothing_else_still_asks_whether_there_are_any(self) -> None:
+    async def test_a_router_that_lacks_only_evacuations_pulls_them(self) -> None:
         peer, state = router("r1"), router("r0")
         for each in (peer, state):
             each.apply_change(FIRST)
         peer.apply_listed_evacuations(Listed(9, ()))
         self.platform.faults.arm("outage", 1000)
         meet(state, peer)
-        await self.run_for(syncing(state, self.platform, peer))
+        await self.run_for(new_sync(state, self.platform, peer))
         self.assertTrue(state.halls.evacuations.is_known)
         self.assertEqual(state.halls.evacuations.version, NONE_EVER)
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -34,7 +34,7 @@
     def owners(self) -> dict[str, str | None]:
         return {f"e{at}": self.state.owner_name(f"e{at}") for at in range(UPSTREAMS)}
 
-    def test_one_routers_word_makes_one_member_anew(self) -> None:
+    def test_news_of_one_router_rebuilds_one_member(self) -> None:
         with mock.patch.object(members_module, "_member", wraps=members_module._member) as made:
             self.fleet.hear(7, 2, Phase.DRAINING)
         # It, and this router itself.
@@ -43,7 +43,7 @@
         self.assertEqual(len(phases), ROUTERS)
         self.assertEqual([name for name in phases if phases[name] != Phase.LIVE], ["r7"])
 
-    def test_owners_are_worked_out_anew_in_the_routers_hall_alone(self) -> None:
+    def test_owners_are_recomputed_in_the_routers_hall_alone(self) -> None:
         with mock.patch.object(owners_module, "owner_of", wraps=owner_of) as asked:
             self.fleet.hear(7, 2, Phase.DRAINING)
             after = self.owners()
@@ -54,10 +54,10 @@
             changed, [name for name, owner in self.owner_by_engine.items() if owner == "r7"]
         )
 
-    def test_a_capacity_moves_engines_to_and_from_its_router_in_its_hall_alone(self) -> None:
+    def test_a_changed_capacity_moves_engines_in_the_routers_hall_alone(self) -> None:
         table = self.state.gossip.membership.table
-        word = table.entry_by_id[short_id("r7")].alive
-        large = replace(word, incarnation=2, capacity=10.0)
+        alive = table.entry_by_id[short_id("r7")].alive
+        large = replace(alive, incarnation=2, capacity=10.0)
         with mock.patch.object(owners_module, "owner_of", wraps=owner_of) as asked:
             self.fleet.receive(News(short_id("r1"), Versions(), (large,)))
             after = self.owners()
@@ -65,13 +65,13 @@
         changed = {name: after[name] for name in after if after[name] != self.owner_by_engine[name]}
         self.assertEqual(set(changed.values()), {"r7"})
 
-    def test_a_word_that_changes_no_owner_has_none_worked_out(self) -> None:
+    def test_news_that_changes_no_owner_recomputes_none(self) -> None:
         with mock.patch.object(owners_module, "owner_of", wraps=owner_of) as asked:
             self.fleet.hear(7, 2)
             self.assertEqual(self.owners(), self.owner_by_engine)
         self.assertEqual(asked.call_count, 0)
 
-    def test_an_upstream_of_a_hall_without_routers_follows_all(self) -> None:
+    def test_an_upstream_of_a_hall_without_routers_is_owned_by_any_router(self) -> None:
         self.state.apply_listed_upstreams(
             Listed(200, (listed_upstream(0, "h0"), listed_upstream(150, "elsewhere")))
         )
@@ -80,7 +80,7 @@
         self.fleet.hear(int(owner[1:]), 2, Phase.DRAINING)
         self.assertNotEqual(self.state.owner_name("e150"), owner)
 
-    def test_who_left_goes_and_who_came_back_is_there(self) -> None:
+    def test_a_router_that_left_is_no_member_until_it_is_back(self) -> None:
         self.fleet.hear(7, 2, Phase.LEFT)
         self.assertNotIn("r7", {member.name for member in self.state.members()})
         self.fleet.hear(7, 3)
--- a/pondhatch/router/tests/test_load_switch.py
+++ b/pondhatch/router/tests/test_load_switch.py
@@ -24,14 +24,14 @@
     return state
 
 
-class SwitchTest(unittest.TestCase):
+class LoadManagementSwitchTest(unittest.TestCase):
     def test_it_is_off_unless_the_settings_say_so(self) -> None:
         state = _state("off")
         state.pace_read_at = 100.0
         self.assertFalse(state.load_managed())
         self.assertTrue(_state("on").load_managed())
 
-    def test_it_follows_the_paces_that_engines_state(self) -> None:
+    def test_as_needed_it_is_on_while_engines_report_a_pace(self) -> None:
         state = _state("as-needed")
         self.assertFalse(state.load_managed())
         state.pace_read_at = 100.0
@@ -39,7 +39,7 @@
         state.pace_read_at = 100.0 - PACE_TIMEOUT_SECONDS
         self.assertFalse(state.load_managed())
 
-    def test_the_prepared_machines_ask_for_it_where_callers_compete(self) -> None:
+    def test_prepared_machines_ask_for_it_where_callers_compete(self) -> None:
         machines = PreparedMachines({})
         self.assertTrue(machines.asks_for_load_management(("base", "pressure")))
         self.assertFalse(machines.asks_for_load_management(("base", "places")))
--- a/pondhatch/router/tests/test_new_eras.py
+++ b/pondhatch/router/tests/test_new_eras.py
@@ -28,15 +28,15 @@
     return {"name": name, "service": "s", "url": "http://10.0.0.1:80", "hall": "h", "state": LIVE}
 
 
-class SettlingTest(unittest.TestCase):
-    def test_the_first_era_that_is_heard_of_follows_no_other(self) -> None:
+class EraSettlingTest(unittest.TestCase):
+    def test_the_first_known_era_does_not_settle(self) -> None:
         settling = EraSettling()
         self.assertFalse(settling.is_settling(position_of(3, 1), 0.0))
         settling.note(position_of(3, 1), 0.0)
         self.assertFalse(settling.is_settling(position_of(3, 9), 0.1))
         self.assertFalse(settling.poll_settled(100.0))
 
-    def test_it_is_over_once(self) -> None:
+    def test_the_end_of_settling_is_reported_once(self) -> None:
         settling = EraSettling()
         settling.note(position_of(1, 130), 0.0)
         self.assertTrue(settling.is_settling(position_of(2, 100), 5.0))
@@ -48,7 +48,7 @@
         self.assertEqual(found, [False, True, False])
 
 
-class ListTest(unittest.TestCase):
+class UpstreamListTest(unittest.TestCase):
     def setUp(self) -> None:
         self.changes = UpstreamChanges(UpstreamList(), Vanished())
         self.changes.apply_listing(listed(1, 140, a=90, b=140), 0.0)
@@ -56,7 +56,7 @@
     def state(self, name: str) -> str:
         return self.changes.upstreams.entry_by_name[name].upstream.state
 
-    def test_a_watch_or_a_listing_that_tells_of_it_first(self) -> None:
+    def test_an_upstream_that_a_new_era_lacks_stays_if_it_is_written_again(self) -> None:
         self.changes.apply_listing(listed(2, 100, a=90), 10.0)
         self.assertEqual(self.state("b"), LIVE)
         self.assertFalse(self.changes.settle(10.0 + SETTLE_SECONDS / 2))
@@ -65,18 +65,20 @@
         self.assertFalse(self.changes.settle(10.0 + SETTLE_SECONDS))
         self.assertEqual(self.state("b"), LIVE)
 
-    def test_who_does_not_write_itself_again_is_gone_once_it_has_settled(self) -> None:
+    def test_an_upstream_that_is_not_written_again_is_removed_once_the_era_has_settled(
+        self,
+    ) -> None:
         self.changes.apply_listing(listed(2, 100, a=90), 10.0)
         self.assertTrue(self.changes.settle(10.0 + SETTLE_SECONDS))
         self.assertEqual((self.state("a"), self.state("b")), (LIVE, REMOVED))
 
-    def test_a_removal_in_a_settled_era_is_one_at_once(self) -> None:
+    def test_a_removal_in_a_settled_era_takes_effect_at_once(self) -> None:
         self.changes.apply_listing(listed(2, 100, a=90, b=95), 10.0)
         self.changes.settle(10.0 + SETTLE_SECONDS)
         self.changes.apply_listing(listed(2, 110, a=90), 20.0)
         self.assertEqual(self.state("b"), REMOVED)
 
-    def test_a_word_of_an_era_that_is_over_changes_nothing(self) -> None:
+    def test_an_event_of_an_earlier_era_changes_nothing(self) -> None:
         self.changes.apply_listing(listed(2, 100, a=90, b=95), 10.0)
         removed = WatchEvent("removed", position_of(1, 900), "a")
         self.assertFalse(self.changes.apply_event(removed, 11.0))
--- a/pondhatch/router/tests/test_notice_keeping.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -13,11 +13,11 @@
 from pondhatch.requests import RequestHead
 from pondhatch.router import NOTICE_PACKET_PREFIX, NoticeExchange, RouterState
 from pondhatch.router._notice_exchange import REST_PACKETS_PER_ROUND
-from pondhatch.router.tests.test_sync import FIRST, Nobody, meet
+from pondhatch.router.tests.test_sync import FIRST, UncalledPeer, meet
 from pondhatch.store import Listed, WatchEvent
 
 ENGINES = ("e0", "e1", "e2")
-LEAVES = Notice(is_leaving=True)
+LEAVING_NOTICE = Notice(is_leaving=True)
 HEAD = RequestHead("r.1", "a", "lang", 0, "POST", "/", (), True, 5.0, 5)
 
 
@@ -31,23 +31,25 @@
         self.meet_all(self.names[:3])
         self.sent: list[tuple[str, Datagram]] = []
         self.is_lost = False
-        self.keepings = {name: self.new_keeping(name) for name in self.names}
-        for keeping in self.keepings.values():
-            keeping.tick()
+        self.exchange_by_name = {name: self.new_exchange(name) for name in self.names}
+        for exchange in self.exchange_by_name.values():
+            exchange.tick()
         self.sent.clear()
 
     def new_state(self, name: str) -> RouterState:
         port = 7000 + self.names.index(name)
         own = Alive(short_id(name), 1, Phase.LIVE, name, "127.0.0.1", port, "h1")
         gossip = Gossip(own, MembershipLimits(), random.Random(1))
-        state = RouterState(name, "h1", gossip, lambda: self.now, lambda member: Nobody())
+        state = RouterState(name, "h1", gossip, lambda: self.now, lambda member: UncalledPeer())
         state.apply_change(FIRST)
         for at, engine in enumerate(ENGINES):
-            self.write(state, engine, at + 1)
+            self.set_upstream(state, engine, at + 1)
         state.apply_listed_evacuations(Listed(10, ()))
         return state
 
-    def write(self, router: RouterState, engine: str, version: int, **fields: object) -> None:
+    def set_upstream(
+        self, router: RouterState, engine: str, version: int, **fields: object
+    ) -> None:
         """Have the platform list an engine."""
         value = {
             "name": engine,
@@ -65,7 +67,7 @@
                     meet(self.states[name], self.states[other])
             self.states[name].refresh_members()
 
-    def new_keeping(self, name: str) -> NoticeExchange:
+    def new_exchange(self, name: str) -> NoticeExchange:
         def send(datagrams: Iterable[Datagram]) -> None:
             self.sent += [(name, each) for each in datagrams]
 
@@ -77,104 +79,104 @@
         reached = [self.names[each.to.port - 7000] for _, each in sent]
         if not self.is_lost:
             for name, (_, each) in zip(reached, sent, strict=True):
-                self.keepings[name].receive(each.payload.removeprefix(NOTICE_PACKET_PREFIX))
+                self.exchange_by_name[name].receive(each.payload.removeprefix(NOTICE_PACKET_PREFIX))
         return reached
 
-    def start(self, at: int) -> str:
+    def instance(self, at: int) -> str:
         """Return the name of an engine's start."""
         return self.states["r0"].live_upstreams("lang")[at]
 
-    def closed(self, name: str, engine: str) -> Closed | None:
+    def closed_reason(self, name: str, engine: str) -> Closed | None:
         target = self.states[name].target(engine)
         assert target is not None
         return target.intake.closed_to(None)
 
 
 class LeavingTest(FleetCase):
-    def test_all_routers_know_what_one_heard(self) -> None:
-        engine = self.start(0)
-        self.keepings["r0"].heard(engine, LEAVES)
+    def test_all_routers_are_told_that_an_upstream_leaves(self) -> None:
+        engine = self.instance(0)
+        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
         for name in self.names[:3]:
-            self.assertIs(self.closed(name, engine), Closed.LEAVING)
+            self.assertIs(self.closed_reason(name, engine), Closed.LEAVING)
             self.assertNotIn(engine, self.states[name].live_upstreams("lang"))
 
-    def test_it_is_told_once_more_for_a_packet_may_be_lost_and_then_no_more(self) -> None:
-        engine, self.is_lost = self.start(0), True
-        self.keepings["r0"].heard(engine, LEAVES)
+    def test_a_notice_is_sent_twice_in_case_a_packet_is_lost(self) -> None:
+        engine, self.is_lost = self.instance(0), True
+        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
         self.deliver()
         self.is_lost = False
-        self.keepings["r0"].tick()
+        self.exchange_by_name["r0"].tick()
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
-        self.assertIs(self.closed("r2", engine), Closed.LEAVING)
+        self.assertIs(self.closed_reason("r2", engine), Closed.LEAVING)
         for name in self.names:
-            self.keepings[name].heard(engine, LEAVES)
-            self.keepings[name].tick()
+            self.exchange_by_name[name].heard(engine, LEAVING_NOTICE)
+            self.exchange_by_name[name].tick()
         self.assertEqual([to for to in self.deliver() if to != "r3"], [])
 
-    def test_a_router_that_is_new_is_told(self) -> None:
-        engine = self.start(0)
-        self.keepings["r0"].heard(engine, LEAVES)
+    def test_a_new_router_is_told(self) -> None:
+        engine = self.instance(0)
+        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
         self.deliver()
         self.meet_all(self.names)
         for name in self.names[:3]:
-            self.keepings[name].tick()
+            self.exchange_by_name[name].tick()
         self.deliver()
-        self.assertIs(self.closed("r3", engine), Closed.LEAVING)
+        self.assertIs(self.closed_reason("r3", engine), Closed.LEAVING)
 
-    def test_the_platforms_list_does_not_open_it_and_a_new_start_is_open(self) -> None:
-        engine = self.start(0)
+    def test_a_leaving_upstream_is_reopened_by_a_new_start_and_not_by_the_list(self) -> None:
+        engine = self.instance(0)
         state = self.states["r0"]
-        self.keepings["r0"].heard(engine, LEAVES)
-        self.write(state, "e0", 20, slots=9)
-        self.assertIs(self.closed("r0", engine), Closed.LEAVING)
-        self.write(state, "e0", 21, start=8)
+        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.set_upstream(state, "e0", 20, slots=9)
+        self.assertIs(self.closed_reason("r0", engine), Closed.LEAVING)
+        self.set_upstream(state, "e0", 21, start=8)
         self.assertEqual(len(state.live_upstreams("lang")), 3)
 
-    def test_one_that_says_in_the_list_that_it_stays_after_all_is_open(self) -> None:
-        engine = self.start(0)
+    def test_an_upstream_that_is_listed_as_leaving_and_then_live_is_reopened(self) -> None:
+        engine = self.instance(0)
         state = self.states["r0"]
-        self.keepings["r0"].heard(engine, LEAVES)
-        self.write(state, "e0", 20, state="leaving")
-        self.write(state, "e0", 21)
-        self.assertIsNone(self.closed("r0", engine))
-
-    def test_the_rest_of_its_streams_may_still_be_sent_there(self) -> None:
-        engine = self.start(0)
-        self.keepings["r0"].heard(engine, LEAVES)
-        closed = self.keepings["r0"].closed(engine, HEAD)
+        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.set_upstream(state, "e0", 20, state="leaving")
+        self.set_upstream(state, "e0", 21)
+        self.assertIsNone(self.closed_reason("r0", engine))
+
+    def test_streams_may_still_be_resumed_at_a_leaving_upstream(self) -> None:
+        engine = self.instance(0)
+        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        closed = self.exchange_by_name["r0"].closed(engine, HEAD)
         assert closed is not None
         self.assertEqual(closed.code, Closed.LEAVING)
-        self.assertIsNone(self.keepings["r0"].closed(engine, replace(HEAD, resuming=True)))
+        self.assertIsNone(self.exchange_by_name["r0"].closed(engine, replace(HEAD, resuming=True)))
 
 
 class RestingTest(FleetCase):
-    def test_owners_of_the_service_know_it_until_it_is_over(self) -> None:
-        engine = self.start(0)
+    def test_owners_of_the_service_are_told_of_a_rest_until_its_end(self) -> None:
+        engine = self.instance(0)
         state = self.states["r0"]
         owners = state.owners_of_same_service(engine) - {"r0"}
-        self.keepings["r0"].heard(engine, Notice(rest=3.0))
+        self.exchange_by_name["r0"].heard(engine, Notice(rest=3.0))
         self.assertEqual(set(self.deliver()), owners)
         for name in owners:
-            self.assertIs(self.closed(name, engine), Closed.RESTING)
+            self.assertIs(self.closed_reason(name, engine), Closed.RESTING)
             self.assertEqual(len(self.states[name].live_upstreams("lang")), 3)
-        closed = self.keepings["r0"].closed(engine, HEAD)
+        closed = self.exchange_by_name["r0"].closed(engine, HEAD)
         assert closed is not None
         self.assertEqual(closed.retry_after, 3.0)
         self.now = 3.0
-        self.assertIsNone(self.closed("r0", engine))
+        self.assertIsNone(self.closed_reason("r0", engine))
 
     # One that turned away two in five was closed to all, and its load overran the others.
-    def test_one_that_has_places_is_spared_by_its_owner_and_closed_to_who_was_told(self) -> None:
-        engine = self.start(0)
+    def test_a_resting_upstream_with_places_is_closed_only_at_the_router_it_told(self) -> None:
+        engine = self.instance(0)
         owner = self.states["r0"].owner_name(engine)
         assert owner is not None
-        told = next(name for name in self.names[:3] if name != owner)
-        self.keepings[told].heard(engine, Notice(rest=3.0, has_places=True))
+        receiver = next(name for name in self.names[:3] if name != owner)
+        self.exchange_by_name[receiver].heard(engine, Notice(rest=3.0, has_places=True))
         self.assertEqual(self.deliver(), [owner])
-        self.assertIs(self.closed(told, engine), Closed.RESTING)
-        for name in set(self.names[:3]) - {told}:
-            self.assertIsNone(self.closed(name, engine))
+        self.assertIs(self.closed_reason(receiver, engine), Closed.RESTING)
+        for name in set(self.names[:3]) - {receiver}:
+            self.assertIsNone(self.closed_reason(name, engine))
         target = self.states[owner].target(engine)
         assert target is not None
         self.assertEqual((target.intake.rest, target.peers), (Rest(of_some=3.0), 3))
@@ -182,14 +184,14 @@
 
     def test_the_others_carry_its_load(self) -> None:
         for at in range(2):
-            self.states["r0"].apply_notice(self.start(at), Notice(rest=3.0))
-        target = self.states["r0"].target(self.start(2))
+            self.states["r0"].apply_notice(self.instance(at), Notice(rest=3.0))
+        target = self.states["r0"].target(self.instance(2))
         assert target is not None
         self.assertEqual(target.peers, 1)
 
     # All who waited for its end, at every router, went to the engine in the same moment.
-    def test_its_end_brings_no_more_than_it_held(self) -> None:
-        engine, gate = self.start(0), self.states["r0"].gate
+    def test_after_a_rest_grants_start_at_the_load_before_it(self) -> None:
+        engine, gate = self.instance(0), self.states["r0"].gate
         for _ in range(4):
             gate.ask(engine, self.now, 9.0, 0, 1)
         self.states["r0"].apply_notice(engine, Notice(rest=3.0))
@@ -201,24 +203,24 @@
         self.now = 4.1
         self.assertIsInstance(gate.ask(engine, self.now, 9.0, 0, 1), Granted)
 
-    def test_whoever_becomes_its_owner_is_told(self) -> None:
-        engine, state = self.start(0), self.states["r0"]
+    def test_a_new_owner_is_told_of_a_rest(self) -> None:
+        engine, state = self.instance(0), self.states["r0"]
         owner = state.owner_name(engine)
-        teller = next(name for name in self.names[:3] if name != owner)
-        self.keepings[teller].heard(engine, Notice(rest=3.0))
-        self.keepings[teller].tick()
+        sender = next(name for name in self.names[:3] if name != owner)
+        self.exchange_by_name[sender].heard(engine, Notice(rest=3.0))
+        self.exchange_by_name[sender].tick()
         self.sent.clear()
-        self.keepings[teller]._owner_by_upstream[engine] = "r9"
-        self.keepings[teller].tick()
+        self.exchange_by_name[sender]._owner_by_upstream[engine] = "r9"
+        self.exchange_by_name[sender].tick()
         self.assertEqual(self.deliver(), [owner])
 
-    def test_what_many_rests_cost_is_bounded(self) -> None:
+    def test_packets_about_many_rests_are_bounded(self) -> None:
         for at in range(2000):
-            self.keepings["r0"].heard(self.start(at % 3), Notice(rest=3.0 + at))
+            self.exchange_by_name["r0"].heard(self.instance(at % 3), Notice(rest=3.0 + at))
         without_owners = len(self.sent) - 2000
         self.assertLess(without_owners, 10 * REST_PACKETS_PER_ROUND + 1)
 
     def test_a_packet_that_does_not_parse_is_dropped(self) -> None:
         for payload in (b"", b"\xc1", b"\x93\x46\x01"):
-            self.keepings["r0"].receive(payload)
+            self.exchange_by_name["r0"].receive(payload)
         self.assertEqual(self.states["r0"].notices.in_force(self.now), {})
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -8,7 +8,7 @@
 from pondhatch.router import NOTICE_PACKET_PREFIX
 from pondhatch.router._notice_exchange import NoticePacket, WireNotice
 from pondhatch.router._pace_reports import REPORTS_BURST, REPORTS_PER_ROUND
-from pondhatch.router.tests.test_notice_keeping import FleetCase
+from pondhatch.router.tests.test_notice_exchange import FleetCase
 
 SLOW = Notice(pace=250)
 
@@ -18,7 +18,7 @@
         super().setUp()
         for state in self.states.values():
             state.load_management = "on"
-        self.engine = self.start(0)
+        self.engine = self.instance(0)
         self.owner = self.states["r0"].owner_name(self.engine) or ""
         self.entry = next(name for name in self.names[:3] if name != self.owner)
 
@@ -28,30 +28,30 @@
         assert target is not None
         return target.pace
 
-    def test_its_owner_alone_is_told_once_a_second(self) -> None:
+    def test_only_the_owner_gets_a_report_once_a_second(self) -> None:
         for at in range(25):
             self.now = at / 10
-            self.keepings[self.entry].heard(self.engine, SLOW)
-            self.keepings[self.entry].tick()
+            self.exchange_by_name[self.entry].heard(self.engine, SLOW)
+            self.exchange_by_name[self.entry].tick()
         self.assertEqual(self.deliver(), [self.owner] * 3)
         self.assertEqual(self.pace_at(self.owner), 250)
         self.now += 0.6
         self.assertEqual(self.pace_at(self.owner), USUAL_PACE)
 
-    def test_what_is_near_the_usual_pace_and_an_owners_own_reading_are_not_told(self) -> None:
-        self.keepings[self.entry].heard(self.engine, Notice(pace=149))
-        self.keepings[self.owner].heard(self.engine, SLOW)
+    def test_a_pace_near_the_usual_and_an_owners_own_reading_are_not_reported(self) -> None:
+        self.exchange_by_name[self.entry].heard(self.engine, Notice(pace=149))
+        self.exchange_by_name[self.owner].heard(self.engine, SLOW)
         self.assertEqual(self.deliver(), [])
 
-    def test_it_closes_nothing(self) -> None:
-        self.keepings[self.entry].heard(self.engine, SLOW)
+    def test_a_pace_closes_no_upstream(self) -> None:
+        self.exchange_by_name[self.entry].heard(self.engine, SLOW)
         self.deliver()
         for name in (self.entry, self.owner):
-            self.assertIsNone(self.closed(name, self.engine))
+            self.assertIsNone(self.closed_reason(name, self.engine))
             self.assertEqual(self.states[name].notices.names(), ())
 
-    def test_what_many_slow_engines_cost_is_bounded(self) -> None:
-        reports = self.keepings[self.entry]._pace_reports
+    def test_reports_of_many_slow_engines_are_bounded(self) -> None:
+        reports = self.exchange_by_name[self.entry]._pace_reports
         for at in range(1000):
             if reports.is_due(f"e{at}", 250, 0.0):
                 reports.note_reported(f"e{at}", 0.0)
@@ -60,27 +60,31 @@
         self.assertEqual(len(reports._reported_at_by_engine), REPORTS_BURST + 9 * REPORTS_PER_ROUND)
 
     # A fleet that does not manage load sends what it always sent, whatever engines state.
-    def test_while_load_is_not_managed_nothing_is_told_and_no_byte_differs(self) -> None:
+    def test_while_load_is_not_managed_no_pace_is_sent_and_no_byte_differs(self) -> None:
         for state in self.states.values():
             state.load_management = "off"
-        self.keepings[self.entry].heard(self.engine, SLOW)
+        self.exchange_by_name[self.entry].heard(self.engine, SLOW)
         self.assertEqual(self.sent, [])
-        self.keepings[self.entry].heard(self.engine, Notice(rest=3.0, has_places=True, pace=250))
+        self.exchange_by_name[self.entry].heard(
+            self.engine, Notice(rest=3.0, has_places=True, pace=250)
+        )
         payload = msgspec.msgpack.encode([70, [[self.engine, False, 3.0, True]]])
         self.assertEqual([each.payload for _, each in self.sent], [NOTICE_PACKET_PREFIX + payload])
         self.assertEqual(self.states[self.entry].pace_read_at, self.now)
 
-    def test_only_who_reads_a_pace_itself_manages_load_where_it_is_as_needed(self) -> None:
+    def test_as_needed_only_a_router_that_reads_a_pace_itself_manages_load(self) -> None:
         for state in self.states.values():
             state.load_management = "as-needed"
-        self.keepings[self.entry].heard(self.engine, SLOW)
+        self.exchange_by_name[self.entry].heard(self.engine, SLOW)
         self.deliver()
         self.assertTrue(self.states[self.entry].load_managed())
         self.assertFalse(self.states[self.owner].load_managed())
 
-    def test_packets_of_and_for_routers_that_know_no_pace(self) -> None:
+    def test_packets_without_a_pace_decode_and_a_negative_pace_is_dropped(self) -> None:
         old = msgspec.msgpack.encode([70, [["e", True, 0.0, False]]])
-        told = WireNotice("e", True, 0.0)
-        self.assertEqual(msgspec.msgpack.decode(old, type=NoticePacket).notices, (told,))
-        self.keepings[self.entry].receive(msgspec.msgpack.encode([70, [["e", 0, 0.0, 0, -1]]]))
+        wire_notice = WireNotice("e", True, 0.0)
+        self.assertEqual(msgspec.msgpack.decode(old, type=NoticePacket).notices, (wire_notice,))
+        self.exchange_by_name[self.entry].receive(
+            msgspec.msgpack.encode([70, [["e", 0, 0.0, 0, -1]]])
+        )
         self.assertEqual(self.states[self.entry].paces.in_force(self.now), {})
--- a/pondhatch/router/tests/test_introduction.py
+++ b/pondhatch/router/tests/test_peer_discovery.py
@@ -14,24 +14,24 @@
 from pondhatch.configuration import publish
 from pondhatch.router import PeerDiscovery, RouterState
 from pondhatch.router._peer_discovery import VM_KIND
-from pondhatch.router.tests.test_sync import FIRST, router, syncing
+from pondhatch.router.tests.test_sync import FIRST, new_sync, router
 from pondhatch.store import Accepted, Conflict, Listed, OutcomeUnknown, Unavailable
 
 
-class TakesNoWrites(PlatformInMemory):
+class ReadOnlyPlatform(PlatformInMemory):
     """A platform that serves reads and turns writes away, for as long as it is told."""
 
-    turns_away = True
+    refuses_writes = True
 
     async def create(
         self, kind: str, name: str, value: Any
     ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
-        if self.turns_away:
+        if self.refuses_writes:
             return Unavailable("busy")
         return await super().create(kind, name, value)
 
 
-def introduction(state: RouterState, platform: PlatformInMemory, port: int) -> PeerDiscovery:
+def peer_discovery(state: RouterState, platform: PlatformInMemory, port: int) -> PeerDiscovery:
     address = f"127.0.0.1:{port}"
     return PeerDiscovery(state.name, state.gossip, platform, random.Random(port), address)
 
@@ -40,29 +40,29 @@
     return {address.port for address in state.gossip.membership._seeds}
 
 
-class IntroductionTest(unittest.TestCase):
-    def test_a_platform_that_takes_no_writes_keeps_nobody_from_its_configuration(self) -> None:
+class PeerDiscoveryTest(unittest.TestCase):
+    def test_the_configuration_is_read_though_the_platform_refuses_writes(self) -> None:
         async def main() -> int:
-            platform = TakesNoWrites()
-            platform.turns_away = False
+            platform = ReadOnlyPlatform()
+            platform.refuses_writes = False
             await publish(platform, FIRST)
-            platform.turns_away = True
+            platform.refuses_writes = True
             state = router("r0")
             state.refresh_members()
-            task = asyncio.ensure_future(syncing(state, platform, None, "127.0.0.1:1").run())
+            task = asyncio.ensure_future(new_sync(state, platform, None, "127.0.0.1:1").run())
             await asyncio.sleep(1.0)
             task.cancel()
             return state.fleet.version
 
         self.assertEqual(run_virtually(main()), 1)
 
-    def test_it_is_listed_once_the_platform_takes_writes_again(self) -> None:
+    def test_a_router_is_listed_once_the_platform_accepts_writes_again(self) -> None:
         async def main() -> bool:
-            platform = TakesNoWrites()
-            task = asyncio.ensure_future(introduction(router("r0"), platform, 1).run())
+            platform = ReadOnlyPlatform()
+            task = asyncio.ensure_future(peer_discovery(router("r0"), platform, 1).run())
             await asyncio.sleep(5.0)
             self.assertNotIn((VM_KIND, "r0"), platform.store.object_by_key)
-            platform.turns_away = False
+            platform.refuses_writes = False
             await asyncio.wait_for(task, 5.0)
             return (VM_KIND, "r0") in platform.store.object_by_key
 
@@ -73,14 +73,14 @@
             platform = PlatformInMemory()
             first, second = router("r0"), router("r1")
             await asyncio.gather(
-                introduction(first, platform, 1).run(), introduction(second, platform, 2).run()
+                peer_discovery(first, platform, 1).run(), peer_discovery(second, platform, 2).run()
             )
             return seeds(first), seeds(second)
 
         first, second = run_virtually(main())
         self.assertTrue(2 in first or 1 in second)
 
-    def test_entries_without_a_usable_address_hide_no_other_and_are_told_once(self) -> None:
+    def test_entries_without_a_usable_address_hide_no_other_and_are_logged_once(self) -> None:
         wrong: tuple[Any, ...] = (
             "10.0.0.3:7000",
             None,
@@ -97,7 +97,7 @@
             await platform.create(VM_KIND, "wrong", entry)
             await platform.create(VM_KIND, "good", {"address": "127.0.0.1:5"})
             state = router("r0")
-            own = introduction(state, platform, 1)
+            own = peer_discovery(state, platform, 1)
             for _ in range(3):
                 await own._find_peers()
             return seeds(state)
@@ -111,11 +111,11 @@
                 self.assertIn("wrong", lines[0])
             logger.remove(number)
 
-    def test_a_router_that_moved_replaces_where_it_was_reached(self) -> None:
+    def test_a_router_that_moved_replaces_its_address(self) -> None:
         async def main() -> Any:
             platform = PlatformInMemory()
-            await introduction(router("r0"), platform, 1).run()
-            await introduction(router("r0"), platform, 2).run()
+            await peer_discovery(router("r0"), platform, 1).run()
+            await peer_discovery(router("r0"), platform, 2).run()
             return platform.store.object_by_key[(VM_KIND, "r0")].value["address"]
 
         self.assertEqual(run_virtually(main()), "127.0.0.1:2")
@@ -123,7 +123,7 @@
     def calls_of_a_start(self, platform: PlatformInMemory, port: int) -> tuple[int, int]:
         """Start a router; return its calls, and those of them that may be answered cheaply."""
         before, cheap_before = platform.calls, platform.cheap_calls
-        run_virtually(introduction(router("r0"), platform, port).run())
+        run_virtually(peer_discovery(router("r0"), platform, port).run())
         return platform.calls - before, platform.cheap_calls - cheap_before
 
     def test_a_start_after_the_first_makes_one_cheap_call(self) -> None:
@@ -133,7 +133,7 @@
         # At another address its entry is created in vain, and then replaced.
         self.assertEqual(self.calls_of_a_start(platform, 2), (4, 1))
 
-    def test_what_was_listed_some_seconds_ago_hides_no_later_change(self) -> None:
+    def test_a_stale_list_hides_no_later_change(self) -> None:
         class Lagging(PlatformInMemory):
             async def list(self, kind: str, may_be_old: bool = False) -> Listed | Unavailable:
                 if may_be_old:
@@ -142,16 +142,16 @@
 
         async def main() -> tuple[Any, set[int]]:
             platform = Lagging()
-            await introduction(router("r1"), platform, 2).run()
+            await peer_discovery(router("r1"), platform, 2).run()
             state = router("r0")
-            await introduction(state, platform, 1).run()
+            await peer_discovery(state, platform, 1).run()
             return platform.store.object_by_key[(VM_KIND, "r0")].value["address"], seeds(state)
 
         address, found = run_virtually(main())
         self.assertEqual(address, "127.0.0.1:1")
         self.assertIn(2, found)
 
-    def test_an_entry_of_its_own_that_no_list_shows_is_written_over(self) -> None:
+    def test_an_own_entry_that_no_list_shows_is_overwritten(self) -> None:
         class Hidden(PlatformInMemory):
             async def list(self, kind: str, may_be_old: bool = False) -> Listed | Unavailable:
                 listed = await super().list(kind, may_be_old)
@@ -161,7 +161,7 @@
         async def main() -> Any:
             platform = Hidden()
             await platform.create(VM_KIND, "r0", "no entry")
-            await asyncio.wait_for(introduction(router("r0"), platform, 1).run(), 5.0)
+            await asyncio.wait_for(peer_discovery(router("r0"), platform, 1).run(), 5.0)
             return platform.store.object_by_key[(VM_KIND, "r0")].value["address"]
 
         self.assertEqual(run_virtually(main()), "127.0.0.1:1")
--- a/pondhatch/router/tests/test_restoring.py
+++ b/pondhatch/router/tests/test_platform_restorer.py
@@ -10,31 +10,31 @@
 from pondhatch.router import PlatformRestorer, RouterState
 from pondhatch.router._fleet_key import KEY_KIND, KEY_NAME
 from pondhatch.router._peer_discovery import VM_KIND
-from pondhatch.router.tests.test_introduction import introduction
+from pondhatch.router.tests.test_peer_discovery import peer_discovery
 from pondhatch.router.tests.test_sync import router
 from pondhatch.store import Found, Listed, Missing, position_of
 
 
-def in_era(state: RouterState, era: int) -> None:
+def enter_era(state: RouterState, era: int) -> None:
     state.upstreams.seen(position_of(era, 10))
 
 
-class RestoringTest(unittest.TestCase):
-    def restoring(self, platform: PlatformInMemory, state: RouterState) -> PlatformRestorer:
+class PlatformRestorerTest(unittest.TestCase):
+    def new_restorer(self, platform: PlatformInMemory, state: RouterState) -> PlatformRestorer:
         state.refresh_members()
         return PlatformRestorer(
-            state, platform, introduction(state, platform, 1), random.Random(1), b"the key"
+            state, platform, peer_discovery(state, platform, 1), random.Random(1), b"the key"
         )
 
-    def test_its_entry_and_the_fleets_key_are_written_again(self) -> None:
+    def test_a_lost_entry_and_fleet_key_are_written_again(self) -> None:
         async def main() -> None:
             platform, state = PlatformInMemory(), router("r0")
-            restoring = self.restoring(platform, state)
-            in_era(state, 1)
-            await restoring.check_era()
+            restorer = self.new_restorer(platform, state)
+            enter_era(state, 1)
+            await restorer.check_era()
             self.assertIsInstance(await platform.get(KEY_KIND, KEY_NAME), Missing)
-            in_era(state, 2)
-            await restoring.check_era()
+            enter_era(state, 2)
+            await restorer.check_era()
             listed = await platform.list(VM_KIND)
             assert isinstance(listed, Listed)
             self.assertEqual([each.name for each in listed.objects], ["r0"])
@@ -44,27 +44,27 @@
 
         run_virtually(main())
 
-    def test_what_is_there_stays_as_it_is(self) -> None:
+    def test_an_existing_key_is_not_overwritten(self) -> None:
         async def main() -> None:
             platform, state = PlatformInMemory(), router("r0")
-            restoring = self.restoring(platform, state)
+            restorer = self.new_restorer(platform, state)
             await platform.create(KEY_KIND, KEY_NAME, {"key": "another"})
             for era in (3, 4):
-                in_era(state, era)
-                await restoring.check_era()
+                enter_era(state, era)
+                await restorer.check_era()
             found = await platform.get(KEY_KIND, KEY_NAME)
             assert isinstance(found, Found)
             self.assertEqual(found.object.value, {"key": "another"})
 
         run_virtually(main())
 
-    def test_a_platform_without_eras_is_asked_nothing(self) -> None:
+    def test_nothing_is_written_to_a_platform_without_eras(self) -> None:
         async def main() -> None:
             platform, state = PlatformInMemory(), router("r0")
-            restoring = self.restoring(platform, state)
+            restorer = self.new_restorer(platform, state)
             for revision in (5, 900):
                 state.upstreams.seen(revision)
-                await restoring.check_era()
+                await restorer.check_era()
             listed = await platform.list(VM_KIND)
             assert isinstance(listed, Listed)
             self.assertEqual(listed.objects, ())
--- a/pondhatch/router/tests/test_pooled_engines.py
+++ b/pondhatch/router/tests/test_pooled_engines.py
@@ -29,16 +29,16 @@
         budget = RetryBudget()
         return Walk(self.state, ways, budget, head, ReplayableBody(b""), lambda: 5.0).plan.order
 
-    def test_it_moves_no_request_with_a_context(self) -> None:
+    def test_requests_with_a_context_keep_their_order(self) -> None:
         self.assertEqual(self.order(0), ("i-1", "i-0"))
         for chat in range(1, 9):
             self.assertEqual(self.order(chat), ranked(str(chat), ENGINES))
 
-    def test_while_load_is_not_managed_there_is_none(self) -> None:
+    def test_while_load_is_not_managed_no_engine_is_preferred(self) -> None:
         self.state.load_management = "off"
         self.assertEqual(self.preference.first_of("lang", ENGINES), ())
 
-    def test_it_goes_by_counts_here_and_by_words_of_other_owners(self) -> None:
+    def test_loads_are_counted_here_and_read_from_replies_of_other_owners(self) -> None:
         self.state.gate.adopt("i-1")
         self.state.gate.adopt("i-1")
         self.assertEqual(self.preference.first_of("lang", ENGINES), ())
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -13,7 +13,14 @@
 from pondhatch.membership._records import Versions
 from pondhatch.router import RouterState
 from pondhatch.router._sync import Pull
-from pondhatch.router.tests.test_sync import FIRST, Lacking, meet, pulling, router, syncing
+from pondhatch.router.tests.test_sync import (
+    FIRST,
+    HeldByPeer,
+    meet,
+    new_peer_sync,
+    new_sync,
+    router,
+)
 
 
 class OnePullTest(unittest.TestCase):
@@ -26,29 +33,29 @@
         peer.apply_change(change(2, account("a")))
         meet(state, peer)
         running: list[int] = []
-        most = made = 0
+        most_at_once = total = 0
 
-        async def pull(member: Member, configuration: int, upstreams: int) -> Lacking | None:
-            nonlocal most, made
-            made += 1
-            running.append(made)
-            most = max(most, len(running))
+        async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
+            nonlocal most_at_once, total
+            total += 1
+            running.append(total)
+            most_at_once = max(most_at_once, len(running))
             await asyncio.sleep(0.5)
             running.pop()
-            return None if lost else Lacking(peer, configuration, upstreams)
+            return None if lost else HeldByPeer(peer, configuration, upstreams)
 
         async def main() -> None:
-            sync = pulling(state, pull)
-            heard = [asyncio.ensure_future(sync.on_peer_ahead()) for _ in range(news)]
-            await asyncio.wait(heard)
+            sync = new_peer_sync(state, pull)
+            waiting = [asyncio.ensure_future(sync.on_peer_ahead()) for _ in range(news)]
+            await asyncio.wait(waiting)
 
         run_virtually(main())
-        return most, made, state.fleet.version
+        return most_at_once, total, state.fleet.version
 
-    def test_there_is_one_at_a_time_and_it_brings_all(self) -> None:
+    def test_there_is_one_pull_at_a_time_and_it_brings_all(self) -> None:
         self.assertEqual(self.pulls(50), (1, 1, 2))
 
-    def test_one_that_fails_is_not_repeated_at_once(self) -> None:
+    def test_a_failed_pull_is_not_repeated_at_once(self) -> None:
         self.assertEqual(self.pulls(50, lost=True), (1, 1, 0))
 
 
@@ -63,7 +70,7 @@
         self.state = router("r0")
         self.state.apply_change(FIRST)
 
-    def holder(self, name: str) -> RouterState:
+    def peer_with_change(self, name: str) -> RouterState:
         """Return a peer that holds a change which the router has not."""
         peer = router(name)
         peer.apply_change(FIRST)
@@ -78,7 +85,7 @@
         async def main() -> float:
             loop = asyncio.get_running_loop()
             self.state.clock = loop.time
-            tasks = [asyncio.ensure_future(pulling(self.state, pull).run())]
+            tasks = [asyncio.ensure_future(new_peer_sync(self.state, pull).run())]
             if later is not None:
                 tasks.append(asyncio.ensure_future(later()))
             while self.state.fleet.version < 2:
@@ -89,44 +96,44 @@
 
         return run_virtually(main())
 
-    def learned_after(self, silent: int, peers: int) -> tuple[float, int]:
+    def seconds_behind_with_silent_peers(self, silent: int, peers: int) -> tuple[float, int]:
         """Return the seconds until a router has a change, and the pulls side by side at most."""
-        holders = [self.holder(f"r{at + 1}") for at in range(peers)]
+        holders = [self.peer_with_change(f"r{at + 1}") for at in range(peers)]
         for each in holders:
             meet(self.state, each)
         asked: list[str] = []
         running: set[str] = set()
-        most = 0
+        most_at_once = 0
 
-        async def pull(member: Member, configuration: int, upstreams: int) -> Lacking | None:
-            nonlocal most
+        async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
+            nonlocal most_at_once
             # The first ones that are asked are the silent ones, whoever they are.
             is_silent = len(asked) < silent
             asked.append(member.name)
             running.add(member.name)
-            most = max(most, len(running))
+            most_at_once = max(most_at_once, len(running))
             await asyncio.sleep(2.0 if is_silent else 0.01)
             running.discard(member.name)
-            return None if is_silent else Lacking(holders[0], configuration, upstreams)
+            return None if is_silent else HeldByPeer(holders[0], configuration, upstreams)
 
-        return self.seconds_behind(pull), most
+        return self.seconds_behind(pull), most_at_once
 
     def test_a_change_is_in_force_in_time_though_two_peers_in_a_row_give_no_answer(self) -> None:
         for silent in (1, 2):
             with self.subTest(silent=silent):
                 self.setUp()
-                seconds, most = self.learned_after(silent, peers=5)
+                seconds, most_at_once = self.seconds_behind_with_silent_peers(silent, peers=5)
                 self.assertLess(seconds, 1.7)
-                self.assertLessEqual(most, 3)
+                self.assertLessEqual(most_at_once, 3)
 
-    def test_one_that_is_ahead_a_little_later_is_asked_beside_the_silent_one(self) -> None:
-        silent, later = self.holder("r1"), self.holder("r2")
+    def test_a_peer_that_is_ahead_later_is_asked_while_a_silent_one_is_pending(self) -> None:
+        silent, later = self.peer_with_change("r1"), self.peer_with_change("r2")
         meet(self.state, silent)
 
-        async def pull(member: Member, configuration: int, upstreams: int) -> Lacking | None:
+        async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
             is_silent = member.name == silent.name
             await asyncio.sleep(2.0 if is_silent else 0.01)
-            return None if is_silent else Lacking(later, configuration, upstreams)
+            return None if is_silent else HeldByPeer(later, configuration, upstreams)
 
         async def hear_of_another() -> None:
             await asyncio.sleep(0.3)
@@ -134,11 +141,11 @@
 
         self.assertLess(self.seconds_behind(pull, hear_of_another), 1.7)
 
-    def test_where_one_answers_no_other_is_asked(self) -> None:
-        self.assertEqual(self.learned_after(0, peers=5)[1], 1)
+    def test_where_one_peer_answers_no_other_is_asked(self) -> None:
+        self.assertEqual(self.seconds_behind_with_silent_peers(0, peers=5)[1], 1)
 
 
-class CutPeersTest(unittest.TestCase):
+class CutOffPeersTest(unittest.TestCase):
     """The pattern: three routers in ten are cut off while the configuration changes.
 
     Grounds: a change is to be in force within 2 s, and a call to a peer that is cut off takes
@@ -151,16 +158,16 @@
         for peer in peers:
             meet(state, peer)
             state.gossip.membership.table.heard_from(short_id(peer.name), held_by_name[peer.name])
-        sync = syncing(state, PlatformInMemory(), None)
+        sync = new_sync(state, PlatformInMemory(), None)
         return {member.name for member in sync._peers_to_pull_from()}
 
-    def test_only_who_holds_the_newest_configuration_is_asked(self) -> None:
+    def test_only_peers_with_the_newest_configuration_are_asked(self) -> None:
         held = {"r1": Versions(38, 9), "r2": Versions(40, 5), "r3": Versions(38, 9)}
         self.assertEqual(self.asked_first(held), {"r2"})
 
-    def test_where_nobody_has_a_newer_one_the_newest_list_of_upstreams_counts(self) -> None:
+    def test_without_a_newer_configuration_peers_with_the_newest_upstreams_are_asked(self) -> None:
         held = {"r1": Versions(0, 7), "r2": Versions(0, 9), "r3": Versions(0, 9)}
         self.assertEqual(self.asked_first(held), {"r2", "r3"})
 
-    def test_nobody_is_asked_for_what_is_held_here(self) -> None:
+    def test_peers_that_hold_nothing_newer_are_not_asked(self) -> None:
         self.assertEqual(self.asked_first({"r1": Versions(0, 0)}), set())
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -49,7 +49,7 @@
     NoticeExchange,
     RouterState,
 )
-from pondhatch.router.tests.test_sync import Nobody
+from pondhatch.router.tests.test_sync import UncalledPeer
 from pondhatch.store import Listed, WatchEvent
 
 ROUTERS = ("r0", "r1", "r2")
@@ -68,19 +68,19 @@
 )
 #: Seconds of a request at the usual speed, and until its answer begins.
 USUAL_SECONDS = 0.4
-FIRST_SECONDS = 0.05
+ANSWER_HEAD_SECONDS = 0.05
 #: Percent of it that a request takes at the slow engine.
 SLOW_PACE = 250
 #: Requests a second, and seconds for which they come.
-RATE = 80
-SECONDS = 12.0
+REQUESTS_PER_SECOND = 80
+LOAD_SECONDS = 12.0
 #: When the routers know each other and their loads.
-SETTLED = 3.0
+SETTLED_AT = 3.0
 #: When something fails, and when what follows from it has passed.
-FAILS = 6.0
-RECOVERED = 9.0
+FAILS_AT = 6.0
+RECOVERED_AT = 9.0
 #: Share of callers that may wait for more than twice the usual time: nine in ten must not.
-MOST_LATE = 0.1
+MAX_LATE_SHARE = 0.1
 
 
 class Answer:
@@ -108,13 +108,13 @@
         self.running: Counter[str] = Counter()
         self._dialect = EngineDialect()
 
-    async def answer(self, engine: str, keeping: NoticeExchange) -> Opened:
+    async def answer(self, engine: str, notice_exchange: NoticeExchange) -> Opened:
         self.running[engine] += 1
         pace = SLOW_PACE if engine == self.slow else 100
-        await asyncio.sleep(FIRST_SECONDS * pace / 100)
+        await asyncio.sleep(ANSWER_HEAD_SECONDS * pace / 100)
         load = f"{self.running[engine]},0,{SLOTS},{pace}"
-        keeping.heard(engine, self._dialect.notice(200, {"instance-load": load}))
-        return Opened(Answer(self, engine, (USUAL_SECONDS - FIRST_SECONDS) * pace / 100))
+        notice_exchange.heard(engine, self._dialect.notice(200, {"instance-load": load}))
+        return Opened(Answer(self, engine, (USUAL_SECONDS - ANSWER_HEAD_SECONDS) * pace / 100))
 
 
 class Sink:
@@ -130,23 +130,23 @@
 class Connections:
     """One router's connections; see Upstreams."""
 
-    def __init__(self, engines: Engines, keeping: NoticeExchange) -> None:
-        self._engines, self._keeping = engines, keeping
+    def __init__(self, engines: Engines, notice_exchange: NoticeExchange) -> None:
+        self._engines, self._notice_exchange = engines, notice_exchange
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
-        return await self._engines.answer(target.name, self._keeping)
+        return await self._engines.answer(target.name, self._notice_exchange)
 
 
 class Router:
     """One router's parts, as its process puts them together."""
 
-    def __init__(self, name: str, fleet: Fleet) -> None:
+    def __init__(self, name: str, fleet: SimulatedFleet) -> None:
         clock = asyncio.get_running_loop().time
         address = fleet.address_by_name[name]
         own = Alive(short_id(name), 1, Phase.LIVE, name, address.host, address.port, "h1")
         seeds = list(fleet.address_by_name.values())
         gossip = Gossip(own, MembershipLimits(), random.Random(name), seeds)
-        self.state = RouterState(name, "h1", gossip, clock, lambda member: Nobody())
+        self.state = RouterState(name, "h1", gossip, clock, lambda member: UncalledPeer())
         self.state.load_management = "as-needed"
         self.state.apply_change(Change(1, "first", "root", 0.0, "", (SERVICE,)))
         for version, engine in enumerate(ENGINES, 1):
@@ -154,25 +154,25 @@
             self.state.apply_upstream_event(WatchEvent("set", version, engine, value))
         self.state.apply_listed_evacuations(Listed(10, ()))
         self.send: Callable[[Iterable[Datagram]], None] = partial(fleet.send, address)
-        self.keeping = NoticeExchange(self.state, self.send)
-        self.granting = GrantExchange(self.state, self.send, Tasks(), 1)
-        connections = Connections(fleet.engines, self.keeping)
-        self._ways = Ways(self.granting.entry, connections)
+        self.notice_exchange = NoticeExchange(self.state, self.send)
+        self.grant_exchange = GrantExchange(self.state, self.send, Tasks(), 1)
+        connections = Connections(fleet.engines, self.notice_exchange)
+        self._ways = Ways(self.grant_exchange.entry, connections)
 
     def receive(self, payload: bytes, source: Address) -> None:
         if payload.startswith(GRANT_PACKET_PREFIX):
-            self.granting.receive(payload.removeprefix(GRANT_PACKET_PREFIX), source)
+            self.grant_exchange.receive(payload.removeprefix(GRANT_PACKET_PREFIX), source)
         elif payload.startswith(NOTICE_PACKET_PREFIX):
-            self.keeping.receive(payload.removeprefix(NOTICE_PACKET_PREFIX))
+            self.notice_exchange.receive(payload.removeprefix(NOTICE_PACKET_PREFIX))
         else:
             self.send(self.state.gossip.receive(payload, source, self.state.clock()))
             self.state.refresh_members()
-            self.granting.follow_members()
+            self.grant_exchange.follow_members()
 
     def tick(self) -> None:
         self.state.tick()
-        self.granting.tick()
-        self.keeping.tick()
+        self.grant_exchange.tick()
+        self.notice_exchange.tick()
         self.send(self.state.gossip.tick(self.state.clock()))
 
     async def send_request(self, number: int) -> bool:
@@ -194,7 +194,7 @@
         return isinstance((await Delivery(walk, placed, Sink()).run()).outcome, Whole)
 
 
-class Fleet:
+class SimulatedFleet:
     """Routers and engines."""
 
     def __init__(self) -> None:
@@ -226,9 +226,9 @@
         assert target is not None
         return target.pace
 
-    async def meet(self) -> None:
+    async def start(self) -> None:
         """Have the routers begin, and wait until they know each other."""
-        self._running = asyncio.ensure_future(self._rounds())
+        self._running = asyncio.ensure_future(self._run_rounds())
         await asyncio.sleep(1.0)
 
     async def run(self, entries: tuple[str, ...] = ROUTERS) -> int:
@@ -244,19 +244,19 @@
             return is_whole
 
         running: list[asyncio.Future[bool]] = []
-        while clock() < SECONDS:
+        while clock() < LOAD_SECONDS:
             running.append(asyncio.ensure_future(request(len(running))))
-            await asyncio.sleep(1 / RATE)
+            await asyncio.sleep(1 / REQUESTS_PER_SECOND)
         found = await asyncio.gather(*running)
         return found.count(False)
 
-    async def _rounds(self) -> None:
+    async def _run_rounds(self) -> None:
         while True:
             for router in self.router_by_name.values():
                 router.tick()
             await asyncio.sleep(0.1)
 
-    def late(self, since: float, until: float = SECONDS) -> float:
+    def late_share(self, since: float, until: float = LOAD_SECONDS) -> float:
         """Return the share of the callers in a time that waited for twice the usual time."""
         took = [seconds for began, seconds in self.answered if since <= began < until]
         return sum(seconds > 2 * USUAL_SECONDS for seconds in took) / len(took)
@@ -265,39 +265,39 @@
 class SlowEngineTest(unittest.TestCase):
     def test_nine_in_ten_callers_are_answered_in_time(self) -> None:
         async def history() -> tuple[int, float]:
-            fleet = Fleet()
-            await fleet.meet()
+            fleet = SimulatedFleet()
+            await fleet.start()
             unanswered = await fleet.run()
-            return unanswered, fleet.late(SETTLED)
+            return unanswered, fleet.late_share(SETTLED_AT)
 
         unanswered, late = run_virtually(history())
         self.assertEqual(unanswered, 0)
-        self.assertLess(late, MOST_LATE)
+        self.assertLess(late, MAX_LATE_SHARE)
 
     # A pace is known where it is told, and the router that was told goes away.
-    def test_the_next_owner_holds_it_back_after_its_owner_drained(self) -> None:
+    def test_the_next_owner_limits_it_after_its_owner_drained(self) -> None:
         async def history() -> tuple[int, float, bool]:
-            fleet = Fleet()
-            await fleet.meet()
+            fleet = SimulatedFleet()
+            await fleet.start()
             first = fleet.owner()
             others = tuple(name for name in ROUTERS if name != first.state.name)
 
             def drain() -> None:
                 first.state.phase = Phase.DRAINING
 
-            asyncio.get_running_loop().call_later(FAILS, drain)
+            asyncio.get_running_loop().call_later(FAILS_AT, drain)
             unanswered = await fleet.run(others)
-            return unanswered, fleet.late(RECOVERED), fleet.owner() is not first
+            return unanswered, fleet.late_share(RECOVERED_AT), fleet.owner() is not first
 
         unanswered, late, has_moved = run_virtually(history())
         self.assertEqual((unanswered, has_moved), (0, True))
-        self.assertLess(late, MOST_LATE)
+        self.assertLess(late, MAX_LATE_SHARE)
 
     # The owner is asked by others alone here, so it knows no pace but by their packets.
-    def test_lost_packets_cost_the_lowered_ceiling_and_nothing_else(self) -> None:
+    def test_lost_pace_reports_only_reset_the_owner_to_the_usual_pace(self) -> None:
         async def history() -> tuple[int, int, float]:
-            fleet = Fleet()
-            await fleet.meet()
+            fleet = SimulatedFleet()
+            await fleet.start()
             owner = fleet.owner()
             owner.state.load_management = "on"
             others = tuple(name for name in ROUTERS if name != owner.state.name)
@@ -307,12 +307,12 @@
                 fleet.are_notices_lost = are_lost
 
             paces: list[int] = []
-            loop.call_later(FAILS, lose, True)
-            loop.call_later(FAILS + 0.7, lambda: paces.append(fleet.owner_pace()))
-            loop.call_later(RECOVERED - 1.0, lose, False)
+            loop.call_later(FAILS_AT, lose, True)
+            loop.call_later(FAILS_AT + 0.7, lambda: paces.append(fleet.owner_pace()))
+            loop.call_later(RECOVERED_AT - 1.0, lose, False)
             unanswered = await fleet.run(others)
-            return unanswered, paces[0], fleet.late(RECOVERED)
+            return unanswered, paces[0], fleet.late_share(RECOVERED_AT)
 
         unanswered, pace, late = run_virtually(history())
         self.assertEqual((unanswered, pace), (0, USUAL_PACE))
-        self.assertLess(late, MOST_LATE)
+        self.assertLess(late, MAX_LATE_SHARE)
--- a/pondhatch/router/tests/test_starting.py
+++ b/pondhatch/router/tests/test_startup_wait.py
@@ -16,55 +16,55 @@
     return asyncio.get_running_loop().time()
 
 
-def starting() -> tuple[RouterState, StartupWait]:
+def starting_router() -> tuple[RouterState, StartupWait]:
     state = router("r0")
     state.clock = now
     return state, StartupWait(state)
 
 
-async def waited(start: StartupWait) -> float:
+async def seconds_waited(start: StartupWait) -> float:
     begun = now()
     await start.wait()
     return now() - begun
 
 
-class StartingTest(unittest.TestCase):
-    def test_it_goes_on_as_soon_as_all_is_known(self) -> None:
+class StartupWaitTest(unittest.TestCase):
+    def test_the_wait_ends_as_soon_as_all_is_known(self) -> None:
         async def main() -> float:
-            state, start = starting()
+            state, start = starting_router()
             loop = asyncio.get_running_loop()
             loop.call_later(0.02, state.apply_change, FIRST)
             upstream = Upstream("e0", "lang", "http://x", "h1")
             loop.call_later(0.03, state.upstreams.set, upstream, 5)
             loop.call_later(0.05, state.apply_listed_evacuations, Listed(5, ()))
-            return await waited(start)
+            return await seconds_waited(start)
 
         self.assertAlmostEqual(run_virtually(main()), 0.05, delta=0.015)
 
-    def test_one_request_waits_a_moment_at_most(self) -> None:
+    def test_one_request_waits_for_the_maximum_at_most(self) -> None:
         async def main() -> float:
-            return await waited(starting()[1])
+            return await seconds_waited(starting_router()[1])
 
         self.assertAlmostEqual(run_virtually(main()), MAX_WAIT_SECONDS)
 
-    def test_later_ones_wait_for_what_is_left_of_the_start_and_then_not_at_all(self) -> None:
+    def test_later_requests_wait_for_the_rest_of_the_startup_and_then_not_at_all(self) -> None:
         async def main() -> list[float]:
-            _, start = starting()
+            _, start = starting_router()
             await asyncio.sleep(STARTUP_SECONDS - MAX_WAIT_SECONDS / 2)
-            found = [await waited(start)]
+            found = [await seconds_waited(start)]
             await asyncio.sleep(60)
-            return [*found, await waited(start)]
+            return [*found, await seconds_waited(start)]
 
         last, after = run_virtually(main())
         self.assertAlmostEqual(last, MAX_WAIT_SECONDS / 2, delta=0.011)
         self.assertEqual(after, 0.0)
 
-    def test_one_that_gives_up_ends_nobody_elses_wait(self) -> None:
+    def test_a_cancelled_wait_does_not_end_others(self) -> None:
         async def main() -> float:
-            _, start = starting()
+            _, start = starting_router()
             leaving = asyncio.ensure_future(start.wait())
             await asyncio.sleep(0.01)
-            staying = asyncio.ensure_future(waited(start))
+            staying = asyncio.ensure_future(seconds_waited(start))
             await asyncio.sleep(0.01)
             leaving.cancel()
             return await staying
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -49,7 +49,7 @@
 FIRST = Change(1, "first", "root", 0.0, "", (SERVICE, TEMPLATE))
 
 
-class Nobody:
+class UncalledPeer:
     """A peer that is never asked."""
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
@@ -65,10 +65,10 @@
 def router(name: str, hall: str = "h1", started: int = 1) -> RouterState:
     own = Alive(short_id(name), started, Phase.LIVE, name, "127.0.0.1", 7000, hall)
     gossip = Gossip(own, MembershipLimits(), random.Random(1))
-    return RouterState(name, hall, gossip, lambda: 0.0, lambda member: Nobody())
+    return RouterState(name, hall, gossip, lambda: 0.0, lambda member: UncalledPeer())
 
 
-class Lacking:
+class HeldByPeer:
     """What a peer holds beyond a version."""
 
     def __init__(self, peer: RouterState, configuration: int, upstreams: int) -> None:
@@ -77,25 +77,25 @@
         self.evacuations: EvacuationUpdate | None = peer.halls.evacuations.told()
 
 
-def syncing(
+def new_sync(
     state: RouterState,
     platform: Platform,
     peer: RouterState | None,
     own_address: str | None = None,
 ) -> Sync:
-    async def pull(member: Member, configuration: int, upstreams: int) -> Lacking | None:
-        return Lacking(peer, configuration, upstreams) if peer is not None else None
+    async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
+        return HeldByPeer(peer, configuration, upstreams) if peer is not None else None
 
     rng = random.Random(1)
-    introduction = PeerDiscovery(state.name, state.gossip, platform, rng, own_address)
-    return Sync(state, platform, ChangeLog(platform), pull, lambda: None, rng, introduction)
+    peer_discovery = PeerDiscovery(state.name, state.gossip, platform, rng, own_address)
+    return Sync(state, platform, ChangeLog(platform), pull, lambda: None, rng, peer_discovery)
 
 
-def pulling(state: RouterState, pull: Pull) -> Sync:
+def new_peer_sync(state: RouterState, pull: Pull) -> Sync:
     """Return what keeps a router up to date from its peers alone."""
     platform, rng = PlatformInMemory(), random.Random(1)
-    introduction = PeerDiscovery(state.name, state.gossip, platform, rng)
-    return Sync(state, platform, Told(), pull, state.publish, rng, introduction)
+    peer_discovery = PeerDiscovery(state.name, state.gossip, platform, rng)
+    return Sync(state, platform, FixedSource(), pull, state.publish, rng, peer_discovery)
 
 
 def meet(state: RouterState, peer: RouterState) -> None:
@@ -123,14 +123,14 @@
     async def test_a_router_alone_reads_the_platform(self) -> None:
         state = router("r0")
         state.refresh_members()
-        await self.run_for(syncing(state, self.platform, None))
+        await self.run_for(new_sync(state, self.platform, None))
         self.assertEqual(state.fleet.version, 1)
 
-    async def asked_who_joined(self, *starts: int) -> list[str]:
+    async def peers_asked_for_joins(self, *starts: int) -> list[str]:
         """Start a router beside peers that started at these milliseconds; return whom it asks."""
         asked: list[str] = []
 
-        async def pull(member: Member, configuration: int, upstreams: int) -> Lacking | None:
+        async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
             if upstreams == 0:
                 asked.append(member.name)
             return None
@@ -138,14 +138,14 @@
         state = router("r0", started=100_000)
         for at, started in enumerate(starts, 1):
             meet(state, router(f"r{at}", started=started))
-        await self.run_for(pulling(state, pull), PEER_DISCOVERY_SECONDS + 0.2)
+        await self.run_for(new_peer_sync(state, pull), PEER_DISCOVERY_SECONDS + 0.2)
         return asked
 
-    async def test_where_all_start_together_nobody_is_asked_who_joined_lately(self) -> None:
-        self.assertEqual(await self.asked_who_joined(99_000, 100_000, 101_000), [])
+    async def test_where_all_start_together_no_peer_is_asked_for_recent_joins(self) -> None:
+        self.assertEqual(await self.peers_asked_for_joins(99_000, 100_000, 101_000), [])
 
-    async def test_a_peer_that_has_run_for_longer_is_asked_who_joined_lately(self) -> None:
-        self.assertEqual(await self.asked_who_joined(99_000, 80_000, 101_000), ["r2"])
+    async def test_a_peer_that_has_run_for_longer_is_asked_for_recent_joins(self) -> None:
+        self.assertEqual(await self.peers_asked_for_joins(99_000, 80_000, 101_000), ["r2"])
 
     async def test_a_router_that_starts_during_an_outage_learns_from_a_peer(self) -> None:
         peer, state = router("r1"), router("r0")
@@ -154,7 +154,7 @@
         peer.upstreams.set(Upstream("e0", "lang", "http://x", "h1"), 5)
         meet(state, peer)
         self.platform.faults.arm("outage", count=1000)
-        await self.run_for(syncing(state, self.platform, peer))
+        await self.run_for(new_sync(state, self.platform, peer))
         self.assertEqual((state.fleet.version, state.upstreams.version), (2, 5))
         self.assertIn("a", state.fleet.policy_by_account)
 
@@ -178,7 +178,7 @@
         return fleet
 
 
-class Told:
+class FixedSource:
     """A configuration that is told as listed, one news after the other."""
 
     def __init__(self, *news: Fleet | Rejected) -> None:
@@ -190,16 +190,16 @@
         await asyncio.Event().wait()
 
 
-class RefusedTest(unittest.IsolatedAsyncioTestCase):
+class RejectedDocumentTest(unittest.IsolatedAsyncioTestCase):
     """A document that is no configuration, and one that is put back as it was."""
 
-    REFUSED = Rejected(((("document", "main"), Misfit((), "none at all")),))
+    REJECTED = Rejected(((("document", "main"), Misfit((), "none at all")),))
 
-    async def after(self, *news: Fleet | Rejected) -> RouterState:
+    async def state_after(self, *news: Fleet | Rejected) -> RouterState:
         state = router("r0")
         state.refresh_members()
-        sync = syncing(state, PlatformInMemory(), None)
-        sync._source = Told(*news)
+        sync = new_sync(state, PlatformInMemory(), None)
+        sync._source = FixedSource(*news)
         task = asyncio.ensure_future(sync.run())
         # The second is told once the router has met its peers.
         await asyncio.sleep(PEER_DISCOVERY_SECONDS + 0.1)
@@ -207,13 +207,13 @@
         await asyncio.wait([task])
         return state
 
-    async def test_the_older_one_stays_in_force_and_nothing_is_refused_for_good(self) -> None:
-        state = await self.after(Fleet(version=3), self.REFUSED)
-        self.assertEqual((state.fleet.version, state.rejected), (3, self.REFUSED))
+    async def test_the_older_configuration_stays_in_force_and_counts_as_incomplete(self) -> None:
+        state = await self.state_after(Fleet(version=3), self.REJECTED)
+        self.assertEqual((state.fleet.version, state.rejected), (3, self.REJECTED))
         self.assertFalse(state.has_all_entries("route"))
 
-    async def test_the_same_version_put_back_ends_it(self) -> None:
-        state = await self.after(Fleet(version=3), self.REFUSED, Fleet(version=3))
+    async def test_restoring_the_same_version_ends_the_rejection(self) -> None:
+        state = await self.state_after(Fleet(version=3), self.REJECTED, Fleet(version=3))
         self.assertIsNone(state.rejected)
         self.assertTrue(state.has_all_entries("route"))
 
@@ -231,13 +231,13 @@
         self.assertIsNone(state.apply_update(Update(snapshot=stale.snapshot())))
         self.assertIs(state.fleet, before)
 
-    def test_a_gap_is_seen_and_nothing_is_skipped(self) -> None:
+    def test_a_gap_is_reported_and_nothing_is_skipped(self) -> None:
         state = router("r0")
         state.apply_change(FIRST)
         self.assertEqual(state.apply_change(change(3, account("a"))), Gap(1, 3))
         self.assertEqual(state.fleet.version, 1)
 
-    def test_a_change_that_fails_its_check_is_void_and_the_log_goes_on(self) -> None:
+    def test_a_rejected_change_is_voided_and_later_ones_apply(self) -> None:
         state = router("r0")
         state.apply_change(FIRST)
         bad = change(2, Edit("account", "x", {"template": "none"}))
@@ -245,7 +245,7 @@
         self.assertIsNone(state.apply_change(change(3, account("a"))))
         self.assertEqual(set(state.fleet.policy_by_account), {"a"})
 
-    def test_an_older_word_on_an_upstream_never_replaces_a_newer_one(self) -> None:
+    def test_an_older_entry_of_an_upstream_never_replaces_a_newer_one(self) -> None:
         state = router("r0")
         leaving = Upstream("e0", "lang", "http://x", "h1", state="leaving")
         state.upstreams.set(leaving, 9)
@@ -275,15 +275,15 @@
             [state.is_young(name) for name in ("e0", "e1", "e2")], [False, False, True]
         )
 
-    def test_a_router_that_restarts_learns_from_a_peer_who_joined_lately(self) -> None:
+    def test_a_restarted_router_learns_recent_joins_from_a_peer(self) -> None:
         """The pattern: routers restart one after the other while engines are replaced."""
         clock = FLEET_START_SECONDS + 10
         peer, state = router("r1"), router("r0")
         for each in (peer, state):
             each.clock = lambda: clock
-        joins = peer._upstream_changes.join_times
-        joins.note(frozenset(), frozenset({"e0"}), 0.0)
-        joins.note(frozenset({"e0"}), frozenset({"e0", "e1"}), clock - 5)
+        join_times = peer._upstream_changes.join_times
+        join_times.note(frozenset(), frozenset({"e0"}), 0.0)
+        join_times.note(frozenset({"e0"}), frozenset({"e0", "e1"}), clock - 5)
         for name, version in (("e0", 1), ("e1", 2)):
             upstream = Upstream(name, "lang", "http://x", "h1")
             peer.upstreams.set(upstream, version)
@@ -295,22 +295,22 @@
         clock += YOUNG_SECONDS - 4
         self.assertFalse(state.is_young("e1"))
 
-    def test_routers_that_start_together_take_no_engine_for_a_newcomer(self) -> None:
-        joins = JoinTimes()
-        joins.note(frozenset(), frozenset({"e0"}), 1.0)
-        joins.merge_from_peer(1.5, {"e0": 0.5}, 2.0)
-        self.assertFalse(joins.is_young("e0", 2.0))
+    def test_for_routers_that_start_together_no_engine_is_young(self) -> None:
+        join_times = JoinTimes()
+        join_times.note(frozenset(), frozenset({"e0"}), 1.0)
+        join_times.merge_from_peer(1.5, {"e0": 0.5}, 2.0)
+        self.assertFalse(join_times.is_young("e0", 2.0))
 
-    def test_what_joined_long_ago_is_not_remembered(self) -> None:
-        joins = JoinTimes()
-        joins.note(frozenset(), frozenset({"e0"}), 0.0)
+    def test_old_join_times_are_dropped(self) -> None:
+        join_times = JoinTimes()
+        join_times.note(frozenset(), frozenset({"e0"}), 0.0)
         joined = frozenset({"e0", "e1"})
-        joins.note(frozenset({"e0"}), joined, FLEET_START_SECONDS)
-        self.assertTrue(joins.is_young("e1", FLEET_START_SECONDS))
-        joins.note(joined, joined, FLEET_START_SECONDS + YOUNG_SECONDS)
-        self.assertEqual(joins._joined_at, {})
+        join_times.note(frozenset({"e0"}), joined, FLEET_START_SECONDS)
+        self.assertTrue(join_times.is_young("e1", FLEET_START_SECONDS))
+        join_times.note(joined, joined, FLEET_START_SECONDS + YOUNG_SECONDS)
+        self.assertEqual(join_times._joined_at, {})
 
-    def test_one_that_may_have_gone_is_given_no_orders(self) -> None:
+    def test_an_engine_that_may_have_gone_gets_no_orders(self) -> None:
         state = router("r0")
         state.apply_change(FIRST)
         entries = tuple(
@@ -324,7 +324,7 @@
         self.assertEqual(duties.engines_of("lang"), ())
 
 
-class Faulty(PlatformInMemory):
+class FaultyPlatform(PlatformInMemory):
     """A platform of which something cannot be read at first."""
 
     def __init__(self) -> None:
@@ -338,11 +338,11 @@
         return await super().list(kind, may_be_old)
 
 
-class KeptWatchTest(unittest.TestCase):
-    def test_a_watch_that_ends_in_an_error_begins_again(self) -> None:
+class WatchRetryTest(unittest.TestCase):
+    def test_a_watch_that_fails_is_restarted(self) -> None:
         async def main() -> int:
-            platform = Faulty()
-            sync = syncing(router("r0"), platform, None)
+            platform = FaultyPlatform()
+            sync = new_sync(router("r0"), platform, None)
             task = asyncio.ensure_future(sync._watch_with_retry(sync._watch_upstreams))
             await asyncio.sleep(5)
             task.cancel()
@@ -354,7 +354,7 @@
 ENTRY = {"name": "e0", "service": "lang", "url": "http://10.0.0.1:80", "hall": "h1"}
 
 
-class EntryThatMakesNoSenseTest(unittest.TestCase):
+class UnreadableEntryTest(unittest.TestCase):
     """One entry of the platform's list of upstreams that cannot be read."""
 
     def setUp(self) -> None:
@@ -362,7 +362,7 @@
         number = logger.add(self.lines.append, level="ERROR", format="{message}")
         self.addCleanup(logger.remove, number)
 
-    def starting(self, *entries: Any) -> RouterState:
+    def router_after_listings(self, *entries: Any) -> RouterState:
         """Return a router after some listings, each of which has the entries e0, e1 and so on."""
 
         async def main() -> RouterState:
@@ -370,7 +370,7 @@
             for at, entry in enumerate(entries):
                 await platform.create("upstream", f"e{at}", entry)
             state = router("r0")
-            sync = syncing(state, platform, None)
+            sync = new_sync(state, platform, None)
             sync._peers_discovered.set()
             task = asyncio.ensure_future(sync._watch_with_retry(sync._watch_upstreams))
             await asyncio.sleep(5)
@@ -379,7 +379,7 @@
 
         return run_virtually(main())
 
-    def test_a_router_that_starts_takes_the_others_and_tells_it_once(self) -> None:
+    def test_other_entries_are_read_and_the_fault_is_logged_once(self) -> None:
         wrong: tuple[Any, ...] = (
             {**ENTRY, "name": "e1", "slots": None},
             "no table",
@@ -388,19 +388,19 @@
         for each in wrong:
             with self.subTest(entry=each):
                 self.lines.clear()
-                state = self.starting(ENTRY, each, {**ENTRY, "name": "e2"})
+                state = self.router_after_listings(ENTRY, each, {**ENTRY, "name": "e2"})
                 self.assertEqual(list(state.upstreams.entry_by_name), ["e0", "e2"])
                 self.assertEqual(len(self.lines), 1, self.lines)
                 self.assertIn("e1", self.lines[0])
 
-    def test_a_change_that_makes_no_sense_ends_new_work_there_and_nowhere_else(self) -> None:
-        state = self.starting(ENTRY, {**ENTRY, "name": "e1"})
+    def test_an_unreadable_change_closes_that_upstream_alone(self) -> None:
+        state = self.router_after_listings(ENTRY, {**ENTRY, "name": "e1"})
         self.assertTrue(state.apply_upstream_event(WatchEvent("set", 9, "e0", {"name": "e0"})))
         self.assertEqual([each.name for each in state.upstreams.of_service("lang")], ["e1"])
         self.assertIsNotNone(state.upstreams.upstream("e0"))
 
-    def test_what_is_listed_and_makes_no_sense_is_not_taken_for_gone(self) -> None:
-        state = self.starting(ENTRY)
+    def test_an_unreadable_listed_upstream_is_not_taken_for_removed(self) -> None:
+        state = self.router_after_listings(ENTRY)
         for version in (9, 10):
             listed = Listed(version, (StoredObject("upstream", "e0", 9, {**ENTRY, "slots": None}),))
             state.apply_listed_upstreams(listed)
@@ -408,24 +408,24 @@
         self.assertEqual(state.upstreams.of_service("lang"), ())
         self.assertEqual(len(self.lines), 1, self.lines)
 
-    def test_each_version_of_it_is_told(self) -> None:
-        state = self.starting(ENTRY)
+    def test_each_unreadable_version_is_logged(self) -> None:
+        state = self.router_after_listings(ENTRY)
         for version in (9, 10, 10):
             state.apply_upstream_event(WatchEvent("set", version, "e0", None))
         self.assertEqual(len(self.lines), 2, self.lines)
 
-    def test_one_that_leaves_gets_no_new_work_whatever_else_it_says(self) -> None:
-        state = self.starting(ENTRY)
+    def test_a_leaving_upstream_gets_no_new_work_though_its_entry_is_unreadable(self) -> None:
+        state = self.router_after_listings(ENTRY)
         leaving = {**ENTRY, "state": LEAVING, "slots": None}
         state.apply_upstream_event(WatchEvent("set", 9, "e0", leaving))
         self.assertEqual(state.upstreams.of_service("lang"), ())
 
 
 class EntryWithoutAddressTest(unittest.TestCase):
-    WRONG = ("", "http://", "http://nowhere", "http://10.0.0.1", "http://10.0.0.1:99999")
+    UNUSABLE_URLS = ("", "http://", "http://nowhere", "http://10.0.0.1", "http://10.0.0.1:99999")
 
-    def test_it_takes_no_work_and_no_other_entry_along(self) -> None:
-        for url in self.WRONG:
+    def test_it_gets_no_work_and_other_entries_stay(self) -> None:
+        for url in self.UNUSABLE_URLS:
             with self.subTest(url=url):
                 state = router("r0")
                 entries = ({**ENTRY, "name": "e0", "url": url}, {**ENTRY, "name": "e1"})
@@ -435,7 +435,7 @@
                 state.apply_listed_upstreams(Listed(1, tuple(objects)))
                 self.assertEqual([e.name for e in state.upstreams.of_service("lang")], ["e1"])
 
-    def test_one_that_was_there_takes_no_more_and_may_come_back(self) -> None:
+    def test_a_known_upstream_is_closed_and_may_come_back(self) -> None:
         state = router("r0")
         for version, url, expected in (
             (1, "http://10.0.0.1:80", ["e0"]),
@@ -446,7 +446,7 @@
             self.assertEqual([e.name for e in state.upstreams.of_service("lang")], expected)
 
 
-class Watched(PlatformInMemory):
+class WatchCountingPlatform(PlatformInMemory):
     """Counts the watches that were begun."""
 
     def __init__(self) -> None:
@@ -459,7 +459,7 @@
         await asyncio.Event().wait()
 
 
-class MeetingTest(unittest.TestCase):
+class StartTest(unittest.TestCase):
     """A router that starts reads at once, and watches only where nobody else does."""
 
     def run_beside_a_peer(self, watches: bool) -> tuple[int, int, int]:
@@ -470,10 +470,10 @@
         own = next(state for state in states if state.is_watcher() == watches)
 
         async def main() -> tuple[int, int, int]:
-            platform = Watched()
+            platform = WatchCountingPlatform()
             await publish(platform, FIRST)
             own.clock = lambda: asyncio.get_running_loop().time()
-            task = asyncio.ensure_future(syncing(own, platform, None).run())
+            task = asyncio.ensure_future(new_sync(own, platform, None).run())
             await asyncio.sleep(PEER_DISCOVERY_SECONDS / 2)
             version, soon = own.fleet.version, platform.watches
             await asyncio.sleep(1.0)
@@ -482,16 +482,16 @@
 
         return run_virtually(main())
 
-    def test_it_knows_the_configuration_before_it_knows_its_peers(self) -> None:
+    def test_the_configuration_is_known_before_the_peers(self) -> None:
         for watches in (False, True):
             self.assertEqual(self.run_beside_a_peer(watches)[0], 1)
 
-    def test_where_a_peer_watches_it_does_not(self) -> None:
+    def test_a_router_does_not_watch_where_a_peer_does(self) -> None:
         _, soon, later = self.run_beside_a_peer(watches=False)
         # Of a log of changes, where to begin is learned by a watch that is not waited for.
         self.assertEqual((soon, later), (1, 1))
 
-    def test_the_one_of_its_hall_watches_all_kinds(self) -> None:
+    def test_the_watcher_of_a_hall_watches_all_kinds(self) -> None:
         _, soon, later = self.run_beside_a_peer(watches=True)
         self.assertEqual((soon, later), (1, 3))
 
@@ -500,7 +500,7 @@
 ADDRESS = Address("127.0.0.1", 7000)
 
 
-class CutWatcherTest(unittest.TestCase):
+class CutOffWatcherTest(unittest.TestCase):
     """The pattern: the router that watches the platform for its hall is cut off from it alone.
 
     Its peers hear it as before, so they take it for the watcher still; a change is to be in
@@ -521,7 +521,7 @@
                 other.refresh_members()
             await asyncio.sleep(0.1)
 
-    def learned(self, cut: bool) -> int:
+    def version_after_change(self, cut: bool) -> int:
         """Return the version at the router that does not watch, 3 s after a change."""
 
         async def main() -> int:
@@ -536,7 +536,7 @@
                 await publish(platforms[name], FIRST)
                 states[name].clock = lambda: asyncio.get_running_loop().time()
                 peer = states[other if name == watcher else watcher]
-                sync = syncing(states[name], platforms[name], peer)
+                sync = new_sync(states[name], platforms[name], peer)
                 tasks.append(asyncio.ensure_future(sync.run()))
             await asyncio.sleep(PEER_DISCOVERY_SECONDS + 1.0)
             if cut:
@@ -551,11 +551,11 @@
 
         return run_virtually(main())
 
-    def test_from_a_watcher_that_reaches_the_platform_the_hall_learns_of_a_change(self) -> None:
-        self.assertEqual(self.learned(cut=False), 2)
+    def test_the_hall_learns_of_a_change_from_its_watcher(self) -> None:
+        self.assertEqual(self.version_after_change(cut=False), 2)
 
-    def test_beside_a_watcher_that_is_cut_off_the_hall_learns_of_a_change_within_3_s(self) -> None:
-        self.assertEqual(self.learned(cut=True), 2)
+    def test_the_hall_learns_of_a_change_within_3_s_though_its_watcher_is_cut_off(self) -> None:
+        self.assertEqual(self.version_after_change(cut=True), 2)
 
 
 class LapsedEntriesTest(unittest.TestCase):
@@ -567,39 +567,39 @@
         self.state.clock = lambda: self.now
         self.state.apply_change(FIRST)
         self.state.refresh_members()
-        self.listed(1, "e0", "e1", "e2")
+        self.apply_listing(1, "e0", "e1", "e2")
 
-    def listed(self, version: int, *names: str) -> None:
+    def apply_listing(self, version: int, *names: str) -> None:
         entries = tuple(
             UpstreamEntry(Upstream(name, "lang", "http://x", "h1"), version) for name in names
         )
         self.state.apply_upstreams(UpstreamUpdate(version, entries, whole=True))
 
-    def takes_work(self) -> list[str]:
+    def upstreams_open_to_new_work(self) -> list[str]:
         targets = [self.state.target(name) for name in ("e0", "e1", "e2")]
         return [target.name for target in targets if target is not None and target.intake.takes_new]
 
-    def test_all_that_lapse_together_serve_until_they_are_back(self) -> None:
-        self.listed(2)
-        self.assertEqual(self.takes_work(), ["e0", "e1", "e2"])
+    def test_upstreams_that_lapse_together_serve_until_they_are_back(self) -> None:
+        self.apply_listing(2)
+        self.assertEqual(self.upstreams_open_to_new_work(), ["e0", "e1", "e2"])
         self.assertEqual(len(self.state.live_upstreams("lang")), 3)
         self.now = 1.0
-        self.listed(3, "e1", "e2")
+        self.apply_listing(3, "e1", "e2")
         self.now = 5.0
         self.state.tick()
-        self.assertEqual(self.takes_work(), ["e1", "e2"])
+        self.assertEqual(self.upstreams_open_to_new_work(), ["e1", "e2"])
         self.assertEqual(self.state.live_upstreams("lang"), ("e1", "e2"))
 
-    def test_one_that_goes_alone_gets_nothing_more(self) -> None:
-        self.listed(2, "e1", "e2")
-        self.assertEqual(self.takes_work(), ["e1", "e2"])
+    def test_an_upstream_that_lapses_alone_is_closed(self) -> None:
+        self.apply_listing(2, "e1", "e2")
+        self.assertEqual(self.upstreams_open_to_new_work(), ["e1", "e2"])
 
-    def test_one_that_said_that_it_leaves_is_in_no_doubt(self) -> None:
+    def test_upstreams_that_reported_leaving_are_closed_when_they_lapse(self) -> None:
         for at, name in enumerate(("e0", "e1")):
             leaving = msgspec.to_builtins(Upstream(name, "lang", "http://x", "h1", LEAVING))
             self.state.apply_upstream_event(WatchEvent("set", 2 + at, name, leaving))
-        self.listed(5)
-        self.assertEqual(self.takes_work(), [])
+        self.apply_listing(5)
+        self.assertEqual(self.upstreams_open_to_new_work(), [])
 
 
 class RolesTest(unittest.TestCase):
