--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -82,7 +82,7 @@
 
     def __init__(self, state: RouterState) -> None:
         self._owner = LocalOwner(
-            state.name, state, state.gate, state.spill_memory, state.clock, state.health
+            state.name, state, state.gate, state.spill_locations, state.clock, state.health
         )
         self._state = state
         self.router = short_id(state.name)
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -43,7 +43,7 @@
             "halls.evacuated": len(self.state.halls.evacuations.halls),
             "requests.suspected": len(self.state.suspects.suspect_by_digest),
             "requests.quarantined": len(list(self.state.suspects.quarantined(self.state.clock()))),
-            "chats.spilled": len(self.state.spill_memory.engine_by_chat),
+            "chats.spilled": len(self.state.spill_locations.engine_by_chat),
             "queue.refused-in-vain": self.granting.owner.refused_in_vain,
             "control.bytes_sent": self.gossip_port.bytes_sent,
             "control.bytes_received": self.gossip_port.bytes_received,
--- a/pondhatch/cli/_own_state.py
+++ b/pondhatch/cli/_own_state.py
@@ -45,7 +45,7 @@
         connections.to,
         retry_budgets=RetryBudgets(_allowance(settings.retries)),
         halls=HallStates(settings.regions or {}),
-        cold_paces=ColdPaces(_cold_allowance(settings.cold)),
+        cold_pacer=ColdPaces(_cold_allowance(settings.cold)),
         held_bytes=HeldBytes(settings.held_bytes),
         engine_queue=settings.service_defaults.engine_queue,
         load_management=load_management,
--- a/pondhatch/cli/_stopping.py
+++ b/pondhatch/cli/_stopping.py
@@ -63,7 +63,7 @@
     async def _step_down(self) -> None:
         """Give the leases of services up, so that the next router need not wait for them."""
         deadline = time.monotonic() + STEP_DOWN_SECONDS
-        while self.authority.holds_anything() and time.monotonic() < deadline:
+        while self.authority.holds_any_lease() and time.monotonic() < deadline:
             await asyncio.sleep(DRAIN_STEP)
 
     async def _hand_over_keys(self) -> None:
--- a/pondhatch/router/_authority.py
+++ b/pondhatch/router/_authority.py
@@ -63,7 +63,7 @@
         finally:
             self._tasks.cancel_all()
 
-    def holds_anything(self) -> bool:
+    def holds_any_lease(self) -> bool:
         """Return whether a lease must still be given up before this router stops."""
         return any(each.orderer.holds_anything() for each in self._running_by_service.values())
 
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -40,7 +40,7 @@
 
 SendAll = Callable[[Iterable[Datagram]], None]
 #: Finds out whether nothing listens at an engine any more.
-HasEnded = Callable[[Target], Coroutine[Any, Any, bool]]
+HasCrashed = Callable[[Target], Coroutine[Any, Any, bool]]
 
 
 class CrashEvidenceExchange:
@@ -53,7 +53,7 @@
         tasks: Tasks,
         rng: random.Random,
         records: Records,
-        has_ended: HasEnded,
+        has_crashed: HasCrashed,
     ) -> None:
         self.suspects = state.suspects
         self._trials = Trials(short_id(state.name))
@@ -62,7 +62,7 @@
         self._tasks = tasks
         self._rng = rng
         self._records = records
-        self._has_ended = has_ended
+        self._has_crashed = has_crashed
         #: Evidence to be told to all once more.
         self._to_repeat: list[Evidence] = []
         self._sampled_at = float("-inf")
@@ -78,7 +78,7 @@
         """Return whether a request is not to be run for now."""
         return self.suspects.is_quarantined(digest, self._state.clock())
 
-    async def run_was_cut(self, digest: int, target: Target) -> bool:
+    async def note_connection_lost(self, digest: int, target: Target) -> bool:
         """Find out whether a run's engine ended, and tell everybody; see RequestWatch.
 
         Goes on where the caller leaves meanwhile: a caller that gives up after each end would
@@ -86,31 +86,31 @@
         """
         probing = self._tasks.start(self._probe(digest, target, FIRST_PROBE_DELAYS))
         try:
-            has_ended = await asyncio.wait_for(
+            has_crashed = await asyncio.wait_for(
                 asyncio.shield(probing), FIRST_PROBES_TIMEOUT_SECONDS
             )
         except TimeoutError:
-            has_ended = False
-        if not has_ended:
+            has_crashed = False
+        if not has_crashed:
             self._tasks.start(self._probe(digest, target, LATER_PROBE_DELAYS))
-        return has_ended
+        return has_crashed
 
     async def _probe(self, digest: int, target: Target, delays: tuple[float, ...]) -> bool:
         for delay in delays:
             await asyncio.sleep(delay)
-            if await self._has_ended(target):
-                self._note_end(digest, target)
+            if await self._has_crashed(target):
+                self._record_crash(digest, target)
                 return True
         return False
 
-    def _note_end(self, digest: int, target: Target) -> None:
+    def _record_crash(self, digest: int, target: Target) -> None:
         name = self.suspects.name_of_end(target.name, self._state.clock())
         evidence = Evidence(digest, name, 0)
         if self._apply_evidence(evidence):
             self._record(digest, "suspected", f"{name} ended while it ran it")
             self._broadcast((evidence,))
 
-    def run_was_whole(self, digest: int) -> None:
+    def note_completed(self, digest: int) -> None:
         """Clear a request; see RequestWatch."""
         self._clear(digest, "it came through whole")
 
@@ -125,18 +125,18 @@
             self._broadcast(found)
         return bool(found)
 
-    def since_last_end(self, digest: int) -> float:
+    def since_last_crash(self, digest: int) -> float:
         """Return the seconds since an engine last ended under a suspected request."""
         suspect = self.suspects.suspect_by_digest[digest]
         return self._state.clock() - suspect.last_end
 
-    def claim_turn(self, digest: int) -> Trial:
+    def claim(self, digest: int) -> Trial:
         """Claim to be the one that runs a request next."""
         trial = self._trials.claim(digest, self._state.clock())
         self._send_to_all(TrialPacket(trial))
         return trial
 
-    def has_turn(self, trial: Trial) -> bool:
+    def goes_first(self, trial: Trial) -> bool:
         """Return whether a claim's turn has come."""
         now = self._state.clock()
         return self._trials.goes_first(trial, now, self.suspects.fell_together)
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -24,19 +24,19 @@
     def is_quarantined(self, digest: int) -> bool:
         """Return whether a request is not to be run for now."""
 
-    def since_last_end(self, digest: int) -> float:
+    def since_last_crash(self, digest: int) -> float:
         """Return the seconds since an engine last ended under a suspected request."""
 
-    async def run_was_cut(self, digest: int, target: Target) -> bool:
+    async def note_connection_lost(self, digest: int, target: Target) -> bool:
         """Note that a run lost its connection; return whether its engine has ended."""
 
-    def run_was_whole(self, digest: int) -> None:
+    def note_completed(self, digest: int) -> None:
         """Note that an engine bore a request."""
 
-    def claim_turn(self, digest: int) -> Trial:
+    def claim(self, digest: int) -> Trial:
         """Claim to be the one that runs a request next."""
 
-    def has_turn(self, trial: Trial) -> bool:
+    def goes_first(self, trial: Trial) -> bool:
         """Return whether a claim's turn has come."""
 
     def withdraw_claim(self, trial: Trial) -> None:
@@ -56,7 +56,7 @@
         if not self.is_suspected():
             return None
         # Two copies that ended an engine each in the same moment learn here that they are two.
-        await asyncio.sleep(EVIDENCE_WAIT_SECONDS - self._evidence.since_last_end(self._digest))
+        await asyncio.sleep(EVIDENCE_WAIT_SECONDS - self._evidence.since_last_crash(self._digest))
         while not self.is_quarantined():
             if not self._evidence.suspects.may_end_another(self._digest):
                 return None
@@ -69,11 +69,11 @@
 
     async def _has_turn(self) -> bool:
         if self._trial is None:
-            self._trial = self._evidence.claim_turn(self._digest)
+            self._trial = self._evidence.claim(self._digest)
             await asyncio.sleep(EVIDENCE_WAIT_SECONDS)
             if self.is_quarantined():
                 return False
-        return self._evidence.has_turn(self._trial)
+        return self._evidence.goes_first(self._trial)
 
     def is_quarantined(self) -> bool:
         """Return whether it is known to end engines; see RequestWatch."""
@@ -85,11 +85,11 @@
 
     async def run_was_cut(self, target: Target) -> bool:
         """Note that a run lost its connection; see RequestWatch."""
-        return await self._evidence.run_was_cut(self._digest, target)
+        return await self._evidence.note_connection_lost(self._digest, target)
 
     def run_was_whole(self) -> None:
         """Note that an engine bore it; see RequestWatch."""
-        self._evidence.run_was_whole(self._digest)
+        self._evidence.note_completed(self._digest)
 
     def close(self) -> None:
         """Give the claim up; see RequestWatch."""
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -279,7 +279,7 @@
         """Return the section's keys."""
         state = self.view(RouterState)
         return {
-            "spilled_chats": len(state.spill_memory.engine_by_chat),
+            "spilled_chats": len(state.spill_locations.engine_by_chat),
             "decisions": [msgspec.to_builtins(note) for note in reversed(state.decisions)],
         }
 
--- a/pondhatch/router/_fleet_key.py
+++ b/pondhatch/router/_fleet_key.py
@@ -50,10 +50,10 @@
             log.warning("The platform does not tell the fleet's key: {}.", found.reason)
             await sleep(backoff.next())
             continue
-        key = _key_in(found.object) if isinstance(found, Found) else None
+        key = _read_key(found.object) if isinstance(found, Found) else None
         if key is not None:
             return key.encode()
-        written = await _write(platform, found, {"key": new_key})
+        written = await _write_key(platform, found, {"key": new_key})
         if isinstance(written, Accepted):
             return new_key.encode()
         log.info("Another router writes the fleet's key, or the answer was lost: {}.", written)
@@ -67,17 +67,17 @@
         log.warning("The platform had lost the fleet's key; it holds it again.")
         return
     found = await platform.get(KEY_KIND, KEY_NAME)
-    if isinstance(found, Found) and _key_in(found.object) not in (None, key.decode()):
+    if isinstance(found, Found) and _read_key(found.object) not in (None, key.decode()):
         log.error("The platform holds another key than this fleet's: who starts now stands apart.")
 
 
-def _key_in(stored: StoredObject) -> str | None:
+def _read_key(stored: StoredObject) -> str | None:
     """Return the key that an object holds, or None where it holds none."""
     key = stored.value.get("key") if isinstance(stored.value, Mapping) else None
     return key if isinstance(key, str) and key else None
 
 
-async def _write(
+async def _write_key(
     platform: Platform, found: Found | Missing, value: dict[str, str]
 ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
     """Write the key where there is none, in the place of whatever holds none."""
--- a/pondhatch/router/_grant_exchange.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -39,16 +39,16 @@
             state.name,
             state,
             state.gate,
-            state.spill_memory,
+            state.spill_locations,
             state.clock,
             state.health,
-            state.cold_paces,
+            state.cold_pacer,
             state.token_counts,
         )
         first = started_ns // NANOSECONDS_PER_NUMBER % NUMBERS
         router = short_id(state.name)
         self.entry = EntryGrants(
-            state.name, router, self.owner, self._send_to, first, state.note_contact
+            state.name, router, self.owner, self._send_to, first, state.mark_reachable
         )
         self._sides = GrantSides(self.entry, OwnerGrants(self.owner, tasks))
         self._state = state
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -46,7 +46,7 @@
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.take_event(event), now)
 
-    def apply(self, update: EvacuationUpdate, now: float) -> bool:
+    def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
         """Take in what a peer knows of evacuations; return whether any was news."""
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.take(update, now), now)
--- a/pondhatch/router/_intakes.py
+++ b/pondhatch/router/_intakes.py
@@ -19,7 +19,7 @@
     #: Those whose entries went a short while ago.
     vanished: Vanished
     halls: HallStates
-    cold_clocks: ColdClocks
+    cold_periods: ColdClocks
     #: What upstreams said of themselves.
     notices: Notices
     #: Returns the clock's seconds.
@@ -78,7 +78,7 @@
 
     def _is_cold(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream is cold, or may be without having been heard."""
-        says_so = self.cold_clocks.seconds_left(upstream.name, now) > 0
+        says_so = self.cold_periods.seconds_left(upstream.name, now) > 0
         return says_so or self.halls.is_just_reopened(upstream.hall, now)
 
     def _hall_is_open(self, name: str, regions: Regions) -> bool:
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -38,8 +38,8 @@
 
     def __init__(self, name: str, gossip: Gossip, fleet: Callable[[], Fleet]) -> None:
         self.gate = AccountGate()
-        self.user = ShareUser()
-        self.home = ShareHome()
+        self.share_user = ShareUser()
+        self.share_home = ShareHome()
         self._name = name
         self._gossip = gossip
         self._fleet = fleet
@@ -53,10 +53,10 @@
 
     def begin_request(self, account: str, now: float) -> LimitVerdict:
         """Hold a request against the account's limits."""
-        self.user.came(account, self.gate.running(account), now)
-        whole = self._limits_of(account)
-        here = self.user.limits(account, whole, len(self._live_members), now)
-        return self.gate.begin(account, here, now)
+        self.share_user.came(account, self.gate.running(account), now)
+        fleet_limits = self._limits_of(account)
+        own_limits = self.share_user.limits(account, fleet_limits, len(self._live_members), now)
+        return self.gate.begin(account, own_limits, now)
 
     def end_request(self, account: str) -> None:
         """Note that a request that was allowed has ended."""
@@ -66,25 +66,27 @@
         """Return the demands that are due, a packet for each home."""
         self._now = now
         known = self._fleet().policy_by_account
-        limits = {name: self._limits_of(name) for name in self.user.use_by_account if name in known}
-        wanted = self.user.demands(now, len(self._live_members), limits)
-        if not wanted:
+        limits = {
+            name: self._limits_of(name) for name in self.share_user.use_by_account if name in known
+        }
+        due_demands = self.share_user.demands(now, len(self._live_members), limits)
+        if not due_demands:
             return []
         self.gate.forget_idle(now, ACCOUNT_IDLE)
-        self.user.forget_old(now)
-        self.home.forget_old(now)
-        return self._demand_datagrams(wanted, now)
+        self.share_user.forget_old(now)
+        self.share_home.forget_old(now)
+        return self._demand_datagrams(due_demands, now)
 
-    def _demand_datagrams(self, wanted: tuple[Demand, ...], now: float) -> list[Datagram]:
+    def _demand_datagrams(self, due_demands: tuple[Demand, ...], now: float) -> list[Datagram]:
         by_name = {member.name: member for member in self._live_members}
         demands_by_home: dict[str, list[Demand]] = {}
-        for demand in wanted:
+        for demand in due_demands:
             home = winner(f"limit:{demand.account}", by_name)
             if home is not None:
                 demands_by_home.setdefault(home, []).append(demand)
         for demand in demands_by_home.pop(self._name, []):
-            share = self.home.asked(self._name, demand, self._limits_of(demand.account), now)
-            self.user.given(share, now)
+            share = self.share_home.asked(self._name, demand, self._limits_of(demand.account), now)
+            self.share_user.given(share, now)
         return [
             self._gossip.limit_datagram(message, by_name[home].address)
             for home, demands in demands_by_home.items()
@@ -93,23 +95,25 @@
 
     def _receive(self, message: LimitMessage, source: Address) -> list[Datagram]:
         if isinstance(message, LimitShares):
-            for given in message.shares:
-                share = Share(given.account, given.requests_per_second, given.concurrency)
-                self.user.given(share, self._now)
+            for limit_share in message.shares:
+                share = Share(
+                    limit_share.account, limit_share.requests_per_second, limit_share.concurrency
+                )
+                self.share_user.given(share, self._now)
             return []
         known = self._fleet().policy_by_account
         shares = [
-            self._share(message.sender, asked)
+            self._allocate_share(message.sender, asked)
             for asked in message.demands
             if asked.account in known
         ]
         return [self._gossip.limit_datagram(LimitShares(tuple(shares)), source)]
 
-    def _share(self, router: str, asked: LimitDemand) -> LimitShare:
-        demand = Demand(asked.account, asked.rate, asked.running)
-        whole = self._limits_of(asked.account)
-        share = self.home.asked(router, demand, whole, self._now)
-        return LimitShare(asked.account, share.requests_per_second, share.concurrency)
+    def _allocate_share(self, router: str, limit_demand: LimitDemand) -> LimitShare:
+        demand = Demand(limit_demand.account, limit_demand.rate, limit_demand.running)
+        fleet_limits = self._limits_of(limit_demand.account)
+        share = self.share_home.asked(router, demand, fleet_limits, self._now)
+        return LimitShare(limit_demand.account, share.requests_per_second, share.concurrency)
 
     def _limits_of(self, account: str) -> AccountLimits:
         policy = self._fleet().policy_by_account[account]
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -98,7 +98,7 @@
             notice = Notice(
                 wire_notice.is_leaving, wire_notice.rest, wire_notice.has_places, wire_notice.pace
             )
-            self._state.apply_notice(wire_notice.upstream, notice, is_first_hand=False)
+            self._state.apply_notice(wire_notice.upstream, notice, is_for_this_router=False)
 
     def tick(self) -> None:
         """Do what is due each round."""
--- a/pondhatch/router/_peer_discovery.py
+++ b/pondhatch/router/_peer_discovery.py
@@ -56,20 +56,20 @@
         if self._own_entry is not None:
             # Who was listed some seconds ago is a peer to ask as well, and knows of the others.
             listed = await self._find_peers(may_be_old=True)
-            own = self._own_in(listed) if listed is not None else None
+            own = self._own_entry_in(listed) if listed is not None else None
             if own is not None and own.value == self._own_entry:
                 return
         backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         is_listed = self._own_entry is None
         while True:
-            is_listed = is_listed or await self._create()
+            is_listed = is_listed or await self._create_entry()
             # Read after the writing: of two that start together, one sees the other.
             listed = await self._find_peers()
-            if listed is not None and (is_listed or await self._correct(listed)):
+            if listed is not None and (is_listed or await self._update_entry(listed)):
                 return
             await asyncio.sleep(backoff.next())
 
-    def _own_in(self, listed: Listed) -> StoredObject | None:
+    def _own_entry_in(self, listed: Listed) -> StoredObject | None:
         """Return this router's own entry, or None where the list does not show it."""
         return next((each for each in listed.objects if each.name == self._name), None)
 
@@ -92,7 +92,7 @@
             elif self._logged.is_first((each.name, each.version)):
                 log.error("Router {} is left out, it is listed as {}.", each.name, each.value)
 
-    async def _create(self) -> bool:
+    async def _create_entry(self) -> bool:
         """Have the platform hold this router's entry; return whether it took it.
 
         One that was there before, of an earlier start, is told by the list that is read next.
@@ -102,9 +102,9 @@
             log.warning("The platform did not take this router's address: {}.", written)
         return isinstance(written, Accepted)
 
-    async def _correct(self, listed: Listed) -> bool:
+    async def _update_entry(self, listed: Listed) -> bool:
         """Write over an entry of this router's that is listed; return whether it is right now."""
-        found = self._own_in(listed)
+        found = self._own_entry_in(listed)
         if found is None:
             # Not listed yet, or listed as what cannot be read.
             read = await self._platform.get(VM_KIND, self._name)
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -73,7 +73,7 @@
 #: Decisions kept for the state dump.
 KEPT_DECISIONS = 64
 #: Who gave a configuration that no peer gave.
-PLATFORM = "the platform"
+PLATFORM_SOURCE = "the platform"
 
 
 @dataclass
@@ -93,10 +93,10 @@
     #: What is known of data halls: their regions, and which are evacuated.
     halls: HallStates = field(default_factory=HallStates)
     gate: Gate = field(default_factory=Gate)
-    cold_paces: ColdPaces = field(default_factory=ColdPaces)
+    cold_pacer: ColdPaces = field(default_factory=ColdPaces)
     #: Tokens that requests hold at the engines that this router owns.
     token_counts: TokenCounts = field(default_factory=TokenCounts)
-    spill_memory: SpillMemory = field(default_factory=SpillMemory)
+    spill_locations: SpillMemory = field(default_factory=SpillMemory)
     #: Which engine answered a chat last through this router.
     last_served_engines: SpillMemory = field(default_factory=SpillMemory)
     key_table: KeyTable = field(default_factory=KeyTable)
@@ -152,7 +152,7 @@
             self.upstreams,
             self.vanished,
             self.halls,
-            self._upstream_changes.cold_clocks,
+            self._upstream_changes.cold_periods,
             self.notices,
             lambda: self.clock(),
             lambda: self.fleet.service_by_name,
@@ -212,7 +212,7 @@
         """Return whether a router counts as there for this one."""
         return name in self._member_by_name
 
-    def note_contact(self, name: str) -> None:
+    def mark_reachable(self, name: str) -> None:
         """Note a word of a router that could not be reached for a while."""
         self.gossip.heard_from(name)
         self.refresh_members()
@@ -275,7 +275,7 @@
 
     def apply_upstreams(self, update: UpstreamUpdate) -> bool:
         """Take in a peer's entries; return whether any was news."""
-        news = self._upstream_changes.apply(update, self.clock())
+        news = self._upstream_changes.apply_update(update, self.clock())
         self.invalidate_upstream_caches()
         return news
 
@@ -308,7 +308,7 @@
     def apply_evacuations(self, update: EvacuationUpdate | None) -> bool:
         """Take in what a peer knows of evacuations; return whether any was news."""
         return update is not None and self._invalidate_if_news(
-            self.halls.apply(update, self.clock())
+            self.halls.apply_update(update, self.clock())
         )
 
     def _invalidate_if_news(self, is_news: bool) -> bool:
@@ -346,13 +346,13 @@
 
     def cold_count(self) -> int:
         """Return how many upstreams are cold by their own word."""
-        return self._upstream_changes.cold_clocks.count(self.clock())
+        return self._upstream_changes.cold_periods.count(self.clock())
 
     def cold_seconds(self, upstream: str) -> float:
         """Return for how many seconds an upstream is still cold by its own word."""
-        return self._upstream_changes.cold_clocks.seconds_left(upstream, self.clock())
+        return self._upstream_changes.cold_periods.seconds_left(upstream, self.clock())
 
-    def apply_notice(self, upstream: str, notice: Notice, is_first_hand: bool = True) -> bool:
+    def apply_notice(self, upstream: str, notice: Notice, is_for_this_router: bool = True) -> bool:
         """Take in what an upstream said of itself in an answer; return whether it was news.
 
         A pace closes no upstream, so it is no news here.
@@ -361,13 +361,13 @@
         now = self.clock()
         if notice.pace > 0:
             self.paces.hear(upstream, notice.pace, now)
-            if is_first_hand:
+            if is_for_this_router:
                 self.pace_read_at = now
             if not notice:
                 return False
         known = self._intakes.upstream(upstream)
         is_start_known = known is not None and known.start > 0
-        is_news = self.notices.hear(upstream, notice, now, is_start_known, is_first_hand)
+        is_news = self.notices.hear(upstream, notice, now, is_start_known, is_for_this_router)
         if is_news and notice.rest > 0 and not notice.has_places:
             self.gate.rests(upstream, now, notice.rest)
         if is_news and notice.is_leaving:
@@ -404,7 +404,7 @@
 
     # -- configuration ------------------------------------------------------
 
-    def apply_change(self, change: Change, source: str = PLATFORM) -> Rejected | Gap | None:
+    def apply_change(self, change: Change, source: str = PLATFORM_SOURCE) -> Rejected | Gap | None:
         """Put the next change in force; None where it is in force now or was before.
 
         A rejected change is voided: its version passes, nothing of it is in force.
@@ -420,7 +420,7 @@
         self._put_in_force(following, source)
         return None
 
-    def apply_fleet(self, fleet: Fleet, source: str = PLATFORM) -> bool:
+    def apply_fleet(self, fleet: Fleet, source: str = PLATFORM_SOURCE) -> bool:
         """Put a configuration in force if it is newer; return whether it was."""
         if fleet.version <= self.fleet.version:
             return False
@@ -443,14 +443,14 @@
         """
         return self.rejected is None and self.fleet.is_whole(kind)
 
-    def apply_update(self, update: Update, source: str = PLATFORM) -> Rejected | Gap | None:
+    def apply_update(self, update: Update, source: str = PLATFORM_SOURCE) -> Rejected | Gap | None:
         """Take in what a peer says that this router lacks."""
         if update.snapshot is not None and update.snapshot.version > self.fleet.version:
             self.apply_fleet(self.fleet.replaced_by(update.snapshot), source)
         if update.difference is not None:
             self._apply_difference(update.difference, source)
-        wrongs = [self.apply_change(change, source) for change in update.changes]
-        return next((wrong for wrong in wrongs if wrong is not None), None)
+        problems = [self.apply_change(change, source) for change in update.changes]
+        return next((wrong for wrong in problems if wrong is not None), None)
 
     def _apply_difference(self, difference: Difference, source: str) -> None:
         if difference.version <= self.fleet.version:
@@ -517,7 +517,7 @@
         self.refresh_members()
         self.retry_budgets.set_routers(len(self.live_routers()), self.clock())
         is_alone = self.clock() - self._started_at < NO_COLD_GRANTS_SECONDS
-        self.cold_paces.share = 0.0 if is_alone else self.retry_budgets.routers.share
+        self.cold_pacer.share = 0.0 if is_alone else self.retry_budgets.routers.share
         self.publish()
         self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
 
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -223,9 +223,9 @@
                 self._announce()
 
     def _apply_change(self, change: Change) -> None:
-        wrong = self._state.apply_change(change)
-        self._log_if_rejected(wrong)
-        if wrong is None:
+        problem = self._state.apply_change(change)
+        self._log_if_rejected(problem)
+        if problem is None:
             self._announce()
 
     async def _watch_upstreams(self) -> None:
@@ -339,13 +339,13 @@
 
     def _apply_pulled(self, peer: Member, pulled: PulledState) -> bool:
         # Read after the pull: a watch or another peer may have brought something meanwhile.
-        before = self._versions()
+        before = self._own_versions()
         asked_for_snapshot = self._state.needs_snapshot
         self._log_if_rejected(self._state.apply_update(pulled.configuration, peer.name))
         # Before the upstreams, since it says which of them may get nothing.
         self._state.apply_evacuations(pulled.evacuations)
         self._state.apply_upstreams(pulled.upstreams)
-        if self._versions() != before:
+        if self._own_versions() != before:
             self._announce()
             return True
         if asked_for_snapshot or not self._state.needs_snapshot:
@@ -353,7 +353,7 @@
         log.warning("What router {} says has changed does not fit; the whole is asked.", peer.name)
         return True
 
-    def _versions(self) -> Versions:
+    def _own_versions(self) -> Versions:
         """Return the versions held here."""
         state = self._state
         return Versions(
@@ -381,13 +381,13 @@
         A router that sends to an evacuated hall does harm; one that lacks an upstream does not.
         """
         held = self._state.gossip.versions()
-        own = self._versions()
+        own = self._own_versions()
         for version_of in (_CONFIGURATION, _EVACUATIONS, _UPSTREAMS):
             best = max((version_of(held[member.name]) for member in ahead), default=0)
             if best > version_of(own):
                 return [each for each in ahead if version_of(held[each.name]) == best]
         return []
 
-    def _log_if_rejected(self, error: Rejected | Gap | None) -> None:
-        if isinstance(error, Rejected):
-            log.error("Change {} is void: {}.", self._state.fleet.version, error)
+    def _log_if_rejected(self, problem: Rejected | Gap | None) -> None:
+        if isinstance(problem, Rejected):
+            log.error("Change {} is void: {}.", self._state.fleet.version, problem)
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -123,13 +123,13 @@
     join_times: JoinTimes = msgspec.field(default_factory=JoinTimes)
     reader: UpstreamReader = msgspec.field(default_factory=UpstreamReader)
     era_settling: EraSettling = msgspec.field(default_factory=EraSettling)
-    cold_clocks: ColdClocks = msgspec.field(default_factory=ColdClocks)
+    cold_periods: ColdClocks = msgspec.field(default_factory=ColdClocks)
 
     def apply_listing(self, listed: Listed, now: float) -> bool:
         """Take in what the platform lists; return whether any was news."""
-        return self.apply(self.reader.listing(listed), now)
+        return self.apply_update(self.reader.listing(listed), now)
 
-    def apply(self, update: UpstreamUpdate, now: float) -> bool:
+    def apply_update(self, update: UpstreamUpdate, now: float) -> bool:
         """Take in a listing's or a peer's entries; return whether any was news."""
         names, live, leaving = (
             self._names(),
@@ -148,7 +148,7 @@
         update = self.upstreams.since(version)
         return replace(
             update,
-            entries=tuple(self.cold_clocks.as_of(entry, now) for entry in update.entries),
+            entries=tuple(self.cold_periods.as_of(entry, now) for entry in update.entries),
             known_for=self.join_times.known_for(now),
             age_by_name=self.join_times.age_by_name(now),
         )
@@ -186,7 +186,7 @@
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
         self.join_times.note(names_before, self._names(), now)
-        self.cold_clocks.note(self.upstreams.entry_by_name.values(), now)
+        self.cold_periods.note(self.upstreams.entry_by_name.values(), now)
         self._note_vanished(live_before, now)
 
     def _note_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -31,7 +31,7 @@
 from pondhatch.router import CRASH_PACKET_PREFIX, CrashEvidenceExchange, RouterState
 from pondhatch.router._crash_evidence_exchange import FIRST_PROBE_DELAYS, SAMPLE_INTERVAL_SECONDS
 
-CRASHING_DIGEST = 1
+CRASHING_REQUEST = 1
 #: Seconds for which one packet travels.
 PACKET_SECONDS = 0.003
 #: Seconds from the begin of a run to its end, or to its engine's.
@@ -56,9 +56,9 @@
     guards: list[CrashEvidenceExchange] = field(default_factory=list)
     live: dict[str, asyncio.Event] = field(default_factory=dict)
     #: Engines that ended, by the request that ended them.
-    ended: list[int] = field(default_factory=list)
+    crash_digests: list[int] = field(default_factory=list)
     #: When each engine ended, in the loop's seconds.
-    ended_at: dict[str, float] = field(default_factory=dict)
+    crashed_at_by_engine: dict[str, float] = field(default_factory=dict)
     #: What became of attempts, in order.
     outcomes: list[tuple[int, str]] = field(default_factory=list)
 
@@ -80,13 +80,13 @@
         state = RouterState(member.name, "h1", gossip, self.loop.time, lambda _: nobody)
         state._members = self.members
         return CrashEvidenceExchange(
-            state, self.send, self.tasks, self.rng, NoRecords(), self.has_ended
+            state, self.send, self.tasks, self.rng, NoRecords(), self.has_crashed
         )
 
-    async def has_ended(self, target: Target) -> bool:
+    async def has_crashed(self, target: Target) -> bool:
         await asyncio.sleep(PACKET_SECONDS)
-        ended_at = self.ended_at.get(target.name, float("inf"))
-        return self.loop.time() >= ended_at + self.port_open_seconds
+        crashed_at = self.crashed_at_by_engine.get(target.name, float("inf"))
+        return self.loop.time() >= crashed_at + self.port_open_seconds
 
     def send(self, datagrams: Iterable[Datagram]) -> None:
         for each in datagrams:
@@ -95,12 +95,14 @@
                 self.loop.call_later(PACKET_SECONDS, self.guards[each.to.port].receive, payload)
 
     def start_engine(self) -> None:
-        self.live[f"i-{len(self.live)}-{len(self.ended)}-{self.rng.random()}"] = asyncio.Event()
+        self.live[f"i-{len(self.live)}-{len(self.crash_digests)}-{self.rng.random()}"] = (
+            asyncio.Event()
+        )
 
-    def end_engine(self, name: str, digest: int) -> None:
+    def crash_engine(self, name: str, digest: int) -> None:
         self.live.pop(name).set()
-        self.ended.append(digest)
-        self.ended_at[name] = self.loop.time()
+        self.crash_digests.append(digest)
+        self.crashed_at_by_engine[name] = self.loop.time()
         self.loop.call_later(RESTART_SECONDS, self.start_engine)
 
     async def attempt(self, router: int, digest: int) -> str:
@@ -129,8 +131,8 @@
     async def _run(self, watch: Any, digest: int) -> bool:
         engine = self.rng.choice(sorted(self.live))
         gone = self.live[engine]
-        if digest == CRASHING_DIGEST:
-            self.loop.call_later(CRASH_SECONDS, self._end_if_live, engine)
+        if digest == CRASHING_REQUEST:
+            self.loop.call_later(CRASH_SECONDS, self._crash_if_live, engine)
         try:
             async with asyncio.timeout(RUN_SECONDS):
                 await gone.wait()
@@ -142,9 +144,9 @@
             raise AssertionError("an end that the first probes can see was not seen")
         return False
 
-    def _end_if_live(self, engine: str) -> None:
+    def _crash_if_live(self, engine: str) -> None:
         if engine in self.live:
-            self.end_engine(engine, CRASHING_DIGEST)
+            self.crash_engine(engine, CRASHING_REQUEST)
 
     async def run_rounds(self) -> None:
         """Run all routers' rounds, until cancelled."""
@@ -198,7 +200,7 @@
 
         async def repeat_cause() -> None:
             for _ in range(8):
-                await world.attempt(world.rng.randrange(routers), CRASHING_DIGEST)
+                await world.attempt(world.rng.randrange(routers), CRASHING_REQUEST)
                 await asyncio.sleep(pause)
 
         async def repeat_other(digest: int) -> None:
@@ -213,12 +215,12 @@
         callers += [repeat_other(100 + at) for at in range(others_count)]
         await asyncio.gather(*callers)
         rounds.cancel()
-        self.assertLessEqual(len(world.ended), ENDS_TO_QUARANTINE)
+        self.assertLessEqual(len(world.crash_digests), ENDS_TO_QUARANTINE)
         cause_outcomes = [
-            outcome for digest, outcome in world.outcomes if digest == CRASHING_DIGEST
+            outcome for digest, outcome in world.outcomes if digest == CRASHING_REQUEST
         ]
         self.assertEqual(cause_outcomes[-1], QUARANTINED.code)
-        others = [outcome for digest, outcome in world.outcomes if digest != CRASHING_DIGEST]
+        others = [outcome for digest, outcome in world.outcomes if digest != CRASHING_REQUEST]
         self.assertNotIn(QUARANTINED.code, others)
 
     @settings(max_examples=50, deadline=None)
@@ -230,23 +232,23 @@
         world = Simulation(6, 9, random.Random(seed), loss=0.2)
         rounds = asyncio.ensure_future(world.run_rounds())
         for at in range(3):
-            await world.attempt(at, CRASHING_DIGEST)
+            await world.attempt(at, CRASHING_REQUEST)
         await asyncio.sleep(10 * SAMPLE_INTERVAL_SECONDS)
         rounds.cancel()
         for guard in world.guards:
-            self.assertTrue(guard.is_quarantined(CRASHING_DIGEST))
+            self.assertTrue(guard.is_quarantined(CRASHING_REQUEST))
 
 
 class OneRouterTest(unittest.TestCase):
     def test_evidence_is_kept_though_the_caller_leaves_after_the_cut(self) -> None:
         async def history() -> None:
             world = Simulation(2, 3, random.Random(1))
-            attempt = asyncio.ensure_future(world.attempt(0, CRASHING_DIGEST))
+            attempt = asyncio.ensure_future(world.attempt(0, CRASHING_REQUEST))
             await asyncio.sleep(CRASH_SECONDS + PACKET_SECONDS / 2)
             attempt.cancel()
             await asyncio.sleep(1.0)
             self.assertEqual(
-                [guard.suspects.ends(CRASHING_DIGEST) for guard in world.guards], [1, 1]
+                [guard.suspects.ends(CRASHING_REQUEST) for guard in world.guards], [1, 1]
             )
 
         run_virtually(history())
@@ -254,10 +256,10 @@
     def test_an_end_that_only_a_later_probe_sees_is_evidence(self) -> None:
         async def history() -> None:
             world = Simulation(2, 3, random.Random(1), port_open_seconds=0.3)
-            await world.attempt(0, CRASHING_DIGEST)
+            await world.attempt(0, CRASHING_REQUEST)
             await asyncio.sleep(1.0)
             self.assertEqual(
-                [guard.suspects.ends(CRASHING_DIGEST) for guard in world.guards], [2, 2]
+                [guard.suspects.ends(CRASHING_REQUEST) for guard in world.guards], [2, 2]
             )
 
         run_virtually(history())
@@ -266,7 +268,7 @@
         async def history() -> None:
             world = Simulation(1, 1, random.Random(1))
             (engine,) = world.live
-            watch, began = world.guards[0].watch(CRASHING_DIGEST), world.loop.time()
+            watch, began = world.guards[0].watch(CRASHING_REQUEST), world.loop.time()
             self.assertFalse(await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8)))
             self.assertLess(world.loop.time() - began, 0.03)
             await asyncio.sleep(1.0)
@@ -278,7 +280,7 @@
         async def history() -> None:
             world = Simulation(4, 9, random.Random(1))
             for at in range(2):
-                await world.attempt(at, CRASHING_DIGEST)
+                await world.attempt(at, CRASHING_REQUEST)
             world.guards[3] = world.new_guard(world.members[3])
             for guard in world.guards[:3]:
                 guard._state._members = world.members[:3]
@@ -286,7 +288,7 @@
                 guard._state._members = world.members
                 guard.tick()
             await asyncio.sleep(2 * PACKET_SECONDS)
-            self.assertTrue(world.guards[3].is_quarantined(CRASHING_DIGEST))
+            self.assertTrue(world.guards[3].is_quarantined(CRASHING_REQUEST))
 
         run_virtually(history())
 
@@ -308,6 +310,6 @@
             world = Simulation(1, 1, random.Random(1))
             for payload in (b"", b"\x93\x50", b"nonsense", b"\x92\x50\x91\x92\x01\x02"):
                 world.guards[0].receive(payload)
-            self.assertEqual(world.guards[0].suspects.ends(CRASHING_DIGEST), 0)
+            self.assertEqual(world.guards[0].suspects.ends(CRASHING_REQUEST), 0)
 
         run_virtually(history())
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -145,10 +145,10 @@
 
     def test_nothing_is_granted_there_before_peers_are_discovered(self) -> None:
         self.state.tick()
-        self.assertEqual(self.state.cold_paces.share, 0.0)
+        self.assertEqual(self.state.cold_pacer.share, 0.0)
         self.now = NO_COLD_GRANTS_SECONDS
         self.state.tick()
-        self.assertEqual(self.state.cold_paces.share, 1.0)
+        self.assertEqual(self.state.cold_pacer.share, 1.0)
 
     def test_the_share_of_cold_grants_stays_when_peers_become_unreachable(self) -> None:
         self.now = NO_COLD_GRANTS_SECONDS
@@ -158,7 +158,7 @@
         for at in range(1, 4):
             self.state.unreachable(f"r{at}")
         self.state.tick()
-        self.assertEqual(self.state.cold_paces.share, 0.25)
+        self.assertEqual(self.state.cold_pacer.share, 0.25)
 
 
 class EvacuationSyncTest(unittest.IsolatedAsyncioTestCase):
