--- a/pondhatch/router/_admission.py
+++ b/pondhatch/router/_admission.py
@@ -1,4 +1,4 @@
-"""Who a caller is, what it may use, and the refusals it gets otherwise."""
+"""Admission: identifies callers by API key and checks what they may use, or refuses them."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from pondhatch.requests import NotRun
 from pondhatch.router._state import RouterState
 
-#: Scheme of the Authorization header's value, which is written in any case.
+#: Scheme of the Authorization header's value; compared without regard to case.
 BEARER_PREFIX = "bearer "
 UNAUTHORIZED = 401
 FORBIDDEN = 403
 NOT_FOUND = 404
 TOO_MANY_REQUESTS = 429
-#: Code of the refusal of a request whose account holds too much of a router's memory.
+#: Refusal code for a request whose account holds too much of a router's memory.
 MEMORY_LIMITED = "memory-limited"
-#: Priority where neither the account nor a route names one.
+#: Priority where neither the account nor the route sets one.
 DEFAULT_PRIORITY = 5
-#: Share of a route's objective that a request waits before its context's engine, and where
-#: every engine is full. A caller refused within a quarter of it has time to come back.
+#: Shares of a route's objective for which a request waits for the engine that holds its context,
+#: and in a queue where every engine is full. A caller that is refused within a quarter of the
+#: objective has time to retry.
 CONTEXT_WAIT_SHARE = 0.1
 QUEUE_WAIT_SHARE = 0.2
-#: Seconds after which to come back to a router that lacks an entry of the configuration: the
-#: users' bound on a change to be in force, so that a mended one is found.
+#: Seconds after which to retry at a router where an entry of the configuration is not in force:
+#: a corrected entry is in force everywhere within this time.
 MISFIT_RETRY_AFTER = 2.0
 UNKNOWN_KEY = NotRun("unknown-key", "the API key belongs to no account", 0.0, UNAUTHORIZED)
 NO_SERVICE = NotRun("no-service", "no service answers to this model or path", 0.0, NOT_FOUND)
@@ -35,24 +36,25 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A caller whose key is known."""
+    """The client account of a caller whose key is known."""
 
     name: str
 
 
-#: Who uses a public route without showing a key; held to no account's limits.
+#: Stands for a caller of a public route that sends no key; no account's limits apply to it.
 ANONYMOUS = Account("")
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """The request counts against its account until ``RouterState.limits.end``."""
+    """An admitted request; it counts against its account until ``FleetLimits.end_request``."""
 
     service: str
     priority: int
     weight: float
-    #: Seconds that the request may take in all.
+    #: Seconds that the request may take in total.
     deadline: float
-    #: Seconds that it may wait for its chat's engine, and where all are full.
+    #: Seconds that it may wait for the engine that holds its context, and in a queue where all
+    #: engines are full.
     context_wait: float
     queue_wait: float
     #: Regions whose engines may run it; None where any may.
@@ -60,7 +62,7 @@
 
 
 def identify(state: RouterState, authorization: str | None) -> Account | NotRun:
-    """Return the account whose API key the caller shows."""
+    """Return the account of the API key in an Authorization header's value."""
     return identify_key(state, bearer_key(authorization or ""))
 
 
@@ -68,14 +70,14 @@
     """Return the key in an Authorization header's value, or None where there is none."""
     if authorization[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
         return None
-    # Only what HTTP counts as blank: other bytes may be part of a key outside ASCII.
+    # Strips only what HTTP counts as whitespace: other bytes may be part of a non-ASCII key.
     return authorization[len(BEARER_PREFIX) :].strip(" \t")
 
 
 def identify_key(state: RouterState, key: str | None) -> Account | NotRun:
     """Return the account that an API key belongs to.
 
-    The key is text as headers are kept, one character for each byte that was sent.
+    The key is a header value: text with one character for each byte that was sent.
     """
     if key is None:
         return NotRun("no-key", "expected 'Authorization: Bearer KEY'", 0.0, UNAUTHORIZED)
@@ -86,16 +88,16 @@
 
 
 def unknown_entry_refusal(state: RouterState, kind: str, definite: NotRun) -> NotRun:
-    """Return the refusal of what a caller names and this router does not find.
+    """Return the refusal for a name that this router does not find in the configuration.
 
-    A definite one, on which callers give up, only where the configuration in force has every
-    entry of the kind: else the operator may well have written it.
+    Callers give up on the ``definite`` refusal, so it is returned only where every entry of the
+    kind is in force here: otherwise the operator may have written the entry.
     """
     return definite if state.has_all_entries(kind) else not_in_force_refusal(kind)
 
 
 def not_in_force_refusal(kind: str) -> NotRun:
-    """Return the refusal of what may need an entry that is not in force here."""
+    """Return the refusal of a request that may need an entry which is not in force here."""
     reason = f"not every {kind} of the configuration is in force here"
     return NotRun("configuration-misfit", reason, MISFIT_RETRY_AFTER)
 
@@ -103,9 +105,9 @@
 def admit_routed(
     state: RouterState, account: Account, route: RouteSpec, service: str, wait: float | None
 ) -> Admitted | NotRun:
-    """Count a routed request in, or say why it may not run.
+    """Admit a request to a route and count it against its account, or return the refusal.
 
-    ``wait`` is for how many seconds its caller waits, None where it does not say.
+    ``wait`` is the number of seconds for which its caller waits, None where it does not say.
     """
     priority, weight, regions = None, 1.0, route.regions
     if account is not ANONYMOUS:
@@ -126,7 +128,7 @@
 
 
 def admit(state: RouterState, account: Account, service: str | None) -> Admitted | NotRun:
-    """Count a request in, or say why it may not run."""
+    """Admit a request to a service and count it against its account, or return the refusal."""
     if state.stopping():
         return NotRun("stopping", "this router is stopping; ask again", 0.0)
     spec = state.fleet.service_by_name.get(service) if service is not None else None
@@ -149,7 +151,7 @@
 def _count_against_limits(
     state: RouterState, account: Account, service: str
 ) -> AccountPolicy | NotRun:
-    """Count a request against its account's limits, or say why it may not run."""
+    """Count a request against its account's limits, or return the refusal."""
     policy = state.fleet.policy_by_account[account.name]
     if service not in policy.services:
         wrong = f"the account may not use service {service}"
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -1,6 +1,6 @@
-"""What one router knows, and the answers that its decisions read from it.
+"""The state of one router, and the queries that its routing decisions make.
 
-No I/O here: the shell hands in packets, listings, changes and time.
+This module does no I/O: its callers pass in packets, listings, changes and time.
 """
 
 from __future__ import annotations
@@ -61,81 +61,83 @@
     WatchEvent,
 )
 
-#: Seconds from a router's start in which it grants nothing at cold upstreams: until it has met
-#: its peers, it takes itself for the owner of all.
+#: Seconds after its start in which a router grants no requests at cold upstreams: until it has
+#: discovered its peers, it takes itself for the owner of all upstreams.
 NO_COLD_GRANTS_SECONDS = 0.5
-#: Seconds after the last pace that was read for which load is still managed: engines that state
-#: one do so in each answer, and a service may see no request for a while.
+#: Seconds for which load stays managed after a pace was last read. Engines that report a pace do
+#: so in each answer, but a service may get no request for a while.
 PACE_TIMEOUT_SECONDS = 60.0
-#: Idle connections to one engine that a router may keep, however many routers share it: with
-#: fewer, requests that overlap would open one each.
+#: Minimum of the idle connections to one engine that a router may keep, however many routers
+#: share the engine: with fewer, requests that overlap would each open a connection.
 MIN_IDLE_CONNECTIONS = 2
 #: Decisions kept for the state dump.
 KEPT_DECISIONS = 64
-#: Who gave a configuration that no peer gave.
+#: Source of a configuration that was read from the platform and not pulled from a peer.
 PLATFORM_SOURCE = "the platform"
 
 
 @dataclass
 class RouterState:
-    """One router's state; see OwnerView and EntryView for what reads it."""
+    """One router's state; OwnerView and EntryView are the interfaces through which it is read."""
 
     name: str
     hall: str
     gossip: Gossip
     clock: Callable[[], float]
-    #: Returns the way to another router.
+    #: Returns a client for another router's idempotency keys.
     connect: Callable[[Member], KeyHolder]
     fleet: Fleet = field(default_factory=Fleet)
     upstreams: UpstreamList = field(default_factory=UpstreamList)
-    #: Those whose entries went a short while ago.
+    #: Upstreams whose entries vanished from the list a short while ago.
     vanished: Vanished = field(default_factory=Vanished)
-    #: What is known of data halls: their regions, and which are evacuated.
+    #: Regions of data halls, and which halls are evacuated.
     halls: HallStates = field(default_factory=HallStates)
     gate: Gate = field(default_factory=Gate)
     cold_pacer: ColdPaces = field(default_factory=ColdPaces)
-    #: Tokens that requests hold at the engines that this router owns.
+    #: Tokens of engine memory that requests hold at the engines that this router owns.
     token_counts: TokenCounts = field(default_factory=TokenCounts)
+    #: The engine that holds the context of each chat that was sent past its home engine.
     spill_locations: SpillMemory = field(default_factory=SpillMemory)
-    #: Which engine answered a chat last through this router.
+    #: The engine that last answered each chat through this router.
     last_served_engines: SpillMemory = field(default_factory=SpillMemory)
     key_table: KeyTable = field(default_factory=KeyTable)
     health: Health = field(default_factory=Health)
-    #: Requests under which engines ended.
+    #: Requests that were running when an engine crashed.
     suspects: Suspects = field(default_factory=Suspects)
     limits: FleetLimits = field(init=False)
     retry_budgets: RetryBudgets = field(default_factory=RetryBudgets)
-    #: Bytes held for callers and engines, by account.
+    #: Bytes buffered for callers and engines, by account.
     held_bytes: HeldBytes = field(default_factory=HeldBytes)
-    #: What upstreams said of themselves in their answers.
+    #: What upstreams reported of themselves in their answers: that they leave or rest.
     notices: Notices = field(default_factory=Notices)
-    #: How fast engines work now, as they report it.
+    #: The current processing speed of engines, as they report it.
     paces: EnginePaces = field(default_factory=EnginePaces)
-    #: When load is managed; see ``load_managed``.
+    #: The setting that decides when load is managed; see ``load_managed``.
     load_management: LoadManagement = "off"
-    #: When this router last read an engine's pace, in the clock's seconds.
+    #: When this router last read a pace in an engine's answer, in the clock's seconds.
     pace_read_at: float = float("-inf")
-    #: Requests that one engine queues itself beyond its slots.
+    #: Requests beyond its slots that one engine queues by itself.
     engine_queue: int = 0
     phase: Phase = Phase.LIVE
-    #: Why the platform was last found out of reach; empty while it answers.
+    #: Why the platform is unreachable; empty while it answers.
     platform_error: str = ""
-    #: Why the newest configuration that was read here is none at all; None where it is in force.
+    #: Why the newest configuration that was read here was rejected as a whole; None where it is
+    #: in force.
     rejected: Rejected | None = None
-    #: When the configuration in force came into force, in seconds since 1970.
+    #: When the current configuration came into force, in seconds since 1970.
     in_force_at: float = 0.0
-    #: Who gave the configuration in force: the platform, or a peer by name.
+    #: Where the configuration in force came from: the platform, or a peer by name.
     configuration_source: str = ""
-    #: Whether what differed did not fit what is in force here, so that peers are asked for the
-    #: whole.
+    #: Whether a peer's difference did not apply to the configuration in force here, so that the
+    #: next pull asks for a snapshot.
     needs_snapshot: bool = False
-    #: For how long this router has known of a newer one.
+    #: For how long this router has known of a newer configuration.
     lag: ConfigurationLag = field(default_factory=ConfigurationLag)
     decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=KEPT_DECISIONS))
-    #: This router's own side as a holder of keys.
+    #: This router as a holder of idempotency keys.
     local_key_holder: KeyHolder = field(init=False)
     _members: tuple[Member, ...] = ()
-    #: Names of those that are neither draining nor gone: asked for ten times a second.
+    #: Names of the routers that are neither draining nor gone. Cached: read ten times a second.
     _live_routers: tuple[str, ...] = ()
     _member_by_name: dict[str, Member] = field(default_factory=dict)
     _started_at: float = field(init=False)
@@ -162,11 +164,11 @@
     # -- membership ---------------------------------------------------------
 
     def members(self) -> tuple[Member, ...]:
-        """Return the routers that are believed to be there, this one included."""
+        """Return the current members of the fleet, this router included."""
         return self._members
 
     def refresh_members(self) -> None:
-        """Take in who is there now; called each round and after each packet's news."""
+        """Update the members from gossip; called each round and after each gossip packet."""
         members = self.gossip.members(self.clock())
         if members is self._members:
             return
@@ -181,18 +183,18 @@
         self._owners.set_live(live)
 
     def owner_name(self, engine: str) -> str | None:
-        """Return the router that owns an engine in this router's view."""
+        """Return the name of the engine's owner in this router's view."""
         return self._owners.owner_name(engine)
 
     def key_holder(self, name: str) -> KeyHolder | None:
-        """Return the way to a router as a holder of keys, or None where it is not known."""
+        """Return a client for the keys that a router holds, or None for an unknown router."""
         if name == self.name:
             return self.local_key_holder
         member = self._member_by_name.get(name)
         return self.connect(member) if member is not None else None
 
     def key_holders(self, key: str, regions: Regions = None) -> tuple[str, ...]:
-        """Return the live routers of some regions, ranked for a key."""
+        """Return the names of the live routers of the regions, ranked for a key."""
         names = self.live_routers()
         if regions is not None:
             hall = {member.name: member.hall for member in self._members}
@@ -204,35 +206,38 @@
         return self._live_routers
 
     def unreachable(self, name: str) -> None:
-        """Note that a router could not be reached."""
+        """Record that a call to a router failed."""
         self.gossip.unreachable(name, self.clock())
         self.refresh_members()
 
     def is_reachable(self, name: str) -> bool:
-        """Return whether a router counts as there for this one."""
+        """Return whether a router is a member in this router's view."""
         return name in self._member_by_name
 
     def mark_reachable(self, name: str) -> None:
-        """Note a word of a router that could not be reached for a while."""
+        """Record contact with a router that was unreachable for a while."""
         self.gossip.heard_from(name)
         self.refresh_members()
 
     def is_watcher(self) -> bool:
-        """Return whether this router watches the platform for its hall."""
+        """Return whether this router is one of those that watch the platform for their hall."""
         return self.name in watchers(self.hall, self._members)
 
     # -- upstreams ----------------------------------------------------------
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
-        """Return the service's upstreams that take work bound to some regions, by name."""
+        """Return the names of the service's upstreams open to requests bound to some regions."""
         return self._intakes.open_upstreams(service, regions)
 
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
-        """Return a chat's home engine were its hall not closed to it, and why it is closed."""
+        """Return the chat's home engine if its hall is closed to the chat, and the reason.
+
+        Return None where the home engine's hall is open.
+        """
         return self._intakes.closed_home(service, chat, regions)
 
     def former_home(self, service: str, chat: str) -> str | None:
-        """Return a chat's home engine were those that leave still counted."""
+        """Return what a chat's home engine would be if leaving upstreams still counted."""
         entries = self.upstreams.entry_by_name.values()
         there = [
             each.upstream.name
@@ -242,15 +247,15 @@
         return winner(chat, there)
 
     def note_served(self, chat: int, engine: str) -> None:
-        """Remember which engine answered a chat last."""
+        """Record which engine answered a chat last."""
         self.last_served_engines.remember(chat, engine)
 
     def last_served(self, chat: int) -> str | None:
-        """Return the engine that answered a chat last, as far as this router saw."""
+        """Return the engine that answered a chat last through this router."""
         return self.last_served_engines.engine_of(chat)
 
     def is_young(self, engine: str) -> bool:
-        """Return whether an upstream joined after this router knew the list, and lately."""
+        """Return whether an upstream joined lately, and after this router knew the list."""
         return self._upstream_changes.join_times.is_young(engine, self.clock())
 
     def resumes(self, engine: str) -> bool:
@@ -268,45 +273,45 @@
         return tuple(self.upstreams.entry_by_name[name].upstream for name in names)
 
     def apply_listed_upstreams(self, listed: Listed) -> bool:
-        """Take in what the platform lists; return whether any was news."""
+        """Apply the platform's list of upstreams; return whether anything changed."""
         news = self._upstream_changes.apply_listing(listed, self.clock())
         self.invalidate_upstream_caches()
         return news
 
     def apply_upstreams(self, update: UpstreamUpdate) -> bool:
-        """Take in a peer's entries; return whether any was news."""
+        """Apply a peer's entries of upstreams; return whether anything changed."""
         news = self._upstream_changes.apply_update(update, self.clock())
         self.invalidate_upstream_caches()
         return news
 
     def upstreams_since(self, version: int) -> UpstreamUpdate:
-        """Return what a peer at a version lacks of the list of upstreams."""
+        """Return the entries of upstreams that a peer at a version lacks."""
         return self._upstream_changes.since(version, self.clock())
 
     def apply_upstream_event(self, event: WatchEvent) -> bool:
-        """Take in one event of a watch on upstreams; return whether it was news."""
+        """Apply one event of the watch on upstreams; return whether it changed anything."""
         news = self._upstream_changes.apply_event(event, self.clock())
         if news:
             self.invalidate_upstream_caches()
         return news
 
     def invalidate_upstream_caches(self) -> None:
-        """Drop what was derived from the list of upstreams."""
+        """Drop the caches that were derived from the list of upstreams."""
         self._intakes.invalidate()
         self._owners.invalidate()
 
     # -- data halls ---------------------------------------------------------
 
     def apply_listed_evacuations(self, listed: Listed) -> bool:
-        """Take in the evacuations that the platform lists; return whether any was news."""
+        """Apply the platform's list of evacuations; return whether anything changed."""
         return self._invalidate_if_news(self.halls.apply_listing(listed, self.clock()))
 
     def apply_evacuation_event(self, event: WatchEvent) -> bool:
-        """Take in one event of a watch on evacuations; return whether it was news."""
+        """Apply one event of the watch on evacuations; return whether it changed anything."""
         return self._invalidate_if_news(self.halls.apply_event(event, self.clock()))
 
     def apply_evacuations(self, update: EvacuationUpdate | None) -> bool:
-        """Take in what a peer knows of evacuations; return whether any was news."""
+        """Apply the evacuations that a peer knows; return whether anything changed."""
         return update is not None and self._invalidate_if_news(
             self.halls.apply_update(update, self.clock())
         )
@@ -317,7 +322,7 @@
         return is_news
 
     def target(self, engine: str) -> Target | None:
-        """Return an upstream as the owner's side needs it, or None."""
+        """Return an upstream as its owner's decisions need it, or None for an unknown one."""
         upstream = self._intakes.upstream(engine)
         service = self.fleet.service_by_name.get(upstream.service) if upstream else None
         if upstream is None or service is None:
@@ -339,24 +344,25 @@
         )
 
     def _idle_connections_share(self, most: int | None) -> int | None:
-        """Return how many idle connections of an engine's are this router's, None for no bound."""
+        """Return this router's share of an engine's idle connections, or None for no bound."""
         if most is None or not self.load_managed():
             return None
         return max(MIN_IDLE_CONNECTIONS, most // max(1, len(self._live_routers)))
 
     def cold_count(self) -> int:
-        """Return how many upstreams are cold by their own word."""
+        """Return how many upstreams are cold by their own report."""
         return self._upstream_changes.cold_periods.count(self.clock())
 
     def cold_seconds(self, upstream: str) -> float:
-        """Return for how many seconds an upstream is still cold by its own word."""
+        """Return for how many more seconds an upstream is cold by its own report."""
         return self._upstream_changes.cold_periods.seconds_left(upstream, self.clock())
 
     def apply_notice(self, upstream: str, notice: Notice, is_for_this_router: bool = True) -> bool:
-        """Take in what an upstream said of itself in an answer; return whether it was news.
+        """Apply a notice that an upstream sent in an answer; return whether it changed anything.
 
-        A pace closes no upstream, so it is no news here.
-        ``is_own`` says whether this router was told, or heard of it from another one.
+        A pace closes no upstream, so it does not count as a change.
+        ``is_for_this_router`` is True where this router read the answer itself, and False where
+        another router passed the notice on.
         """
         now = self.clock()
         if notice.pace > 0:
@@ -375,18 +381,18 @@
         return is_news
 
     def apply_staying_report(self, upstream: str) -> None:
-        """Take in an upstream's own late report that it is not leaving."""
+        """Apply an upstream's own later report that it is not leaving."""
         if self.notices.reports_staying(upstream, self.clock()):
             self._intakes.invalidate()
 
     def owners_of_same_service(self, engine: str) -> set[str]:
-        """Return the routers that own an engine's service's live upstreams."""
+        """Return the owners of the live upstreams of an engine's service."""
         upstream = self._intakes.upstream(engine)
         names = self.live_upstreams(upstream.service) if upstream is not None else ()
         return {owner for name in names if (owner := self.owner_name(name)) is not None}
 
     def elsewhere_in_flight(self, engine: str) -> int:
-        """Return the in-flight total of the other engines of an engine's service."""
+        """Return the requests in flight at the other engines of an engine's service."""
         upstream = self._intakes.upstream(engine)
         if upstream is None:
             return 0
@@ -396,7 +402,7 @@
         return heard + self.gate.total(tuple(name for name in own if name != engine), now)
 
     def mean_load(self, service: str) -> float:
-        """Return the requests in flight at a service's engines, by engine."""
+        """Return the mean number of requests in flight at a service's engines."""
         now, engines = self.clock(), len(self.live_upstreams(service))
         own = self.owned_by_service().get(service, ())
         total = self.gossip.load_elsewhere(service, now) + self.gate.total(own, now)
@@ -405,9 +411,10 @@
     # -- configuration ------------------------------------------------------
 
     def apply_change(self, change: Change, source: str = PLATFORM_SOURCE) -> Rejected | Gap | None:
-        """Put the next change in force; None where it is in force now or was before.
+        """Put the next change in force; return None where it is in force now or was before.
 
-        A rejected change is voided: its version passes, nothing of it is in force.
+        A rejected change is skipped: the version advances, and none of its edits apply.
+        Where a version is missing between, nothing changes and the gap is returned.
         """
         if change.version <= self.fleet.version:
             return None
@@ -421,7 +428,7 @@
         return None
 
     def apply_fleet(self, fleet: Fleet, source: str = PLATFORM_SOURCE) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Put a configuration in force if it is newer; return whether it is."""
         if fleet.version <= self.fleet.version:
             return False
         self._put_in_force(fleet, source)
@@ -438,13 +445,13 @@
     def has_all_entries(self, kind: str) -> bool:
         """Return whether every entry of a kind is in force here as the operator wrote it.
 
-        Where it is not, what a caller names may be in the part that is not, and "there is no
-        such thing" would be false.
+        Otherwise an entry that a caller names and this router lacks may be one that is not in
+        force here, and to answer that it does not exist would be wrong.
         """
         return self.rejected is None and self.fleet.is_whole(kind)
 
     def apply_update(self, update: Update, source: str = PLATFORM_SOURCE) -> Rejected | Gap | None:
-        """Take in what a peer says that this router lacks."""
+        """Apply a peer's update; return the first change that was rejected or left a gap."""
         if update.snapshot is not None and update.snapshot.version > self.fleet.version:
             self.apply_fleet(self.fleet.replaced_by(update.snapshot), source)
         if update.difference is not None:
@@ -461,7 +468,7 @@
             self.apply_fleet(following, source)
 
     def update_since(self, version: int, takes_difference: bool = True) -> Update:
-        """Return what a router at a version lacks."""
+        """Return the update for a router at a version: changes, a difference or a snapshot."""
         changes = self.fleet.changes_since(version)
         if changes is not None:
             return Update(changes=changes)
@@ -473,19 +480,19 @@
     # -- load ---------------------------------------------------------------
 
     def load_managed(self) -> bool:
-        """Return whether the parts of load management are in force at this router now."""
+        """Return whether load management is active at this router now."""
         if self.load_management == "as-needed":
             return self.clock() - self.pace_read_at < PACE_TIMEOUT_SECONDS
         return self.load_management == "on"
 
     def begin_request(self, account: str) -> LimitVerdict:
-        """Hold a request against the account's limits."""
+        """Check a request against the account's limits, and count it if it is allowed."""
         return self.limits.begin_request(account, self.clock())
 
     # -- rounds -------------------------------------------------------------
 
     def has_initial_state(self) -> bool:
-        """Return whether this router knows all that it needs to send requests."""
+        """Return whether this router knows all that it needs to route requests."""
         is_listed = self.upstreams.version > 0 and self.halls.evacuations.is_known
         return self.fleet.version > 0 and is_listed
 
@@ -494,7 +501,7 @@
         return self.phase != Phase.LIVE
 
     def publish(self) -> None:
-        """Set what this router's heartbeats say."""
+        """Set the contents of this router's heartbeats."""
         self.gossip.publish(
             self.phase,
             self.fleet.version,
@@ -505,7 +512,7 @@
         )
 
     def tick(self) -> None:
-        """Do what is due each round."""
+        """Run the periodic work of one round."""
         if self.vanished and self.vanished.forget_old(self.clock()):
             self.invalidate_upstream_caches()
         if self._upstream_changes.settle(self.clock()):
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -1,7 +1,7 @@
-"""Keeping a router up to date: a few of each hall watch the platform, the others ask peers.
+"""Keeps a router up to date: a few routers of each hall watch the platform, others pull from peers.
 
-Versions only grow, so whatever comes late, twice or from a stale peer is
-recognised and dropped by the state itself.
+Versions only grow, so the state recognises and drops whatever arrives late, twice or from a
+stale peer.
 """
 
 from __future__ import annotations
@@ -39,52 +39,52 @@
 
 log = log_for("sync")
 
-#: Kind of the platform's objects that list upstreams.
+#: Kind of the platform's objects that each list one upstream.
 UPSTREAM_KIND = "upstream"
-#: Kind of those that ask for the evacuation of the data hall that they are named by.
+#: Kind of the platform's objects that each order the evacuation of the data hall they name.
 EVACUATION_KIND = "evacuation"
-#: Seconds between checks of who watches and who lags.
+#: Seconds between checks of whether this router should watch and whether it is behind.
 CHECK_SECONDS = 0.5
-#: Seconds from a router's start in which it comes to know its peers: three calls to the
-#: platform and two exchanges of packets, 0.1 s on the users' bench. Until then it reads
-#: what the platform holds, and does not watch: one of each hall will, and all of a fleet
-#: that starts would be told of each upstream that lists itself.
+#: Seconds after its start in which a router discovers its peers: three calls to the platform and
+#: two exchanges of packets take about 0.1 s. Until then it reads what the platform holds but does
+#: not watch it: one router of each hall is enough, and where a whole fleet starts, all routers
+#: would otherwise get an event for each upstream that lists itself.
 PEER_DISCOVERY_SECONDS = 0.4
-#: Seconds from which a pull is told in the log: a sixth of the time in which a change is to
-#: be in force everywhere.
+#: Seconds from which a pull is logged as slow: a sixth of the time within which a change is to be
+#: in force everywhere.
 SLOW_PULL_SECONDS = 0.5
-#: Seconds after which a peer's answer to a pull is waited for beside another peer's. A peer
-#: takes 0.1 s for a change and up to 0.6 s for a large configuration on a narrow link; two that
-#: give no answer in a row cost 1.4 s so, of the 2 s in which small fleets have a change in force,
-#: and not the 4 s of two calls' time-outs. A shorter one would have the whole fleet ask twice for
-#: what is large.
+#: Seconds after which a pull that is pending is hedged by a pull from another peer. A peer takes
+#: 0.1 s for a change and up to 0.6 s for a large configuration on a narrow link. Two silent peers
+#: in a row so cost 1.4 s of the 2 s in which a change is to be in force in small fleets, and not
+#: the 4 s of two call timeouts. With a shorter delay the whole fleet would pull large
+#: configurations twice.
 PULL_HEDGE_SECONDS = 0.7
-#: Milliseconds by which a peer's start lies before this router's where the peer knows more of
-#: who joined: VMs that start together differ by less, their clocks included, and what joined
-#: within such a time is a small part of what counts as new for minutes.
+#: Milliseconds by which a peer must have started earlier than this router for its join times to
+#: be pulled. VMs that start together differ by less, clock skew included, and upstreams that join
+#: within such a time are few of those that count as young for minutes.
 MIN_AGE_DIFFERENCE_MS = 10_000
-#: Peers asked side by side at most: so many answers may wait in memory.
+#: Maximum of concurrent pulls: each may keep an answer waiting in memory.
 MAX_CONCURRENT_PULLS = 3
-#: Seconds before a lost watch is tried again, first and at most: a platform that comes
-#: back is not rushed.
+#: Seconds before a lost watch is retried, at first and at most: a platform that comes back is
+#: not to be overloaded.
 INITIAL_BACKOFF_SECONDS = 0.2
 MAX_BACKOFF_SECONDS = 2.0
 
 
 class PulledState(Protocol):
-    """A peer's answer to a pull."""
+    """A peer's reply to a pull: what it holds beyond the versions of the router that asked."""
 
     @property
     def configuration(self) -> Update:
-        """What was lacking of the configuration."""
+        """The update of the configuration."""
 
     @property
     def upstreams(self) -> UpstreamUpdate:
-        """What was lacking of the list of upstreams."""
+        """The update of the list of upstreams."""
 
     @property
     def evacuations(self) -> EvacuationUpdate | None:
-        """What the peer knows of evacuated halls; None where it knows nothing."""
+        """The evacuations that the peer knows; None where it knows nothing of them."""
 
 
 _CONFIGURATION = operator.attrgetter("configuration")
@@ -111,30 +111,31 @@
         self._platform = platform
         self._source = source
         self._pull = pull
-        #: Tells some peers at once that this router has something new.
+        #: Sends heartbeats to some peers at once, to announce that this router has something new.
         self._announce = announce
         self._rng = rng
-        #: Lists this router at the platform, and finds its peers there.
+        #: Lists this router at the platform and finds its peers there.
         self._peer_discovery = peer_discovery
-        #: Set once this router had time to hear who else is there.
+        #: Set once this router has had time to discover its peers.
         self._peers_discovered = asyncio.Event()
-        #: Whether peers are being asked for what this router lacks.
+        #: Whether ``_pull_if_behind`` is running.
         self._is_pulling = False
-        #: Names of the peers whose answer to a pull is out.
+        #: Names of the peers whose reply to a pull is pending.
         self._pending_peers: set[str] = set()
         self._tasks = Tasks()
-        #: The watches of the configuration and of the list of upstreams, where it watches.
+        #: The tasks that watch the configuration, upstreams and evacuations; empty where this
+        #: router does not watch.
         self._watch_tasks: tuple[asyncio.Task[None], ...] = ()
 
     async def run(self) -> None:
-        """Keep up until cancelled."""
+        """Keep the state up to date until cancelled."""
         try:
             self._tasks.start(self._peer_discovery.run())
             self._start_watching()
             await self._pull_if_behind()
             await asyncio.sleep(PEER_DISCOVERY_SECONDS)
             self._peers_discovered.set()
-            # Beside the rest: a peer that gives no answer must not keep this router behind.
+            # In a task of its own: a peer that does not reply must not keep this router behind.
             self._tasks.start(self._pull_recent_joins())
             while True:
                 self._start_or_stop_watching()
@@ -144,29 +145,30 @@
             self._tasks.cancel_all()
 
     async def on_peer_ahead(self) -> None:
-        """React at once to a peer's word that it holds something newer."""
+        """Pull at once, as a peer's heartbeat says that it holds something newer."""
         await self._pull_if_behind()
 
     # -- from the platform --------------------------------------------------
 
     def _start_or_stop_watching(self) -> None:
-        """Begin or end watching, as this router is or is not one of its hall's watchers."""
+        """Start or stop watching, as this router is or is not one of its hall's watchers."""
         due = self._state.is_watcher()
         if due and not self._watch_tasks:
             log.info("Watching the platform for hall {}.", self._state.hall)
             self._start_watching()
-        # One that lost the platform goes on looking for it: another watches meanwhile.
+        # A watcher that lost the platform keeps retrying, while another router watches.
         if not due and self._watch_tasks and not self._state.platform_error:
-            log.info("Leaving the watch to another router of the hall.")
+            log.info("Another router of the hall watches the platform; stopping the watch.")
             for task in self._watch_tasks:
                 task.cancel()
             self._watch_tasks = ()
-            # Who does not watch cannot tell whether the platform answers, nor what it holds.
+            # A router that does not watch knows neither whether the platform answers nor what
+            # it holds.
             self._state.platform_error = ""
             self._state.rejected = None
 
     def _start_watching(self) -> None:
-        """Read what the platform holds; what follows, only once it is known who watches."""
+        """Start tasks that read what the platform holds, and watch it once peers are known."""
         self._watch_tasks = (
             self._tasks.start(self._watch_with_retry(self._watch_changes)),
             self._tasks.start(self._watch_with_retry(self._watch_upstreams)),
@@ -174,7 +176,7 @@
         )
 
     async def _watch_with_retry(self, watch: Callable[[], Awaitable[None]]) -> None:
-        """Begin a watch again whenever it ends, until cancelled."""
+        """Restart a watch with backoff whenever it ends, until cancelled."""
         backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         while True:
             begun = self._state.clock()
@@ -184,19 +186,20 @@
                 self._note_platform_lost(str(error))
                 log.warning("Watch lost: {}.", error)
             except TooOld:
-                log.info("Watch too old, listing anew.")
+                log.info("The watch's version is too old; listing again.")
             except Exception:
-                # What cannot be read now may be mended at the platform; nobody else watches.
-                log.exception("A watch ended in an error of this router; it begins again.")
+                # An object that cannot be read may be corrected at the platform, and no other
+                # router may be watching, so the watch has to go on.
+                log.exception("A watch failed with an error of this router; restarting it.")
             if self._state.clock() - begun > MAX_BACKOFF_SECONDS:
                 backoff.reset()
             await asyncio.sleep(backoff.next())
 
     def _note_platform_lost(self, why: str) -> None:
-        """Note that the platform is out of reach, and tell peers at once: another watches then.
+        """Record that the platform is unreachable, and announce it, so that another router watches.
 
-        They would wait for this router's word else, and miss what others of their hall can
-        read: a change is to be in force everywhere within 3 s.
+        Otherwise the peers would rely on this router and miss changes that others of their hall
+        can read: a change is to be in force everywhere within 3 s.
         """
         is_news = not self._state.platform_error
         self._state.platform_error = why
@@ -217,7 +220,7 @@
         elif isinstance(news, Broken):
             log.error("Configuration cannot be read: {}.", news.reason)
         else:
-            # Also where it is not newer: what was refused is gone then.
+            # Cleared also where this configuration is not newer: the rejected one was replaced.
             self._state.rejected = None
             if self._state.apply_fleet(news):
                 self._announce()
@@ -234,8 +237,8 @@
 
     async def _watch_evacuations(self) -> None:
         state = self._state
-        # What a router that starts alone misses of the last seconds, its peers tell it; where all
-        # start, those that watch go on from where this listing ends.
+        # A stale list is enough: a router that starts alone gets the last seconds from its peers,
+        # and where all routers start, the watchers go on from the version of this list.
         may_be_old = not state.halls.evacuations.is_known
         await self._watch(
             EVACUATION_KIND,
@@ -251,7 +254,7 @@
         take_event: Callable[[WatchEvent], bool],
         may_be_old: bool = False,
     ) -> None:
-        """Read the objects of a kind, then their changes; tell peers of what is news."""
+        """List the objects of a kind, then watch them; announce each change to peers."""
         listed = await self._platform.list(kind, may_be_old)
         if isinstance(listed, Unavailable):
             raise PlatformLost(listed.reason)
@@ -266,10 +269,10 @@
     # -- from peers ---------------------------------------------------------
 
     async def _pull_if_behind(self) -> None:
-        """Pull what peers hold beyond this router, until none is known to hold more.
+        """Pull from peers until none is known to hold anything newer.
 
-        Each packet of a peer that is ahead leads here. A pull for each would ask many peers for
-        the same, and keep whole configurations waiting in memory.
+        Each packet of a peer that is ahead leads here. Were there a pull for each, many peers
+        would be asked for the same, and whole configurations would wait in memory.
         """
         if self._is_pulling:
             return
@@ -282,9 +285,9 @@
             self._is_pulling = False
 
     async def _pull_recent_joins(self) -> None:
-        """Ask one peer for the whole list: only those that run know who joined when.
+        """Pull the whole list of upstreams from a peer that has run longer, for its join times.
 
-        Where all start at once, as after a power cut, nobody knows, and nobody is asked.
+        Where all routers start at once, as after a power cut, none knows them and none is asked.
         """
         others = [member for member in self._state.members() if member.name != self._state.name]
         own_start = self._state.gossip.membership.own.incarnation
@@ -302,10 +305,10 @@
             self._state.apply_upstreams(pulled.upstreams)
 
     async def _pull_hedged(self, ahead: list[Member]) -> bool:
-        """Ask some of the peers, another one each time that the last is slow or lost.
+        """Pull from one of the peers, and from another each time that the last is slow or fails.
 
-        Return whether that brought anything new. Whoever is slow goes on being waited for, and
-        is not asked again meanwhile.
+        Return whether that brought anything new. Slow pulls stay pending, and their peers are not
+        asked again meanwhile.
         """
         free = [peer for peer in ahead if peer.name not in self._pending_peers]
         most = min(MAX_CONCURRENT_PULLS - len(self._pending_peers), len(free))
@@ -317,11 +320,12 @@
             )
             if any(pull.result() for pull in done):
                 return True
-        # What is still out is taken in when it comes; others may be ahead by now.
+        # Replies that are still pending are applied when they arrive; other peers may be ahead
+        # by now.
         return False
 
     async def _pull_from_peer(self, peer: Member) -> bool:
-        """Ask a peer for what this router lacks; return whether that brought anything new."""
+        """Pull from one peer and apply its reply; return whether that brought anything new."""
         begun = self._state.clock()
         self._pending_peers.add(peer.name)
         try:
@@ -338,11 +342,11 @@
         return self._apply_pulled(peer, pulled)
 
     def _apply_pulled(self, peer: Member, pulled: PulledState) -> bool:
-        # Read after the pull: a watch or another peer may have brought something meanwhile.
+        # Read after the reply: a watch or another peer may have brought something meanwhile.
         before = self._own_versions()
         asked_for_snapshot = self._state.needs_snapshot
         self._log_if_rejected(self._state.apply_update(pulled.configuration, peer.name))
-        # Before the upstreams, since it says which of them may get nothing.
+        # Applied before the upstreams, since evacuations say which of them get no requests.
         self._state.apply_evacuations(pulled.evacuations)
         self._state.apply_upstreams(pulled.upstreams)
         if self._own_versions() != before:
@@ -350,22 +354,22 @@
             return True
         if asked_for_snapshot or not self._state.needs_snapshot:
             return False
-        log.warning("What router {} says has changed does not fit; the whole is asked.", peer.name)
+        log.warning("The difference of router {} does not apply; pulling a snapshot.", peer.name)
         return True
 
     def _own_versions(self) -> Versions:
-        """Return the versions held here."""
+        """Return the versions that this router holds."""
         state = self._state
         return Versions(
             state.fleet.version, state.upstreams.version, state.halls.evacuations.version
         )
 
     def _peers_to_pull_from(self) -> list[Member]:
-        """Return the peers that hold the newest, those of this hall alone where there are any.
+        """Return the peers that hold the newest version, of this hall alone where there are any.
 
-        A peer that was cut off since holds an older version, and costs a call's time-out (2 s)
-        to find out; where three in ten are cut off, a router that asked whoever is ahead at all
-        was behind by that long again and again.
+        A peer that was cut off since holds an older version, and a pull from it costs a call's
+        timeout (2 s). Where three in ten routers are cut off, a router that pulled from any peer
+        that is ahead would fall behind by that long repeatedly.
         """
         names = set(self._state.gossip.ahead())
         if not names:
@@ -376,9 +380,11 @@
         return near or newest
 
     def _with_newest_version(self, ahead: list[Member]) -> list[Member]:
-        """Return those with the newest of what matters most of what is newer than here.
+        """Return the peers with the newest configuration, else evacuations, else upstreams.
 
-        A router that sends to an evacuated hall does harm; one that lacks an upstream does not.
+        The first of these of which a peer holds a newer version than this router decides.
+        Evacuations come before upstreams, as requests sent to an evacuated hall do harm, while a
+        missing upstream does not.
         """
         held = self._state.gossip.versions()
         own = self._own_versions()
