--- a/pondhatch/router/__init__.py
+++ b/pondhatch/router/__init__.py
@@ -1,4 +1,4 @@
-"""The router: one process's state, who may use it, and how it keeps up."""
+"""The router: the state of one process, admission of callers, and exchange with its peers."""
 
 from pondhatch.router._admission import (
     ANONYMOUS,
--- a/pondhatch/router/_authority.py
+++ b/pondhatch/router/_authority.py
@@ -1,4 +1,4 @@
-"""The services whose engines this router gives orders to, as the members change."""
+"""Starts and stops the orderers of the services whose engines get their orders from this router."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from pondhatch.router._state import RouterState
 from pondhatch.store import Platform
 
-#: Seconds between checks of which services are to be ordered here.
+#: Seconds between checks of which services need an orderer at this router.
 CHECK_SECONDS = 0.5
-#: Bits of the random number that tells a write to a lease from every other.
+#: Bits of the random nonce that identifies one write to a lease.
 NONCE_BITS = 64
 
 
 class _Running(msgspec.Struct):
-    """An orderer and its task."""
+    """A running orderer and its task."""
 
     orderer: Orderer
     task: asyncio.Task[None]
 
 
 class Authority:
-    """Runs an orderer for each service that this router should order, or still holds."""
+    """Runs an orderer for each service whose lease this router should hold, or still holds."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._running_by_service: dict[str, _Running] = {}
 
     async def run(self) -> None:
-        """Start and end orderers until cancelled."""
+        """Start and stop orderers until cancelled."""
         try:
             while True:
                 self._start_wanted()
@@ -64,11 +64,11 @@
             self._tasks.cancel_all()
 
     def holds_any_lease(self) -> bool:
-        """Return whether a lease must still be given up before this router stops."""
+        """Return whether this router still holds a lease, to be released before it stops."""
         return any(each.orderer.holds_anything() for each in self._running_by_service.values())
 
     def statuses(self) -> Iterable[OrdererStatus]:
-        """Return what a state dump tells."""
+        """Return the statuses of the running orderers, for the state dump."""
         return [each.orderer.status() for each in self._running_by_service.values()]
 
     def _start_wanted(self) -> None:
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -1,8 +1,9 @@
-"""Keeping requests that end engines from the engines that are left: evidence, shared.
+"""Shares evidence of requests that crash engines, so that they are kept from the other engines.
 
-Each router that sees an engine end under a request tells all others at once, and 0.1 s later
-once more; every two seconds one random router is told some of all that is known, and a router
-that is new or back is told by three others. A quiet fleet sends nothing.
+A router that sees an engine crash while it runs a request sends the evidence to all others at
+once, and again 0.1 s later. Every two seconds it sends a sample of all known evidence to one random
+router, and three routers send all of it to a router that is new or back. Without evidence nothing
+is sent.
 """
 
 from __future__ import annotations
@@ -23,28 +24,30 @@
 from pondhatch.router._new_members import NewMembers
 from pondhatch.router._state import RouterState
 
-#: First byte of a packet on suspected requests; no packet of membership or grants begins with it.
+#: First byte of a packet on suspected requests; no membership or grant packet begins with it.
 CRASH_PACKET_PREFIX = b"\x02"
-#: Pieces of evidence in one packet: with names of 25 bytes it fits into an Ethernet frame.
+#: Maximum of pieces of evidence in one packet: with names of 25 bytes it fits into an Ethernet
+#: frame.
 EVIDENCE_PER_PACKET = 24
-#: Seconds between two tellings of some of what is known: 0.5 KB/s at most, and what a router
-#: missed reaches it in a few of them.
+#: Seconds between two samples of the known evidence: 0.5 KB/s at most, and a few of them bring a
+#: router what it missed.
 SAMPLE_INTERVAL_SECONDS = 2.0
-#: Seconds before each probe of whether an engine listens, once a run at it was cut. A process that
-#: ends closes its connections before its port, and on a busy VM others run in between, for up
-#: to tens of milliseconds; so one probe that finds the port open says little.
+#: Seconds before each probe of whether an engine still listens, after a request lost its connection
+#: to it. A process that ends closes its connections before its port, and on a busy VM other
+#: processes may run between the two for tens of milliseconds. So one probe that finds the port open
+#: proves little.
 FIRST_PROBE_DELAYS = (0.0, 0.02)
 LATER_PROBE_DELAYS = (0.1, 0.4)
-#: Seconds that a request waits for the first probes at most.
+#: Maximum seconds for which a request waits for the first probes.
 FIRST_PROBES_TIMEOUT_SECONDS = 0.1
 
 SendAll = Callable[[Iterable[Datagram]], None]
-#: Finds out whether nothing listens at an engine any more.
+#: Returns whether nothing listens at an engine any more.
 HasCrashed = Callable[[Target], Coroutine[Any, Any, bool]]
 
 
 class CrashEvidenceExchange:
-    """One router's part; see CrashGuard."""
+    """One router's implementation of CrashGuard, which shares its evidence with the others."""
 
     def __init__(
         self,
@@ -63,7 +66,7 @@
         self._rng = rng
         self._records = records
         self._has_crashed = has_crashed
-        #: Evidence to be told to all once more.
+        #: Evidence to be sent to all routers once more.
         self._to_repeat: list[Evidence] = []
         self._sampled_at = float("-inf")
         self._new_members = NewMembers(state)
@@ -71,18 +74,18 @@
         self._decoder = msgspec.msgpack.Decoder(EvidencePacket | TrialPacket)
 
     def watch(self, digest: int) -> RequestWatch:
-        """Return the watch over one request; see CrashGuard."""
+        """Return the watch of one request; see CrashGuard."""
         return CrashWatch(self, digest) if digest else NO_WATCH
 
     def is_quarantined(self, digest: int) -> bool:
-        """Return whether a request is not to be run for now."""
+        """Return whether a request must not be run for now."""
         return self.suspects.is_quarantined(digest, self._state.clock())
 
     async def note_connection_lost(self, digest: int, target: Target) -> bool:
-        """Find out whether a run's engine ended, and tell everybody; see RequestWatch.
+        """Probe whether the engine crashed, and share the evidence if so; see RequestWatch.
 
-        Goes on where the caller leaves meanwhile: a caller that gives up after each end would
-        otherwise leave no trace. The request waits for the first probes alone.
+        The probes continue if the caller leaves meanwhile: otherwise a caller that gives up after
+        each crash would leave no evidence. The request waits for the first probes only.
         """
         probing = self._tasks.start(self._probe(digest, target, FIRST_PROBE_DELAYS))
         try:
@@ -115,7 +118,7 @@
         self._clear(digest, "it came through whole")
 
     def lift_quarantine(self, digest: int) -> bool:
-        """Let a request run again at all routers; return whether anything was held against it."""
+        """Clear a request at all routers; return whether there was evidence against it."""
         return self._clear(digest, "an operator lifted its quarantine")
 
     def _clear(self, digest: int, why: str) -> bool:
@@ -126,28 +129,28 @@
         return bool(found)
 
     def since_last_crash(self, digest: int) -> float:
-        """Return the seconds since an engine last ended under a suspected request."""
+        """Return the seconds since an engine last crashed while it ran a suspected request."""
         suspect = self.suspects.suspect_by_digest[digest]
         return self._state.clock() - suspect.last_end
 
     def claim(self, digest: int) -> Trial:
-        """Claim to be the one that runs a request next."""
+        """Claim the next run of a suspected request, and send the claim to all routers."""
         trial = self._trials.claim(digest, self._state.clock())
         self._send_to_all(TrialPacket(trial))
         return trial
 
     def goes_first(self, trial: Trial) -> bool:
-        """Return whether a claim's turn has come."""
+        """Return whether it is the claim's turn."""
         now = self._state.clock()
         return self._trials.goes_first(trial, now, self.suspects.fell_together)
 
     def withdraw_claim(self, trial: Trial) -> None:
-        """Give a claim up."""
+        """Withdraw a claim at all routers."""
         self._trials.ended(trial)
         self._send_to_all(TrialPacket(trial, has_ended=True))
 
     def receive(self, payload: bytes) -> None:
-        """Take in a packet, its mark left out; one that does not parse is dropped."""
+        """Handle a packet without its prefix; a packet that does not parse is dropped."""
         try:
             packet = self._decoder.decode(payload)
         except (msgspec.DecodeError, ValueError):
@@ -161,7 +164,7 @@
             self._trials.heard(packet.trial, self._state.clock())
 
     def tick(self) -> None:
-        """Do what is due each round."""
+        """Run the periodic work of one round."""
         if self._to_repeat:
             to_repeat, self._to_repeat = self._to_repeat, []
             self._send_evidence(to_repeat, self._others())
@@ -169,7 +172,7 @@
         self._send_sample()
 
     def _apply_evidence(self, evidence: Evidence) -> bool:
-        """Take in evidence, and record a verdict that follows from it."""
+        """Apply evidence, and record a quarantine that follows; return whether it was new."""
         was_quarantined = self.is_quarantined(evidence.digest)
         is_news = self.suspects.take(evidence, self._state.clock())
         if is_news and not was_quarantined and self.is_quarantined(evidence.digest):
@@ -182,14 +185,14 @@
         self._send_evidence(evidence, self._others())
 
     def _send_to_new_members(self) -> None:
-        """Tell routers that are new or back all that is known."""
+        """Send all known evidence to routers that are new or back."""
         new_members = self._new_members.to_inform(bool(self.suspects.suspect_by_digest))
         if new_members:
             evidence = self.suspects.all_evidence(self._state.clock())
             self._send_evidence(evidence, new_members)
 
     def _send_sample(self) -> None:
-        """Tell one random router some of what is known."""
+        """Send a sample of the known evidence to one random router, if that is due."""
         now = self._state.clock()
         if now - self._sampled_at < SAMPLE_INTERVAL_SECONDS or not self.suspects.suspect_by_digest:
             return
@@ -218,6 +221,6 @@
 
 
 def _in_packets(evidence: Sequence[Evidence]) -> Iterator[tuple[Evidence, ...]]:
-    """Yield evidence in pieces that each fit into a packet."""
+    """Yield evidence in batches that each fit into a packet."""
     for at in range(0, len(evidence), EVIDENCE_PER_PACKET):
         yield tuple(evidence[at : at + EVIDENCE_PER_PACKET])
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -1,4 +1,4 @@
-"""One request under which engines may end: whether it may be sent, and when its turn is."""
+"""The watch of one request that may crash engines: whether it may be sent, and when."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 from pondhatch.quarantine import Suspects, Trial
 from pondhatch.requests import QUARANTINED, Refusal, Target, out_of_time
 
-#: Seconds for which a router listens for what others see in the same moment, before it runs a
-#: request anew under which an engine has just ended: packets take less, between regions too.
+#: Seconds for which a router waits for the evidence of others, before it runs a request again that
+#: has just crashed an engine. Packets take less time than that, between regions too.
 EVIDENCE_WAIT_SECONDS = 0.05
-#: Seconds between two checks of whether a claim's turn has come.
+#: Seconds between two checks of whether it is a claim's turn.
 TURN_CHECK_SECONDS = 0.02
 
 
 class SharedEvidence(Protocol):
-    """What a watch asks and tells of all requests."""
+    """The fleet's evidence and claims, as a watch reads and changes them."""
 
     suspects: Suspects
 
     def is_quarantined(self, digest: int) -> bool:
-        """Return whether a request is not to be run for now."""
+        """Return whether a request must not be run for now."""
 
     def since_last_crash(self, digest: int) -> float:
-        """Return the seconds since an engine last ended under a suspected request."""
+        """Return the seconds since an engine last crashed while it ran a suspected request."""
 
     async def note_connection_lost(self, digest: int, target: Target) -> bool:
-        """Note that a run lost its connection; return whether its engine has ended."""
+        """Record that a request lost its connection; return whether its engine crashed."""
 
     def note_completed(self, digest: int) -> None:
-        """Note that an engine bore a request."""
+        """Record that an engine completed a request, which clears it."""
 
     def claim(self, digest: int) -> Trial:
-        """Claim to be the one that runs a request next."""
+        """Claim the next run of a suspected request."""
 
     def goes_first(self, trial: Trial) -> bool:
-        """Return whether a claim's turn has come."""
+        """Return whether it is the claim's turn."""
 
     def withdraw_claim(self, trial: Trial) -> None:
-        """Give a claim up."""
+        """Withdraw a claim."""
 
 
 class CrashWatch:
-    """One request of which engines may end; see RequestWatch."""
+    """The watch of one request that may crash engines; see RequestWatch."""
 
     def __init__(self, evidence: SharedEvidence, digest: int) -> None:
         self._evidence = evidence
@@ -55,7 +55,8 @@
         """Return why the request may not be sent now; see RequestWatch."""
         if not self.is_suspected():
             return None
-        # Two copies that ended an engine each in the same moment learn here that they are two.
+        # Two copies of a request that crash an engine each at the same time both learn of the
+        # other's crash here.
         await asyncio.sleep(EVIDENCE_WAIT_SECONDS - self._evidence.since_last_crash(self._digest))
         while not self.is_quarantined():
             if not self._evidence.suspects.may_end_another(self._digest):
@@ -76,23 +77,23 @@
         return self._evidence.goes_first(self._trial)
 
     def is_quarantined(self) -> bool:
-        """Return whether it is known to end engines; see RequestWatch."""
+        """Return whether the request is quarantined; see RequestWatch."""
         return self._evidence.is_quarantined(self._digest)
 
     def is_suspected(self) -> bool:
-        """Return whether an engine's end is held against it; see RequestWatch."""
+        """Return whether there is evidence against the request; see RequestWatch."""
         return self._evidence.suspects.is_suspected(self._digest)
 
     async def run_was_cut(self, target: Target) -> bool:
-        """Note that a run lost its connection; see RequestWatch."""
+        """Record that the request lost its connection; see RequestWatch."""
         return await self._evidence.note_connection_lost(self._digest, target)
 
     def run_was_whole(self) -> None:
-        """Note that an engine bore it; see RequestWatch."""
+        """Record that an engine completed the request; see RequestWatch."""
         self._evidence.note_completed(self._digest)
 
     def close(self) -> None:
-        """Give the claim up; see RequestWatch."""
+        """Withdraw the claim, if there is one; see RequestWatch."""
         trial, self._trial = self._trial, None
         if trial is not None:
             self._evidence.withdraw_claim(trial)
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -1,7 +1,7 @@
-"""The state dump: sections that register themselves, each reading what it declares.
+"""The state dump, built of registered sections that each read the views they declare.
 
-A new section is a class here, or anywhere that is imported: the dump shows it
-without being told of it.
+A new section is a class that registers itself, here or in any module that is imported; the dump
+then includes it.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 #: Kind under which sections register.
 SECTION_KIND = "dump section"
-#: Accounts shown in a dump, the busiest first.
+#: Maximum of accounts in a dump, the busiest first.
 SHOWN_ACCOUNTS = 20
-#: Requests under which engines ended that are shown in a dump.
+#: Maximum of suspected requests in a dump.
 SHOWN_SUSPECTS = 20
-#: Where Linux tells a process its memory, in pages.
+#: The file in which Linux reports the process's memory, in pages.
 STATM = Path("/proc/self/statm")
 
 
@@ -38,14 +38,14 @@
 
 
 class Counters(msgspec.Struct, frozen=True):
-    """Counts that the transport keeps, by name."""
+    """Counters of the transport, by name."""
 
     by_name: Mapping[str, Any]
 
 
 @REGISTRY.register(SECTION_KIND, "0-router")
 class RouterSection(Plugin):
-    """Who this router is and what it holds."""
+    """The router's identity, and the versions that it holds."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -65,7 +65,7 @@
 
 @REGISTRY.register(SECTION_KIND, "1-process")
 class ProcessSection(Plugin):
-    """What the process uses, and the transport's counts."""
+    """The resource usage of the process, and the transport's counters."""
 
     DEPENDENCIES = (Counters,)
 
@@ -82,7 +82,7 @@
 
 @REGISTRY.register(SECTION_KIND, "2-members")
 class MembersSection(Plugin):
-    """The routers that are believed to be there."""
+    """The members of the fleet in this router's view."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -108,7 +108,7 @@
 
 @REGISTRY.register(SECTION_KIND, "3-upstreams")
 class UpstreamsSection(Plugin):
-    """The upstreams, their owners, and which of the own ones are down."""
+    """The upstreams with their owners, notices, paces and failures."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -145,7 +145,7 @@
 
 @REGISTRY.register(SECTION_KIND, "4-accounts")
 class AccountsSection(Plugin):
-    """The busiest accounts at this router, and the retries that are left."""
+    """The busiest accounts at this router, and the retry budgets by service."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -168,7 +168,7 @@
 
 @REGISTRY.register(SECTION_KIND, "9-held")
 class HeldSection(Plugin):
-    """The bytes held for callers and engines, and the accounts that hold most of them."""
+    """The bytes buffered for callers and engines, and the accounts that hold most of them."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -187,7 +187,7 @@
 
 @REGISTRY.register(SECTION_KIND, "6-orders")
 class OrdersSection(Plugin):
-    """The services whose engines are given orders here: under which number, which differ."""
+    """The status of each service whose engines get their orders from this router."""
 
     DEPENDENCIES = (Authority,)
 
@@ -199,7 +199,7 @@
 
 @REGISTRY.register(SECTION_KIND, "7-quarantine")
 class QuarantineSection(Plugin):
-    """The requests under which engines ended, those that are held back first."""
+    """The requests that were running when engines crashed, those with most crashes first."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -225,7 +225,7 @@
 
 @REGISTRY.register(SECTION_KIND, "8-intake")
 class IntakeSection(Plugin):
-    """What keeps upstreams that are up from some work: evacuated halls, and who is cold."""
+    """What restricts the requests to live upstreams: evacuated halls, and cold upstreams."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -246,7 +246,7 @@
 
 @REGISTRY.register(SECTION_KIND, "9-memory")
 class MemorySection(Plugin):
-    """What requests hold of the memory of the engines that are owned here."""
+    """The tokens that requests hold in the memory of the engines that this router owns."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -271,7 +271,7 @@
 
 @REGISTRY.register(SECTION_KIND, "5-decisions")
 class DecisionsSection(Plugin):
-    """The last requests: which engine took each, and why others were passed over."""
+    """The last placement decisions: the engine of each request, and why others were skipped."""
 
     DEPENDENCIES = (RouterState,)
 
@@ -285,7 +285,7 @@
 
 
 def dump_state(state: RouterState, authority: Authority, counters: Mapping[str, Any]) -> Dump:
-    """Return a router's state as plain data, section by section in the order of names."""
+    """Return a router's state as plain data; sections follow in the order of their names."""
     views = {RouterState: state, Authority: authority, Counters: Counters(counters)}
     dump: Dump = {}
     for name in REGISTRY.names(SECTION_KIND):
@@ -295,7 +295,7 @@
 
 
 def resident_kb() -> int:
-    """Return the process's resident memory in kilobytes, 0 where the system does not tell."""
+    """Return the process's resident memory in kilobytes, 0 where the system does not report it."""
     try:
         pages = int(STATM.read_text().split()[1])
     except OSError:
--- a/pondhatch/router/_fleet_key.py
+++ b/pondhatch/router/_fleet_key.py
@@ -1,7 +1,7 @@
-"""The fleet's shared key, where no file holds it: agreed on through the platform.
+"""The fleet's shared key, stored at the platform where no file holds it.
 
-The first router creates the object, under the condition that there is none; whoever
-comes later, or loses the race, reads it.
+The first router creates the object, on condition that there is none. A router that starts later or
+loses the race reads it.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 #: Kind and name of the object that holds the key.
 KEY_KIND = "pondhatch-fleet-key"
 KEY_NAME = "current"
-#: Seconds between tries, first and at most, while the platform is out.
+#: Seconds between retries during an outage of the platform, at first and at most.
 INITIAL_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 2.0
 
@@ -38,16 +38,16 @@
 async def obtain_fleet_key(
     platform: Platform, new_key: str, rng: random.Random, sleep: Sleep = asyncio.sleep
 ) -> bytes:
-    """Return the fleet's key, ``new_key`` if there was none; waits for the platform."""
+    """Return the fleet's key, ``new_key`` if there was none; retry until the platform answers."""
     backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, rng)
-    # A key that is there stays, so what the platform held some seconds ago will do. That there
-    # was none then is found out by writing one.
+    # An existing key does not change, so a stale read of it is good enough. A stale read that finds
+    # none is corrected by the write.
     may_be_old = True
     while True:
         found = await platform.get(KEY_KIND, KEY_NAME, may_be_old)
         may_be_old = False
         if isinstance(found, Unavailable):
-            log.warning("The platform does not tell the fleet's key: {}.", found.reason)
+            log.warning("Reading the fleet's key from the platform failed: {}.", found.reason)
             await sleep(backoff.next())
             continue
         key = _read_key(found.object) if isinstance(found, Found) else None
@@ -56,23 +56,23 @@
         written = await _write_key(platform, found, {"key": new_key})
         if isinstance(written, Accepted):
             return new_key.encode()
-        log.info("Another router writes the fleet's key, or the answer was lost: {}.", written)
+        log.info("Writing the fleet's key failed or its answer was lost, retrying: {}.", written)
         await sleep(backoff.next())
 
 
 async def restore_fleet_key(platform: Platform, key: bytes) -> None:
-    """Have the platform hold the fleet's key again, where it has lost it."""
+    """Write the fleet's key to the platform again if the platform has lost it."""
     written = await platform.create(KEY_KIND, KEY_NAME, {"key": key.decode()})
     if isinstance(written, Accepted):
         log.warning("The platform had lost the fleet's key; it holds it again.")
         return
     found = await platform.get(KEY_KIND, KEY_NAME)
     if isinstance(found, Found) and _read_key(found.object) not in (None, key.decode()):
-        log.error("The platform holds another key than this fleet's: who starts now stands apart.")
+        log.error("The platform holds another fleet's key; routers that start now will not join.")
 
 
 def _read_key(stored: StoredObject) -> str | None:
-    """Return the key that an object holds, or None where it holds none."""
+    """Return the key in a stored object, or None where it holds none."""
     key = stored.value.get("key") if isinstance(stored.value, Mapping) else None
     return key if isinstance(key, str) and key else None
 
@@ -80,9 +80,9 @@
 async def _write_key(
     platform: Platform, found: Found | Missing, value: dict[str, str]
 ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
-    """Write the key where there is none, in the place of whatever holds none."""
+    """Create the object that holds the key, or replace one that holds none."""
     if isinstance(found, Missing):
         return await platform.create(KEY_KIND, KEY_NAME, value)
-    # Kept, it would keep every router that starts from its fleet.
-    log.error("What the platform holds as the fleet's key is none; it is replaced.")
+    # If it stayed, no router that starts could join the fleet.
+    log.error("The platform's object for the fleet's key holds no valid key; replacing it.")
     return await platform.update(KEY_KIND, KEY_NAME, value, found.object.version)
--- a/pondhatch/router/_grant_exchange.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -1,4 +1,4 @@
-"""Grants of one router, both sides: packets to and from the other routers."""
+"""Exchanges grant packets with the other routers, as entry router and as owner."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 )
 from pondhatch.router._state import RouterState
 
-#: First byte of a packet on grants; no packet of membership begins with it.
+#: First byte of a grant packet; no membership packet begins with it.
 GRANT_PACKET_PREFIX = b"\x01"
-#: Nanoseconds of one question: a router that restarts begins beyond all it asked before,
-#: while it asks fewer than a million questions a second and restarts within an hour.
+#: Nanoseconds of the start time per question number. A restarted router so begins beyond all
+#: numbers it used before, as long as it asks fewer than a million questions a second and restarts
+#: within an hour.
 NANOSECONDS_PER_NUMBER = 1000
 
-#: An incarnation starts as milliseconds since 1970, and grows by one with each suspicion that
-#: a router contradicts; a larger step is a new process.
+#: Step of a router's incarnation from which it counts as a new process. An incarnation starts as
+#: milliseconds since 1970 and grows by one with each suspicion that the router contradicts.
 RESTART_INCARNATION_STEP = 500
 
 SendAll = Callable[[Iterable[Datagram]], None]
 
 
 class GrantExchange:
-    """Puts the entry's and the owner's side together; see Grants for what walks use."""
+    """Combines the entry's and the owner's side of grants; see Grants for the entry's interface."""
 
     def __init__(self, state: RouterState, send: SendAll, tasks: Tasks, started_ns: int) -> None:
         self.owner = LocalOwner(
@@ -53,17 +54,17 @@
         self._sides = GrantSides(self.entry, OwnerGrants(self.owner, tasks))
         self._state = state
         self._send = send
-        #: Newest incarnation of each router that was ever a member.
+        #: The newest incarnation of each router that was ever a member.
         self._incarnation_by_name: dict[str, int] = {}
-        #: The members as of the last look for those that came back as a new process.
+        #: The members as of the last check for restarted routers.
         self._checked_members: tuple[Member, ...] | None = None
-        #: The routers by whose ownership grants are held.
+        #: The members as of the last time that grants followed their owners.
         self._followed_members: tuple[Member, ...] = ()
         #: Packets sent and received, for the dump.
         self.packet_count = 0
 
     def receive(self, payload: bytes, source: Address) -> None:
-        """Take in a packet, its mark left out; one that does not parse is dropped."""
+        """Handle a packet without its prefix; a packet that does not parse is dropped."""
         packet = decode_grant_packet(payload)
         self.packet_count += 1
 
@@ -74,10 +75,10 @@
             self._sides.receive(packet, answer)
 
     def follow_members(self) -> None:
-        """Hold at new owners what requests hold, as soon as the live routers changed.
+        """Move the grants that requests hold to the new owners once the members changed.
 
-        Until a new owner is told, it takes its engines to be empty, and grants up to their
-        ceiling beside what runs there.
+        A new owner that is not told of them takes its engines for idle, and grants up to their
+        ceiling on top of the requests that run there.
         """
         members = self._state.members()
         if members is not self._followed_members:
@@ -85,7 +86,7 @@
             self.entry.follow_owners(self._state.owner_name)
 
     def tick(self) -> None:
-        """Do what is due each round."""
+        """Run the periodic work of one round."""
         for name in self._restarted_routers():
             self.owner.restarted_router(short_id(name))
             self.entry.hold_again(name)
@@ -95,7 +96,7 @@
         self._sides.tick(self._state.clock(), self._state.owner_name)
 
     def _restarted_routers(self) -> list[str]:
-        """Return the routers that came back as a new process since the last round."""
+        """Return the names of the routers that restarted since the last round."""
         members = self._state.members()
         if members is self._checked_members:
             return []
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -1,4 +1,4 @@
-"""What a router knows of data halls: their regions, and which of them are evacuated."""
+"""The state of data halls in a router's view: their regions, and which are evacuated."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from pondhatch.placement import Closed, Intake, Regions
 from pondhatch.store import Evacuations, EvacuationUpdate, Listed, WatchEvent
 
-#: Seconds after an evacuation in which the hall's upstreams count as cold. They may have turned
-#: cold just before its end, and their own word on that comes another way.
+#: Seconds after the end of an evacuation in which the hall's upstreams count as cold. They may have
+#: turned cold just before, and their own report of that arrives on another path.
 JUST_REOPENED_SECONDS = 1.0
 
 
@@ -23,40 +23,40 @@
     _reopened_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def region(self, hall: str) -> str:
-        """Return a hall's region, empty where nobody says."""
+        """Return a hall's region, or an empty string for an unknown one."""
         return self.region_by_hall.get(hall, "")
 
     def closed_reason(self, hall: str, regions: Regions) -> Closed | None:
-        """Return why a hall's upstreams may not get new requests bound to some regions."""
+        """Return why a hall is closed to new requests bound to some regions, or None if open."""
         intake = Intake(is_evacuated=self.evacuations.is_evacuated(hall), region=self.region(hall))
         return intake.closed_to(regions)
 
     def is_just_reopened(self, hall: str, now: float) -> bool:
-        """Return whether a hall was evacuated until a moment ago."""
+        """Return whether an evacuation of the hall has just ended."""
         reopened_at = self._reopened_at.get(hall)
         return reopened_at is not None and now - reopened_at < JUST_REOPENED_SECONDS
 
     def apply_listing(self, listed: Listed, now: float) -> bool:
-        """Take in the evacuations that the platform lists; return whether any was news."""
+        """Apply the platform's list of evacuations; return whether anything changed."""
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.take_listing(listed, now), now)
 
     def apply_event(self, event: WatchEvent, now: float) -> bool:
-        """Take in one event of a watch on evacuations; return whether it was news."""
+        """Apply one event of the watch on evacuations; return whether it changed anything."""
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.take_event(event), now)
 
     def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
-        """Take in what a peer knows of evacuations; return whether any was news."""
+        """Apply the evacuations that a peer knows; return whether anything changed."""
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.take(update, now), now)
 
     def settle(self, now: float) -> bool:
-        """Do what is due once an era has settled; return whether that changed anything."""
+        """Settle the evacuations once their era has settled; return whether that changed any."""
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.settle(now), now)
 
     def _note_reopened(self, before: frozenset[str], is_news: bool, now: float) -> bool:
-        """Note which halls are evacuated no longer; return whether there was news."""
+        """Record the halls whose evacuation has ended; return ``is_news`` unchanged."""
         self._reopened_at |= dict.fromkeys(before - self.evacuations.halls, now)
         return is_news
--- a/pondhatch/router/_intakes.py
+++ b/pondhatch/router/_intakes.py
@@ -1,4 +1,4 @@
-"""Which upstreams may take work now, and how fast, by all that one router knows of them."""
+"""Which upstreams may get requests now, and how fast, in one router's view."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 class Intakes(msgspec.Struct):
-    """Puts together what the list of upstreams, the platform and the configuration say."""
+    """Combines the list of upstreams, their notices, the halls and the configuration."""
 
     upstreams: UpstreamList
-    #: Those whose entries went a short while ago.
+    #: Upstreams whose entries vanished from the list a short while ago.
     vanished: Vanished
     halls: HallStates
     cold_periods: ColdClocks
-    #: What upstreams said of themselves.
+    #: What upstreams reported of themselves in their answers.
     notices: Notices
     #: Returns the clock's seconds.
     clock: Callable[[], float]
     #: Returns the services of the configuration in force, by name.
     services: Callable[[], Mapping[str, ServiceSpec]]
-    #: Names of a service's upstreams that take new work, wherever they stand.
+    #: Names of a service's upstreams that take new requests, in whatever hall.
     _live_by_service: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)
-    #: Those of them that a request bound to some regions may go to.
+    #: Those of them that are open to requests bound to some regions.
     _open_by_binding: dict[tuple[str, Regions], tuple[str, ...]] = msgspec.field(
         default_factory=dict
     )
 
     def invalidate(self) -> None:
-        """Look everything up anew: the upstreams, the halls or the configuration changed."""
+        """Drop the caches, as the upstreams, the halls or the configuration changed."""
         self._live_by_service.clear()
         self._open_by_binding.clear()
 
     def upstream(self, name: str) -> Upstream | None:
-        """Return an upstream that is listed, or that may only have lapsed."""
+        """Return an upstream that is listed, or whose entry may only have lapsed."""
         return self.upstreams.upstream(name) or self.vanished.upstream(name)
 
     def open_upstreams(self, service: str, regions: Regions) -> tuple[str, ...]:
-        """Return the service's upstreams that take work bound to some regions, by name."""
+        """Return the names of the service's upstreams open to requests bound to some regions."""
         found = self._open_by_binding.get((service, regions))
         if found is None:
             live = self._live(service)
@@ -52,7 +52,10 @@
         return found
 
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
-        """Return a chat's home engine were its hall not closed to it, and why it is closed."""
+        """Return the chat's home engine if its hall is closed to the chat, and the reason.
+
+        Return None where the home engine's hall is open.
+        """
         if regions is None and not self.halls.evacuations.halls:
             return None
         home = winner(chat, self._live(service))
@@ -61,12 +64,12 @@
         return (home, closed.value) if home is not None and closed is not None else None
 
     def count_open_not_resting(self, service: str, now: float) -> int:
-        """Return how many of a service's upstreams take work now; those that rest do not."""
+        """Return how many of a service's upstreams are open and not resting, 1 at least."""
         open_now = self.open_upstreams(service, None)
         return max(1, len(open_now) - self.notices.count_resting(open_now, now))
 
     def intake(self, upstream: Upstream, service: ServiceSpec, now: float) -> Intake:
-        """Return for which requests, and how fast, an upstream may take work now."""
+        """Return which requests an upstream may get now, and how fast if it is cold."""
         is_live = upstream.state == LIVE and upstream.name in self._live(upstream.service)
         return Intake(
             is_live=is_live,
@@ -77,7 +80,7 @@
         )
 
     def _is_cold(self, upstream: Upstream, now: float) -> bool:
-        """Return whether an upstream is cold, or may be without having been heard."""
+        """Return whether an upstream is cold, or may be cold before its report arrives."""
         says_so = self.cold_periods.seconds_left(upstream.name, now) > 0
         return says_so or self.halls.is_just_reopened(upstream.hall, now)
 
@@ -86,7 +89,7 @@
         return upstream is not None and self.halls.closed_reason(upstream.hall, regions) is None
 
     def _live(self, service: str) -> tuple[str, ...]:
-        """Return the service's upstreams that are up and not leaving, by name."""
+        """Return the names of the service's upstreams that are up and not leaving."""
         if service not in self._live_by_service:
             spec = self.services().get(service)
             leaving = spec.leaving if spec is not None else ()
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -1,4 +1,8 @@
-"""An account's limits over the fleet: this router's demands, and those it is home to."""
+"""Fleet-wide limits of accounts.
+
+Each router sends its demand for an account to the account's home router, which returns the router's
+share of the limits.
+"""
 
 from __future__ import annotations
 
@@ -27,14 +31,14 @@
 )
 from pondhatch.placement import winner
 
-#: Demands or shares in one packet at most.
+#: Maximum of demands or shares in one packet.
 MAX_PER_PACKET = 20
 #: Seconds without a request after which an account's counts are dropped.
 ACCOUNT_IDLE = 600.0
 
 
 class FleetLimits:
-    """Holds accounts to their limits, together with the other routers."""
+    """Enforces accounts' limits together with the other routers."""
 
     def __init__(self, name: str, gossip: Gossip, fleet: Callable[[], Fleet]) -> None:
         self.gate = AccountGate()
@@ -48,22 +52,22 @@
         gossip.on_limits = self._receive
 
     def set_live(self, live: tuple[Member, ...]) -> None:
-        """Set the routers that are neither draining nor gone."""
+        """Set the live routers: those that are neither draining nor gone."""
         self._live_members = live
 
     def begin_request(self, account: str, now: float) -> LimitVerdict:
-        """Hold a request against the account's limits."""
+        """Check a request against the account's limits, and count it if it is allowed."""
         self.share_user.came(account, self.gate.running(account), now)
         fleet_limits = self._limits_of(account)
         own_limits = self.share_user.limits(account, fleet_limits, len(self._live_members), now)
         return self.gate.begin(account, own_limits, now)
 
     def end_request(self, account: str) -> None:
-        """Note that a request that was allowed has ended."""
+        """Record that an allowed request has ended."""
         self.gate.end(account)
 
     def tick(self, now: float) -> list[Datagram]:
-        """Return the demands that are due, a packet for each home."""
+        """Return the packets with the demands that are due, for each home router."""
         self._now = now
         known = self._fleet().policy_by_account
         limits = {
--- a/pondhatch/router/_new_members.py
+++ b/pondhatch/router/_new_members.py
@@ -1,4 +1,4 @@
-"""Routers that are new or back, and who tells them what they missed."""
+"""Routers that are new or back, and which of the others inform them of what they missed."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from pondhatch.placement import ranked
 from pondhatch.router._state import RouterState
 
-#: Routers that tell one that is new or back; one of them may have just started itself.
+#: Routers that inform one that is new or back; one of them may have just started itself.
 INFORMERS = 3
 
 
 class NewMembers:
-    """Looks for routers that are new or back since the last look."""
+    """Finds the routers that are new or back since the last call."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
         self._checked_members: tuple[Member, ...] = ()
 
     def to_inform(self, has_content: bool) -> list[Member]:
-        """Return those that are new or back, where this router is among those that shall tell.
+        """Return the members that are new or back and that this router is to inform.
 
-        ``is_anything_known`` says whether there is anything to tell; who shall is not worked out
-        for nothing, which takes as many hashes for each newcomer as there are routers.
+        ``has_content`` says whether there is anything to send. Without, nothing is computed: the
+        choice takes as many hashes for each new member as there are routers.
         """
         members = self._state.members()
         if members is self._checked_members:
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -1,14 +1,15 @@
-"""What upstreams say of themselves in their answers: heard by one router, known to others.
-
-Whoever hears it tells: that an upstream leaves, all routers; that it has no places and wants a
-rest, those that own upstreams of its service, which grant what goes there and in its place; that
-it wants a rest though it has places, its owner, which spares it. Only what was news is told, at
-once and 0.1 s later once more; a router that is new or back is told by three others, and whoever
-becomes the owner of an upstream that rests by those that know of it. A router that missed it all
-is told by the upstream itself, at the cost of one request turned away.
-
-While load is managed, an upstream's owner is also told how fast it works. That holds for less
-than a second, so it is told once, and again only with a later answer.
+"""Shares the notices that upstreams send in their answers with the routers concerned.
+
+The router that reads a notice passes it on. That an upstream is leaving goes to all routers. That
+it rests without free places goes to the owners of the upstreams of its service, which grant the
+requests sent there and elsewhere in its place. That it rests with free places goes to its owner
+alone, which then refuses requests that can run elsewhere. Only changes are sent, at once and again
+0.1 s later. Three routers send the current notices to a router that is new or back, and the routers
+that know of a rest send it to a new owner of the upstream. A router that missed all of this learns
+it from the upstream itself, at the cost of one refused request.
+
+While load is managed, an upstream's owner is also told its pace. A pace is valid for less than a
+second, so it is sent once, and again only with a later answer.
 """
 
 from __future__ import annotations
@@ -26,48 +27,48 @@
 from pondhatch.router._pace_reports import PaceReports
 from pondhatch.router._state import RouterState
 
-#: First byte of a packet on notices; no packet of another kind begins with it.
+#: First byte of a notice packet; no packet of another kind begins with it.
 NOTICE_PACKET_PREFIX = b"\x03"
-#: Notices in one packet: with names of 25 bytes it fits into an Ethernet frame.
+#: Maximum of notices in one packet: with names of 25 bytes it fits into an Ethernet frame.
 NOTICES_PER_PACKET = 24
-#: Packets in a round of 0.1 s with which routers beside its owner are told of an upstream's rest:
-#: 5 KB a second at most. What is left out, its owner's refusals tell.
+#: Packets per round of 0.1 s that tell routers other than the owner of upstreams' rests: 5 KB/s at
+#: most. Routers that are left out learn of a rest from the owner's refusals.
 REST_PACKETS_PER_ROUND = 8
-#: Of these, those that may be saved up for one moment.
+#: Maximum of these packets that may be saved up and sent in one round.
 REST_PACKETS_BURST = 80
 
 SendAll = Callable[[Iterable[Datagram]], None]
 
 
 class WireNotice(msgspec.Struct, frozen=True, array_like=True):
-    """What an upstream said of itself."""
+    """An upstream's notice as it is sent to other routers."""
 
     upstream: str
     is_leaving: bool
-    #: Seconds that are left of its rest.
+    #: Seconds that are left of the upstream's rest.
     rest: float
-    #: Whether it has places all the same.
+    #: Whether it has free places all the same.
     has_places: bool = False
-    #: Its processing time in percent of usual; 0, and left out, where nothing is told of it.
+    #: Its processing time in percent of usual; 0, and left out of the packet, where not reported.
     pace: Annotated[int, msgspec.Meta(ge=0, le=MOST_PACE)] = 0
 
 
 class NoticePacket(msgspec.Struct, frozen=True, array_like=True, tag=70):
-    """What upstreams said of themselves, from one router to another."""
+    """Upstreams' notices, sent from one router to another."""
 
     notices: tuple[WireNotice, ...]
 
 
 class NoticeExchange:
-    """One router's part; see UpstreamView."""
+    """One router's implementation of UpstreamView, which shares notices with the others."""
 
     def __init__(self, state: RouterState, send: SendAll) -> None:
         self._state = state
         self._send = send
-        #: Upstreams whose notice is to be told once more.
+        #: Upstreams whose notice is to be sent once more.
         self._to_repeat: set[str] = set()
         self._new_members = NewMembers(state)
-        #: The owner that was last seen of each upstream that rests.
+        #: The owner of each resting upstream as of the last round.
         self._owner_by_upstream: dict[str, str | None] = {}
         self._rest_packets_left = REST_PACKETS_BURST
         self._pace_reports = PaceReports()
@@ -75,12 +76,12 @@
         self._decoder = msgspec.msgpack.Decoder(NoticePacket)
 
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
-        """Return why a request may not be sent to an upstream now; see UpstreamView."""
+        """Return the refusal if a request may not be sent to an upstream; see UpstreamView."""
         found = open_target(self._state.target(upstream), upstream, head.resuming, head.regions)
         return found if isinstance(found, NotRun) else None
 
     def heard(self, upstream: str, notice: Notice) -> None:
-        """Take in what an upstream said in the head of an answer, and tell who should know."""
+        """Apply a notice from the head of an upstream's answer, and pass it on if it is new."""
         is_news = self._state.apply_notice(upstream, notice)
         if notice.pace > 0 and self._state.load_managed():
             self._report_pace(upstream, notice.pace)
@@ -89,7 +90,7 @@
             self._send_to_concerned({upstream: notice})
 
     def receive(self, payload: bytes) -> None:
-        """Take in a packet, its mark left out; one that does not parse is dropped."""
+        """Handle a packet without its prefix; a packet that does not parse is dropped."""
         try:
             packet = self._decoder.decode(payload)
         except (msgspec.DecodeError, ValueError):
@@ -101,7 +102,7 @@
             self._state.apply_notice(wire_notice.upstream, notice, is_for_this_router=False)
 
     def tick(self) -> None:
-        """Do what is due each round."""
+        """Run the periodic work of one round."""
         self._rest_packets_left = min(
             REST_PACKETS_BURST, self._rest_packets_left + REST_PACKETS_PER_ROUND
         )
@@ -120,7 +121,7 @@
                 self._send_rest(upstream, notice)
 
     def _report_pace(self, upstream: str, pace: int) -> None:
-        """Report an upstream's pace to its owner, where that is due."""
+        """Send an upstream's pace to its owner, if a report is due."""
         now = self._state.clock()
         if not self._pace_reports.is_due(upstream, pace, now):
             return
@@ -133,7 +134,7 @@
             self._send_packets([WireNotice(upstream, False, 0.0, pace=pace)], to)
 
     def _send_rest(self, upstream: str, notice: Notice) -> None:
-        """Tell the owner of an upstream that rests, then those whose upstreams carry its load."""
+        """Send an upstream's rest to its owner, then to the owners of those that carry its load."""
         owner = self._state.owner_name(upstream)
         same_service_owners = (
             set() if notice.has_places else self._state.owners_of_same_service(upstream)
@@ -172,6 +173,6 @@
             self._send(Datagram(member.address, payload) for member in to)
 
     def _encoded(self, notices: list[WireNotice]) -> bytes:
-        """Return a packet's bytes; a notice without a pace has those that it always had."""
+        """Return a packet's bytes; a notice without a pace is encoded without the field."""
         tag = NoticePacket.__struct_config__.tag
         return self._encoder.encode((tag, [without_defaults(each, "pace") for each in notices]))
--- a/pondhatch/router/_order_duties.py
+++ b/pondhatch/router/_order_duties.py
@@ -1,4 +1,4 @@
-"""What an orderer reads of a router's state; see OrdererView."""
+"""The view of a router's state that an orderer reads; see OrdererView."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 
 class OrderDuties(msgspec.Struct, frozen=True):
-    """Which services' engines are to be given orders, which orders, and whether from here."""
+    """Which services' engines get orders, which orders, and whether from this router."""
 
     state: RouterState
 
     def services(self) -> tuple[str, ...]:
-        """Return the services whose engines are to be given orders."""
+        """Return the names of the services whose engines get orders."""
         specs = self.state.fleet.service_by_name.items()
         return tuple(name for name, spec in specs if spec.orders is not None)
 
     def wants_to_order(self, service: str) -> bool:
-        """Return whether this router is the one that should give a service's orders."""
+        """Return whether this router should give a service's orders."""
         if self.orders_of(service) is None or self.state.stopping():
             return False
         return winner(f"orders:{service}", self.state.live_routers()) == self.state.name
 
     def orders_of(self, service: str) -> OrdersSpec | None:
-        """Return what a service's engines are to hold, or None where nobody said."""
+        """Return the orders for a service's engines, or None where there are none."""
         spec = self.state.fleet.service_by_name.get(service)
         return spec.orders if spec is not None else None
 
     def platform_era(self) -> int:
-        """Return the era of the list of upstreams, which rises with the first router's word."""
+        """Return the era of the list of upstreams, which rises with the first router's update."""
         return era_of(self.state.upstreams.version)
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
-        """Return the service's engines; those that leave, or may have gone, are left out."""
+        """Return the service's engines, without those that are leaving or may have gone."""
         names = self.state.live_upstreams(service)
         listed = [self.state.upstreams.upstream(name) for name in names]
         return tuple(upstream for upstream in listed if upstream is not None)
--- a/pondhatch/router/_owners.py
+++ b/pondhatch/router/_owners.py
@@ -1,4 +1,4 @@
-"""Which router owns each upstream, in this router's view."""
+"""The owner of each upstream in this router's view."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Owners:
-    """Looks owners up once, and again only where the routers or the upstreams changed."""
+    """Caches owners, and recomputes them only where routers or upstreams changed."""
 
     def __init__(
         self, name: str, upstreams: UpstreamList, upstream: Callable[[str], Upstream | None]
@@ -17,17 +17,17 @@
         #: This router's own name.
         self._name = name
         self._upstreams = upstreams
-        #: Returns an upstream that is listed, or that may only have lapsed.
+        #: Returns an upstream that is listed, or whose entry may only have lapsed.
         self._upstream = upstream
-        #: Capacities of the live routers, by hall and name.
+        #: Capacities of the live routers, by hall and router.
         self._live_by_hall: Mapping[str, Mapping[str, float]] = {}
-        #: The hall of each upstream and the name of its owner, as far as they were asked for.
+        #: The hall and the owner's name of each upstream that was looked up.
         self._owner_by_engine: dict[str, tuple[str, str | None]] = {}
-        #: Names of this router's own upstreams by service; None where to be worked out anew.
+        #: Names of this router's own upstreams by service; None where they must be recomputed.
         self._owned_by_service: dict[str, tuple[str, ...]] | None = None
 
     def owner_name(self, engine: str) -> str | None:
-        """Return the name of the router that owns an engine, or None without live routers."""
+        """Return the name of the engine's owner, or None without live routers."""
         owned = self._owner_by_engine.get(engine)
         if owned is None:
             upstream = self._upstream(engine)
@@ -47,19 +47,20 @@
         return self._owned_by_service
 
     def set_live(self, live: Iterable[Member]) -> None:
-        """Forget the owners of upstreams in those halls alone whose live routers changed."""
+        """Set the live routers; drop cached owners in halls whose live routers changed."""
         before, self._live_by_hall = self._live_by_hall, live_by_hall(live)
         now = self._live_by_hall
         same = {hall for hall, names in now.items() if before.get(hall) == names}
         if len(same) == len(now) == len(before):
             return
-        # An upstream of a hall without live routers has its owner among all.
+        # An upstream of a hall without live routers is owned by one of all routers, so such halls
+        # are not kept either.
         self._owner_by_engine = {
             engine: owned for engine, owned in self._owner_by_engine.items() if owned[0] in same
         }
         self._owned_by_service = None
 
     def invalidate(self) -> None:
-        """Look everything up anew: the list of upstreams changed."""
+        """Drop the caches, as the list of upstreams changed."""
         self._owner_by_engine.clear()
         self._owned_by_service = None
--- a/pondhatch/router/_pace_reports.py
+++ b/pondhatch/router/_pace_reports.py
@@ -1,4 +1,4 @@
-"""Which paces of engines are due to be reported to their owners."""
+"""Rate limit of the reports of engines' paces to their owners."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from pondhatch.placement import USUAL_PACE
 
-#: Seconds between two reports of one engine's pace by this router. An owner drops a pace sooner
-#: than that, so it takes the engine for one at its usual pace when the next report is due.
+#: Seconds between two reports of one engine's pace by this router. A pace expires at the owner
+#: sooner, so the owner assumes the usual pace again when the next report is due.
 REPORT_SECONDS = 1.0
-#: Reports in a round of 0.1 s, and those that may be saved up for one moment: 2 KB a second at
-#: most. What is left out, the engine's next answer brings.
+#: Reports per round of 0.1 s, and maximum that may be saved up for one round: 2 KB/s at most. A
+#: report that is left out follows with the engine's next answer.
 REPORTS_PER_ROUND = 2
 REPORTS_BURST = 20
 
@@ -22,10 +22,10 @@
     _reports_left: int = REPORTS_BURST
 
     def is_due(self, engine: str, pace: int, now: float) -> bool:
-        """Return whether a pace that was read just now should be reported to the engine's owner.
+        """Return whether a pace that was just read should be reported to the engine's owner.
 
-        It should where the engine takes half as long again as usual: an owner that was told
-        nothing goes by the usual pace, and gives a fast engine no more.
+        Only engines that take at least half as long again as usual are reported: without a report
+        the owner assumes the usual pace, and a fast engine gets no more requests than that.
         """
         reported_at = self._reported_at_by_engine.get(engine, float("-inf"))
         if self._reports_left < 1 or now - reported_at < REPORT_SECONDS:
@@ -33,12 +33,12 @@
         return pace >= USUAL_PACE + USUAL_PACE // 2
 
     def note_reported(self, engine: str, now: float) -> None:
-        """Note that a pace was reported to an engine's owner."""
+        """Record that a pace was reported to an engine's owner."""
         self._reports_left -= 1
         self._reported_at_by_engine[engine] = now
 
     def tick(self, now: float) -> None:
-        """Do what is due each round."""
+        """Run the periodic work of one round."""
         self._reports_left = min(REPORTS_BURST, self._reports_left + REPORTS_PER_ROUND)
         if self._reported_at_by_engine:
             self._reported_at_by_engine = {
--- a/pondhatch/router/_peer_discovery.py
+++ b/pondhatch/router/_peer_discovery.py
@@ -1,7 +1,7 @@
-"""How a router that starts and its peers come to know of each other, through the platform.
+"""Discovery of a starting router and its peers through the platform.
 
-Where the platform does not list the fleet's own VMs, each router writes there where it is
-reached; who starts later reads the list and pings those on it.
+Where the platform does not list the fleet's own VMs, each router writes its address there; routers
+that start later read the list and ping those on it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 #: Kind of the platform's objects that list the fleet's own VMs.
 VM_KIND = "vm"
-#: Seconds between tries at the platform, first and at most.
+#: Seconds between retries at the platform, at first and at most.
 INITIAL_BACKOFF_SECONDS = 0.2
 MAX_BACKOFF_SECONDS = 2.0
 
@@ -41,20 +41,20 @@
         self._gossip = gossip
         self._platform = platform
         self._rng = rng
-        #: What is to be listed of this router; None where it need not list itself.
+        #: This router's entry in the platform's list; None where it need not list itself.
         self._own_entry: Mapping[str, Any] | None = (
             None if own_address is None else {"address": own_address, "state": "live"}
         )
         self._logged = Once()
 
     async def run(self) -> None:
-        """Be listed and find peers, trying again until the platform did both.
+        """List this router and find peers, retrying until both have succeeded.
 
-        One cheap call where this router is listed already: all make it at the same moment after
-        a power cut. Where it is not, two more.
+        This takes one cheap call where the router is listed already, since all routers make it at
+        the same moment after a power cut, and two more calls otherwise.
         """
         if self._own_entry is not None:
-            # Who was listed some seconds ago is a peer to ask as well, and knows of the others.
+            # A stale list is good enough: a router on it can be asked, and knows the others.
             listed = await self._find_peers(may_be_old=True)
             own = self._own_entry_in(listed) if listed is not None else None
             if own is not None and own.value == self._own_entry:
@@ -63,50 +63,50 @@
         is_listed = self._own_entry is None
         while True:
             is_listed = is_listed or await self._create_entry()
-            # Read after the writing: of two that start together, one sees the other.
+            # Read after the write, so that of two routers that start together one sees the other.
             listed = await self._find_peers()
             if listed is not None and (is_listed or await self._update_entry(listed)):
                 return
             await asyncio.sleep(backoff.next())
 
     def _own_entry_in(self, listed: Listed) -> StoredObject | None:
-        """Return this router's own entry, or None where the list does not show it."""
+        """Return this router's own entry, or None where the list lacks it."""
         return next((each for each in listed.objects if each.name == self._name), None)
 
     async def _find_peers(self, may_be_old: bool = False) -> Listed | None:
-        """Read who is listed; None where the platform does not say."""
+        """Read the list and add its routers as seeds; return None on an outage."""
         listed = await self._platform.list(VM_KIND, may_be_old)
         if isinstance(listed, Unavailable):
-            log.warning("The platform lists no VMs: {}.", listed.reason)
+            log.warning("Listing VMs at the platform failed: {}.", listed.reason)
             return None
         self._gossip.add_seeds(self._addresses(listed))
         return listed
 
     def _addresses(self, listed: Listed) -> Iterator[Address]:
-        """Yield where listed routers are reached; one of whom that cannot be read is left out."""
+        """Yield the addresses of the listed routers; entries without a usable one are left out."""
         own_host = self._gossip.membership.own.host
         for each in listed.objects:
             address = _address(each, own_host)
             if address is not None:
                 yield address
             elif self._logged.is_first((each.name, each.version)):
-                log.error("Router {} is left out, it is listed as {}.", each.name, each.value)
+                log.error("Router {} has no usable address in its entry {}.", each.name, each.value)
 
     async def _create_entry(self) -> bool:
-        """Have the platform hold this router's entry; return whether it took it.
+        """Create this router's entry at the platform; return whether that succeeded.
 
-        One that was there before, of an earlier start, is told by the list that is read next.
+        An entry of an earlier start makes this fail; the list that is read next shows it.
         """
         written = await self._platform.create(VM_KIND, self._name, self._own_entry)
         if not isinstance(written, Accepted | Conflict):
-            log.warning("The platform did not take this router's address: {}.", written)
+            log.warning("Writing this router's address to the platform failed: {}.", written)
         return isinstance(written, Accepted)
 
     async def _update_entry(self, listed: Listed) -> bool:
-        """Write over an entry of this router's that is listed; return whether it is right now."""
+        """Update this router's entry if it differs; return whether the entry is right now."""
         found = self._own_entry_in(listed)
         if found is None:
-            # Not listed yet, or listed as what cannot be read.
+            # Not listed yet, or its entry is unreadable.
             read = await self._platform.get(VM_KIND, self._name)
             if not isinstance(read, Found):
                 return False
@@ -116,22 +116,22 @@
         entry, version = self._own_entry, found.version
         written = await self._platform.update(VM_KIND, self._name, entry, version)
         if not isinstance(written, Accepted):
-            log.warning("The platform did not take this router's address: {}.", written)
+            log.warning("Writing this router's address to the platform failed: {}.", written)
         return isinstance(written, Accepted)
 
 
 def _address(listed: StoredObject, own_host: str) -> Address | None:
-    """Return where a listed router is reached; None where packets cannot be sent there."""
+    """Return a listed router's address; None where packets cannot be sent to it."""
     text = listed.value.get("address") if isinstance(listed.value, Mapping) else None
     found = host_and_port(text) if isinstance(text, str) else None
     if found is None or _ip_version(found[0]) is None:
         return None
-    # A socket of one family sends nothing to an address of the other.
+    # A socket of one IP version cannot send to an address of the other.
     return Address(*found) if _ip_version(found[0]) == _ip_version(own_host) else None
 
 
 def _ip_version(host: str) -> int | None:
-    """Return 4 or 6, or None for what is no IP number, such as a name."""
+    """Return 4 or 6, or None for a host that is no IP address, such as a name."""
     try:
         return ipaddress.ip_address(host).version
     except ValueError:
--- a/pondhatch/router/_platform_restorer.py
+++ b/pondhatch/router/_platform_restorer.py
@@ -1,8 +1,8 @@
-"""Writing again what this router holds at the platform, once the platform came back without it.
+"""Writes this router's objects again after the platform came back from an older copy.
 
-A router learns of it by the list of upstreams, whose positions rise an era, from the platform or
-from any peer. All learn of it within a second, so each waits for a while of its own: a platform
-that is back just now is not rushed.
+A router learns of that from the list of upstreams, whose position moves to a new era, at the
+platform or at any peer. All routers learn of it within a second, so each first waits for a random
+time, in order not to overload a platform that has just come back.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 log = log_for("sync")
 
-#: Seconds between looks for a new era.
+#: Seconds between checks for a new era.
 CHECK_SECONDS = 0.5
-#: Seconds over which the routers of a fleet spread their calls: one cheap call each where
-#: nothing was lost, 235 a second for 470 routers, of which the platform takes 2,000.
+#: Seconds over which the routers of a fleet spread their calls. Where nothing was lost, each makes
+#: one cheap call: 235 a second for 470 routers, of the 2,000 that the platform accepts.
 SPREAD_SECONDS = 2.0
 
 
 class PlatformRestorer:
-    """Has the platform hold this router's entry and the fleet's key again."""
+    """Restores this router's entry and the fleet's key at the platform."""
 
     def __init__(
         self,
@@ -40,26 +40,27 @@
         self._platform = platform
         self._peer_discovery = peer_discovery
         self._rng = rng
-        #: The fleet's key, where it lies at the platform and nowhere else.
+        #: The fleet's key, where it is stored at the platform and nowhere else.
         self._fleet_key = fleet_key
-        #: The newest era that was seen; 0 before the first.
+        #: The newest known era; 0 before the first.
         self._era = 0
 
     async def run(self) -> None:
-        """Look for new eras until cancelled."""
+        """Check for new eras until cancelled."""
         while True:
             await self.check_era()
             await asyncio.sleep(CHECK_SECONDS)
 
     async def check_era(self) -> None:
-        """Write again what may have been lost, where an era has begun since the last look."""
+        """Write what may have been lost again, if an era has begun since the last check."""
         era = era_of(self._state.upstreams.version)
         began, self._era = era > self._era > 0, max(era, self._era)
         if not began:
             return
         await asyncio.sleep(self._rng.random() * SPREAD_SECONDS)
-        log.info("The platform came back from an older copy; what this router wrote is looked for.")
+        log.info("The platform came back from an older copy; checking this router's objects.")
         await self._peer_discovery.run()
-        # One of each hall will do: whoever starts meanwhile would make a key of its own.
+        # One router of each hall is enough. Without the key, a router that starts would create one
+        # of its own.
         if self._fleet_key is not None and self._state.is_watcher():
             await restore_fleet_key(self._platform, self._fleet_key)
--- a/pondhatch/router/_pooled_engines.py
+++ b/pondhatch/router/_pooled_engines.py
@@ -1,4 +1,4 @@
-"""Which engines a router prefers for the connections that it keeps to them."""
+"""Preference for engines to which a router keeps idle connections."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class PooledEngines:
-    """One router's preference; see EnginePreference."""
+    """One router's preference for engines with a pooled connection; see EnginePreference."""
 
     def __init__(self, state: RouterState, is_pooled: Callable[[str], bool]) -> None:
         self._state = state
-        #: Returns whether a connection to an upstream's URL is kept.
+        #: Returns whether the pool holds a connection to an upstream's URL.
         self._is_pooled = is_pooled
         self._loads = RecentLoads()
 
     def first_of(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
-        """Return the engines of an order to ask first; see EnginePreference."""
+        """Return the engines of an order that are to be asked first; see EnginePreference."""
         if not self._state.load_managed():
             return ()
         engines = order[:CONSIDERED]
@@ -28,15 +28,15 @@
             return ()
         loads = [self._load(name) for name in engines]
         if not any(loads):
-            # No known load is above 0, so that none is above the mean.
+            # No known load is above 0, so none is above the mean.
             return tuple(name for name in engines if name in pooled)
         return pooled_first(engines, pooled, loads, self._state.mean_load(service))
 
     def note_reply(self, engine: str, reply: OwnerReply) -> None:
-        """Take in the load that an owner spoke of; see EnginePreference."""
+        """Record the load in an owner's reply; see EnginePreference."""
         if not isinstance(reply, Granted | Busy) or not self._state.load_managed():
             return
-        # A grant counts the request that it was given to.
+        # The load in a grant includes the request that it was given to.
         others = reply.in_flight - isinstance(reply, Granted)
         self._loads.note(engine, others, self._state.clock())
 
@@ -45,7 +45,7 @@
         return upstream is not None and self._is_pooled(upstream.url)
 
     def _load(self, engine: str) -> int | None:
-        """Return an engine's load: exact where this router owns it, else as it was heard."""
+        """Return an engine's load: exact where this router owns it, else the last known one."""
         now = self._state.clock()
         if self._state.owner_name(engine) == self._state.name:
             return self._state.gate.in_flight(engine, now)
--- a/pondhatch/router/_startup_wait.py
+++ b/pondhatch/router/_startup_wait.py
@@ -1,8 +1,8 @@
-"""Requests that reach a router in the moment of its start.
+"""Holds requests that reach a router while it starts.
 
-Callers whose router was down are back within milliseconds of its start, before it has
-read the configuration. That takes some 50 ms from a platform that is well, so they wait
-for it instead of being sent away.
+Callers whose router was down are back within milliseconds of its start, before it has read the
+configuration. Reading it takes some 50 ms from a healthy platform, so the requests wait for it
+instead of being refused.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from pondhatch.requests import NotRun
 from pondhatch.router._state import RouterState
 
-#: Seconds after a router's start in which requests wait for what it serves by. A platform
-#: that is well told it within 0.1 s of the start on the users' bench; one that is not may
-#: take minutes, and callers are then refused at once.
+#: Seconds after a router's start in which requests wait for its initial state. A healthy platform
+#: delivers it within 0.1 s of the start; another may take minutes, and callers are then refused at
+#: once.
 STARTUP_SECONDS = 0.5
-#: Seconds that one request waits at most: half of the shortest objective of today's
-#: sites (0.2 s), so that it can still be answered in time.
+#: Maximum seconds for which one request waits: half of the shortest objective of a site (0.2 s), so
+#: that the request can still be answered in time.
 MAX_WAIT_SECONDS = 0.1
-#: Seconds between looks at what is known.
+#: Seconds between checks of whether the initial state is known.
 POLL_SECONDS = 0.01
-#: Seconds after which to come back to a router that knows no configuration yet: it is
-#: read within a second of its start.
+#: Seconds after which to retry at a router that knows no configuration yet: it reads one within a
+#: second of its start.
 NOT_READY_RETRY_AFTER = 0.5
 
 
 def not_ready_refusal(state: RouterState) -> NotRun | None:
-    """Return the refusal of a router that does not know yet what it may send where."""
+    """Return the refusal of a router that lacks its initial state, or None if it is ready."""
     if state.fleet.version > 0 and state.halls.evacuations.is_known:
         return None
     lacks = "which data halls are evacuated" if state.fleet.version > 0 else "a configuration"
@@ -40,11 +40,12 @@
     def __init__(self, state: RouterState) -> None:
         self._state = state
         self._deadline = state.clock() + STARTUP_SECONDS
-        #: Ends once the router is informed or its start is over; one for all that wait.
+        #: Ends once the initial state is known or the startup is over; all waiting requests share
+        #: it.
         self._ready_task: asyncio.Task[None] | None = None
 
     async def wait(self) -> None:
-        """Wait until the router knows what it serves by, for a moment at most."""
+        """Wait until the router has its initial state, for ``MAX_WAIT_SECONDS`` at most."""
         if self._state.has_initial_state() or self._state.clock() >= self._deadline:
             return
         if self._ready_task is None:
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -1,7 +1,7 @@
-"""What a router takes to be so, and a record whenever that changes.
+"""Records each change of what a router knows about its fleet.
 
-Compared once a round with what was last recorded, so that no part that learns something
-has to tell of it, and what changes and changes back within a round leaves no record.
+The state is compared once a round with what was last recorded. So no part that changes the state
+has to write a record, and a change that is reverted within a round leaves none.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 from pondhatch.placement import Notice
 from pondhatch.router._state import RouterState
 
-#: Records of one round at most: a platform that drops all of 2,100 entries must not flood
-#: the log. What is left out is counted in a record of its own.
+#: Maximum of records in one round: a platform that drops all of 2,100 entries must not flood the
+#: log. The records left out are counted in a record of their own.
 MAX_RECORDS_PER_ROUND = 100
 
 
 class StateRecorder(msgspec.Struct):
-    """Notes what changed since the last look."""
+    """Records what changed since the last call of ``record_changes``."""
 
     state: RouterState
     records: Records
-    # What was last recorded:
+    # The state as it was last recorded:
     #: The version of the configuration in force.
     _configuration_version: int = 0
-    #: Why the newest configuration was none; empty where it was in force.
+    #: Why the newest configuration was rejected as a whole; empty where it was in force.
     _rejection: str = ""
-    #: What was wrong with entries of the configuration in force.
+    #: The misfits of entries of the configuration in force.
     _misfits_by_entry: Mapping[EntryKey, tuple[Misfit, ...]] = msgspec.field(default_factory=dict)
     #: The version of the list of upstreams.
     _upstreams_version: int = 0
     _state_by_upstream: dict[str, str] = msgspec.field(default_factory=dict)
     _members: tuple[Member, ...] = ()
-    #: "down" or "ailing" by upstream; one that is well is not listed.
+    #: "down" or "ailing" by upstream; healthy upstreams are left out.
     _health: Mapping[str, str] = msgspec.field(default_factory=dict)
-    #: Why the platform was out of reach; empty while it answered.
+    #: Why the platform was unreachable; empty while it answered.
     _platform_error: str = ""
-    #: What upstreams said of themselves: "leaving", "resting" or both.
+    #: The notices of upstreams: "leaving", "resting" or both.
     _notice_by_upstream: Mapping[str, str] = msgspec.field(default_factory=dict)
     #: The halls that were evacuated.
     _evacuated_hall_names: frozenset[str] = frozenset()
 
     def record_changes(self) -> None:
-        """Note every change since the last look, up to the bound."""
+        """Record every change since the last call, up to the maximum of one round."""
         changes = [
             *self._platform_changes(),
             *self._configuration_changes(),
@@ -66,7 +66,7 @@
             self.records.note(Believed("records", "", f"{left_out} left out"))
 
     def record_process(self, now: str, why: str = "") -> None:
-        """Note a change of the process itself: its start, its stop, its settings."""
+        """Record a change of the process itself: its start, its stop, its settings."""
         self.records.note(Believed("process", self.state.name, now, why=why))
 
     def _platform_changes(self) -> list[Believed]:
@@ -177,7 +177,7 @@
 
 
 def _notice_text(notice: Notice) -> str:
-    """Return what an upstream said of itself in a word or two."""
+    """Return "leaving", "resting" or both, as the notice says."""
     words = ["leaving"] if notice.is_leaving else []
     return " ".join([*words, "resting"] if notice.rest > 0 else words)
 
@@ -189,7 +189,7 @@
 def _differences(
     before: Mapping[str, str], now: Mapping[str, str], absent: str
 ) -> list[tuple[str, str, str]]:
-    """Return the names that changed, each with what it is now and why: what it was before."""
+    """Return the names that changed, each with its new value and a reason that names the old."""
     names = sorted({*before, *now})
     changed = [name for name in names if before.get(name) != now.get(name)]
     return [
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -111,7 +111,7 @@
         self._platform = platform
         self._source = source
         self._pull = pull
-        #: Sends heartbeats to some peers at once, to announce that this router has something new.
+        #: Announces to some peers at once that this router has something new.
         self._announce = announce
         self._rng = rng
         #: Lists this router at the platform and finds its peers there.
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -1,7 +1,7 @@
-"""Changes of the list of upstreams, and what can be told only by comparing before and after.
+"""Applies changes to the list of upstreams and compares the list before and after.
 
-Two things follow from a change beside the list itself: which upstreams joined lately, and
-which vanished without having said that they leave.
+The comparison yields which upstreams joined lately, and which vanished without having reported
+that they leave.
 """
 
 from __future__ import annotations
@@ -29,43 +29,43 @@
     era_of,
 )
 
-#: Seconds by which two routers may differ on when an upstream joined: what a packet and a
-#: pull take, several times over.
+#: Seconds by which two routers may differ on when an upstream joined: several times what a packet
+#: and a pull take.
 JOIN_TIME_SKEW_SECONDS = 1.0
-#: Seconds after the first list in which upstreams that appear are taken to have been there
-#: before: those of a fleet that starts list themselves one after the other, and no chat
-#: has its context at the engine ranked second.
+#: Seconds after the first list during which upstreams that appear do not count as young: those of
+#: a fleet that starts list themselves one after the other, and no chat has its context at the
+#: engine ranked second yet.
 FLEET_START_SECONDS = 20.0
 
 
 class JoinTimes(msgspec.Struct):
-    """When upstreams joined, but for those of a fleet that starts."""
+    """When upstreams joined; those that a starting fleet lists are left out."""
 
-    #: In the clock's seconds, by the upstream's name.
+    #: Join times in the clock's seconds, by the upstream's name.
     _joined_at: dict[str, float] = msgspec.field(default_factory=dict)
-    #: When this router first knew of upstreams, in the clock's seconds.
+    #: When this router first knew a list of upstreams, in the clock's seconds.
     _listed_at: float = float("inf")
 
     def is_young(self, name: str, now: float) -> bool:
-        """Return whether an upstream joined after this router knew the list, and lately."""
+        """Return whether an upstream joined lately, and after this router knew the list."""
         joined = self._joined_at.get(name)
         return joined is not None and now - joined < YOUNG_SECONDS
 
     def known_for(self, now: float) -> float:
-        """Return for how many seconds a list has been known, here or by who told of it."""
+        """Return for how many seconds the list has been known, here or at the merged peer."""
         return max(0.0, now - self._listed_at)
 
     def age_by_name(self, now: float) -> dict[str, float]:
-        """Return the seconds since upstreams joined, for those that are young."""
+        """Return the seconds since each young upstream joined."""
         return {name: now - at for name, at in self._joined_at.items() if now - at < YOUNG_SECONDS}
 
     def merge_from_peer(
         self, known_for: float, age_by_name: Mapping[str, float], now: float
     ) -> None:
-        """Take in what a peer knows that has known the list for longer.
+        """Merge the join times of a peer if it has known the list for longer.
 
-        So a router that restarts in a fleet that runs tells newcomers from others as the
-        others do: it would send their chats to engines that never saw them otherwise.
+        A router that restarts in a running fleet so knows the same upstreams as young as its
+        peers do. Otherwise it would send chats to young engines that do not hold their context.
         """
         if known_for <= self.known_for(now) + JOIN_TIME_SKEW_SECONDS:
             return
@@ -73,7 +73,7 @@
         self._joined_at.update({name: now - age for name, age in age_by_name.items()})
 
     def note(self, before: frozenset[str], after: frozenset[str], now: float) -> None:
-        """Note the upstreams that are new; ``before`` and ``after`` are the names listed."""
+        """Record the upstreams that joined; ``before`` and ``after`` are the listed names."""
         if not before:
             self._listed_at = now
         if now - self._listed_at < FLEET_START_SECONDS:
@@ -86,27 +86,27 @@
 
 
 class EraSettling(msgspec.Struct):
-    """When the platform's era began, as this router saw it."""
+    """Tracks whether the platform's era still settles, as this router sees it."""
 
     _era: int = 0
-    #: Until when the era settles, in the clock's seconds; infinitely long ago where none does.
+    #: When the era has settled, in the clock's seconds; minus infinity where none settles.
     _settles_at: float = float("-inf")
 
     def note(self, version: Position, now: float) -> None:
-        """Take in the position that the list has come to."""
+        """Record the position that the list has reached; a new era starts to settle."""
         era = era_of(version)
         if era > self._era:
-            # The first era that a router hears of follows no other here.
+            # The first era that a router knows follows no other, so it does not settle.
             self._settles_at = now + SETTLE_SECONDS if self._era else float("-inf")
             self._era = era
 
     def is_settling(self, version: Position, now: float) -> bool:
-        """Return whether what is as of a position comes while its era settles."""
+        """Return whether the era of a position is new or still settles."""
         is_new_era = bool(self._era) and era_of(version) > self._era
         return is_new_era or now < self._settles_at
 
     def poll_settled(self, now: float) -> bool:
-        """Return, once for each era, whether it has settled."""
+        """Return True once for each era, at the first call after it has settled."""
         if self._settles_at == float("-inf") or now < self._settles_at:
             return False
         self._settles_at = float("-inf")
@@ -114,11 +114,11 @@
 
 
 class UpstreamChanges(msgspec.Struct, frozen=True):
-    """Takes changes into a list of upstreams and notes who joined and who vanished."""
+    """Applies changes to a list of upstreams and records which joined and which vanished."""
 
     upstreams: UpstreamList
     vanished: Vanished
-    #: What upstreams said of themselves.
+    #: What upstreams reported of themselves in their answers.
     notices: Notices = msgspec.field(default_factory=Notices)
     join_times: JoinTimes = msgspec.field(default_factory=JoinTimes)
     reader: UpstreamReader = msgspec.field(default_factory=UpstreamReader)
@@ -126,11 +126,11 @@
     cold_periods: ColdClocks = msgspec.field(default_factory=ColdClocks)
 
     def apply_listing(self, listed: Listed, now: float) -> bool:
-        """Take in what the platform lists; return whether any was news."""
+        """Apply the platform's list; return whether anything changed."""
         return self.apply_update(self.reader.listing(listed), now)
 
     def apply_update(self, update: UpstreamUpdate, now: float) -> bool:
-        """Take in a listing's or a peer's entries; return whether any was news."""
+        """Apply the entries of a listing or a peer; return whether anything changed."""
         names, live, leaving = (
             self._names(),
             self._in_state(LIVE),
@@ -144,7 +144,7 @@
         return news
 
     def since(self, version: int, now: float) -> UpstreamUpdate:
-        """Return what a peer at a version lacks, and what is known of who joined lately."""
+        """Return the entries that a peer at a version lacks, and the recent join times."""
         update = self.upstreams.since(version)
         return replace(
             update,
@@ -154,7 +154,7 @@
         )
 
     def apply_event(self, event: WatchEvent, now: float) -> bool:
-        """Take in one event of a watch on upstreams; return whether it was news."""
+        """Apply one event of the watch on upstreams; return whether it changed anything."""
         names, live, leaving = (
             self._names(),
             self._in_state(LIVE),
@@ -168,7 +168,7 @@
         return news
 
     def settle(self, now: float) -> bool:
-        """Do what is due once an era has settled; return whether the list has changed."""
+        """Settle the list once its era has settled; return whether that changed it."""
         return self.era_settling.poll_settled(now) and self.upstreams.settle()
 
     def _apply_to_list(self, event: WatchEvent) -> bool:
@@ -190,7 +190,7 @@
         self._note_vanished(live_before, now)
 
     def _note_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
-        """Note whose entries went without a word, and whose are back."""
+        """Record which live upstreams vanished without a report, and which are back."""
         for name, entry in self.upstreams.entry_by_name.items():
             if entry.upstream.state != REMOVED:
                 self.vanished.returned(entry.upstream.id)
@@ -198,15 +198,16 @@
                 self.vanished.note(live_before[name], now)
 
     def _leaving_by_list_and_notice(self) -> frozenset[str]:
-        """Return the upstreams that leave both by the list and by an answer of theirs."""
+        """Return the upstreams that are leaving both by the list and by a notice."""
         by_name = self.upstreams.entry_by_name
         notified = (name for name in self.notices.names() if name in by_name)
         return frozenset(name for name in notified if by_name[name].upstream.state == LEAVING)
 
     def _note_staying(self, leaving_before: frozenset[str]) -> None:
-        """Note the upstreams that say that they take work again after they had said they leave.
+        """Reopen the upstreams that the list showed as leaving before and shows as live now.
 
-        The list alone does not open what an answer closed: it may be behind by minutes.
+        An upstream that a notice closed is not reopened by a live entry alone, as the list may be
+        behind by minutes.
         """
         for name in leaving_before:
             entry = self.upstreams.entry_by_name.get(name)
