--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -1,20 +1,9 @@
-"""What a change costs the fleet once the configuration is large.
+"""Guards the cost of a change in a large configuration: it must follow from the change's size.
 
-What was seen: over 1,700 routes the operator changed one entry after the other, one in 1.2 s.
-Two routers of 62 refused requests as a version says that was more than 3 s old.
-
-How it came about: each hall's watcher read every entry of each version anew, 0.67 s of processor
-time where one entry had changed, and fell behind by up to 1.8 s. The others were given each
-version whole and held each of its entries against what they had; routers stood still meanwhile
-and were taken for silent. Who then waited for two silent peers in a row was 4.9 s behind
-(`SilentPeersTest` in test_pulls.py); that these two did is likely, and not shown.
-
-Cause: what one change costs followed from the size of the configuration, not from that of the
-change. Reading it was mended first (`ChangeStormTest`), passing it on and taking it are here.
-
-Proof: reading took 667 ms on the version of the record and takes 7 ms now; passing on took 20 ms
-of the giver, 34 ms of the taker and 43 KB, and the tests below failed. On a day like that one
-routers were passed over as silent 469 times before the mend and 64 times with it.
+With 1,700 routes and a change every 1.2 s, whole versions blocked routers: each took 667 ms of
+processor to read, 20 ms to send, 34 ms to apply, and 43 KB. Peers took these routers for silent,
+and some routers used a version more than 3 s old. `ChangeStormTest` covers reading,
+`SilentPeersTest` in test_pulls.py silent peers.
 """
 
 from __future__ import annotations
@@ -34,7 +23,7 @@
 from pondhatch.store import UpstreamUpdate
 from pondhatch.transport._wire import PACKED_FROM, MessagePackCodec, PullReply
 
-#: As many as the operator's configuration had.
+#: Routes of a large configuration.
 ROUTES = 1700
 
 
@@ -57,7 +46,7 @@
 
 
 def apply_documents(state: RouterState, *documents: dict[str, Any]) -> None:
-    """Let a router read versions of the document as the platform's watch brings them."""
+    """Apply versions of the document to a router as the platform's watch brings them."""
     reader = ConfigurationReader(ServiceDefaults())
     for document in documents:
         state.apply_fleet(state.fleet.replaced_by(reader.decode(document)))
@@ -102,7 +91,7 @@
 
 
 class DifferenceNotApplicableTest(unittest.TestCase):
-    """A difference that does not fit, and a peer that knows none: both get the whole."""
+    """Guards the fallback to a snapshot where a difference does not apply or is not understood."""
 
     def setUp(self) -> None:
         self.sender, self.receiver = router("r0"), router("r1")
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -1,4 +1,7 @@
-"""Requests under which engines end, at several routers that run them in the same moments."""
+"""Guards the quarantine of a request that crashes engines and is run by several routers at once.
+
+It must crash three engines at most, and no other request may be quarantined with it.
+"""
 
 from __future__ import annotations
 
@@ -32,34 +35,34 @@
 from pondhatch.router._crash_evidence_exchange import FIRST_PROBE_DELAYS, SAMPLE_INTERVAL_SECONDS
 
 CRASHING_REQUEST = 1
-#: Seconds for which one packet travels.
+#: Seconds from sending a packet to its arrival.
 PACKET_SECONDS = 0.003
-#: Seconds from the begin of a run to its end, or to its engine's.
+#: Seconds from sending a request to its end, or to the crash of its engine.
 RUN_SECONDS, CRASH_SECONDS = 0.4, 0.1
-#: Seconds after which an engine that ended is back, under another name.
+#: Seconds after which a crashed engine is back, under another name.
 RESTART_SECONDS = 3.0
-#: Engines that one attempt may be sent to.
+#: Engines to which one attempt may be sent.
 MOST_TRIES = 2
 
 
 @dataclass
 class Simulation:
-    """Routers that hear each other, and engines."""
+    """Routers that exchange packets, and engines, in virtual time."""
 
     routers: int
     engines: int
     rng: random.Random
     #: Share of packets that are lost.
     loss: float = 0.0
-    #: Seconds for which an engine that ended still takes connections.
+    #: Seconds for which a crashed engine still accepts connections.
     port_open_seconds: float = 0.0
     guards: list[CrashEvidenceExchange] = field(default_factory=list)
     live: dict[str, asyncio.Event] = field(default_factory=dict)
-    #: Engines that ended, by the request that ended them.
+    #: The request that caused each crash, in order.
     crash_digests: list[int] = field(default_factory=list)
-    #: When each engine ended, in the loop's seconds.
+    #: When each engine crashed, in the loop's seconds.
     crashed_at_by_engine: dict[str, float] = field(default_factory=dict)
-    #: What became of attempts, in order.
+    #: The request and the outcome of each attempt, in order.
     outcomes: list[tuple[int, str]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -106,7 +109,7 @@
         self.loop.call_later(RESTART_SECONDS, self.start_engine)
 
     async def attempt(self, router: int, digest: int) -> str:
-        """Have a request run at one engine after another; return how that ended."""
+        """Run a request at one engine after another; return the outcome."""
         watch = self.guards[router].watch(digest)
         outcome = "lost"
         until = self.loop.time() + 8.0
@@ -141,7 +144,7 @@
             return True
         ended = await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8))
         if not ended and self.port_open_seconds < FIRST_PROBE_DELAYS[-1]:
-            raise AssertionError("an end that the first probes can see was not seen")
+            raise AssertionError("the first probes missed a crash that they can see")
         return False
 
     def _crash_if_live(self, engine: str) -> None:
@@ -149,7 +152,7 @@
             self.crash_engine(engine, CRASHING_REQUEST)
 
     async def run_rounds(self) -> None:
-        """Run all routers' rounds, until cancelled."""
+        """Run the periodic rounds of all routers until cancelled."""
         while True:
             for guard in self.guards:
                 guard.tick()
--- a/pondhatch/router/tests/test_fleet_key.py
+++ b/pondhatch/router/tests/test_fleet_key.py
@@ -11,7 +11,7 @@
 
 
 class FlakyPlatform(PlatformInMemory):
-    """Loses answers and is out for some calls."""
+    """A platform that is unavailable for some reads and loses the answers to some writes."""
 
     def __init__(self, outages: int = 0, lost_answers: int = 0) -> None:
         super().__init__()
--- a/pondhatch/router/tests/test_grant_exchange.py
+++ b/pondhatch/router/tests/test_grant_exchange.py
@@ -62,7 +62,7 @@
 
 
 class FollowingOwnersTest(unittest.TestCase):
-    """A router that drains gives its engines up; what runs there counts at the next owner."""
+    """Guards the load count at a new owner: requests that run there when its owner drains count."""
 
     def setUp(self) -> None:
         self.state, peer = router("r0"), router("r1")
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -1,4 +1,4 @@
-"""What a router makes of evacuated halls, regions and cold upstreams, and what peers tell."""
+"""Guards routing by evacuated halls, regions and cold upstreams, and the sync of evacuations."""
 
 from __future__ import annotations
 
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -1,4 +1,4 @@
-"""What shows of a router whose configuration is behind."""
+"""Guards what operators see of a router whose configuration is behind: lag, records and log."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class PullLogTest(unittest.TestCase):
-    """A pull that is slow or lost is told, with whom was asked and for how long."""
+    """Guards the log lines of slow and lost pulls, which name the peer and the seconds."""
 
     def log_lines(self, seconds: float, lost: bool) -> list[str]:
         peer, state = router("r1"), router("r0")
@@ -79,7 +79,7 @@
             loop = asyncio.get_running_loop()
             state.clock = loop.time
             await new_peer_sync(state, pull).on_peer_ahead()
-            # A slow one is waited for in the background.
+            # A slow pull goes on in the background.
             await asyncio.sleep(2.0)
 
         run_virtually(main())
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -1,10 +1,7 @@
-"""What one router's change costs the others, in fleets of hundreds.
+"""Guards the cost of one router's change at the others: it must not grow with the fleet.
 
-The pattern: all routers stop and start in turn within half a minute, as in a release of the
-routers themselves. Each tells of itself three times (it stops, has left, is back), and all others
-hear it: 600 changes at each of 195. What is done for each is to follow from the change, not from
-the fleet's size: 4.3 ms of processor a change were 2.5 s of each router's half minute.
-Steps are counted, not time.
+When 195 routers restart in turn within half a minute, each sends three changes, so each router gets
+about 600; at 4.3 ms of processor each they took 2.5 s. The tests count steps, not time.
 """
 
 from __future__ import annotations
--- a/pondhatch/router/tests/test_load_switch.py
+++ b/pondhatch/router/tests/test_load_switch.py
@@ -1,4 +1,4 @@
-"""Guards the switch of load management: off, it must not act; called for, it must."""
+"""Guards the switch of load management: it must be inactive when off, and active when needed."""
 
 from __future__ import annotations
 
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves in their answers, at several routers of one fleet."""
+"""Guards the spread of upstreams' notices among routers: a router that misses one sends in vain."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """Four routers, of which the first three know each other from the start."""
+    """Four routers; the first three know each other from the start."""
 
     def setUp(self) -> None:
         self.now = 0.0
@@ -50,7 +50,7 @@
     def set_upstream(
         self, router: RouterState, engine: str, version: int, **fields: object
     ) -> None:
-        """Have the platform list an engine."""
+        """Apply an entry of an engine as the platform lists it."""
         value = {
             "name": engine,
             "service": "lang",
@@ -74,7 +74,7 @@
         return NoticeExchange(self.states[name], send)
 
     def deliver(self) -> list[str]:
-        """Have what was sent arrive; return to whom it went."""
+        """Deliver the sent packets; return the names of their receivers."""
         sent, self.sent = self.sent, []
         reached = [self.names[each.to.port - 7000] for _, each in sent]
         if not self.is_lost:
@@ -83,7 +83,7 @@
         return reached
 
     def instance(self, at: int) -> str:
-        """Return the name of an engine's start."""
+        """Return the name of an engine's current start."""
         return self.states["r0"].live_upstreams("lang")[at]
 
     def closed_reason(self, name: str, engine: str) -> Closed | None:
@@ -166,7 +166,8 @@
         self.now = 3.0
         self.assertIsNone(self.closed_reason("r0", engine))
 
-    # One that turned away two in five was closed to all, and its load overran the others.
+    # When an upstream that refused two in five requests was closed to all routers, its load
+    # overloaded the others.
     def test_a_resting_upstream_with_places_is_closed_only_at_the_router_it_told(self) -> None:
         engine = self.instance(0)
         owner = self.states["r0"].owner_name(engine)
@@ -189,7 +190,8 @@
         assert target is not None
         self.assertEqual(target.peers, 1)
 
-    # All who waited for its end, at every router, went to the engine in the same moment.
+    # Otherwise all requests that wait for the end of the rest, at every router, are sent to the
+    # engine at once.
     def test_after_a_rest_grants_start_at_the_load_before_it(self) -> None:
         engine, gate = self.instance(0), self.states["r0"].gate
         for _ in range(4):
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -1,4 +1,4 @@
-"""Guards reports of paces: too few leave slow engines full, too many crowd control traffic."""
+"""Guards reports of paces: too few overload slow engines, too many crowd out control traffic."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.entry = next(name for name in self.names[:3] if name != self.owner)
 
     def pace_at(self, name: str) -> int:
-        """Return the pace by which a router would decide now."""
+        """Return the pace that a router assumes for the engine now."""
         target = self.states[name].target(self.engine)
         assert target is not None
         return target.pace
@@ -59,7 +59,8 @@
                 reports.tick(0.0)
         self.assertEqual(len(reports._reported_at_by_engine), REPORTS_BURST + 9 * REPORTS_PER_ROUND)
 
-    # A fleet that does not manage load sends what it always sent, whatever engines state.
+    # A fleet that does not manage load must send the same bytes as before, whatever pace engines
+    # report.
     def test_while_load_is_not_managed_no_pace_is_sent_and_no_byte_differs(self) -> None:
         for state in self.states.values():
             state.load_management = "off"
--- a/pondhatch/router/tests/test_peer_discovery.py
+++ b/pondhatch/router/tests/test_peer_discovery.py
@@ -1,4 +1,4 @@
-"""Routers that start come to know each other, whatever the platform takes from them."""
+"""Guards discovery of peers where the platform refuses writes, lags or lists unusable entries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReadOnlyPlatform(PlatformInMemory):
-    """A platform that serves reads and turns writes away, for as long as it is told."""
+    """A platform that serves reads and refuses writes while ``refuses_writes`` is set."""
 
     refuses_writes = True
 
@@ -121,7 +121,7 @@
         self.assertEqual(run_virtually(main()), "127.0.0.1:2")
 
     def calls_of_a_start(self, platform: PlatformInMemory, port: int) -> tuple[int, int]:
-        """Start a router; return its calls, and those of them that may be answered cheaply."""
+        """Start a router; return the number of its calls, and of the cheap ones among them."""
         before, cheap_before = platform.calls, platform.cheap_calls
         run_virtually(peer_discovery(router("r0"), platform, port).run())
         return platform.calls - before, platform.cheap_calls - cheap_before
@@ -130,7 +130,7 @@
         platform = PlatformInMemory()
         self.assertEqual(self.calls_of_a_start(platform, 1), (3, 1))
         self.assertEqual(self.calls_of_a_start(platform, 1), (1, 1))
-        # At another address its entry is created in vain, and then replaced.
+        # At another address, creating the entry fails and it is then updated.
         self.assertEqual(self.calls_of_a_start(platform, 2), (4, 1))
 
     def test_a_stale_list_hides_no_later_change(self) -> None:
--- a/pondhatch/router/tests/test_platform_restorer.py
+++ b/pondhatch/router/tests/test_platform_restorer.py
@@ -1,4 +1,4 @@
-"""A platform that comes back from an older copy has lost what routers wrote there since."""
+"""Guards objects of routers that a platform loses when it comes back from an older copy."""
 
 from __future__ import annotations
 
--- a/pondhatch/router/tests/test_pooled_engines.py
+++ b/pondhatch/router/tests/test_pooled_engines.py
@@ -1,4 +1,4 @@
-"""Guards the preference for engines with a connection: when it holds, and what it goes by."""
+"""Guards the preference for engines with a connection: it must not move contexts or add load."""
 
 from __future__ import annotations
 
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -1,4 +1,4 @@
-"""Pulls from peers: how many, from whom, and for how long one is waited for."""
+"""Guards pulls from peers: how many run at once, from which peers, and when they are hedged."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class OnePullTest(unittest.TestCase):
-    """Every packet of a peer that is ahead leads to a pull, and packets come in dozens."""
+    """Guards against a pull for each packet of a peer that is ahead, as they come in dozens."""
 
     def pulls(self, news: int, lost: bool = False) -> tuple[int, int, int]:
-        """Return the pulls side by side at most, all of them, and the version in force."""
+        """Return the most concurrent pulls, the number of pulls, and the version in force."""
         peer, state = router("r1"), router("r0")
         peer.apply_change(FIRST)
         peer.apply_change(change(2, account("a")))
@@ -60,10 +60,10 @@
 
 
 class SilentPeersTest(unittest.TestCase):
-    """The pattern: peers stop, freeze or are cut off right after they told of a change.
+    """Guards against lag where peers stop, freeze or are cut off after they announced a change.
 
-    Grounds: a change is to be in force within 2 s on small fleets (3 s on large ones), and a call
-    to a peer that gives no answer takes 2 s to be given up.
+    A change is to be in force within 2 s on small fleets (3 s on large ones), and a call to a peer
+    that does not reply times out after 2 s.
     """
 
     def setUp(self) -> None:
@@ -71,7 +71,7 @@
         self.state.apply_change(FIRST)
 
     def peer_with_change(self, name: str) -> RouterState:
-        """Return a peer that holds a change which the router has not."""
+        """Return a peer that holds a change which the router lacks."""
         peer = router(name)
         peer.apply_change(FIRST)
         peer.apply_change(change(2, account("a")))
@@ -80,7 +80,7 @@
     def seconds_behind(
         self, pull: Pull, later: Callable[[], Awaitable[None]] | None = None
     ) -> float:
-        """Return the seconds until the router has the change; ``later`` runs beside it."""
+        """Return the seconds until the router has the change; ``later`` runs concurrently."""
 
         async def main() -> float:
             loop = asyncio.get_running_loop()
@@ -97,7 +97,7 @@
         return run_virtually(main())
 
     def seconds_behind_with_silent_peers(self, silent: int, peers: int) -> tuple[float, int]:
-        """Return the seconds until a router has a change, and the pulls side by side at most."""
+        """Return the seconds until the router has a change, and the most concurrent pulls."""
         holders = [self.peer_with_change(f"r{at + 1}") for at in range(peers)]
         for each in holders:
             meet(self.state, each)
@@ -107,7 +107,7 @@
 
         async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
             nonlocal most_at_once
-            # The first ones that are asked are the silent ones, whoever they are.
+            # The peers that are asked first are the silent ones, whichever they are.
             is_silent = len(asked) < silent
             asked.append(member.name)
             running.add(member.name)
@@ -146,10 +146,10 @@
 
 
 class CutOffPeersTest(unittest.TestCase):
-    """The pattern: three routers in ten are cut off while the configuration changes.
+    """Guards against pulls from cut-off peers, which hold older versions and cost 2 s each.
 
-    Grounds: a change is to be in force within 2 s, and a call to a peer that is cut off takes
-    2 s. On a day of 87 routers, 26 cut off, some handled requests by a configuration 3 s old.
+    A change is to be in force within 2 s. With 26 of 87 routers cut off while the configuration
+    changed, some routers handled requests by a configuration 3 s old.
     """
 
     def asked_first(self, held_by_name: dict[str, Versions]) -> set[str]:
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -1,7 +1,7 @@
-"""Load pattern: steady arrivals, one engine of eight at two fifths of its speed.
+"""Guards callers from one slow engine of eight, at two fifths of the usual speed, in steady load.
 
-As many requests as elsewhere were sent to the slow engine, and one in eight callers waited 2.5
-times as long as usual. Three routers with their packets, walks and grants run in virtual time.
+When it got as many requests as the others, one in eight callers waited 2.5 times as long as usual.
+Three routers with their packets, placement and grants run in virtual time.
 """
 
 from __future__ import annotations
@@ -66,25 +66,25 @@
         "engine_slots": SLOTS,
     },
 )
-#: Seconds of a request at the usual speed, and until its answer begins.
+#: Seconds that a request takes at the usual speed, and until its answer begins.
 USUAL_SECONDS = 0.4
 ANSWER_HEAD_SECONDS = 0.05
-#: Percent of it that a request takes at the slow engine.
+#: Percent of the usual time that a request takes at the slow engine.
 SLOW_PACE = 250
-#: Requests a second, and seconds for which they come.
+#: Requests per second, and the seconds for which they arrive.
 REQUESTS_PER_SECOND = 80
 LOAD_SECONDS = 12.0
-#: When the routers know each other and their loads.
+#: When the routers know each other and their loads, in seconds.
 SETTLED_AT = 3.0
-#: When something fails, and when what follows from it has passed.
+#: When something fails, and when its effects have passed, in seconds.
 FAILS_AT = 6.0
 RECOVERED_AT = 9.0
-#: Share of callers that may wait for more than twice the usual time: nine in ten must not.
+#: Maximum share of callers that wait for more than twice the usual time: nine in ten must not.
 MAX_LATE_SHARE = 0.1
 
 
 class Answer:
-    """An answer that takes its time."""
+    """An answer that takes a given number of seconds."""
 
     status = 200
     headers: tuple[tuple[str, str], ...] = ()
@@ -101,7 +101,7 @@
 
 
 class Engines:
-    """One fleet's engines, which state their load and their pace."""
+    """The engines of a fleet, which report their load and their pace."""
 
     def __init__(self, slow: str) -> None:
         self.slow = slow
@@ -118,7 +118,7 @@
 
 
 class Sink:
-    """A caller who takes everything."""
+    """A caller that accepts everything at once."""
 
     def write(self, part: bytes) -> bool:
         return True
@@ -138,7 +138,7 @@
 
 
 class Router:
-    """One router's parts, as its process puts them together."""
+    """One router, assembled as its process does."""
 
     def __init__(self, name: str, fleet: SimulatedFleet) -> None:
         clock = asyncio.get_running_loop().time
@@ -176,7 +176,7 @@
         self.send(self.state.gossip.tick(self.state.clock()))
 
     async def send_request(self, number: int) -> bool:
-        """Send one request through this router; return whether its caller got all of it."""
+        """Send one request through this router; return whether the answer arrived whole."""
         until = self.state.clock() + 10.0
         head = RequestHead(f"q{number}", "a", "lang", 0, "POST", "/", (), True, 10.0, 5)
         walk = Walk(
@@ -203,7 +203,7 @@
         }
         self.engines = Engines(ENGINES[0])
         self.are_notices_lost = False
-        #: When each request that was answered came, and how long it took.
+        #: When each answered request arrived, and how many seconds it took.
         self.answered: list[tuple[float, float]] = []
         self.router_by_name = {name: Router(name, self) for name in ROUTERS}
 
@@ -221,18 +221,18 @@
         return self.router_by_name[state.owner_name(self.engines.slow) or ""]
 
     def owner_pace(self) -> int:
-        """Return the pace by which the slow engine's owner decides now."""
+        """Return the pace that the slow engine's owner assumes now."""
         target = self.owner().state.target(self.engines.slow)
         assert target is not None
         return target.pace
 
     async def start(self) -> None:
-        """Have the routers begin, and wait until they know each other."""
+        """Start the routers, and wait until they know each other."""
         self._running = asyncio.ensure_future(self._run_rounds())
         await asyncio.sleep(1.0)
 
     async def run(self, entries: tuple[str, ...] = ROUTERS) -> int:
-        """Send all requests; return how many had no answer."""
+        """Send all requests; return how many were not answered."""
         clock = asyncio.get_running_loop().time
 
         async def request(number: int) -> bool:
@@ -257,7 +257,7 @@
             await asyncio.sleep(0.1)
 
     def late_share(self, since: float, until: float = LOAD_SECONDS) -> float:
-        """Return the share of the callers in a time that waited for twice the usual time."""
+        """Return the share of a period's callers that waited for over twice the usual time."""
         took = [seconds for began, seconds in self.answered if since <= began < until]
         return sum(seconds > 2 * USUAL_SECONDS for seconds in took) / len(took)
 
@@ -274,7 +274,7 @@
         self.assertEqual(unanswered, 0)
         self.assertLess(late, MAX_LATE_SHARE)
 
-    # A pace is known where it is told, and the router that was told goes away.
+    # Only the owner is sent the pace, and here that router goes away.
     def test_the_next_owner_limits_it_after_its_owner_drained(self) -> None:
         async def history() -> tuple[int, float, bool]:
             fleet = SimulatedFleet()
@@ -293,7 +293,7 @@
         self.assertEqual((unanswered, has_moved), (0, True))
         self.assertLess(late, MAX_LATE_SHARE)
 
-    # The owner is asked by others alone here, so it knows no pace but by their packets.
+    # No requests enter at the owner here, so it knows paces only from the packets of others.
     def test_lost_pace_reports_only_reset_the_owner_to_the_usual_pace(self) -> None:
         async def history() -> tuple[int, int, float]:
             fleet = SimulatedFleet()
--- a/pondhatch/router/tests/test_startup_wait.py
+++ b/pondhatch/router/tests/test_startup_wait.py
@@ -1,4 +1,4 @@
-"""How long a router that starts holds requests."""
+"""Guards how long a starting router holds requests: until it is ready, within a bound."""
 
 from __future__ import annotations
 
--- a/pondhatch/router/tests/test_state_recorder.py
+++ b/pondhatch/router/tests/test_state_recorder.py
@@ -1,4 +1,4 @@
-"""Every change of what a router takes to be so leaves one record."""
+"""Guards the records of state changes: a change must leave exactly one, and a flood be bounded."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         self.new_records()
 
     def new_records(self) -> list[tuple[str, str, str, int]]:
-        """Return what one look records: about what, which, what it is now, as of what."""
+        """Record changes; return the new records as (about, name, now, version)."""
         self.record_list.records.clear()
         self.recorder.record_changes()
         found = [each for each in self.record_list.records if isinstance(each, Believed)]
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -1,4 +1,4 @@
-"""Keeping up through outages, races of watchers and stale peers."""
+"""Guards a router's configuration and upstreams through outages, lost watchers and stale peers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class UncalledPeer:
-    """A peer that is never asked."""
+    """A peer whose keys are never asked for."""
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
         return None
@@ -69,7 +69,7 @@
 
 
 class HeldByPeer:
-    """What a peer holds beyond a version."""
+    """A peer's reply to a pull: what it holds beyond the given versions."""
 
     def __init__(self, peer: RouterState, configuration: int, upstreams: int) -> None:
         self.configuration: Update = peer.update_since(configuration)
@@ -92,14 +92,14 @@
 
 
 def new_peer_sync(state: RouterState, pull: Pull) -> Sync:
-    """Return what keeps a router up to date from its peers alone."""
+    """Return a sync that updates a router from its peers alone."""
     platform, rng = PlatformInMemory(), random.Random(1)
     peer_discovery = PeerDiscovery(state.name, state.gossip, platform, rng)
     return Sync(state, platform, FixedSource(), pull, state.publish, rng, peer_discovery)
 
 
 def meet(state: RouterState, peer: RouterState) -> None:
-    """Let a router hear of a peer and of what it holds."""
+    """Make a peer and the versions that it holds known to a router."""
     peer.publish()
     table = state.gossip.membership.table
     table.take_alive(peer.gossip.membership.own, 0.0)
@@ -127,7 +127,7 @@
         self.assertEqual(state.fleet.version, 1)
 
     async def peers_asked_for_joins(self, *starts: int) -> list[str]:
-        """Start a router beside peers that started at these milliseconds; return whom it asks."""
+        """Start a router beside peers with these start times (ms); return the peers it asks."""
         asked: list[str] = []
 
         async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
@@ -179,7 +179,7 @@
 
 
 class FixedSource:
-    """A configuration that is told as listed, one news after the other."""
+    """A configuration source that yields the given events in order."""
 
     def __init__(self, *news: Fleet | Rejected) -> None:
         self._news = news
@@ -191,7 +191,7 @@
 
 
 class RejectedDocumentTest(unittest.IsolatedAsyncioTestCase):
-    """A document that is no configuration, and one that is put back as it was."""
+    """Guards against a rejected document replacing the configuration, or staying rejected."""
 
     REJECTED = Rejected(((("document", "main"), Misfit((), "none at all")),))
 
@@ -201,7 +201,7 @@
         sync = new_sync(state, PlatformInMemory(), None)
         sync._source = FixedSource(*news)
         task = asyncio.ensure_future(sync.run())
-        # The second is told once the router has met its peers.
+        # The second event is read once the router has discovered its peers.
         await asyncio.sleep(PEER_DISCOVERY_SECONDS + 0.1)
         task.cancel()
         await asyncio.wait([task])
@@ -276,7 +276,7 @@
         )
 
     def test_a_restarted_router_learns_recent_joins_from_a_peer(self) -> None:
-        """The pattern: routers restart one after the other while engines are replaced."""
+        """Covers routers that restart one after the other while engines are replaced."""
         clock = FLEET_START_SECONDS + 10
         peer, state = router("r1"), router("r0")
         for each in (peer, state):
@@ -325,7 +325,7 @@
 
 
 class FaultyPlatform(PlatformInMemory):
-    """A platform of which something cannot be read at first."""
+    """A platform whose first list fails."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -355,7 +355,7 @@
 
 
 class UnreadableEntryTest(unittest.TestCase):
-    """One entry of the platform's list of upstreams that cannot be read."""
+    """Guards against one unreadable entry affecting other upstreams of the platform's list."""
 
     def setUp(self) -> None:
         self.lines: list[str] = []
@@ -363,7 +363,7 @@
         self.addCleanup(logger.remove, number)
 
     def router_after_listings(self, *entries: Any) -> RouterState:
-        """Return a router after some listings, each of which has the entries e0, e1 and so on."""
+        """Return a router that has read a list with these entries, named e0, e1 and so on."""
 
         async def main() -> RouterState:
             platform = PlatformInMemory()
@@ -447,7 +447,7 @@
 
 
 class WatchCountingPlatform(PlatformInMemory):
-    """Counts the watches that were begun."""
+    """Counts the watches that were started."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -460,10 +460,10 @@
 
 
 class StartTest(unittest.TestCase):
-    """A router that starts reads at once, and watches only where nobody else does."""
+    """Guards the start: a router reads at once, and watches only where no peer of its hall does."""
 
     def run_beside_a_peer(self, watches: bool) -> tuple[int, int, int]:
-        """Return the version in force soon after the start, and the watches soon and later."""
+        """Return the version soon after the start, and the number of watches then and later."""
         states = [router(f"r{at}") for at in range(2)]
         for state, peer in (states, states[::-1]):
             meet(state, peer)
@@ -488,7 +488,7 @@
 
     def test_a_router_does_not_watch_where_a_peer_does(self) -> None:
         _, soon, later = self.run_beside_a_peer(watches=False)
-        # Of a log of changes, where to begin is learned by a watch that is not waited for.
+        # A change log learns its first version from a watch that does not wait for the peers.
         self.assertEqual((soon, later), (1, 1))
 
     def test_the_watcher_of_a_hall_watches_all_kinds(self) -> None:
@@ -496,20 +496,20 @@
         self.assertEqual((soon, later), (1, 3))
 
 
-#: Where every packet of two routers comes from, as far as they can tell.
+#: Source address of every packet between the two routers.
 ADDRESS = Address("127.0.0.1", 7000)
 
 
 class CutOffWatcherTest(unittest.TestCase):
-    """The pattern: the router that watches the platform for its hall is cut off from it alone.
+    """Guards against lag where a hall's watcher is cut off from the platform alone.
 
-    Its peers hear it as before, so they take it for the watcher still; a change is to be in
-    force everywhere within 3 s (the brief). Three in ten of 87 routers were cut off so on a
-    day, among them the watcher of each hall.
+    Its peers reach it, so they still take it for the watcher, while a change is to be in force
+    everywhere within 3 s. It occurs where three in ten of 87 routers are cut off so, among them the
+    watcher of each hall.
     """
 
     async def exchange(self, states: dict[str, RouterState]) -> None:
-        """Carry what the two routers tell each other, a packet in 0.1 s at most."""
+        """Deliver the gossip packets of the two routers every 0.1 s."""
         while True:
             for state in states.values():
                 other = next(each for each in states.values() if each is not state)
@@ -522,7 +522,7 @@
             await asyncio.sleep(0.1)
 
     def version_after_change(self, cut: bool) -> int:
-        """Return the version at the router that does not watch, 3 s after a change."""
+        """Return the version of the router that does not watch, 3 s after a change."""
 
         async def main() -> int:
             names = ("r0", "r1")
@@ -559,7 +559,7 @@
 
 
 class LapsedEntriesTest(unittest.TestCase):
-    """Entries of upstreams lapse while the platform's store is away."""
+    """Guards against dropping upstreams whose entries lapse together during a store outage."""
 
     def setUp(self) -> None:
         self.now = 0.0
