--- a/pondhatch/router/_fleet_key.py
+++ b/pondhatch/router/_fleet_key.py
@@ -56,7 +56,9 @@
         written = await _write_key(platform, found, {"key": new_key})
         if isinstance(written, Accepted):
             return new_key.encode()
-        log.info("Writing the fleet's key failed or its answer was lost, retrying: {}.", written)
+        log.info(
+            "Another router wrote the fleet's key, or the answer was lost; retrying: {}.", written
+        )
         await sleep(backoff.next())
 
 
@@ -68,7 +70,7 @@
         return
     found = await platform.get(KEY_KIND, KEY_NAME)
     if isinstance(found, Found) and _read_key(found.object) not in (None, key.decode()):
-        log.error("The platform holds another fleet's key; routers that start now will not join.")
+        log.error("The platform holds a different fleet key; routers that start now cannot join.")
 
 
 def _read_key(stored: StoredObject) -> str | None:
