--- a/pondhatch/router/_admission.py
+++ b/pondhatch/router/_admission.py
@@ -154,19 +154,19 @@
     """Count a request against its account's limits, or return the refusal."""
     policy = state.fleet.policy_by_account[account.name]
     if service not in policy.services:
-        wrong = f"the account may not use service {service}"
-        return NotRun("not-allowed", wrong, 0.0, FORBIDDEN)
+        message = f"the account may not use service {service}"
+        return NotRun("not-allowed", message, 0.0, FORBIDDEN)
     verdict = state.begin_request(account.name)
     if isinstance(verdict, Limited):
-        wrong = f"the account is over its {verdict.limit} limit"
-        return NotRun(f"{verdict.limit}-limited", wrong, verdict.retry_after, TOO_MANY_REQUESTS)
+        message = f"the account is over its {verdict.limit} limit"
+        return NotRun(f"{verdict.limit}-limited", message, verdict.retry_after, TOO_MANY_REQUESTS)
     return policy
 
 
 def memory_limited_refusal(limited: Limited) -> NotRun:
     """Return the refusal of a request whose account holds too much of this router's memory."""
-    wrong = "the account holds too many bytes that wait for its callers and engines"
-    return NotRun(MEMORY_LIMITED, wrong, limited.retry_after, TOO_MANY_REQUESTS)
+    message = "the account holds too many bytes that wait for its callers and engines"
+    return NotRun(MEMORY_LIMITED, message, limited.retry_after, TOO_MANY_REQUESTS)
 
 
 def service_of_path(state: RouterState, path: str) -> str | None:
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -174,11 +174,11 @@
     def _apply_evidence(self, evidence: Evidence) -> bool:
         """Apply evidence, and record a quarantine that follows; return whether it was new."""
         was_quarantined = self.is_quarantined(evidence.digest)
-        is_news = self.suspects.take(evidence, self._state.clock())
-        if is_news and not was_quarantined and self.is_quarantined(evidence.digest):
+        is_new = self.suspects.take(evidence, self._state.clock())
+        if is_new and not was_quarantined and self.is_quarantined(evidence.digest):
             engines = self.suspects.suspect_by_digest[evidence.digest].held_against_it()
             self._record(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
-        return is_news
+        return is_new
 
     def _broadcast(self, evidence: tuple[Evidence, ...]) -> None:
         self._to_repeat += evidence
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -56,7 +56,7 @@
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.settle(now), now)
 
-    def _note_reopened(self, before: frozenset[str], is_news: bool, now: float) -> bool:
-        """Record the halls whose evacuation has ended; return ``is_news`` unchanged."""
+    def _note_reopened(self, before: frozenset[str], changed: bool, now: float) -> bool:
+        """Record the halls whose evacuation has ended; return ``changed`` as it is."""
         self._reopened_at |= dict.fromkeys(before - self.evacuations.halls, now)
-        return is_news
+        return changed
--- a/pondhatch/router/_intakes.py
+++ b/pondhatch/router/_intakes.py
@@ -81,8 +81,8 @@
 
     def _is_cold(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream is cold, or may be cold before its report arrives."""
-        says_so = self.cold_periods.seconds_left(upstream.name, now) > 0
-        return says_so or self.halls.is_just_reopened(upstream.hall, now)
+        reports_cold = self.cold_periods.seconds_left(upstream.name, now) > 0
+        return reports_cold or self.halls.is_just_reopened(upstream.hall, now)
 
     def _hall_is_open(self, name: str, regions: Regions) -> bool:
         upstream = self.upstream(name)
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -107,9 +107,9 @@
             return []
         known = self._fleet().policy_by_account
         shares = [
-            self._allocate_share(message.sender, asked)
-            for asked in message.demands
-            if asked.account in known
+            self._allocate_share(message.sender, limit_demand)
+            for limit_demand in message.demands
+            if limit_demand.account in known
         ]
         return [self._gossip.limit_datagram(LimitShares(tuple(shares)), source)]
 
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -82,10 +82,10 @@
 
     def heard(self, upstream: str, notice: Notice) -> None:
         """Apply a notice from the head of an upstream's answer, and pass it on if it is new."""
-        is_news = self._state.apply_notice(upstream, notice)
+        changed = self._state.apply_notice(upstream, notice)
         if notice.pace > 0 and self._state.load_managed():
             self._report_pace(upstream, notice.pace)
-        if is_news:
+        if changed:
             self._to_repeat.add(upstream)
             self._send_to_concerned({upstream: notice})
 
--- a/pondhatch/router/_owners.py
+++ b/pondhatch/router/_owners.py
@@ -28,13 +28,13 @@
 
     def owner_name(self, engine: str) -> str | None:
         """Return the name of the engine's owner, or None without live routers."""
-        owned = self._owner_by_engine.get(engine)
-        if owned is None:
+        hall_and_owner = self._owner_by_engine.get(engine)
+        if hall_and_owner is None:
             upstream = self._upstream(engine)
             hall = upstream.hall if upstream is not None else ""
-            owned = hall, owner_of(engine, hall, self._live_by_hall)
-            self._owner_by_engine[engine] = owned
-        return owned[1]
+            hall_and_owner = hall, owner_of(engine, hall, self._live_by_hall)
+            self._owner_by_engine[engine] = hall_and_owner
+        return hall_and_owner[1]
 
     def owned_by_service(self) -> dict[str, tuple[str, ...]]:
         """Return the names of the live upstreams that this router owns, by service."""
@@ -50,13 +50,15 @@
         """Set the live routers; drop cached owners in halls whose live routers changed."""
         before, self._live_by_hall = self._live_by_hall, live_by_hall(live)
         now = self._live_by_hall
-        same = {hall for hall, names in now.items() if before.get(hall) == names}
-        if len(same) == len(now) == len(before):
+        unchanged_halls = {hall for hall, names in now.items() if before.get(hall) == names}
+        if len(unchanged_halls) == len(now) == len(before):
             return
         # An upstream of a hall without live routers is owned by one of all routers, so such halls
         # are not kept either.
         self._owner_by_engine = {
-            engine: owned for engine, owned in self._owner_by_engine.items() if owned[0] in same
+            engine: hall_and_owner
+            for engine, hall_and_owner in self._owner_by_engine.items()
+            if hall_and_owner[0] in unchanged_halls
         }
         self._owned_by_service = None
 
--- a/pondhatch/router/_platform_restorer.py
+++ b/pondhatch/router/_platform_restorer.py
@@ -54,8 +54,8 @@
     async def check_era(self) -> None:
         """Write what may have been lost again, if an era has begun since the last check."""
         era = era_of(self._state.upstreams.version)
-        began, self._era = era > self._era > 0, max(era, self._era)
-        if not began:
+        is_new_era, self._era = era > self._era > 0, max(era, self._era)
+        if not is_new_era:
             return
         await asyncio.sleep(self._rng.random() * SPREAD_SECONDS)
         log.info("The platform came back from an older copy; checking this router's objects.")
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -239,12 +239,12 @@
     def former_home(self, service: str, chat: str) -> str | None:
         """Return what a chat's home engine would be if leaving upstreams still counted."""
         entries = self.upstreams.entry_by_name.values()
-        there = [
+        names = [
             each.upstream.name
             for each in entries
             if each.upstream.service == service and each.upstream.state != REMOVED
         ]
-        return winner(chat, there)
+        return winner(chat, names)
 
     def note_served(self, chat: int, engine: str) -> None:
         """Record which engine answered a chat last."""
@@ -274,15 +274,15 @@
 
     def apply_listed_upstreams(self, listed: Listed) -> bool:
         """Apply the platform's list of upstreams; return whether anything changed."""
-        news = self._upstream_changes.apply_listing(listed, self.clock())
+        changed = self._upstream_changes.apply_listing(listed, self.clock())
         self.invalidate_upstream_caches()
-        return news
+        return changed
 
     def apply_upstreams(self, update: UpstreamUpdate) -> bool:
         """Apply a peer's entries of upstreams; return whether anything changed."""
-        news = self._upstream_changes.apply_update(update, self.clock())
+        changed = self._upstream_changes.apply_update(update, self.clock())
         self.invalidate_upstream_caches()
-        return news
+        return changed
 
     def upstreams_since(self, version: int) -> UpstreamUpdate:
         """Return the entries of upstreams that a peer at a version lacks."""
@@ -290,10 +290,10 @@
 
     def apply_upstream_event(self, event: WatchEvent) -> bool:
         """Apply one event of the watch on upstreams; return whether it changed anything."""
-        news = self._upstream_changes.apply_event(event, self.clock())
-        if news:
+        changed = self._upstream_changes.apply_event(event, self.clock())
+        if changed:
             self.invalidate_upstream_caches()
-        return news
+        return changed
 
     def invalidate_upstream_caches(self) -> None:
         """Drop the caches that were derived from the list of upstreams."""
@@ -304,22 +304,22 @@
 
     def apply_listed_evacuations(self, listed: Listed) -> bool:
         """Apply the platform's list of evacuations; return whether anything changed."""
-        return self._invalidate_if_news(self.halls.apply_listing(listed, self.clock()))
+        return self._invalidate_if_changed(self.halls.apply_listing(listed, self.clock()))
 
     def apply_evacuation_event(self, event: WatchEvent) -> bool:
         """Apply one event of the watch on evacuations; return whether it changed anything."""
-        return self._invalidate_if_news(self.halls.apply_event(event, self.clock()))
+        return self._invalidate_if_changed(self.halls.apply_event(event, self.clock()))
 
     def apply_evacuations(self, update: EvacuationUpdate | None) -> bool:
         """Apply the evacuations that a peer knows; return whether anything changed."""
-        return update is not None and self._invalidate_if_news(
+        return update is not None and self._invalidate_if_changed(
             self.halls.apply_update(update, self.clock())
         )
 
-    def _invalidate_if_news(self, is_news: bool) -> bool:
-        if is_news:
+    def _invalidate_if_changed(self, changed: bool) -> bool:
+        if changed:
             self._intakes.invalidate()
-        return is_news
+        return changed
 
     def target(self, engine: str) -> Target | None:
         """Return an upstream as its owner's decisions need it, or None for an unknown one."""
@@ -343,11 +343,11 @@
             most_idle=self._idle_connections_share(service.max_connections),
         )
 
-    def _idle_connections_share(self, most: int | None) -> int | None:
+    def _idle_connections_share(self, max_connections: int | None) -> int | None:
         """Return this router's share of an engine's idle connections, or None for no bound."""
-        if most is None or not self.load_managed():
+        if max_connections is None or not self.load_managed():
             return None
-        return max(MIN_IDLE_CONNECTIONS, most // max(1, len(self._live_routers)))
+        return max(MIN_IDLE_CONNECTIONS, max_connections // max(1, len(self._live_routers)))
 
     def cold_count(self) -> int:
         """Return how many upstreams are cold by their own report."""
@@ -373,12 +373,12 @@
                 return False
         known = self._intakes.upstream(upstream)
         is_start_known = known is not None and known.start > 0
-        is_news = self.notices.hear(upstream, notice, now, is_start_known, is_for_this_router)
-        if is_news and notice.rest > 0 and not notice.has_places:
+        changed = self.notices.hear(upstream, notice, now, is_start_known, is_for_this_router)
+        if changed and notice.rest > 0 and not notice.has_places:
             self.gate.rests(upstream, now, notice.rest)
-        if is_news and notice.is_leaving:
+        if changed and notice.is_leaving:
             self._intakes.invalidate()
-        return is_news
+        return changed
 
     def apply_staying_report(self, upstream: str) -> None:
         """Apply an upstream's own later report that it is not leaving."""
@@ -397,9 +397,9 @@
         if upstream is None:
             return 0
         now = self.clock()
-        heard = self.gossip.load_elsewhere(upstream.service, now)
+        load_at_peers = self.gossip.load_elsewhere(upstream.service, now)
         own = self.owned_by_service().get(upstream.service, ())
-        return heard + self.gate.total(tuple(name for name in own if name != engine), now)
+        return load_at_peers + self.gate.total(tuple(name for name in own if name != engine), now)
 
     def mean_load(self, service: str) -> float:
         """Return the mean number of requests in flight at a service's engines."""
@@ -418,13 +418,13 @@
         """
         if change.version <= self.fleet.version:
             return None
-        following = self.fleet.with_change(change)
-        if isinstance(following, Gap):
-            return following
-        if isinstance(following, Rejected):
+        next_fleet = self.fleet.with_change(change)
+        if isinstance(next_fleet, Gap):
+            return next_fleet
+        if isinstance(next_fleet, Rejected):
             self._put_in_force(self.fleet.voided(change), source)
-            return following
-        self._put_in_force(following, source)
+            return next_fleet
+        self._put_in_force(next_fleet, source)
         return None
 
     def apply_fleet(self, fleet: Fleet, source: str = PLATFORM_SOURCE) -> bool:
@@ -457,15 +457,15 @@
         if update.difference is not None:
             self._apply_difference(update.difference, source)
         problems = [self.apply_change(change, source) for change in update.changes]
-        return next((wrong for wrong in problems if wrong is not None), None)
+        return next((problem for problem in problems if problem is not None), None)
 
     def _apply_difference(self, difference: Difference, source: str) -> None:
         if difference.version <= self.fleet.version:
             return
-        following = self.fleet.with_difference(difference)
-        self.needs_snapshot = following is None
-        if following is not None:
-            self.apply_fleet(following, source)
+        next_fleet = self.fleet.with_difference(difference)
+        self.needs_snapshot = next_fleet is None
+        if next_fleet is not None:
+            self.apply_fleet(next_fleet, source)
 
     def update_since(self, version: int, takes_difference: bool = True) -> Update:
         """Return the update for a router at a version: changes, a difference or a snapshot."""
@@ -517,7 +517,7 @@
             self.invalidate_upstream_caches()
         if self._upstream_changes.settle(self.clock()):
             self.invalidate_upstream_caches()
-        self._invalidate_if_news(self.halls.settle(self.clock()))
+        self._invalidate_if_changed(self.halls.settle(self.clock()))
         self.paces.forget_old(self.clock())
         if self.notices.forget_old(self.upstreams.entry_by_name, self.clock()):
             self._intakes.invalidate()
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -152,12 +152,12 @@
 
     def _start_or_stop_watching(self) -> None:
         """Start or stop watching, as this router is or is not one of its hall's watchers."""
-        due = self._state.is_watcher()
-        if due and not self._watch_tasks:
+        should_watch = self._state.is_watcher()
+        if should_watch and not self._watch_tasks:
             log.info("Watching the platform for hall {}.", self._state.hall)
             self._start_watching()
         # A watcher that lost the platform keeps retrying, while another router watches.
-        if not due and self._watch_tasks and not self._state.platform_error:
+        if not should_watch and self._watch_tasks and not self._state.platform_error:
             log.info("Another router of the hall watches the platform; stopping the watch.")
             for task in self._watch_tasks:
                 task.cancel()
@@ -179,7 +179,7 @@
         """Restart a watch with backoff whenever it ends, until cancelled."""
         backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         while True:
-            begun = self._state.clock()
+            started_at = self._state.clock()
             try:
                 await watch()
             except PlatformLost as error:
@@ -191,7 +191,7 @@
                 # An object that cannot be read may be corrected at the platform, and no other
                 # router may be watching, so the watch has to go on.
                 log.exception("A watch failed with an error of this router; restarting it.")
-            if self._state.clock() - begun > MAX_BACKOFF_SECONDS:
+            if self._state.clock() - started_at > MAX_BACKOFF_SECONDS:
                 backoff.reset()
             await asyncio.sleep(backoff.next())
 
@@ -201,28 +201,28 @@
         Otherwise the peers would rely on this router and miss changes that others of their hall
         can read: a change is to be in force everywhere within 3 s.
         """
-        is_news = not self._state.platform_error
+        was_reachable = not self._state.platform_error
         self._state.platform_error = why
-        if is_news:
+        if was_reachable:
             self._announce()
 
     async def _watch_changes(self) -> None:
-        async for news in self._source.follow(lambda: self._state.fleet):
-            self._apply_news(news)
+        async for configuration_event in self._source.follow(lambda: self._state.fleet):
+            self._apply_configuration_event(configuration_event)
             self._state.platform_error = ""
             await self._peers_discovered.wait()
 
-    def _apply_news(self, news: News) -> None:
-        if isinstance(news, Change):
-            self._apply_change(news)
-        elif isinstance(news, Rejected):
-            self._state.rejected = news
-        elif isinstance(news, Broken):
-            log.error("Configuration cannot be read: {}.", news.reason)
+    def _apply_configuration_event(self, configuration_event: News) -> None:
+        if isinstance(configuration_event, Change):
+            self._apply_change(configuration_event)
+        elif isinstance(configuration_event, Rejected):
+            self._state.rejected = configuration_event
+        elif isinstance(configuration_event, Broken):
+            log.error("Configuration cannot be read: {}.", configuration_event.reason)
         else:
             # Cleared also where this configuration is not newer: the rejected one was replaced.
             self._state.rejected = None
-            if self._state.apply_fleet(news):
+            if self._state.apply_fleet(configuration_event):
                 self._announce()
 
     def _apply_change(self, change: Change) -> None:
@@ -296,9 +296,9 @@
         ]
         if not older_peers:
             return
-        near = [member for member in older_peers if member.hall == self._state.hall]
+        same_hall = [member for member in older_peers if member.hall == self._state.hall]
         pulled = await self._pull(
-            self._rng.choice(near or older_peers), self._state.fleet.version, 0
+            self._rng.choice(same_hall or older_peers), self._state.fleet.version, 0
         )
         if pulled is not None:
             self._state.apply_evacuations(pulled.evacuations)
@@ -310,10 +310,10 @@
         Return whether that brought anything new. Slow pulls stay pending, and their peers are not
         asked again meanwhile.
         """
-        free = [peer for peer in ahead if peer.name not in self._pending_peers]
-        most = min(MAX_CONCURRENT_PULLS - len(self._pending_peers), len(free))
+        not_pending = [peer for peer in ahead if peer.name not in self._pending_peers]
+        limit = min(MAX_CONCURRENT_PULLS - len(self._pending_peers), len(not_pending))
         pulls: set[asyncio.Task[bool]] = set()
-        for peer in self._rng.sample(free, most):
+        for peer in self._rng.sample(not_pending, limit):
             pulls.add(self._tasks.start(self._pull_from_peer(peer)))
             done, pulls = await asyncio.wait(
                 pulls, timeout=PULL_HEDGE_SECONDS, return_when=asyncio.FIRST_COMPLETED
@@ -326,19 +326,19 @@
 
     async def _pull_from_peer(self, peer: Member) -> bool:
         """Pull from one peer and apply its reply; return whether that brought anything new."""
-        begun = self._state.clock()
+        started_at = self._state.clock()
         self._pending_peers.add(peer.name)
         try:
             state = self._state
             pulled = await self._pull(peer, state.fleet.version, state.upstreams.version)
         finally:
             self._pending_peers.discard(peer.name)
-        waited = self._state.clock() - begun
+        seconds = self._state.clock() - started_at
         if pulled is None:
-            log.warning("Router {}, which is ahead, gave nothing in {:.2f} s.", peer.name, waited)
+            log.warning("Router {}, which is ahead, gave nothing in {:.2f} s.", peer.name, seconds)
             return False
-        if waited > SLOW_PULL_SECONDS:
-            log.info("Router {}, which is ahead, took {:.2f} s to answer.", peer.name, waited)
+        if seconds > SLOW_PULL_SECONDS:
+            log.info("Router {}, which is ahead, took {:.2f} s to answer.", peer.name, seconds)
         return self._apply_pulled(peer, pulled)
 
     def _apply_pulled(self, peer: Member, pulled: PulledState) -> bool:
@@ -376,8 +376,8 @@
             return []
         ahead = [member for member in self._state.members() if member.name in names]
         newest = self._with_newest_version(ahead)
-        near = [member for member in newest if member.hall == self._state.hall]
-        return near or newest
+        same_hall = [member for member in newest if member.hall == self._state.hall]
+        return same_hall or newest
 
     def _with_newest_version(self, ahead: list[Member]) -> list[Member]:
         """Return the peers with the newest configuration, else evacuations, else upstreams.
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -136,12 +136,12 @@
             self._in_state(LIVE),
             self._leaving_by_list_and_notice(),
         )
-        news = self.upstreams.take(update, self.era_settling.is_settling(update.version, now))
+        changed = self.upstreams.take(update, self.era_settling.is_settling(update.version, now))
         self.era_settling.note(self.upstreams.version, now)
         self._note_changes(names, live, now)
         self._note_staying(leaving)
         self.join_times.merge_from_peer(update.known_for, update.age_by_name, now)
-        return news
+        return changed
 
     def since(self, version: int, now: float) -> UpstreamUpdate:
         """Return the entries that a peer at a version lacks, and the recent join times."""
@@ -160,12 +160,12 @@
             self._in_state(LIVE),
             self._leaving_by_list_and_notice(),
         )
-        news = self._apply_to_list(event)
+        changed = self._apply_to_list(event)
         self.era_settling.note(self.upstreams.version, now)
-        if news:
+        if changed:
             self._note_changes(names, live, now)
             self._note_staying(leaving)
-        return news
+        return changed
 
     def settle(self, now: float) -> bool:
         """Settle the list once its era has settled; return whether that changed it."""
