--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -34,7 +34,7 @@
 #: Maximum of demands or shares in one packet.
 MAX_PER_PACKET = 20
 #: Seconds without a request after which an account's counts are dropped.
-ACCOUNT_IDLE = 600.0
+ACCOUNT_IDLE_SECONDS = 600.0
 
 
 class FleetLimits:
@@ -69,14 +69,16 @@
     def tick(self, now: float) -> list[Datagram]:
         """Return the packets with the demands that are due, for each home router."""
         self._now = now
-        known = self._fleet().policy_by_account
+        policy_by_account = self._fleet().policy_by_account
         limits = {
-            name: self._limits_of(name) for name in self.share_user.use_by_account if name in known
+            name: self._limits_of(name)
+            for name in self.share_user.use_by_account
+            if name in policy_by_account
         }
         due_demands = self.share_user.demands(now, len(self._live_members), limits)
         if not due_demands:
             return []
-        self.gate.forget_idle(now, ACCOUNT_IDLE)
+        self.gate.forget_idle(now, ACCOUNT_IDLE_SECONDS)
         self.share_user.forget_old(now)
         self.share_home.forget_old(now)
         return self._demand_datagrams(due_demands, now)
@@ -105,11 +107,11 @@
                 )
                 self.share_user.given(share, self._now)
             return []
-        known = self._fleet().policy_by_account
+        policy_by_account = self._fleet().policy_by_account
         shares = [
             self._allocate_share(message.sender, limit_demand)
             for limit_demand in message.demands
-            if limit_demand.account in known
+            if limit_demand.account in policy_by_account
         ]
         return [self._gossip.limit_datagram(LimitShares(tuple(shares)), source)]
 
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -71,7 +71,7 @@
 #: share the engine: with fewer, requests that overlap would each open a connection.
 MIN_IDLE_CONNECTIONS = 2
 #: Decisions kept for the state dump.
-KEPT_DECISIONS = 64
+MAX_DECISIONS = 64
 #: Source of a configuration that was read from the platform and not pulled from a peer.
 PLATFORM_SOURCE = "the platform"
 
@@ -133,7 +133,7 @@
     needs_snapshot: bool = False
     #: For how long this router has known of a newer configuration.
     lag: ConfigurationLag = field(default_factory=ConfigurationLag)
-    decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=KEPT_DECISIONS))
+    decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=MAX_DECISIONS))
     #: This router as a holder of idempotency keys.
     local_key_holder: KeyHolder = field(init=False)
     _members: tuple[Member, ...] = ()
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -250,8 +250,8 @@
     async def _watch(
         self,
         kind: str,
-        take_listed: Callable[[Listed], bool],
-        take_event: Callable[[WatchEvent], bool],
+        apply_listed: Callable[[Listed], bool],
+        apply_event: Callable[[WatchEvent], bool],
         may_be_old: bool = False,
     ) -> None:
         """List the objects of a kind, then watch them; announce each change to peers."""
@@ -259,11 +259,11 @@
         if isinstance(listed, Unavailable):
             raise PlatformLost(listed.reason)
         self._state.platform_error = ""
-        if take_listed(listed):
+        if apply_listed(listed):
             self._announce()
         await self._peers_discovered.wait()
         async for event in self._platform.watch(kind, listed.version):
-            if take_event(event):
+            if apply_event(event):
                 self._announce()
 
     # -- from peers ---------------------------------------------------------
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -138,8 +138,8 @@
         )
         changed = self.upstreams.take(update, self.era_settling.is_settling(update.version, now))
         self.era_settling.note(self.upstreams.version, now)
-        self._note_changes(names, live, now)
-        self._note_staying(leaving)
+        self._record_changes(names, live, now)
+        self._reopen_staying(leaving)
         self.join_times.merge_from_peer(update.known_for, update.age_by_name, now)
         return changed
 
@@ -163,8 +163,8 @@
         changed = self._apply_to_list(event)
         self.era_settling.note(self.upstreams.version, now)
         if changed:
-            self._note_changes(names, live, now)
-            self._note_staying(leaving)
+            self._record_changes(names, live, now)
+            self._reopen_staying(leaving)
         return changed
 
     def settle(self, now: float) -> bool:
@@ -182,14 +182,14 @@
             return self.upstreams.remove(event.name, event.version)
         return False
 
-    def _note_changes(
+    def _record_changes(
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
         self.join_times.note(names_before, self._names(), now)
         self.cold_periods.note(self.upstreams.entry_by_name.values(), now)
-        self._note_vanished(live_before, now)
+        self._record_vanished(live_before, now)
 
-    def _note_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
+    def _record_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
         """Record which live upstreams vanished without a report, and which are back."""
         for name, entry in self.upstreams.entry_by_name.items():
             if entry.upstream.state != REMOVED:
@@ -203,7 +203,7 @@
         notified = (name for name in self.notices.names() if name in by_name)
         return frozenset(name for name in notified if by_name[name].upstream.state == LEAVING)
 
-    def _note_staying(self, leaving_before: frozenset[str]) -> None:
+    def _reopen_staying(self, leaving_before: frozenset[str]) -> None:
         """Reopen the upstreams that the list showed as leaving before and shows as live now.
 
         An upstream that a notice closed is not reopened by a live entry alone, as the list may be
@@ -214,9 +214,9 @@
             if entry is not None and entry.upstream.state == LIVE:
                 self.notices.stays(name)
 
-    def _has_restarted(self, ended: Upstream) -> bool:
-        newest = self.upstreams.newest(ended.id)
-        return newest is not None and newest.upstream.name != ended.name
+    def _has_restarted(self, removed: Upstream) -> bool:
+        newest = self.upstreams.newest(removed.id)
+        return newest is not None and newest.upstream.name != removed.name
 
     def _names(self) -> frozenset[str]:
         return frozenset(self.upstreams.entry_by_name)
