--- a/pondhatch/cli/_own_state.py
+++ b/pondhatch/cli/_own_state.py
@@ -43,10 +43,10 @@
         gossip,
         time.monotonic,
         connections.to,
-        retries=RetryBudgets(_allowance(settings.retries)),
+        retry_budgets=RetryBudgets(_allowance(settings.retries)),
         halls=HallStates(settings.regions or {}),
-        cold_paces=ColdPacer(_cold_allowance(settings.cold)),
-        held=HeldBytes(settings.held_bytes_bound),
+        cold_pacer=ColdPacer(_cold_allowance(settings.cold)),
+        held_bytes=HeldBytes(settings.held_bytes_bound),
         engine_queue=settings.service_defaults.engine_queue,
         load_management=load_management,
     )
--- a/pondhatch/cli/_stopping.py
+++ b/pondhatch/cli/_stopping.py
@@ -12,7 +12,7 @@
 from pondhatch.configuration import Settings
 from pondhatch.membership import Phase
 from pondhatch.requests import HOLDERS
-from pondhatch.router import Authority, Beliefs, Granting, RouterState
+from pondhatch.router import Authority, GrantExchange, RouterState, StateRecorder
 from pondhatch.transport import Callers
 
 #: Seconds between looks at what still runs while draining.
@@ -30,9 +30,9 @@
     state: RouterState
     callers: Callers
     authority: Authority
-    granting: Granting
+    granting: GrantExchange
     spreading: Spreading
-    beliefs: Beliefs
+    beliefs: StateRecorder
     #: The settings now in force.
     settings: Callable[[], Settings]
 
@@ -63,22 +63,22 @@
     async def _step_down(self) -> None:
         """Give the leases of services up, so that the next router need not wait for them."""
         deadline = time.monotonic() + STEP_DOWN_SECONDS
-        while self.authority.holds_anything() and time.monotonic() < deadline:
+        while self.authority.holds_any_lease() and time.monotonic() < deadline:
             await asyncio.sleep(DRAIN_STEP)
 
     async def _hand_over_keys(self) -> None:
         """Give the keys held here to those who hold them from now on."""
-        for key, record in tuple(self.state.keys.record_by_key.items()):
+        for key, record in tuple(self.state.key_table.record_by_key.items()):
             for name in self.state.key_holders(key)[:HOLDERS]:
                 holder = self.state.key_holder(name)
                 if holder is not None:
                     await holder.settle(key, record)
 
     def _note(self, now: str) -> None:
-        self.beliefs.note_process(now, f"{self.callers.in_flight} requests in flight")
+        self.beliefs.record_process(now, f"{self.callers.in_flight} requests in flight")
 
     def _announce(self) -> None:
         """Tell peers of this router's phase."""
-        self.state.refresh()
+        self.state.refresh_members()
         self.granting.follow_members()
         self.spreading.spread()
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -27,7 +27,7 @@
 )
 from pondhatch.membership._load_aggregation import report_interval
 from pondhatch.membership._records import Fault
-from pondhatch.router._sync import MEETING_SECONDS
+from pondhatch.router._sync import PEER_DISCOVERY_SECONDS
 
 Edge = tuple[int, int]
 TICK_SECONDS = 0.1
@@ -90,7 +90,7 @@
                 addresses = [Address("127.0.0.1", 7000 + at) for at in range(routers)]
                 for at, core in enumerate(net.cores):
                     core.add_seeds(addresses[: at + 1])
-                net.run(MEETING_SECONDS - TICK_SECONDS)
+                net.run(PEER_DISCOVERY_SECONDS - TICK_SECONDS)
                 known = [len(net.members_seen_by(at)) for at in range(routers)]
                 self.assertGreaterEqual(min(known), 0.8 * routers)
 
--- /dev/null
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -0,0 +1,226 @@
+"""Shares evidence of requests that crash engines, so that they are kept from the other engines.
+
+A router that sees an engine crash while it runs a request sends the evidence to all others at
+once, and again 0.1 s later. Every two seconds it sends a sample of all known evidence to one random
+router, and three routers send all of it to a router that is new or back. Without evidence nothing
+is sent.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable, Coroutine, Iterable, Iterator, Sequence
+from typing import Any
+
+import msgspec
+
+from pondhatch.kernel import Tasks
+from pondhatch.membership import Datagram, Member, short_id
+from pondhatch.observing import Believed, Records
+from pondhatch.quarantine import Evidence, EvidencePacket, Trial, TrialPacket, Trials
+from pondhatch.requests import NO_WATCH, RequestWatch, Target
+from pondhatch.router._crash_watch import CrashWatch
+from pondhatch.router._new_members import NewMembers
+from pondhatch.router._state import RouterState
+
+#: First byte of a packet on suspected requests; no membership or grant packet begins with it.
+CRASH_PACKET_PREFIX = b"\x02"
+#: Maximum of pieces of evidence in one packet: with names of 25 bytes it fits into an Ethernet
+#: frame.
+EVIDENCE_PER_PACKET = 24
+#: Seconds between two samples of the known evidence: 0.5 KB/s at most, and a few of them bring a
+#: router what it missed.
+SAMPLE_INTERVAL_SECONDS = 2.0
+#: Seconds before each probe of whether an engine still listens, after a request lost its connection
+#: to it. A process that ends closes its connections before its port, and on a busy VM other
+#: processes may run between the two for tens of milliseconds. So one probe that finds the port open
+#: proves little.
+FIRST_PROBE_DELAYS = (0.0, 0.02)
+LATER_PROBE_DELAYS = (0.1, 0.4)
+#: Maximum seconds for which a request waits for the first probes.
+FIRST_PROBES_TIMEOUT_SECONDS = 0.1
+
+SendAll = Callable[[Iterable[Datagram]], None]
+#: Returns whether nothing listens at an engine any more.
+HasCrashed = Callable[[Target], Coroutine[Any, Any, bool]]
+
+
+class CrashEvidenceExchange:
+    """One router's implementation of CrashGuard, which shares its evidence with the others."""
+
+    def __init__(
+        self,
+        state: RouterState,
+        send: SendAll,
+        tasks: Tasks,
+        rng: random.Random,
+        records: Records,
+        has_crashed: HasCrashed,
+    ) -> None:
+        self.suspects = state.suspects
+        self._trials = Trials(short_id(state.name))
+        self._state = state
+        self._send = send
+        self._tasks = tasks
+        self._rng = rng
+        self._records = records
+        self._has_crashed = has_crashed
+        #: Evidence to be sent to all routers once more.
+        self._to_repeat: list[Evidence] = []
+        self._sampled_at = float("-inf")
+        self._new_members = NewMembers(state)
+        self._encoder = msgspec.msgpack.Encoder()
+        self._decoder = msgspec.msgpack.Decoder(EvidencePacket | TrialPacket)
+
+    def watch(self, digest: int) -> RequestWatch:
+        """Return the watch of one request; see CrashGuard."""
+        return CrashWatch(self, digest) if digest else NO_WATCH
+
+    def is_quarantined(self, digest: int) -> bool:
+        """Return whether a request must not be run for now."""
+        return self.suspects.is_quarantined(digest, self._state.clock())
+
+    async def note_connection_lost(self, digest: int, target: Target) -> bool:
+        """Probe whether the engine crashed, and share the evidence if so; see RequestWatch.
+
+        The probes continue if the caller leaves meanwhile: otherwise a caller that gives up after
+        each crash would leave no evidence. The request waits for the first probes only.
+        """
+        probing = self._tasks.start(self._probe(digest, target, FIRST_PROBE_DELAYS))
+        try:
+            has_crashed = await asyncio.wait_for(
+                asyncio.shield(probing), FIRST_PROBES_TIMEOUT_SECONDS
+            )
+        except TimeoutError:
+            has_crashed = False
+        if not has_crashed:
+            self._tasks.start(self._probe(digest, target, LATER_PROBE_DELAYS))
+        return has_crashed
+
+    async def _probe(self, digest: int, target: Target, delays: tuple[float, ...]) -> bool:
+        for delay in delays:
+            await asyncio.sleep(delay)
+            if await self._has_crashed(target):
+                self._record_crash(digest, target)
+                return True
+        return False
+
+    def _record_crash(self, digest: int, target: Target) -> None:
+        name = self.suspects.crash_name(target.name, self._state.clock())
+        evidence = Evidence(digest, name, 0)
+        if self._apply_evidence(evidence):
+            self._record(digest, "suspected", f"{name} ended while it ran it")
+            self._broadcast((evidence,))
+
+    def note_completed(self, digest: int) -> None:
+        """Clear a request; see RequestWatch."""
+        self._clear(digest, "it came through whole")
+
+    def lift_quarantine(self, digest: int) -> bool:
+        """Clear a request at all routers; return whether there was evidence against it."""
+        return self._clear(digest, "an operator lifted its quarantine")
+
+    def _clear(self, digest: int, why: str) -> bool:
+        found = self.suspects.clear_request(digest, self._state.clock())
+        if found:
+            self._record(digest, "cleared", why)
+            self._broadcast(found)
+        return bool(found)
+
+    def since_last_crash(self, digest: int) -> float:
+        """Return the seconds since an engine last crashed while it ran a suspected request."""
+        suspect = self.suspects.suspect_by_digest[digest]
+        return self._state.clock() - suspect.last_crash_at
+
+    def claim(self, digest: int) -> Trial:
+        """Claim the next run of a suspected request, and send the claim to all routers."""
+        trial = self._trials.claim(digest, self._state.clock())
+        self._send_to_all(TrialPacket(trial))
+        return trial
+
+    def goes_first(self, trial: Trial) -> bool:
+        """Return whether it is the claim's turn."""
+        now = self._state.clock()
+        return self._trials.goes_first(trial, now, self.suspects.share_crash)
+
+    def withdraw_claim(self, trial: Trial) -> None:
+        """Withdraw a claim at all routers."""
+        self._trials.remove(trial)
+        self._send_to_all(TrialPacket(trial, has_ended=True))
+
+    def receive(self, payload: bytes) -> None:
+        """Handle a packet without its prefix; a packet that does not parse is dropped."""
+        try:
+            packet = self._decoder.decode(payload)
+        except (msgspec.DecodeError, ValueError):
+            return
+        if isinstance(packet, EvidencePacket):
+            for evidence in packet.evidence:
+                self._apply_evidence(evidence)
+        elif packet.has_ended:
+            self._trials.remove(packet.trial)
+        else:
+            self._trials.add(packet.trial, self._state.clock())
+
+    def tick(self) -> None:
+        """Run the periodic work of one round."""
+        if self._to_repeat:
+            to_repeat, self._to_repeat = self._to_repeat, []
+            self._send_evidence(to_repeat, self._others())
+        self._send_to_new_members()
+        self._send_sample()
+
+    def _apply_evidence(self, evidence: Evidence) -> bool:
+        """Apply evidence, and record a quarantine that follows; return whether it was new."""
+        was_quarantined = self.is_quarantined(evidence.digest)
+        is_new = self.suspects.add(evidence, self._state.clock())
+        if is_new and not was_quarantined and self.is_quarantined(evidence.digest):
+            engines = self.suspects.suspect_by_digest[evidence.digest].uncleared_engines()
+            self._record(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
+        return is_new
+
+    def _broadcast(self, evidence: tuple[Evidence, ...]) -> None:
+        self._to_repeat += evidence
+        self._send_evidence(evidence, self._others())
+
+    def _send_to_new_members(self) -> None:
+        """Send all known evidence to routers that are new or back."""
+        new_members = self._new_members.to_inform(bool(self.suspects.suspect_by_digest))
+        if new_members:
+            evidence = self.suspects.all_evidence(self._state.clock())
+            self._send_evidence(evidence, new_members)
+
+    def _send_sample(self) -> None:
+        """Send a sample of the known evidence to one random router, if that is due."""
+        now = self._state.clock()
+        if now - self._sampled_at < SAMPLE_INTERVAL_SECONDS or not self.suspects.suspect_by_digest:
+            return
+        self._sampled_at = now
+        others = self._others()
+        evidence = self.suspects.sample_evidence(now, self._rng, EVIDENCE_PER_PACKET)
+        if others and evidence:
+            self._send_evidence(evidence, [self._rng.choice(others)])
+
+    def _others(self) -> list[Member]:
+        return [each for each in self._state.members() if each.name != self._state.name]
+
+    def _send_evidence(self, evidence: Sequence[Evidence], to: list[Member]) -> None:
+        for batch in _in_packets(evidence):
+            self._send_packet(EvidencePacket(batch), to)
+
+    def _send_to_all(self, packet: TrialPacket) -> None:
+        self._send_packet(packet, self._others())
+
+    def _send_packet(self, packet: EvidencePacket | TrialPacket, to: list[Member]) -> None:
+        payload = CRASH_PACKET_PREFIX + self._encoder.encode(packet)
+        self._send(Datagram(member.address, payload) for member in to)
+
+    def _record(self, digest: int, now: str, why: str) -> None:
+        self._records.note(Believed("request", f"{digest:x}", now, why=why))
+
+
+def _in_packets(evidence: Sequence[Evidence]) -> Iterator[tuple[Evidence, ...]]:
+    """Yield evidence in batches that each fit into a packet."""
+    for at in range(0, len(evidence), EVIDENCE_PER_PACKET):
+        yield tuple(evidence[at : at + EVIDENCE_PER_PACKET])
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -1,4 +1,4 @@
-"""What a router knows of data halls: their regions, and which of them are evacuated."""
+"""The state of data halls in a router's view: their regions, and which are evacuated."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from pondhatch.placement import ClosedReason, Intake, Regions
 from pondhatch.store import Evacuations, EvacuationUpdate, Listed, WatchEvent
 
-#: Seconds after an evacuation in which the hall's upstreams count as cold. They may have turned
-#: cold just before its end, and their own word on that comes another way.
-JUST_OPENED_SECONDS = 1.0
+#: Seconds after the end of an evacuation in which the hall's upstreams count as cold. They may have
+#: turned cold just before, and their own report of that arrives on another path.
+JUST_REOPENED_SECONDS = 1.0
 
 
 class HallStates(msgspec.Struct):
@@ -20,43 +20,43 @@
     region_by_hall: Mapping[str, str] = msgspec.field(default_factory=dict)
     evacuations: Evacuations = msgspec.field(default_factory=Evacuations)
     #: When this router learned that a hall is no longer evacuated, in the clock's seconds.
-    _opened_at: dict[str, float] = msgspec.field(default_factory=dict)
+    _reopened_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def region(self, hall: str) -> str:
-        """Return a hall's region, empty where nobody says."""
+        """Return a hall's region, or an empty string for an unknown one."""
         return self.region_by_hall.get(hall, "")
 
-    def closed(self, hall: str, regions: Regions) -> ClosedReason | None:
-        """Return why a hall's upstreams may not get new requests bound to some regions."""
+    def closed_reason(self, hall: str, regions: Regions) -> ClosedReason | None:
+        """Return why a hall is closed to new requests bound to some regions, or None if open."""
         intake = Intake(is_evacuated=self.evacuations.is_evacuated(hall), region=self.region(hall))
         return intake.closed_reason(regions)
 
-    def just_opened(self, hall: str, now: float) -> bool:
-        """Return whether a hall was evacuated until a moment ago."""
-        opened_at = self._opened_at.get(hall)
-        return opened_at is not None and now - opened_at < JUST_OPENED_SECONDS
+    def is_just_reopened(self, hall: str, now: float) -> bool:
+        """Return whether an evacuation of the hall has just ended."""
+        reopened_at = self._reopened_at.get(hall)
+        return reopened_at is not None and now - reopened_at < JUST_REOPENED_SECONDS
 
-    def take_listing(self, listed: Listed, now: float) -> bool:
-        """Take in the evacuations that the platform lists; return whether any was news."""
+    def apply_listing(self, listed: Listed, now: float) -> bool:
+        """Apply the platform's list of evacuations; return whether anything changed."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take_listing(listed, now), now)
+        return self._note_reopened(before, self.evacuations.take_listing(listed, now), now)
 
-    def take_event(self, event: WatchEvent, now: float) -> bool:
-        """Take in one event of a watch on evacuations; return whether it was news."""
+    def apply_event(self, event: WatchEvent, now: float) -> bool:
+        """Apply one event of the watch on evacuations; return whether it changed anything."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take_event(event), now)
+        return self._note_reopened(before, self.evacuations.take_event(event), now)
 
-    def take(self, update: EvacuationUpdate, now: float) -> bool:
-        """Take in what a peer knows of evacuations; return whether any was news."""
+    def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
+        """Apply the evacuations that a peer knows; return whether anything changed."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take(update, now), now)
+        return self._note_reopened(before, self.evacuations.take(update, now), now)
 
     def settle(self, now: float) -> bool:
-        """Do what is due once an era has settled; return whether that changed anything."""
+        """Settle the evacuations once their era has settled; return whether that changed any."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.settle(now), now)
+        return self._note_reopened(before, self.evacuations.settle(now), now)
 
-    def _opened(self, before: frozenset[str], is_news: bool, now: float) -> bool:
-        """Note which halls are evacuated no longer; return whether there was news."""
-        self._opened_at |= dict.fromkeys(before - self.evacuations.halls, now)
-        return is_news
+    def _note_reopened(self, before: frozenset[str], changed: bool, now: float) -> bool:
+        """Record the halls whose evacuation has ended; return ``changed`` as it is."""
+        self._reopened_at |= dict.fromkeys(before - self.evacuations.halls, now)
+        return changed
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -1,4 +1,8 @@
-"""An account's limits over the fleet: this router's demands, and those it is home to."""
+"""Fleet-wide limits of accounts.
+
+Each router sends its demand for an account to the account's home router, which returns the router's
+share of the limits.
+"""
 
 from __future__ import annotations
 
@@ -27,98 +31,104 @@
 )
 from pondhatch.placement import winner
 
-#: Demands or shares in one packet at most.
-IN_ONE_PACKET = 20
+#: Maximum of demands or shares in one packet.
+MAX_PER_PACKET = 20
 #: Seconds without a request after which an account's counts are dropped.
-ACCOUNT_IDLE = 600.0
+ACCOUNT_IDLE_SECONDS = 600.0
 
 
 class FleetLimits:
-    """Holds accounts to their limits, together with the other routers."""
+    """Enforces accounts' limits together with the other routers."""
 
     def __init__(self, name: str, gossip: Gossip, fleet: Callable[[], FleetConfiguration]) -> None:
         self.gate = AccountGate()
-        self.user = ShareUser()
-        self.home = ShareHome()
+        self.share_user = ShareUser()
+        self.share_home = ShareHome()
         self._name = name
         self._gossip = gossip
         self._fleet = fleet
-        self._live: tuple[Member, ...] = ()
+        self._live_members: tuple[Member, ...] = ()
         self._now = 0.0
         gossip.on_limits = self._receive
 
     def set_live(self, live: tuple[Member, ...]) -> None:
-        """Set the routers that are neither draining nor gone."""
-        self._live = live
-
-    def begin(self, account: str, now: float) -> LimitVerdict:
-        """Hold a request against the account's limits."""
-        self.user.came(account, self.gate.running(account), now)
-        whole = self._limits_of(account)
-        here = self.user.limits(account, whole, len(self._live), now)
-        return self.gate.begin(account, here, now)
-
-    def end(self, account: str) -> None:
-        """Note that a request that was allowed has ended."""
+        """Set the live routers: those that are neither draining nor gone."""
+        self._live_members = live
+
+    def begin_request(self, account: str, now: float) -> LimitVerdict:
+        """Check a request against the account's limits, and count it if it is allowed."""
+        self.share_user.came(account, self.gate.running(account), now)
+        fleet_limits = self._limits_of(account)
+        own_limits = self.share_user.limits(account, fleet_limits, len(self._live_members), now)
+        return self.gate.begin(account, own_limits, now)
+
+    def end_request(self, account: str) -> None:
+        """Record that an allowed request has ended."""
         self.gate.end(account)
 
     def tick(self, now: float) -> list[Datagram]:
-        """Return the demands that are due, a packet for each home."""
+        """Return the packets with the demands that are due, for each home router."""
         self._now = now
-        known = self._fleet().policy_by_account
-        limits = {name: self._limits_of(name) for name in self.user.use_by_account if name in known}
-        wanted = self.user.demands(now, len(self._live), limits)
-        if not wanted:
+        policy_by_account = self._fleet().policy_by_account
+        limits = {
+            name: self._limits_of(name)
+            for name in self.share_user.use_by_account
+            if name in policy_by_account
+        }
+        due_demands = self.share_user.demands(now, len(self._live_members), limits)
+        if not due_demands:
             return []
-        self.gate.forget_idle(now, ACCOUNT_IDLE)
-        self.user.forget_old(now)
-        self.home.forget_old(now)
-        return self._to_homes(wanted, now)
+        self.gate.forget_idle(now, ACCOUNT_IDLE_SECONDS)
+        self.share_user.forget_old(now)
+        self.share_home.forget_old(now)
+        return self._demand_datagrams(due_demands, now)
 
-    def _to_homes(self, wanted: tuple[Demand, ...], now: float) -> list[Datagram]:
-        by_name = {member.name: member for member in self._live}
+    def _demand_datagrams(self, due_demands: tuple[Demand, ...], now: float) -> list[Datagram]:
+        by_name = {member.name: member for member in self._live_members}
         demands_by_home: dict[str, list[Demand]] = {}
-        for demand in wanted:
+        for demand in due_demands:
             home = winner(f"limit:{demand.account}", by_name)
             if home is not None:
                 demands_by_home.setdefault(home, []).append(demand)
         for demand in demands_by_home.pop(self._name, []):
-            share = self.home.asked(self._name, demand, self._limits_of(demand.account), now)
-            self.user.given(share, now)
+            share = self.share_home.asked(self._name, demand, self._limits_of(demand.account), now)
+            self.share_user.given(share, now)
         return [
             self._gossip.limit_datagram(message, by_name[home].address)
             for home, demands in demands_by_home.items()
-            for message in _packed(self._name, demands)
+            for message in _in_packets(self._name, demands)
         ]
 
     def _receive(self, message: LimitMessage, source: Address) -> list[Datagram]:
         if isinstance(message, LimitShares):
-            for given in message.shares:
-                share = Share(given.account, given.requests_per_second, given.concurrency)
-                self.user.given(share, self._now)
+            for limit_share in message.shares:
+                share = Share(
+                    limit_share.account, limit_share.requests_per_second, limit_share.concurrency
+                )
+                self.share_user.given(share, self._now)
             return []
-        known = self._fleet().policy_by_account
+        policy_by_account = self._fleet().policy_by_account
         shares = [
-            self._share(message.sender, asked)
-            for asked in message.demands
-            if asked.account in known
+            self._allocate_share(message.sender, limit_demand)
+            for limit_demand in message.demands
+            if limit_demand.account in policy_by_account
         ]
         return [self._gossip.limit_datagram(LimitShares(tuple(shares)), source)]
 
-    def _share(self, router: str, asked: LimitDemand) -> LimitShare:
-        demand = Demand(asked.account, asked.rate, asked.running)
-        whole = self._limits_of(asked.account)
-        share = self.home.asked(router, demand, whole, self._now)
-        return LimitShare(asked.account, share.requests_per_second, share.concurrency)
+    def _allocate_share(self, router: str, limit_demand: LimitDemand) -> LimitShare:
+        demand = Demand(limit_demand.account, limit_demand.rate, limit_demand.running)
+        fleet_limits = self._limits_of(limit_demand.account)
+        share = self.share_home.asked(router, demand, fleet_limits, self._now)
+        return LimitShare(limit_demand.account, share.requests_per_second, share.concurrency)
 
     def _limits_of(self, account: str) -> AccountLimits:
         policy = self._fleet().policy_by_account[account]
         return AccountLimits(policy.requests_per_second, policy.burst, policy.concurrency)
 
 
-def _packed(sender: str, demands: list[Demand]) -> list[LimitDemands]:
+def _in_packets(sender: str, demands: list[Demand]) -> list[LimitDemands]:
     wire = [LimitDemand(each.account, each.rate, each.running) for each in demands]
     return [
-        LimitDemands(sender, tuple(wire[at : at + IN_ONE_PACKET]))
-        for at in range(0, len(wire), IN_ONE_PACKET)
+        LimitDemands(sender, tuple(wire[at : at + MAX_PER_PACKET]))
+        for at in range(0, len(wire), MAX_PER_PACKET)
     ]
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -1,6 +1,6 @@
-"""What one router knows, and the answers that its decisions read from it.
+"""The state of one router, and the queries that its routing decisions make.
 
-No I/O here: the shell hands in packets, listings, changes and time.
+This module does no I/O: its callers pass in packets, listings, changes and time.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 from pondhatch.requests import DecisionNote, KeyHolder, KeyTable, LocalKeyHolder, Target
 from pondhatch.router._hall_states import HallStates
 from pondhatch.router._intakes import Intakes
-from pondhatch.router._lag import Lag
+from pondhatch.router._lag import ConfigurationLag
 from pondhatch.router._limits import FleetLimits
 from pondhatch.router._owners import Owners
 from pondhatch.router._upstream_changes import UpstreamChanges
@@ -61,81 +61,83 @@
     WatchEvent,
 )
 
-#: Seconds from a router's start in which it grants nothing at cold upstreams: until it has met
-#: its peers, it takes itself for the owner of all.
-ALONE_SECONDS = 0.5
-#: Seconds after the last pace that was read for which load is still managed: engines that state
-#: one do so in each answer, and a service may see no request for a while.
-PACED_SECONDS = 60.0
-#: Idle connections to one engine that a router may keep, however many routers share it: with
-#: fewer, requests that overlap would open one each.
-LEAST_IDLE_CONNECTIONS = 2
+#: Seconds after its start in which a router grants no requests at cold upstreams: until it has
+#: discovered its peers, it takes itself for the owner of all upstreams.
+NO_COLD_GRANTS_SECONDS = 0.5
+#: Seconds for which load stays managed after a pace was last read. Engines that report a pace do
+#: so in each answer, but a service may get no request for a while.
+PACE_TIMEOUT_SECONDS = 60.0
+#: Minimum of the idle connections to one engine that a router may keep, however many routers
+#: share the engine: with fewer, requests that overlap would each open a connection.
+MIN_IDLE_CONNECTIONS = 2
 #: Decisions kept for the state dump.
-KEPT_DECISIONS = 64
-#: Who gave a configuration that no peer gave.
-PLATFORM = "the platform"
+MAX_DECISIONS = 64
+#: Source of a configuration that was read from the platform and not pulled from a peer.
+PLATFORM_SOURCE = "the platform"
 
 
 @dataclass
 class RouterState:
-    """One router's state; see OwnerView and EntryView for what reads it."""
+    """One router's state; OwnerView and EntryView are the interfaces through which it is read."""
 
     name: str
     hall: str
     gossip: Gossip
     clock: Callable[[], float]
-    #: Returns the way to another router.
+    #: Returns a client for another router's idempotency keys.
     connect: Callable[[Member], KeyHolder]
     fleet: FleetConfiguration = field(default_factory=FleetConfiguration)
     upstreams: UpstreamList = field(default_factory=UpstreamList)
-    #: Those whose entries went a short while ago.
+    #: Upstreams whose entries vanished from the list a short while ago.
     vanished: Vanished = field(default_factory=Vanished)
-    #: What is known of data halls: their regions, and which are evacuated.
+    #: Regions of data halls, and which halls are evacuated.
     halls: HallStates = field(default_factory=HallStates)
     gate: Gate = field(default_factory=Gate)
-    cold_paces: ColdPacer = field(default_factory=ColdPacer)
-    #: Tokens that requests hold at the engines that this router owns.
-    tokens: TokenCounts = field(default_factory=TokenCounts)
-    memory: ContextLocations = field(default_factory=ContextLocations)
-    #: Which engine answered a chat last through this router.
-    served: ContextLocations = field(default_factory=ContextLocations)
-    keys: KeyTable = field(default_factory=KeyTable)
+    cold_pacer: ColdPacer = field(default_factory=ColdPacer)
+    #: Tokens of engine memory that requests hold at the engines that this router owns.
+    token_counts: TokenCounts = field(default_factory=TokenCounts)
+    #: The engine that holds the context of each chat that was sent past its home engine.
+    spill_locations: ContextLocations = field(default_factory=ContextLocations)
+    #: The engine that last answered each chat through this router.
+    last_served_engines: ContextLocations = field(default_factory=ContextLocations)
+    key_table: KeyTable = field(default_factory=KeyTable)
     health: Health = field(default_factory=Health)
-    #: Requests under which engines ended.
+    #: Requests that were running when an engine crashed.
     suspects: Suspects = field(default_factory=Suspects)
     limits: FleetLimits = field(init=False)
-    retries: RetryBudgets = field(default_factory=RetryBudgets)
-    #: Bytes held for callers and engines, by account.
-    held: HeldBytes = field(default_factory=HeldBytes)
-    #: What upstreams said of themselves in their answers.
+    retry_budgets: RetryBudgets = field(default_factory=RetryBudgets)
+    #: Bytes buffered for callers and engines, by account.
+    held_bytes: HeldBytes = field(default_factory=HeldBytes)
+    #: What upstreams reported of themselves in their answers: that they leave or rest.
     notices: Notices = field(default_factory=Notices)
-    #: How fast engines work now, as they report it.
+    #: The current processing speed of engines, as they report it.
     paces: EnginePaces = field(default_factory=EnginePaces)
-    #: When load is managed; see ``load_managed``.
+    #: The setting that decides when load is managed; see ``load_managed``.
     load_management: LoadManagement = "off"
-    #: When this router last read an engine's pace, in the clock's seconds.
+    #: When this router last read a pace in an engine's answer, in the clock's seconds.
     pace_read_at: float = float("-inf")
-    #: Requests that one engine queues itself beyond its slots.
+    #: Requests beyond its slots that one engine queues by itself.
     engine_queue: int = 0
     phase: Phase = Phase.LIVE
-    #: Why the platform was last found out of reach; empty while it answers.
-    platform_lost: str = ""
-    #: Why the newest configuration that was read here is none at all; None where it is in force.
-    refused: Rejected | None = None
-    #: When the configuration in force came into force, in seconds since 1970.
+    #: Why the platform is unreachable; empty while it answers.
+    platform_error: str = ""
+    #: Why the newest configuration that was read here was rejected as a whole; None where it is
+    #: in force.
+    rejected: Rejected | None = None
+    #: When the current configuration came into force, in seconds since 1970.
     in_force_at: float = 0.0
-    #: Who gave the configuration in force: the platform, or a peer by name.
-    in_force_from: str = ""
-    #: Whether what differed did not fit what is in force here, so that peers are asked for the
-    #: whole.
-    wants_whole: bool = False
-    #: For how long this router has known of a newer one.
-    lag: Lag = field(default_factory=Lag)
-    decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=KEPT_DECISIONS))
-    #: This router's own side as a holder of keys.
-    local: KeyHolder = field(init=False)
+    #: Where the configuration in force came from: the platform, or a peer by name.
+    configuration_source: str = ""
+    #: Whether a peer's difference did not apply to the configuration in force here, so that the
+    #: next pull asks for a snapshot.
+    needs_snapshot: bool = False
+    #: For how long this router has known of a newer configuration.
+    lag: ConfigurationLag = field(default_factory=ConfigurationLag)
+    decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=MAX_DECISIONS))
+    #: This router as a holder of idempotency keys.
+    local_key_holder: KeyHolder = field(init=False)
     _members: tuple[Member, ...] = ()
-    #: Names of those that are neither draining nor gone: asked for ten times a second.
+    #: Names of the routers that are neither draining nor gone. Cached: read ten times a second.
     _live_routers: tuple[str, ...] = ()
     _member_by_name: dict[str, Member] = field(default_factory=dict)
     _started_at: float = field(init=False)
@@ -146,13 +148,13 @@
     def __post_init__(self) -> None:
         self.limits = FleetLimits(self.name, self.gossip, lambda: self.fleet)
         self._started_at = self.clock()
-        self.local = LocalKeyHolder(self.keys, self.clock)
+        self.local_key_holder = LocalKeyHolder(self.key_table, self.clock)
         self._upstream_changes = UpstreamChanges(self.upstreams, self.vanished, self.notices)
         self._intakes = Intakes(
             self.upstreams,
             self.vanished,
             self.halls,
-            self._upstream_changes.cold,
+            self._upstream_changes.cold_periods,
             self.notices,
             lambda: self.clock(),
             lambda: self.fleet.service_by_name,
@@ -162,37 +164,37 @@
     # -- membership ---------------------------------------------------------
 
     def members(self) -> tuple[Member, ...]:
-        """Return the routers that are believed to be there, this one included."""
+        """Return the current members of the fleet, this router included."""
         return self._members
 
-    def refresh(self) -> None:
-        """Take in who is there now; called each round and after each packet's news."""
+    def refresh_members(self) -> None:
+        """Update the members from gossip; called each round and after each gossip packet."""
         members = self.gossip.members(self.clock())
         if members is self._members:
             return
         member_by_name = {member.name: member for member in members}
         for gone in self._member_by_name.keys() - member_by_name.keys():
-            self.keys.lost_router(gone)
+            self.key_table.lost_router(gone)
         self._members = members
         self._member_by_name = member_by_name
         live = tuple(member for member in members if member.phase == Phase.LIVE)
         self._live_routers = tuple(member.name for member in live)
         self.limits.set_live(live)
-        self._owners.follow(live)
+        self._owners.set_live(live)
 
     def owner_name(self, engine: str) -> str | None:
-        """Return the router that owns an engine in this router's view."""
-        return self._owners.of(engine)
+        """Return the name of the engine's owner in this router's view."""
+        return self._owners.owner_name(engine)
 
     def key_holder(self, name: str) -> KeyHolder | None:
-        """Return the way to a router as a holder of keys, or None where it is not known."""
+        """Return a client for the keys that a router holds, or None for an unknown router."""
         if name == self.name:
-            return self.local
+            return self.local_key_holder
         member = self._member_by_name.get(name)
         return self.connect(member) if member is not None else None
 
     def key_holders(self, key: str, regions: Regions = None) -> tuple[str, ...]:
-        """Return the live routers of some regions, ranked for a key."""
+        """Return the names of the live routers of the regions, ranked for a key."""
         names = self.live_routers()
         if regions is not None:
             hall = {member.name: member.hall for member in self._members}
@@ -206,54 +208,57 @@
         return self._live_routers
 
     def unreachable(self, name: str) -> None:
-        """Note that a router could not be reached."""
+        """Record that a call to a router failed."""
         self.gossip.mark_unreachable(name, self.clock())
-        self.refresh()
+        self.refresh_members()
 
     def is_reachable(self, name: str) -> bool:
-        """Return whether a router counts as there for this one."""
+        """Return whether a router is a member in this router's view."""
         return name in self._member_by_name
 
-    def heard_from(self, name: str) -> None:
-        """Note a word of a router that could not be reached for a while."""
+    def mark_reachable(self, name: str) -> None:
+        """Record contact with a router that was unreachable for a while."""
         self.gossip.mark_reachable(name)
-        self.refresh()
+        self.refresh_members()
 
     def is_watcher(self) -> bool:
-        """Return whether this router watches the platform for its hall."""
+        """Return whether this router is one of those that watch the platform for their hall."""
         return self.name in watchers(self.hall, self._members)
 
     # -- upstreams ----------------------------------------------------------
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
-        """Return the service's upstreams that take work bound to some regions, by name."""
-        return self._intakes.open_to(service, regions)
+        """Return the names of the service's upstreams open to requests bound to some regions."""
+        return self._intakes.open_upstreams(service, regions)
 
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
-        """Return a chat's home engine were its hall not closed to it, and why it is closed."""
+        """Return the chat's home engine if its hall is closed to the chat, and the reason.
+
+        Return None where the home engine's hall is open.
+        """
         return self._intakes.closed_home(service, chat, regions)
 
     def former_home(self, service: str, chat: str) -> str | None:
-        """Return a chat's home engine were those that leave still counted."""
+        """Return what a chat's home engine would be if leaving upstreams still counted."""
         entries = self.upstreams.entry_by_name.values()
-        there = [
+        names = [
             each.upstream.name
             for each in entries
             if each.upstream.service == service and each.upstream.state != REMOVED
         ]
-        return winner(chat, there)
+        return winner(chat, names)
 
     def note_served(self, chat: int, engine: str) -> None:
-        """Remember which engine answered a chat last."""
-        self.served.remember(chat, engine)
+        """Record which engine answered a chat last."""
+        self.last_served_engines.remember(chat, engine)
 
     def last_served(self, chat: int) -> str | None:
-        """Return the engine that answered a chat last, as far as this router saw."""
-        return self.served.engine_of(chat)
+        """Return the engine that answered a chat last through this router."""
+        return self.last_served_engines.engine_of(chat)
 
     def is_young(self, engine: str) -> bool:
-        """Return whether an upstream joined after this router knew the list, and lately."""
-        return self._upstream_changes.joins.is_young(engine, self.clock())
+        """Return whether an upstream joined lately, and after this router knew the list."""
+        return self._upstream_changes.join_times.is_young(engine, self.clock())
 
     def resumes(self, engine: str) -> bool:
         """Return whether an engine can resume a broken stream."""
@@ -269,55 +274,57 @@
         names = [name for own in self.owned_by_service().values() for name in own]
         return tuple(self.upstreams.entry_by_name[name].upstream for name in names)
 
-    def take_listed_upstreams(self, listed: Listed) -> bool:
-        """Take in what the platform lists; return whether any was news."""
-        news = self._upstream_changes.take_listing(listed, self.clock())
-        self.upstreams_changed()
-        return news
+    def apply_listed_upstreams(self, listed: Listed) -> bool:
+        """Apply the platform's list of upstreams; return whether anything changed."""
+        changed = self._upstream_changes.apply_listing(listed, self.clock())
+        self.invalidate_upstream_caches()
+        return changed
 
-    def take_upstreams(self, update: UpstreamUpdate) -> bool:
-        """Take in a peer's entries; return whether any was news."""
-        news = self._upstream_changes.take(update, self.clock())
-        self.upstreams_changed()
-        return news
+    def apply_upstreams(self, update: UpstreamUpdate) -> bool:
+        """Apply a peer's entries of upstreams; return whether anything changed."""
+        changed = self._upstream_changes.apply_update(update, self.clock())
+        self.invalidate_upstream_caches()
+        return changed
 
     def upstreams_since(self, version: int) -> UpstreamUpdate:
-        """Return what a peer at a version lacks of the list of upstreams."""
+        """Return the entries of upstreams that a peer at a version lacks."""
         return self._upstream_changes.since(version, self.clock())
 
-    def take_upstream_event(self, event: WatchEvent) -> bool:
-        """Take in one event of a watch on upstreams; return whether it was news."""
-        news = self._upstream_changes.take_event(event, self.clock())
-        if news:
-            self.upstreams_changed()
-        return news
+    def apply_upstream_event(self, event: WatchEvent) -> bool:
+        """Apply one event of the watch on upstreams; return whether it changed anything."""
+        changed = self._upstream_changes.apply_event(event, self.clock())
+        if changed:
+            self.invalidate_upstream_caches()
+        return changed
 
-    def upstreams_changed(self) -> None:
-        """Drop what was derived from the list of upstreams."""
-        self._intakes.forget()
-        self._owners.forget()
+    def invalidate_upstream_caches(self) -> None:
+        """Drop the caches that were derived from the list of upstreams."""
+        self._intakes.invalidate()
+        self._owners.invalidate()
 
     # -- data halls ---------------------------------------------------------
 
-    def take_listed_evacuations(self, listed: Listed) -> bool:
-        """Take in the evacuations that the platform lists; return whether any was news."""
-        return self._halls_changed(self.halls.take_listing(listed, self.clock()))
+    def apply_listed_evacuations(self, listed: Listed) -> bool:
+        """Apply the platform's list of evacuations; return whether anything changed."""
+        return self._invalidate_if_changed(self.halls.apply_listing(listed, self.clock()))
 
-    def take_evacuation_event(self, event: WatchEvent) -> bool:
-        """Take in one event of a watch on evacuations; return whether it was news."""
-        return self._halls_changed(self.halls.take_event(event, self.clock()))
+    def apply_evacuation_event(self, event: WatchEvent) -> bool:
+        """Apply one event of the watch on evacuations; return whether it changed anything."""
+        return self._invalidate_if_changed(self.halls.apply_event(event, self.clock()))
 
-    def take_evacuations(self, update: EvacuationUpdate | None) -> bool:
-        """Take in what a peer knows of evacuations; return whether any was news."""
-        return update is not None and self._halls_changed(self.halls.take(update, self.clock()))
+    def apply_evacuations(self, update: EvacuationUpdate | None) -> bool:
+        """Apply the evacuations that a peer knows; return whether anything changed."""
+        return update is not None and self._invalidate_if_changed(
+            self.halls.apply_update(update, self.clock())
+        )
 
-    def _halls_changed(self, is_news: bool) -> bool:
-        if is_news:
-            self._intakes.forget()
-        return is_news
+    def _invalidate_if_changed(self, changed: bool) -> bool:
+        if changed:
+            self._intakes.invalidate()
+        return changed
 
     def target(self, engine: str) -> Target | None:
-        """Return an upstream as the owner's side needs it, or None."""
+        """Return an upstream as its owner's decisions need it, or None for an unknown one."""
         upstream = self._intakes.upstream(engine)
         service = self.fleet.service_by_name.get(upstream.service) if upstream else None
         if upstream is None or service is None:
@@ -327,7 +334,7 @@
             url=upstream.url,
             intake=self._intakes.intake(upstream, service, self.clock()),
             bound=service.load_bound,
-            peers=self._intakes.working(upstream.service, self.clock()),
+            peers=self._intakes.count_open_not_resting(upstream.service, self.clock()),
             slots=upstream.slots or service.engine_slots,
             engine_queue=self.engine_queue,
             slack=service.load_slack,
@@ -335,68 +342,69 @@
             instance=upstream.instance,
             pace=self.paces.pace(engine, self.clock()),
             memory_tokens=service.engine_tokens,
-            most_idle=self._connections_share(service.max_connections),
+            most_idle=self._idle_connections_share(service.max_connections),
         )
 
-    def _connections_share(self, most: int | None) -> int | None:
-        """Return how many idle connections of an engine's are this router's, None for no bound."""
-        if most is None or not self.load_managed():
+    def _idle_connections_share(self, max_connections: int | None) -> int | None:
+        """Return this router's share of an engine's idle connections, or None for no bound."""
+        if max_connections is None or not self.load_managed():
             return None
-        return max(LEAST_IDLE_CONNECTIONS, most // max(1, len(self._live_routers)))
+        return max(MIN_IDLE_CONNECTIONS, max_connections // max(1, len(self._live_routers)))
 
     def cold_count(self) -> int:
-        """Return how many upstreams are cold by their own word."""
-        return self._upstream_changes.cold.count(self.clock())
+        """Return how many upstreams are cold by their own report."""
+        return self._upstream_changes.cold_periods.count(self.clock())
 
     def cold_seconds(self, upstream: str) -> float:
-        """Return for how many seconds an upstream is still cold by its own word."""
-        return self._upstream_changes.cold.seconds_left(upstream, self.clock())
+        """Return for how many more seconds an upstream is cold by its own report."""
+        return self._upstream_changes.cold_periods.seconds_left(upstream, self.clock())
 
-    def hear(self, upstream: str, notice: Notice, is_own: bool = True) -> bool:
-        """Take in what an upstream said of itself in an answer; return whether it was news.
+    def apply_notice(self, upstream: str, notice: Notice, is_for_this_router: bool = True) -> bool:
+        """Apply a notice that an upstream sent in an answer; return whether it changed anything.
 
-        A pace closes no upstream, so it is no news here.
-        ``is_own`` says whether this router was told, or heard of it from another one.
+        A pace closes no upstream, so it does not count as a change.
+        ``is_for_this_router`` is True where this router read the answer itself, and False where
+        another router passed the notice on.
         """
         now = self.clock()
         if notice.pace > 0:
             self.paces.record(upstream, notice.pace, now)
-            if is_own:
+            if is_for_this_router:
                 self.pace_read_at = now
             if not notice:
                 return False
         known = self._intakes.upstream(upstream)
         is_start_known = known is not None and known.start > 0
-        is_news = self.notices.record(upstream, notice, now, is_start_known, is_own)
-        if is_news and notice.rest > 0 and not notice.has_free_slots:
+        changed = self.notices.record(upstream, notice, now, is_start_known, is_for_this_router)
+        if changed and notice.rest > 0 and not notice.has_free_slots:
             self.gate.record_rest(upstream, now, notice.rest)
-        if is_news and notice.is_leaving:
-            self._intakes.forget()
-        return is_news
+        if changed and notice.is_leaving:
+            self._intakes.invalidate()
+        return changed
 
-    def hear_staying(self, upstream: str) -> None:
-        """Take in an upstream's own late report that it is not leaving."""
+    def apply_staying_report(self, upstream: str) -> None:
+        """Apply an upstream's own later report that it is not leaving."""
         if self.notices.record_live_report(upstream, self.clock()):
-            self._intakes.forget()
+            self._intakes.invalidate()
 
-    def owners_beside(self, engine: str) -> set[str]:
-        """Return the routers that own an engine's service's live upstreams."""
+    def owners_of_same_service(self, engine: str) -> set[str]:
+        """Return the owners of the live upstreams of an engine's service."""
         upstream = self._intakes.upstream(engine)
         names = self.live_upstreams(upstream.service) if upstream is not None else ()
         return {owner for name in names if (owner := self.owner_name(name)) is not None}
 
     def elsewhere_in_flight(self, engine: str) -> int:
-        """Return the in-flight total of the other engines of an engine's service."""
+        """Return the requests in flight at the other engines of an engine's service."""
         upstream = self._intakes.upstream(engine)
         if upstream is None:
             return 0
         now = self.clock()
-        heard = self.gossip.in_flight_elsewhere(upstream.service, now)
+        load_at_peers = self.gossip.in_flight_elsewhere(upstream.service, now)
         own = self.owned_by_service().get(upstream.service, ())
-        return heard + self.gate.total(tuple(name for name in own if name != engine), now)
+        return load_at_peers + self.gate.total(tuple(name for name in own if name != engine), now)
 
     def mean_load(self, service: str) -> float:
-        """Return the requests in flight at a service's engines, by engine."""
+        """Return the mean number of requests in flight at a service's engines."""
         now, engines = self.clock(), len(self.live_upstreams(service))
         own = self.owned_by_service().get(service, ())
         total = self.gossip.in_flight_elsewhere(service, now) + self.gate.total(own, now)
@@ -404,24 +412,27 @@
 
     # -- configuration ------------------------------------------------------
 
-    def take_change(self, change: Change, source: str = PLATFORM) -> Rejected | VersionGap | None:
-        """Put the next change in force; None where it is in force now or was before.
+    def apply_change(
+        self, change: Change, source: str = PLATFORM_SOURCE
+    ) -> Rejected | VersionGap | None:
+        """Put the next change in force; return None where it is in force now or was before.
 
-        A rejected change is voided: its version passes, nothing of it is in force.
+        A rejected change is skipped: the version advances, and none of its edits apply.
+        Where a version is missing between, nothing changes and the gap is returned.
         """
         if change.version <= self.fleet.version:
             return None
-        following = self.fleet.with_change(change)
-        if isinstance(following, VersionGap):
-            return following
-        if isinstance(following, Rejected):
+        next_fleet = self.fleet.with_change(change)
+        if isinstance(next_fleet, VersionGap):
+            return next_fleet
+        if isinstance(next_fleet, Rejected):
             self._put_in_force(self.fleet.with_skipped_change(change), source)
-            return following
-        self._put_in_force(following, source)
+            return next_fleet
+        self._put_in_force(next_fleet, source)
         return None
 
-    def take_fleet(self, fleet: FleetConfiguration, source: str = PLATFORM) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+    def apply_fleet(self, fleet: FleetConfiguration, source: str = PLATFORM_SOURCE) -> bool:
+        """Put a configuration in force if it is newer; return whether it is."""
         if fleet.version <= self.fleet.version:
             return False
         self._put_in_force(fleet, source)
@@ -429,39 +440,41 @@
 
     def _put_in_force(self, fleet: FleetConfiguration, source: str) -> None:
         self.fleet = fleet
-        self.in_force_from = source
-        self.wants_whole = False
-        self.refused = None
+        self.configuration_source = source
+        self.needs_snapshot = False
+        self.rejected = None
         self.in_force_at = time.time()
-        self._intakes.forget()
+        self._intakes.invalidate()
 
-    def knows_all(self, kind: str) -> bool:
+    def has_all_entries(self, kind: str) -> bool:
         """Return whether every entry of a kind is in force here as the operator wrote it.
 
-        Where it is not, what a caller names may be in the part that is not, and "there is no
-        such thing" would be false.
+        Otherwise an entry that a caller names and this router lacks may be one that is not in
+        force here, and to answer that it does not exist would be wrong.
         """
-        return self.refused is None and self.fleet.is_fully_applied(kind)
+        return self.rejected is None and self.fleet.is_fully_applied(kind)
 
-    def take_update(self, update: Update, source: str = PLATFORM) -> Rejected | VersionGap | None:
-        """Take in what a peer says that this router lacks."""
+    def apply_update(
+        self, update: Update, source: str = PLATFORM_SOURCE
+    ) -> Rejected | VersionGap | None:
+        """Apply a peer's update; return the first change that was rejected or left a gap."""
         if update.snapshot is not None and update.snapshot.version > self.fleet.version:
-            self.take_fleet(self.fleet.with_snapshot(update.snapshot), source)
+            self.apply_fleet(self.fleet.with_snapshot(update.snapshot), source)
         if update.difference is not None:
-            self._take_difference(update.difference, source)
-        wrongs = [self.take_change(change, source) for change in update.changes]
-        return next((wrong for wrong in wrongs if wrong is not None), None)
+            self._apply_difference(update.difference, source)
+        problems = [self.apply_change(change, source) for change in update.changes]
+        return next((problem for problem in problems if problem is not None), None)
 
-    def _take_difference(self, difference: Difference, source: str) -> None:
+    def _apply_difference(self, difference: Difference, source: str) -> None:
         if difference.version <= self.fleet.version:
             return
-        following = self.fleet.with_difference(difference)
-        self.wants_whole = following is None
-        if following is not None:
-            self.take_fleet(following, source)
+        next_fleet = self.fleet.with_difference(difference)
+        self.needs_snapshot = next_fleet is None
+        if next_fleet is not None:
+            self.apply_fleet(next_fleet, source)
 
     def update_since(self, version: int, takes_difference: bool = True) -> Update:
-        """Return what a router at a version lacks."""
+        """Return the update for a router at a version: changes, a difference or a snapshot."""
         changes = self.fleet.changes_since(version)
         if changes is not None:
             return Update(changes=changes)
@@ -473,19 +486,19 @@
     # -- load ---------------------------------------------------------------
 
     def load_managed(self) -> bool:
-        """Return whether the parts of load management are in force at this router now."""
+        """Return whether load management is active at this router now."""
         if self.load_management == "as-needed":
-            return self.clock() - self.pace_read_at < PACED_SECONDS
+            return self.clock() - self.pace_read_at < PACE_TIMEOUT_SECONDS
         return self.load_management == "on"
 
-    def begin(self, account: str) -> LimitVerdict:
-        """Hold a request against the account's limits."""
-        return self.limits.begin(account, self.clock())
+    def begin_request(self, account: str) -> LimitVerdict:
+        """Check a request against the account's limits, and count it if it is allowed."""
+        return self.limits.begin_request(account, self.clock())
 
     # -- rounds -------------------------------------------------------------
 
-    def is_informed(self) -> bool:
-        """Return whether this router knows all that it needs to send requests."""
+    def has_initial_state(self) -> bool:
+        """Return whether this router knows all that it needs to route requests."""
         is_listed = self.upstreams.version > 0 and self.halls.evacuations.is_known
         return self.fleet.version > 0 and is_listed
 
@@ -494,30 +507,30 @@
         return self.phase != Phase.LIVE
 
     def publish(self) -> None:
-        """Set what this router's heartbeats say."""
+        """Set the contents of this router's heartbeats."""
         self.gossip.publish(
             self.phase,
             self.fleet.version,
             self.upstreams.version,
             self._loads(),
-            sees_platform=not self.platform_lost,
+            sees_platform=not self.platform_error,
             evacuations=self.halls.evacuations.version,
         )
 
     def tick(self) -> None:
-        """Do what is due each round."""
+        """Run the periodic work of one round."""
         if self.vanished and self.vanished.forget_old(self.clock()):
-            self.upstreams_changed()
+            self.invalidate_upstream_caches()
         if self._upstream_changes.settle(self.clock()):
-            self.upstreams_changed()
-        self._halls_changed(self.halls.settle(self.clock()))
+            self.invalidate_upstream_caches()
+        self._invalidate_if_changed(self.halls.settle(self.clock()))
         self.paces.drop_expired(self.clock())
         if self.notices.drop_expired(self.upstreams.entry_by_name, self.clock()):
-            self._intakes.forget()
-        self.refresh()
-        self.retries.set_routers(len(self.live_routers()), self.clock())
-        is_alone = self.clock() - self._started_at < ALONE_SECONDS
-        self.cold_paces.fleet_share = 0.0 if is_alone else self.retries.routers.share
+            self._intakes.invalidate()
+        self.refresh_members()
+        self.retry_budgets.set_routers(len(self.live_routers()), self.clock())
+        is_alone = self.clock() - self._started_at < NO_COLD_GRANTS_SECONDS
+        self.cold_pacer.fleet_share = 0.0 if is_alone else self.retry_budgets.routers.share
         self.publish()
         self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
 
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -1,7 +1,7 @@
-"""Keeping a router up to date: a few of each hall watch the platform, the others ask peers.
+"""Keeps a router up to date: a few routers of each hall watch the platform, others pull from peers.
 
-Versions only grow, so whatever comes late, twice or from a stale peer is
-recognised and dropped by the state itself.
+Versions only grow, so the state recognises and drops whatever arrives late, twice or from a
+stale peer.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from pondhatch.kernel import Backoff, Tasks
 from pondhatch.membership import Member, Versions
 from pondhatch.observing import log_for
-from pondhatch.router._introduction import Introduction
+from pondhatch.router._peer_discovery import PeerDiscovery
 from pondhatch.router._state import RouterState
 from pondhatch.store import (
     EvacuationUpdate,
@@ -39,59 +39,59 @@
 
 log = log_for("sync")
 
-#: Kind of the platform's objects that list upstreams.
+#: Kind of the platform's objects that each list one upstream.
 UPSTREAM_KIND = "upstream"
-#: Kind of those that ask for the evacuation of the data hall that they are named by.
+#: Kind of the platform's objects that each order the evacuation of the data hall they name.
 EVACUATION_KIND = "evacuation"
-#: Seconds between checks of who watches and who lags.
+#: Seconds between checks of whether this router should watch and whether it is behind.
 CHECK_SECONDS = 0.5
-#: Seconds from a router's start in which it comes to know its peers: three calls to the
-#: platform and two exchanges of packets, 0.1 s on the users' bench. Until then it reads
-#: what the platform holds, and does not watch: one of each hall will, and all of a fleet
-#: that starts would be told of each upstream that lists itself.
-MEETING_SECONDS = 0.4
-#: Seconds from which a pull is told in the log: a sixth of the time in which a change is to
-#: be in force everywhere.
+#: Seconds after its start in which a router discovers its peers: three calls to the platform and
+#: two exchanges of packets take about 0.1 s. Until then it reads what the platform holds but does
+#: not watch it: one router of each hall is enough, and where a whole fleet starts, all routers
+#: would otherwise get an event for each upstream that lists itself.
+PEER_DISCOVERY_SECONDS = 0.4
+#: Seconds from which a pull is logged as slow: a sixth of the time within which a change is to be
+#: in force everywhere.
 SLOW_PULL_SECONDS = 0.5
-#: Seconds after which a peer's answer to a pull is waited for beside another peer's. A peer
-#: takes 0.1 s for a change and up to 0.6 s for a large configuration on a narrow link; two that
-#: give no answer in a row cost 1.4 s so, of the 2 s in which small fleets have a change in force,
-#: and not the 4 s of two calls' time-outs. A shorter one would have the whole fleet ask twice for
-#: what is large.
-NEXT_PEER_SECONDS = 0.7
-#: Milliseconds by which a peer's start lies before this router's where the peer knows more of
-#: who joined: VMs that start together differ by less, their clocks included, and what joined
-#: within such a time is a small part of what counts as new for minutes.
-ELDER_MS = 10_000
-#: Peers asked side by side at most: so many answers may wait in memory.
-MOST_ASKED = 3
-#: Seconds before a lost watch is tried again, first and at most: a platform that comes
-#: back is not rushed.
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 2.0
-
-
-class Lacking(Protocol):
-    """A peer's answer to a pull."""
+#: Seconds after which a pull that is pending is hedged by a pull from another peer. A peer takes
+#: 0.1 s for a change and up to 0.6 s for a large configuration on a narrow link. Two silent peers
+#: in a row so cost 1.4 s of the 2 s in which a change is to be in force in small fleets, and not
+#: the 4 s of two call timeouts. With a shorter delay the whole fleet would pull large
+#: configurations twice.
+PULL_HEDGE_SECONDS = 0.7
+#: Milliseconds by which a peer must have started earlier than this router for its join times to
+#: be pulled. VMs that start together differ by less, clock skew included, and upstreams that join
+#: within such a time are few of those that count as young for minutes.
+MIN_AGE_DIFFERENCE_MS = 10_000
+#: Maximum of concurrent pulls: each may keep an answer waiting in memory.
+MAX_CONCURRENT_PULLS = 3
+#: Seconds before a lost watch is retried, at first and at most: a platform that comes back is
+#: not to be overloaded.
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 2.0
+
+
+class PulledState(Protocol):
+    """A peer's reply to a pull: what it holds beyond the versions of the router that asked."""
 
     @property
     def configuration(self) -> Update:
-        """What was lacking of the configuration."""
+        """The update of the configuration."""
 
     @property
     def upstreams(self) -> UpstreamUpdate:
-        """What was lacking of the list of upstreams."""
+        """The update of the list of upstreams."""
 
     @property
     def evacuations(self) -> EvacuationUpdate | None:
-        """What the peer knows of evacuated halls; None where it knows nothing."""
+        """The evacuations that the peer knows; None where it knows nothing of them."""
 
 
 _CONFIGURATION = operator.attrgetter("configuration")
 _EVACUATIONS = operator.attrgetter("evacuations")
 _UPSTREAMS = operator.attrgetter("upstreams")
 
-Pull = Callable[[Member, int, int], Awaitable[Lacking | None]]
+Pull = Callable[[Member, int, int], Awaitable[PulledState | None]]
 
 
 class Sync:
@@ -103,287 +103,297 @@
         platform: Platform,
         source: ConfigurationSource,
         pull: Pull,
-        spread: Callable[[], None],
+        announce: Callable[[], None],
         rng: random.Random,
-        introduction: Introduction,
+        peer_discovery: PeerDiscovery,
     ) -> None:
         self._state = state
         self._platform = platform
         self._source = source
         self._pull = pull
-        #: Tells some peers at once that this router has something new.
-        self._spread = spread
+        #: Announces to some peers at once that this router has something new.
+        self._announce = announce
         self._rng = rng
-        #: Lists this router at the platform, and finds its peers there.
-        self._introduction = introduction
-        #: Set once this router had time to hear who else is there.
-        self._has_met_peers = asyncio.Event()
-        #: Whether peers are being asked for what this router lacks.
-        self._pulling = False
-        #: Names of the peers whose answer to a pull is out.
-        self._asked: set[str] = set()
+        #: Lists this router at the platform and finds its peers there.
+        self._peer_discovery = peer_discovery
+        #: Set once this router has had time to discover its peers.
+        self._peers_discovered = asyncio.Event()
+        #: Whether ``_pull_if_behind`` is running.
+        self._is_pulling = False
+        #: Names of the peers whose reply to a pull is pending.
+        self._pending_peers: set[str] = set()
         self._tasks = Tasks()
-        #: The watches of the configuration and of the list of upstreams, where it watches.
-        self._watching: tuple[asyncio.Task[None], ...] = ()
+        #: The tasks that watch the configuration, upstreams and evacuations; empty where this
+        #: router does not watch.
+        self._watch_tasks: tuple[asyncio.Task[None], ...] = ()
 
     async def run(self) -> None:
-        """Keep up until cancelled."""
+        """Keep the state up to date until cancelled."""
         try:
-            self._tasks.start(self._introduction.run())
-            self._begin_watching()
+            self._tasks.start(self._peer_discovery.run())
+            self._start_watching()
             await self._pull_if_behind()
-            await asyncio.sleep(MEETING_SECONDS)
-            self._has_met_peers.set()
-            # Beside the rest: a peer that gives no answer must not keep this router behind.
-            self._tasks.start(self._ask_who_joined_lately())
+            await asyncio.sleep(PEER_DISCOVERY_SECONDS)
+            self._peers_discovered.set()
+            # In a task of its own: a peer that does not reply must not keep this router behind.
+            self._tasks.start(self._pull_recent_joins())
             while True:
-                self._watch_if_due()
+                self._start_or_stop_watching()
                 await self._pull_if_behind()
                 await asyncio.sleep(CHECK_SECONDS)
         finally:
             self._tasks.cancel_all()
 
-    async def heard_news(self) -> None:
-        """React at once to a peer's word that it holds something newer."""
+    async def on_peer_ahead(self) -> None:
+        """Pull at once, as a peer's heartbeat says that it holds something newer."""
         await self._pull_if_behind()
 
     # -- from the platform --------------------------------------------------
 
-    def _watch_if_due(self) -> None:
-        """Begin or end watching, as this router is or is not one of its hall's watchers."""
-        due = self._state.is_watcher()
-        if due and not self._watching:
+    def _start_or_stop_watching(self) -> None:
+        """Start or stop watching, as this router is or is not one of its hall's watchers."""
+        should_watch = self._state.is_watcher()
+        if should_watch and not self._watch_tasks:
             log.info("Watching the platform for hall {}.", self._state.hall)
-            self._begin_watching()
-        # One that lost the platform goes on looking for it: another watches meanwhile.
-        if not due and self._watching and not self._state.platform_lost:
-            log.info("Leaving the watch to another router of the hall.")
-            for task in self._watching:
+            self._start_watching()
+        # A watcher that lost the platform keeps retrying, while another router watches.
+        if not should_watch and self._watch_tasks and not self._state.platform_error:
+            log.info("Another router of the hall watches the platform; stopping the watch.")
+            for task in self._watch_tasks:
                 task.cancel()
-            self._watching = ()
-            # Who does not watch cannot tell whether the platform answers, nor what it holds.
-            self._state.platform_lost = ""
-            self._state.refused = None
-
-    def _begin_watching(self) -> None:
-        """Read what the platform holds; what follows, only once it is known who watches."""
-        self._watching = (
-            self._tasks.start(self._keep(self._watch_changes)),
-            self._tasks.start(self._keep(self._watch_upstreams)),
-            self._tasks.start(self._keep(self._watch_evacuations)),
+            self._watch_tasks = ()
+            # A router that does not watch knows neither whether the platform answers nor what
+            # it holds.
+            self._state.platform_error = ""
+            self._state.rejected = None
+
+    def _start_watching(self) -> None:
+        """Start tasks that read what the platform holds, and watch it once peers are known."""
+        self._watch_tasks = (
+            self._tasks.start(self._watch_with_retry(self._watch_changes)),
+            self._tasks.start(self._watch_with_retry(self._watch_upstreams)),
+            self._tasks.start(self._watch_with_retry(self._watch_evacuations)),
         )
 
-    async def _keep(self, watch: Callable[[], Awaitable[None]]) -> None:
-        """Begin a watch again whenever it ends, until cancelled."""
-        backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, self._rng)
+    async def _watch_with_retry(self, watch: Callable[[], Awaitable[None]]) -> None:
+        """Restart a watch with backoff whenever it ends, until cancelled."""
+        backoff = Backoff(INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         while True:
-            begun = self._state.clock()
+            started_at = self._state.clock()
             try:
                 await watch()
             except PlatformLost as error:
-                self._lost_platform(str(error))
+                self._note_platform_lost(str(error))
                 log.warning("Watch lost: {}.", error)
             except TooOld:
-                log.info("Watch too old, listing anew.")
+                log.info("The watch's version is too old; listing again.")
             except Exception:
-                # What cannot be read now may be mended at the platform; nobody else watches.
-                log.exception("A watch ended in an error of this router; it begins again.")
-            if self._state.clock() - begun > LONGEST_PAUSE:
+                # An object that cannot be read may be corrected at the platform, and no other
+                # router may be watching, so the watch has to go on.
+                log.exception("A watch failed with an error of this router; restarting it.")
+            if self._state.clock() - started_at > MAX_BACKOFF_SECONDS:
                 backoff.reset()
             await asyncio.sleep(backoff.next())
 
-    def _lost_platform(self, why: str) -> None:
-        """Note that the platform is out of reach, and tell peers at once: another watches then.
+    def _note_platform_lost(self, why: str) -> None:
+        """Record that the platform is unreachable, and announce it, so that another router watches.
 
-        They would wait for this router's word else, and miss what others of their hall can
-        read: a change is to be in force everywhere within 3 s.
+        Otherwise the peers would rely on this router and miss changes that others of their hall
+        can read: a change is to be in force everywhere within 3 s.
         """
-        is_news = not self._state.platform_lost
-        self._state.platform_lost = why
-        if is_news:
-            self._spread()
+        was_reachable = not self._state.platform_error
+        self._state.platform_error = why
+        if was_reachable:
+            self._announce()
 
     async def _watch_changes(self) -> None:
-        async for news in self._source.follow(lambda: self._state.fleet):
-            self._take_news(news)
-            self._state.platform_lost = ""
-            await self._has_met_peers.wait()
-
-    def _take_news(self, news: ConfigurationEvent) -> None:
-        if isinstance(news, Change):
-            self._take_change(news)
-        elif isinstance(news, Rejected):
-            self._state.refused = news
-        elif isinstance(news, Inconsistent):
-            log.error("Configuration cannot be read: {}.", news.reason)
+        async for configuration_event in self._source.follow(lambda: self._state.fleet):
+            self._apply_configuration_event(configuration_event)
+            self._state.platform_error = ""
+            await self._peers_discovered.wait()
+
+    def _apply_configuration_event(self, configuration_event: ConfigurationEvent) -> None:
+        if isinstance(configuration_event, Change):
+            self._apply_change(configuration_event)
+        elif isinstance(configuration_event, Rejected):
+            self._state.rejected = configuration_event
+        elif isinstance(configuration_event, Inconsistent):
+            log.error("Configuration cannot be read: {}.", configuration_event.reason)
         else:
-            # Also where it is not newer: what was refused is gone then.
-            self._state.refused = None
-            if self._state.take_fleet(news):
-                self._spread()
+            # Cleared also where this configuration is not newer: the rejected one was replaced.
+            self._state.rejected = None
+            if self._state.apply_fleet(configuration_event):
+                self._announce()
 
-    def _take_change(self, change: Change) -> None:
-        wrong = self._state.take_change(change)
-        self._log_void(wrong)
-        if wrong is None:
-            self._spread()
+    def _apply_change(self, change: Change) -> None:
+        problem = self._state.apply_change(change)
+        self._log_if_rejected(problem)
+        if problem is None:
+            self._announce()
 
     async def _watch_upstreams(self) -> None:
         state = self._state
-        await self._watch(UPSTREAM_KIND, state.take_listed_upstreams, state.take_upstream_event)
+        await self._watch(UPSTREAM_KIND, state.apply_listed_upstreams, state.apply_upstream_event)
 
     async def _watch_evacuations(self) -> None:
         state = self._state
-        # What a router that starts alone misses of the last seconds, its peers tell it; where all
-        # start, those that watch go on from where this listing ends.
+        # A stale list is enough: a router that starts alone gets the last seconds from its peers,
+        # and where all routers start, the watchers go on from the version of this list.
         may_be_old = not state.halls.evacuations.is_known
         await self._watch(
             EVACUATION_KIND,
-            state.take_listed_evacuations,
-            state.take_evacuation_event,
+            state.apply_listed_evacuations,
+            state.apply_evacuation_event,
             may_be_old,
         )
 
     async def _watch(
         self,
         kind: str,
-        take_listed: Callable[[Listed], bool],
-        take_event: Callable[[WatchEvent], bool],
+        apply_listed: Callable[[Listed], bool],
+        apply_event: Callable[[WatchEvent], bool],
         may_be_old: bool = False,
     ) -> None:
-        """Read the objects of a kind, then their changes; tell peers of what is news."""
+        """List the objects of a kind, then watch them; announce each change to peers."""
         listed = await self._platform.list(kind, may_be_old)
         if isinstance(listed, Unavailable):
             raise PlatformLost(listed.reason)
-        self._state.platform_lost = ""
-        if take_listed(listed):
-            self._spread()
-        await self._has_met_peers.wait()
+        self._state.platform_error = ""
+        if apply_listed(listed):
+            self._announce()
+        await self._peers_discovered.wait()
         async for event in self._platform.watch(kind, listed.version):
-            if take_event(event):
-                self._spread()
+            if apply_event(event):
+                self._announce()
 
     # -- from peers ---------------------------------------------------------
 
     async def _pull_if_behind(self) -> None:
-        """Pull what peers hold beyond this router, until none is known to hold more.
+        """Pull from peers until none is known to hold anything newer.
 
-        Each packet of a peer that is ahead leads here. A pull for each would ask many peers for
-        the same, and keep whole configurations waiting in memory.
+        Each packet of a peer that is ahead leads here. Were there a pull for each, many peers
+        would be asked for the same, and whole configurations would wait in memory.
         """
-        if self._pulling:
+        if self._is_pulling:
             return
-        self._pulling = True
+        self._is_pulling = True
         try:
-            while ahead := self._ahead():
-                if not await self._pull_from(ahead):
+            while ahead := self._peers_to_pull_from():
+                if not await self._pull_hedged(ahead):
                     return
         finally:
-            self._pulling = False
+            self._is_pulling = False
 
-    async def _ask_who_joined_lately(self) -> None:
-        """Ask one peer for the whole list: only those that run know who joined when.
+    async def _pull_recent_joins(self) -> None:
+        """Pull the whole list of upstreams from a peer that has run longer, for its join times.
 
-        Where all start at once, as after a power cut, nobody knows, and nobody is asked.
+        Where all routers start at once, as after a power cut, none knows them and none is asked.
         """
         others = [member for member in self._state.members() if member.name != self._state.name]
         own_start = self._state.gossip.membership.own_record.incarnation
-        elders = [each for each in others if own_start - each.incarnation > ELDER_MS]
-        if not elders:
+        older_peers = [
+            each for each in others if own_start - each.incarnation > MIN_AGE_DIFFERENCE_MS
+        ]
+        if not older_peers:
             return
-        near = [member for member in elders if member.hall == self._state.hall]
-        lacking = await self._pull(self._rng.choice(near or elders), self._state.fleet.version, 0)
-        if lacking is not None:
-            self._state.take_evacuations(lacking.evacuations)
-            self._state.take_upstreams(lacking.upstreams)
+        same_hall = [member for member in older_peers if member.hall == self._state.hall]
+        pulled = await self._pull(
+            self._rng.choice(same_hall or older_peers), self._state.fleet.version, 0
+        )
+        if pulled is not None:
+            self._state.apply_evacuations(pulled.evacuations)
+            self._state.apply_upstreams(pulled.upstreams)
 
-    async def _pull_from(self, ahead: list[Member]) -> bool:
-        """Ask some of the peers, another one each time that the last is slow or lost.
+    async def _pull_hedged(self, ahead: list[Member]) -> bool:
+        """Pull from one of the peers, and from another each time that the last is slow or fails.
 
-        Return whether that brought anything new. Whoever is slow goes on being waited for, and
-        is not asked again meanwhile.
+        Return whether that brought anything new. Slow pulls stay pending, and their peers are not
+        asked again meanwhile.
         """
-        free = [peer for peer in ahead if peer.name not in self._asked]
-        most = min(MOST_ASKED - len(self._asked), len(free))
+        not_pending = [peer for peer in ahead if peer.name not in self._pending_peers]
+        limit = min(MAX_CONCURRENT_PULLS - len(self._pending_peers), len(not_pending))
         pulls: set[asyncio.Task[bool]] = set()
-        for peer in self._rng.sample(free, most):
-            pulls.add(self._tasks.start(self._ask(peer)))
+        for peer in self._rng.sample(not_pending, limit):
+            pulls.add(self._tasks.start(self._pull_from_peer(peer)))
             done, pulls = await asyncio.wait(
-                pulls, timeout=NEXT_PEER_SECONDS, return_when=asyncio.FIRST_COMPLETED
+                pulls, timeout=PULL_HEDGE_SECONDS, return_when=asyncio.FIRST_COMPLETED
             )
             if any(pull.result() for pull in done):
                 return True
-        # What is still out is taken in when it comes; others may be ahead by now.
+        # Replies that are still pending are applied when they arrive; other peers may be ahead
+        # by now.
         return False
 
-    async def _ask(self, peer: Member) -> bool:
-        """Ask a peer for what this router lacks; return whether that brought anything new."""
-        begun = self._state.clock()
-        self._asked.add(peer.name)
+    async def _pull_from_peer(self, peer: Member) -> bool:
+        """Pull from one peer and apply its reply; return whether that brought anything new."""
+        started_at = self._state.clock()
+        self._pending_peers.add(peer.name)
         try:
             state = self._state
-            lacking = await self._pull(peer, state.fleet.version, state.upstreams.version)
+            pulled = await self._pull(peer, state.fleet.version, state.upstreams.version)
         finally:
-            self._asked.discard(peer.name)
-        waited = self._state.clock() - begun
-        if lacking is None:
-            log.warning("Router {}, which is ahead, gave nothing in {:.2f} s.", peer.name, waited)
+            self._pending_peers.discard(peer.name)
+        seconds = self._state.clock() - started_at
+        if pulled is None:
+            log.warning("Router {}, which is ahead, gave nothing in {:.2f} s.", peer.name, seconds)
             return False
-        if waited > SLOW_PULL_SECONDS:
-            log.info("Router {}, which is ahead, took {:.2f} s to answer.", peer.name, waited)
-        return self._take(peer, lacking)
-
-    def _take(self, peer: Member, lacking: Lacking) -> bool:
-        # Read after the pull: a watch or another peer may have brought something meanwhile.
-        before = self._versions()
-        asked_for_whole = self._state.wants_whole
-        self._log_void(self._state.take_update(lacking.configuration, peer.name))
-        # Before the upstreams, since it says which of them may get nothing.
-        self._state.take_evacuations(lacking.evacuations)
-        self._state.take_upstreams(lacking.upstreams)
-        if self._versions() != before:
-            self._spread()
+        if seconds > SLOW_PULL_SECONDS:
+            log.info("Router {}, which is ahead, took {:.2f} s to answer.", peer.name, seconds)
+        return self._apply_pulled(peer, pulled)
+
+    def _apply_pulled(self, peer: Member, pulled: PulledState) -> bool:
+        # Read after the reply: a watch or another peer may have brought something meanwhile.
+        before = self._own_versions()
+        asked_for_snapshot = self._state.needs_snapshot
+        self._log_if_rejected(self._state.apply_update(pulled.configuration, peer.name))
+        # Applied before the upstreams, since evacuations say which of them get no requests.
+        self._state.apply_evacuations(pulled.evacuations)
+        self._state.apply_upstreams(pulled.upstreams)
+        if self._own_versions() != before:
+            self._announce()
             return True
-        if asked_for_whole or not self._state.wants_whole:
+        if asked_for_snapshot or not self._state.needs_snapshot:
             return False
-        log.warning("What router {} says has changed does not fit; the whole is asked.", peer.name)
+        log.warning("The difference of router {} does not apply; pulling a snapshot.", peer.name)
         return True
 
-    def _versions(self) -> Versions:
-        """Return the versions held here."""
+    def _own_versions(self) -> Versions:
+        """Return the versions that this router holds."""
         state = self._state
         return Versions(
             state.fleet.version, state.upstreams.version, state.halls.evacuations.version
         )
 
-    def _ahead(self) -> list[Member]:
-        """Return the peers that hold the newest, those of this hall alone where there are any.
+    def _peers_to_pull_from(self) -> list[Member]:
+        """Return the peers that hold the newest version, of this hall alone where there are any.
 
-        A peer that was cut off since holds an older version, and costs a call's time-out (2 s)
-        to find out; where three in ten are cut off, a router that asked whoever is ahead at all
-        was behind by that long again and again.
+        A peer that was cut off since holds an older version, and a pull from it costs a call's
+        timeout (2 s). Where three in ten routers are cut off, a router that pulled from any peer
+        that is ahead would fall behind by that long repeatedly.
         """
         names = set(self._state.gossip.routers_ahead())
         if not names:
             return []
         ahead = [member for member in self._state.members() if member.name in names]
-        newest = self._newest(ahead)
-        near = [member for member in newest if member.hall == self._state.hall]
-        return near or newest
+        newest = self._with_newest_version(ahead)
+        same_hall = [member for member in newest if member.hall == self._state.hall]
+        return same_hall or newest
 
-    def _newest(self, ahead: list[Member]) -> list[Member]:
-        """Return those with the newest of what matters most of what is newer than here.
+    def _with_newest_version(self, ahead: list[Member]) -> list[Member]:
+        """Return the peers with the newest configuration, else evacuations, else upstreams.
 
-        A router that sends to an evacuated hall does harm; one that lacks an upstream does not.
+        The first of these of which a peer holds a newer version than this router decides.
+        Evacuations come before upstreams, as requests sent to an evacuated hall do harm, while a
+        missing upstream does not.
         """
         held = self._state.gossip.versions()
-        own = self._versions()
+        own = self._own_versions()
         for version_of in (_CONFIGURATION, _EVACUATIONS, _UPSTREAMS):
             best = max((version_of(held[member.name]) for member in ahead), default=0)
             if best > version_of(own):
                 return [each for each in ahead if version_of(held[each.name]) == best]
         return []
 
-    def _log_void(self, wrong: Rejected | VersionGap | None) -> None:
-        if isinstance(wrong, Rejected):
-            log.error("Change {} is void: {}.", self._state.fleet.version, wrong)
+    def _log_if_rejected(self, problem: Rejected | VersionGap | None) -> None:
+        if isinstance(problem, Rejected):
+            log.error("Change {} is void: {}.", self._state.fleet.version, problem)
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -1,7 +1,7 @@
-"""Changes of the list of upstreams, and what can be told only by comparing before and after.
+"""Applies changes to the list of upstreams and compares the list before and after.
 
-Two things follow from a change beside the list itself: which upstreams joined lately, and
-which vanished without having said that they leave.
+The comparison yields which upstreams joined lately, and which vanished without having reported
+that they leave.
 """
 
 from __future__ import annotations
@@ -29,52 +29,54 @@
     era_of,
 )
 
-#: Seconds by which two routers may differ on when an upstream joined: what a packet and a
-#: pull take, several times over.
-SLACK_SECONDS = 1.0
-#: Seconds after the first list in which upstreams that appear are taken to have been there
-#: before: those of a fleet that starts list themselves one after the other, and no chat
-#: has its context at the engine ranked second.
-STARTING_SECONDS = 20.0
+#: Seconds by which two routers may differ on when an upstream joined: several times what a packet
+#: and a pull take.
+JOIN_TIME_SKEW_SECONDS = 1.0
+#: Seconds after the first list during which upstreams that appear do not count as young: those of
+#: a fleet that starts list themselves one after the other, and no chat has its context at the
+#: engine ranked second yet.
+FLEET_START_SECONDS = 20.0
 
 
-class Joins(msgspec.Struct):
-    """When upstreams joined, but for those of a fleet that starts."""
+class JoinTimes(msgspec.Struct):
+    """When upstreams joined; those that a starting fleet lists are left out."""
 
-    #: In the clock's seconds, by the upstream's name.
+    #: Join times in the clock's seconds, by the upstream's name.
     _joined_at: dict[str, float] = msgspec.field(default_factory=dict)
-    #: When this router first knew of upstreams, in the clock's seconds.
+    #: When this router first knew a list of upstreams, in the clock's seconds.
     _listed_at: float = float("inf")
 
     def is_young(self, name: str, now: float) -> bool:
-        """Return whether an upstream joined after this router knew the list, and lately."""
+        """Return whether an upstream joined lately, and after this router knew the list."""
         joined = self._joined_at.get(name)
         return joined is not None and now - joined < YOUNG_SECONDS
 
     def known_for(self, now: float) -> float:
-        """Return for how many seconds a list has been known, here or by who told of it."""
+        """Return for how many seconds the list has been known, here or at the merged peer."""
         return max(0.0, now - self._listed_at)
 
     def age_by_name(self, now: float) -> dict[str, float]:
-        """Return the seconds since upstreams joined, for those that are young."""
+        """Return the seconds since each young upstream joined."""
         return {name: now - at for name, at in self._joined_at.items() if now - at < YOUNG_SECONDS}
 
-    def told(self, known_for: float, age_by_name: Mapping[str, float], now: float) -> None:
-        """Take in what a peer knows that has known the list for longer.
+    def merge_from_peer(
+        self, known_for: float, age_by_name: Mapping[str, float], now: float
+    ) -> None:
+        """Merge the join times of a peer if it has known the list for longer.
 
-        So a router that restarts in a fleet that runs tells newcomers from others as the
-        others do: it would send their chats to engines that never saw them otherwise.
+        A router that restarts in a running fleet so knows the same upstreams as young as its
+        peers do. Otherwise it would send chats to young engines that do not hold their context.
         """
-        if known_for <= self.known_for(now) + SLACK_SECONDS:
+        if known_for <= self.known_for(now) + JOIN_TIME_SKEW_SECONDS:
             return
         self._listed_at = now - known_for
         self._joined_at.update({name: now - age for name, age in age_by_name.items()})
 
     def note(self, before: frozenset[str], after: frozenset[str], now: float) -> None:
-        """Note the upstreams that are new; ``before`` and ``after`` are the names listed."""
+        """Record the upstreams that joined; ``before`` and ``after`` are the listed names."""
         if not before:
             self._listed_at = now
-        if now - self._listed_at < STARTING_SECONDS:
+        if now - self._listed_at < FLEET_START_SECONDS:
             return
         old = [name for name, at in self._joined_at.items() if now - at >= YOUNG_SECONDS]
         for name in old:
@@ -83,85 +85,93 @@
             self._joined_at[name] = now
 
 
-class Settling(msgspec.Struct):
-    """When the platform's era began, as this router saw it."""
+class EraSettling(msgspec.Struct):
+    """Tracks whether the platform's era still settles, as this router sees it."""
 
     _era: int = 0
-    #: Until when the era settles, in the clock's seconds; infinitely long ago where none does.
-    _until: float = float("-inf")
+    #: When the era has settled, in the clock's seconds; minus infinity where none settles.
+    _settles_at: float = float("-inf")
 
     def note(self, version: Position, now: float) -> None:
-        """Take in the position that the list has come to."""
+        """Record the position that the list has reached; a new era starts to settle."""
         era = era_of(version)
         if era > self._era:
-            # The first era that a router hears of follows no other here.
-            self._until = now + SETTLE_SECONDS if self._era else float("-inf")
+            # The first era that a router knows follows no other, so it does not settle.
+            self._settles_at = now + SETTLE_SECONDS if self._era else float("-inf")
             self._era = era
 
-    def begins(self, version: Position, now: float) -> bool:
-        """Return whether what is as of a position comes while its era settles."""
-        begins = bool(self._era) and era_of(version) > self._era
-        return begins or now < self._until
+    def is_settling(self, version: Position, now: float) -> bool:
+        """Return whether the era of a position is new or still settles."""
+        is_new_era = bool(self._era) and era_of(version) > self._era
+        return is_new_era or now < self._settles_at
 
-    def is_over(self, now: float) -> bool:
-        """Return, once for each era, whether it has settled."""
-        if self._until == float("-inf") or now < self._until:
+    def poll_settled(self, now: float) -> bool:
+        """Return True once for each era, at the first call after it has settled."""
+        if self._settles_at == float("-inf") or now < self._settles_at:
             return False
-        self._until = float("-inf")
+        self._settles_at = float("-inf")
         return True
 
 
 class UpstreamChanges(msgspec.Struct, frozen=True):
-    """Takes changes into a list of upstreams and notes who joined and who vanished."""
+    """Applies changes to a list of upstreams and records which joined and which vanished."""
 
     upstreams: UpstreamList
     vanished: Vanished
-    #: What upstreams said of themselves.
+    #: What upstreams reported of themselves in their answers.
     notices: Notices = msgspec.field(default_factory=Notices)
-    joins: Joins = msgspec.field(default_factory=Joins)
+    join_times: JoinTimes = msgspec.field(default_factory=JoinTimes)
     reader: UpstreamReader = msgspec.field(default_factory=UpstreamReader)
-    settling: Settling = msgspec.field(default_factory=Settling)
-    cold: ColdClocks = msgspec.field(default_factory=ColdClocks)
-
-    def take_listing(self, listed: Listed, now: float) -> bool:
-        """Take in what the platform lists; return whether any was news."""
-        return self.take(self.reader.listing(listed), now)
-
-    def take(self, update: UpstreamUpdate, now: float) -> bool:
-        """Take in a listing's or a peer's entries; return whether any was news."""
-        names, live, leaving = self._names(), self._in_state(LIVE), self._known_leaving()
-        news = self.upstreams.take(update, self.settling.begins(update.version, now))
-        self.settling.note(self.upstreams.version, now)
-        self._note(names, live, now)
-        self._note_staying(leaving)
-        self.joins.told(update.known_for, update.age_by_name, now)
-        return news
+    era_settling: EraSettling = msgspec.field(default_factory=EraSettling)
+    cold_periods: ColdClocks = msgspec.field(default_factory=ColdClocks)
+
+    def apply_listing(self, listed: Listed, now: float) -> bool:
+        """Apply the platform's list; return whether anything changed."""
+        return self.apply_update(self.reader.listing(listed), now)
+
+    def apply_update(self, update: UpstreamUpdate, now: float) -> bool:
+        """Apply the entries of a listing or a peer; return whether anything changed."""
+        names, live, leaving = (
+            self._names(),
+            self._in_state(LIVE),
+            self._leaving_by_list_and_notice(),
+        )
+        changed = self.upstreams.take(update, self.era_settling.is_settling(update.version, now))
+        self.era_settling.note(self.upstreams.version, now)
+        self._record_changes(names, live, now)
+        self._reopen_staying(leaving)
+        self.join_times.merge_from_peer(update.known_for, update.age_by_name, now)
+        return changed
 
     def since(self, version: int, now: float) -> UpstreamUpdate:
-        """Return what a peer at a version lacks, and what is known of who joined lately."""
+        """Return the entries that a peer at a version lacks, and the recent join times."""
         update = self.upstreams.since(version)
         return replace(
             update,
-            entries=tuple(self.cold.as_of(entry, now) for entry in update.entries),
-            known_for=self.joins.known_for(now),
-            age_by_name=self.joins.age_by_name(now),
+            entries=tuple(self.cold_periods.as_of(entry, now) for entry in update.entries),
+            known_for=self.join_times.known_for(now),
+            age_by_name=self.join_times.age_by_name(now),
         )
 
-    def take_event(self, event: WatchEvent, now: float) -> bool:
-        """Take in one event of a watch on upstreams; return whether it was news."""
-        names, live, leaving = self._names(), self._in_state(LIVE), self._known_leaving()
-        news = self._apply(event)
-        self.settling.note(self.upstreams.version, now)
-        if news:
-            self._note(names, live, now)
-            self._note_staying(leaving)
-        return news
+    def apply_event(self, event: WatchEvent, now: float) -> bool:
+        """Apply one event of the watch on upstreams; return whether it changed anything."""
+        names, live, leaving = (
+            self._names(),
+            self._in_state(LIVE),
+            self._leaving_by_list_and_notice(),
+        )
+        changed = self._apply_to_list(event)
+        self.era_settling.note(self.upstreams.version, now)
+        if changed:
+            self._record_changes(names, live, now)
+            self._reopen_staying(leaving)
+        return changed
 
     def settle(self, now: float) -> bool:
-        """Do what is due once an era has settled; return whether the list has changed."""
-        return self.settling.is_over(now) and self.upstreams.settle()
+        """Settle the list once its era has settled; return whether that changed it."""
+        return self.era_settling.poll_settled(now) and self.upstreams.settle()
 
-    def _apply(self, event: WatchEvent) -> bool:
+    def _apply_to_list(self, event: WatchEvent) -> bool:
         if event.type == "set":
             upstream = self.reader.upstream(event.name, event.version, event.value)
             if upstream is not None:
@@ -172,40 +182,41 @@
             return self.upstreams.remove(event.name, event.version)
         return False
 
-    def _note(
+    def _record_changes(
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
-        self.joins.note(names_before, self._names(), now)
-        self.cold.note(self.upstreams.entry_by_name.values(), now)
-        self._note_vanished(live_before, now)
+        self.join_times.note(names_before, self._names(), now)
+        self.cold_periods.note(self.upstreams.entry_by_name.values(), now)
+        self._record_vanished(live_before, now)
 
-    def _note_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
-        """Note whose entries went without a word, and whose are back."""
+    def _record_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
+        """Record which live upstreams vanished without a report, and which are back."""
         for name, entry in self.upstreams.entry_by_name.items():
             if entry.upstream.state != REMOVED:
                 self.vanished.returned(entry.upstream.id)
-            elif name in live_before and not self._started_again(entry.upstream):
+            elif name in live_before and not self._has_restarted(entry.upstream):
                 self.vanished.note(live_before[name], now)
 
-    def _known_leaving(self) -> frozenset[str]:
-        """Return the upstreams that leave both by the list and by an answer of theirs."""
+    def _leaving_by_list_and_notice(self) -> frozenset[str]:
+        """Return the upstreams that are leaving both by the list and by a notice."""
         by_name = self.upstreams.entry_by_name
-        said = (name for name in self.notices.names() if name in by_name)
-        return frozenset(name for name in said if by_name[name].upstream.state == LEAVING)
+        notified = (name for name in self.notices.names() if name in by_name)
+        return frozenset(name for name in notified if by_name[name].upstream.state == LEAVING)
 
-    def _note_staying(self, leaving_before: frozenset[str]) -> None:
-        """Note the upstreams that say that they take work again after they had said they leave.
+    def _reopen_staying(self, leaving_before: frozenset[str]) -> None:
+        """Reopen the upstreams that the list showed as leaving before and shows as live now.
 
-        The list alone does not open what an answer closed: it may be behind by minutes.
+        An upstream that a notice closed is not reopened by a live entry alone, as the list may be
+        behind by minutes.
         """
         for name in leaving_before:
             entry = self.upstreams.entry_by_name.get(name)
             if entry is not None and entry.upstream.state == LIVE:
                 self.notices.cancel_leaving(name)
 
-    def _started_again(self, ended: Upstream) -> bool:
-        newest = self.upstreams.newest(ended.id)
-        return newest is not None and newest.upstream.name != ended.name
+    def _has_restarted(self, removed: Upstream) -> bool:
+        newest = self.upstreams.newest(removed.id)
+        return newest is not None and newest.upstream.name != removed.name
 
     def _names(self) -> frozenset[str]:
         return frozenset(self.upstreams.entry_by_name)
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -1,7 +1,7 @@
-"""Load pattern: steady arrivals, one engine of eight at two fifths of its speed.
+"""Guards callers from one slow engine of eight, at two fifths of the usual speed, in steady load.
 
-As many requests as elsewhere were sent to the slow engine, and one in eight callers waited 2.5
-times as long as usual. Three routers with their packets, walks and grants run in virtual time.
+When it got as many requests as the others, one in eight callers waited 2.5 times as long as usual.
+Three routers with their packets, placement and grants run in virtual time.
 """
 
 from __future__ import annotations
@@ -42,8 +42,14 @@
     Ways,
     Whole,
 )
-from pondhatch.router import GRANT_MARK, NOTICE_MARK, Granting, NoticeKeeping, RouterState
-from pondhatch.router.tests.test_sync import Nobody
+from pondhatch.router import (
+    GRANT_PACKET_PREFIX,
+    NOTICE_PACKET_PREFIX,
+    GrantExchange,
+    NoticeExchange,
+    RouterState,
+)
+from pondhatch.router.tests.test_sync import UncalledPeer
 from pondhatch.store import Listed, WatchEvent
 
 ROUTERS = ("r0", "r1", "r2")
@@ -60,25 +66,25 @@
         "engine_slots": SLOTS,
     },
 )
-#: Seconds of a request at the usual speed, and until its answer begins.
+#: Seconds that a request takes at the usual speed, and until its answer begins.
 USUAL_SECONDS = 0.4
-FIRST_SECONDS = 0.05
-#: Percent of it that a request takes at the slow engine.
+ANSWER_HEAD_SECONDS = 0.05
+#: Percent of the usual time that a request takes at the slow engine.
 SLOW_PACE = 250
-#: Requests a second, and seconds for which they come.
-RATE = 80
-SECONDS = 12.0
-#: When the routers know each other and their loads.
-SETTLED = 3.0
-#: When something fails, and when what follows from it has passed.
-FAILS = 6.0
-RECOVERED = 9.0
-#: Share of callers that may wait for more than twice the usual time: nine in ten must not.
-MOST_LATE = 0.1
+#: Requests per second, and the seconds for which they arrive.
+REQUESTS_PER_SECOND = 80
+LOAD_SECONDS = 12.0
+#: When the routers know each other and their loads, in seconds.
+SETTLED_AT = 3.0
+#: When something fails, and when its effects have passed, in seconds.
+FAILS_AT = 6.0
+RECOVERED_AT = 9.0
+#: Maximum share of callers that wait for more than twice the usual time: nine in ten must not.
+MAX_LATE_SHARE = 0.1
 
 
 class Answer:
-    """An answer that takes its time."""
+    """An answer that takes a given number of seconds."""
 
     status = 200
     headers: tuple[tuple[str, str], ...] = ()
@@ -95,24 +101,24 @@
 
 
 class Engines:
-    """One fleet's engines, which state their load and their pace."""
+    """The engines of a fleet, which report their load and their pace."""
 
     def __init__(self, slow: str) -> None:
         self.slow = slow
         self.running: Counter[str] = Counter()
         self._dialect = EngineDialect()
 
-    async def answer(self, engine: str, keeping: NoticeKeeping) -> Opened:
+    async def answer(self, engine: str, notice_exchange: NoticeExchange) -> Opened:
         self.running[engine] += 1
         pace = SLOW_PACE if engine == self.slow else 100
-        await asyncio.sleep(FIRST_SECONDS * pace / 100)
+        await asyncio.sleep(ANSWER_HEAD_SECONDS * pace / 100)
         load = f"{self.running[engine]},0,{SLOTS},{pace}"
-        keeping.heard(engine, self._dialect.notice(200, {"instance-load": load}))
-        return Opened(Answer(self, engine, (USUAL_SECONDS - FIRST_SECONDS) * pace / 100))
+        notice_exchange.heard(engine, self._dialect.notice(200, {"instance-load": load}))
+        return Opened(Answer(self, engine, (USUAL_SECONDS - ANSWER_HEAD_SECONDS) * pace / 100))
 
 
 class Sink:
-    """A caller who takes everything."""
+    """A caller that accepts everything at once."""
 
     def write(self, part: bytes) -> bool:
         return True
@@ -124,53 +130,53 @@
 class Connections:
     """One router's connections; see Upstreams."""
 
-    def __init__(self, engines: Engines, keeping: NoticeKeeping) -> None:
-        self._engines, self._keeping = engines, keeping
+    def __init__(self, engines: Engines, notice_exchange: NoticeExchange) -> None:
+        self._engines, self._notice_exchange = engines, notice_exchange
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
-        return await self._engines.answer(target.name, self._keeping)
+        return await self._engines.answer(target.name, self._notice_exchange)
 
 
 class Router:
-    """One router's parts, as its process puts them together."""
+    """One router, assembled as its process does."""
 
-    def __init__(self, name: str, fleet: Fleet) -> None:
+    def __init__(self, name: str, fleet: SimulatedFleet) -> None:
         clock = asyncio.get_running_loop().time
         address = fleet.address_by_name[name]
         own = Alive(short_id(name), 1, Phase.LIVE, name, address.host, address.port, "h1")
         seeds = list(fleet.address_by_name.values())
         gossip = Gossip(own, MembershipLimits(), random.Random(name), seeds)
-        self.state = RouterState(name, "h1", gossip, clock, lambda member: Nobody())
+        self.state = RouterState(name, "h1", gossip, clock, lambda member: UncalledPeer())
         self.state.load_management = "as-needed"
-        self.state.take_change(Change(1, "first", "root", 0.0, "", (SERVICE,)))
+        self.state.apply_change(Change(1, "first", "root", 0.0, "", (SERVICE,)))
         for version, engine in enumerate(ENGINES, 1):
             value = {"name": engine, "service": "lang", "url": "http://10.0.0.1:80", "hall": "h1"}
-            self.state.take_upstream_event(WatchEvent("set", version, engine, value))
-        self.state.take_listed_evacuations(Listed(10, ()))
+            self.state.apply_upstream_event(WatchEvent("set", version, engine, value))
+        self.state.apply_listed_evacuations(Listed(10, ()))
         self.send: Callable[[Iterable[Datagram]], None] = partial(fleet.send, address)
-        self.keeping = NoticeKeeping(self.state, self.send)
-        self.granting = Granting(self.state, self.send, Tasks(), 1)
-        connections = Connections(fleet.engines, self.keeping)
-        self._ways = Ways(self.granting.entry, connections)
+        self.notice_exchange = NoticeExchange(self.state, self.send)
+        self.grant_exchange = GrantExchange(self.state, self.send, Tasks(), 1)
+        connections = Connections(fleet.engines, self.notice_exchange)
+        self._ways = Ways(self.grant_exchange.entry, connections)
 
     def receive(self, payload: bytes, source: Address) -> None:
-        if payload.startswith(GRANT_MARK):
-            self.granting.receive(payload.removeprefix(GRANT_MARK), source)
-        elif payload.startswith(NOTICE_MARK):
-            self.keeping.receive(payload.removeprefix(NOTICE_MARK))
+        if payload.startswith(GRANT_PACKET_PREFIX):
+            self.grant_exchange.receive(payload.removeprefix(GRANT_PACKET_PREFIX), source)
+        elif payload.startswith(NOTICE_PACKET_PREFIX):
+            self.notice_exchange.receive(payload.removeprefix(NOTICE_PACKET_PREFIX))
         else:
             self.send(self.state.gossip.receive(payload, source, self.state.clock()))
-            self.state.refresh()
-            self.granting.follow_members()
+            self.state.refresh_members()
+            self.grant_exchange.follow_members()
 
     def tick(self) -> None:
         self.state.tick()
-        self.granting.tick()
-        self.keeping.tick()
+        self.grant_exchange.tick()
+        self.notice_exchange.tick()
         self.send(self.state.gossip.tick(self.state.clock()))
 
     async def send_request(self, number: int) -> bool:
-        """Send one request through this router; return whether its caller got all of it."""
+        """Send one request through this router; return whether the answer arrived whole."""
         until = self.state.clock() + 10.0
         head = RequestHead(f"q{number}", "a", "lang", 0, "POST", "/", (), True, 10.0, 5)
         walk = Walk(
@@ -188,7 +194,7 @@
         return isinstance((await Delivery(walk, placed, Sink()).run()).outcome, Whole)
 
 
-class Fleet:
+class SimulatedFleet:
     """Routers and engines."""
 
     def __init__(self) -> None:
@@ -197,14 +203,14 @@
         }
         self.engines = Engines(ENGINES[0])
         self.are_notices_lost = False
-        #: When each request that was answered came, and how long it took.
+        #: When each answered request arrived, and how many seconds it took.
         self.answered: list[tuple[float, float]] = []
         self.router_by_name = {name: Router(name, self) for name in ROUTERS}
 
     def send(self, source: Address, datagrams: Iterable[Datagram]) -> None:
         loop = asyncio.get_running_loop()
         for each in datagrams:
-            if not (self.are_notices_lost and each.payload.startswith(NOTICE_MARK)):
+            if not (self.are_notices_lost and each.payload.startswith(NOTICE_PACKET_PREFIX)):
                 name = ROUTERS[each.to.port - 7000]
                 router = self.router_by_name[name]
                 loop.call_later(0.001, router.receive, each.payload, source)
@@ -215,18 +221,18 @@
         return self.router_by_name[state.owner_name(self.engines.slow) or ""]
 
     def owner_pace(self) -> int:
-        """Return the pace by which the slow engine's owner decides now."""
+        """Return the pace that the slow engine's owner assumes now."""
         target = self.owner().state.target(self.engines.slow)
         assert target is not None
         return target.pace
 
-    async def meet(self) -> None:
-        """Have the routers begin, and wait until they know each other."""
-        self._running = asyncio.ensure_future(self._rounds())
+    async def start(self) -> None:
+        """Start the routers, and wait until they know each other."""
+        self._running = asyncio.ensure_future(self._run_rounds())
         await asyncio.sleep(1.0)
 
     async def run(self, entries: tuple[str, ...] = ROUTERS) -> int:
-        """Send all requests; return how many had no answer."""
+        """Send all requests; return how many were not answered."""
         clock = asyncio.get_running_loop().time
 
         async def request(number: int) -> bool:
@@ -238,20 +244,20 @@
             return is_whole
 
         running: list[asyncio.Future[bool]] = []
-        while clock() < SECONDS:
+        while clock() < LOAD_SECONDS:
             running.append(asyncio.ensure_future(request(len(running))))
-            await asyncio.sleep(1 / RATE)
+            await asyncio.sleep(1 / REQUESTS_PER_SECOND)
         found = await asyncio.gather(*running)
         return found.count(False)
 
-    async def _rounds(self) -> None:
+    async def _run_rounds(self) -> None:
         while True:
             for router in self.router_by_name.values():
                 router.tick()
             await asyncio.sleep(0.1)
 
-    def late(self, since: float, until: float = SECONDS) -> float:
-        """Return the share of the callers in a time that waited for twice the usual time."""
+    def late_share(self, since: float, until: float = LOAD_SECONDS) -> float:
+        """Return the share of a period's callers that waited for over twice the usual time."""
         took = [seconds for began, seconds in self.answered if since <= began < until]
         return sum(seconds > 2 * USUAL_SECONDS for seconds in took) / len(took)
 
@@ -259,39 +265,39 @@
 class SlowEngineTest(unittest.TestCase):
     def test_nine_in_ten_callers_are_answered_in_time(self) -> None:
         async def history() -> tuple[int, float]:
-            fleet = Fleet()
-            await fleet.meet()
+            fleet = SimulatedFleet()
+            await fleet.start()
             unanswered = await fleet.run()
-            return unanswered, fleet.late(SETTLED)
+            return unanswered, fleet.late_share(SETTLED_AT)
 
         unanswered, late = run_virtually(history())
         self.assertEqual(unanswered, 0)
-        self.assertLess(late, MOST_LATE)
+        self.assertLess(late, MAX_LATE_SHARE)
 
-    # A pace is known where it is told, and the router that was told goes away.
-    def test_the_next_owner_holds_it_back_after_its_owner_drained(self) -> None:
+    # Only the owner is sent the pace, and here that router goes away.
+    def test_the_next_owner_limits_it_after_its_owner_drained(self) -> None:
         async def history() -> tuple[int, float, bool]:
-            fleet = Fleet()
-            await fleet.meet()
+            fleet = SimulatedFleet()
+            await fleet.start()
             first = fleet.owner()
             others = tuple(name for name in ROUTERS if name != first.state.name)
 
             def drain() -> None:
                 first.state.phase = Phase.DRAINING
 
-            asyncio.get_running_loop().call_later(FAILS, drain)
+            asyncio.get_running_loop().call_later(FAILS_AT, drain)
             unanswered = await fleet.run(others)
-            return unanswered, fleet.late(RECOVERED), fleet.owner() is not first
+            return unanswered, fleet.late_share(RECOVERED_AT), fleet.owner() is not first
 
         unanswered, late, has_moved = run_virtually(history())
         self.assertEqual((unanswered, has_moved), (0, True))
-        self.assertLess(late, MOST_LATE)
+        self.assertLess(late, MAX_LATE_SHARE)
 
-    # The owner is asked by others alone here, so it knows no pace but by their packets.
-    def test_lost_packets_cost_the_lowered_ceiling_and_nothing_else(self) -> None:
+    # No requests enter at the owner here, so it knows paces only from the packets of others.
+    def test_lost_pace_reports_only_reset_the_owner_to_the_usual_pace(self) -> None:
         async def history() -> tuple[int, int, float]:
-            fleet = Fleet()
-            await fleet.meet()
+            fleet = SimulatedFleet()
+            await fleet.start()
             owner = fleet.owner()
             owner.state.load_management = "on"
             others = tuple(name for name in ROUTERS if name != owner.state.name)
@@ -301,12 +307,12 @@
                 fleet.are_notices_lost = are_lost
 
             paces: list[int] = []
-            loop.call_later(FAILS, lose, True)
-            loop.call_later(FAILS + 0.7, lambda: paces.append(fleet.owner_pace()))
-            loop.call_later(RECOVERED - 1.0, lose, False)
+            loop.call_later(FAILS_AT, lose, True)
+            loop.call_later(FAILS_AT + 0.7, lambda: paces.append(fleet.owner_pace()))
+            loop.call_later(RECOVERED_AT - 1.0, lose, False)
             unanswered = await fleet.run(others)
-            return unanswered, paces[0], fleet.late(RECOVERED)
+            return unanswered, paces[0], fleet.late_share(RECOVERED_AT)
 
         unanswered, pace, late = run_virtually(history())
         self.assertEqual((unanswered, pace), (0, USUAL_PACE))
-        self.assertLess(late, MOST_LATE)
+        self.assertLess(late, MAX_LATE_SHARE)
