--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -29,7 +29,7 @@
         return {
             "routers.known": len(self.state.members()),
             "requests.in_flight": self.callers.in_flight,
-            "held.bytes": self.state.held.whole,
+            "held.bytes": self.state.held.total,
             "configuration.version": self.state.fleet.version,
             "configuration.behind_ms": round(1000 * self.state.lag.seconds(self.state.clock())),
             "configuration.refused": int(self.state.refused is not None),
--- a/pondhatch/cli/_hall_commands.py
+++ b/pondhatch/cli/_hall_commands.py
@@ -77,7 +77,7 @@
         print(f"HALL: no upstream stands in {hall!r}; expected one of: {known}", file=sys.stderr)
         return EXIT_INPUT
     evacuations = Evacuations()
-    evacuations.take_listing(asked, now=0.0)
+    evacuations.apply_listing(asked, now=0.0)
     others = evacuations.halls - {hall}
     _print_effect(live, hall, others | {hall} if in_force else others, in_force)
     return EXIT_DONE if dry_run else await _write(platform, hall, in_force)
@@ -111,7 +111,7 @@
 
 
 def _live(listed: Listed) -> list[Upstream]:
-    entries = UpstreamReader().listing(listed).entries
+    entries = UpstreamReader().read_listing(listed).entries
     return [each.upstream for each in entries if each.upstream.state == LIVE]
 
 
--- a/pondhatch/cli/_main.py
+++ b/pondhatch/cli/_main.py
@@ -16,7 +16,7 @@
 from pondhatch.cli._reports import EXIT_INPUT
 from pondhatch.cli._run_command import run
 from pondhatch.configuration import ConfigurationError
-from pondhatch.kernel import collect_garbage
+from pondhatch.kernel import enable_garbage_collection
 
 
 def main(argv: Sequence[str] | None = None) -> int:
@@ -46,7 +46,7 @@
 
     from pondhatch.cli._commands import COMMANDS
 
-    collect_garbage()
+    enable_garbage_collection()
     code: int = defopt.run(
         COMMANDS,
         argv=arguments,
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -22,7 +22,7 @@
 from pondhatch.cli._stopping import Stopping
 from pondhatch.cli._surroundings import Surroundings, surroundings_of
 from pondhatch.configuration import Settings
-from pondhatch.kernel import Tasks, collect_garbage
+from pondhatch.kernel import Tasks, enable_garbage_collection
 from pondhatch.membership import Address, Member, Seal
 from pondhatch.observing import (
     STANDARD_OUTPUT,
@@ -236,7 +236,7 @@
         return PullReply(
             self.state.update_since(asked.configuration, asked.takes_difference),
             self.state.upstreams_since(asked.upstreams),
-            self.state.halls.evacuations.told(),
+            self.state.halls.evacuations.as_update(),
         )
 
     def _receive(self, payload: bytes, source: Address) -> list[Any]:
@@ -300,6 +300,6 @@
 async def serve(settings: Settings, reactor: Any, path: Path) -> None:
     """Run a router until it is asked to stop; ``path`` is where its settings are kept."""
     process = RouterProcess(settings, reactor, await surroundings_of(settings, reactor), path)
-    collect_garbage()
+    enable_garbage_collection()
     await process.run()
     STANDARD_OUTPUT.flush()
--- a/pondhatch/cli/tests/test_hall_commands.py
+++ b/pondhatch/cli/tests/test_hall_commands.py
@@ -32,7 +32,7 @@
         listed = await self.platform.list(EVACUATION_KIND)
         assert isinstance(listed, Listed)
         known = Evacuations()
-        known.take_listing(listed, 0.0)
+        known.apply_listing(listed, 0.0)
         return known.halls
 
     async def test_it_is_shown_what_is_left_and_then_written(self) -> None:
--- a/pondhatch/kernel/__init__.py
+++ b/pondhatch/kernel/__init__.py
@@ -2,7 +2,7 @@
 
 from pondhatch.kernel._addresses import host_and_port
 from pondhatch.kernel._backoff import Backoff
-from pondhatch.kernel._garbage import collect_garbage
+from pondhatch.kernel._garbage_collection import enable_garbage_collection
 from pondhatch.kernel._loop import Tasks, as_deferred, as_future, install_reactor
 from pondhatch.kernel._registry import REGISTRY, Plugin, Registry, RegistryError
 from pondhatch.kernel._wire_form import without_defaults
@@ -16,7 +16,7 @@
     "Tasks",
     "as_deferred",
     "as_future",
-    "collect_garbage",
+    "enable_garbage_collection",
     "host_and_port",
     "install_reactor",
     "without_defaults",
--- a/pondhatch/kernel/_backoff.py
+++ b/pondhatch/kernel/_backoff.py
@@ -6,7 +6,7 @@
 
 #: Least share of a pause that is waited: with jitter above it, callers that failed
 #: together come back spread over half of the pause.
-LEAST_SHARE = 0.5
+MIN_FRACTION = 0.5
 
 
 class Backoff:
@@ -22,7 +22,7 @@
         """Return for how many seconds to wait before the next try."""
         pause = self._pause
         self._pause = min(self._longest, pause * 2)
-        return pause * self._rng.uniform(LEAST_SHARE, 1.0)
+        return pause * self._rng.uniform(MIN_FRACTION, 1.0)
 
     def reset(self) -> None:
         """Begin with the first pause again, after a try that worked."""
--- a/pondhatch/kernel/_garbage.py
+++ b/pondhatch/kernel/_garbage_collection.py
@@ -5,7 +5,7 @@
 import gc
 
 
-def collect_garbage() -> None:
+def enable_garbage_collection() -> None:
     """Search for garbage from now on; what is there already stays, and is passed over."""
     gc.freeze()
     gc.enable()
--- a/pondhatch/kernel/_loop.py
+++ b/pondhatch/kernel/_loop.py
@@ -38,13 +38,13 @@
     A cancelled one, such as that of a caller who went away, results in None.
     """
 
-    async def quiet() -> Result | None:
+    async def none_if_cancelled() -> Result | None:
         try:
             return await coroutine
         except asyncio.CancelledError:
             return None
 
-    return Deferred.fromFuture(asyncio.ensure_future(quiet()))
+    return Deferred.fromFuture(asyncio.ensure_future(none_if_cancelled()))
 
 
 class Tasks:
@@ -57,10 +57,10 @@
         """Start a coroutine and keep it until it ends."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         """Let go of a task; one that ended in an error says so, since nobody may await it."""
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
--- a/pondhatch/kernel/_wire_form.py
+++ b/pondhatch/kernel/_wire_form.py
@@ -13,12 +13,12 @@
 from msgspec.structs import astuple
 
 
-def without_defaults(message: msgspec.Struct, first: str) -> msgspec.Struct | tuple[Any, ...]:
+def without_defaults(message: msgspec.Struct, first_added: str) -> msgspec.Struct | tuple[Any, ...]:
     """Return what is to be encoded of a message: without the field ``first`` and those behind it.
 
     The whole message where one of them says something else than its default.
     """
-    kept, defaults = _split(type(message), first)
+    kept, defaults = _split_fields(type(message), first_added)
     values = astuple(message)
     if values[kept:] != defaults:
         return message
@@ -27,8 +27,8 @@
 
 
 @functools.cache
-def _split(kind: type[msgspec.Struct], first: str) -> tuple[int, tuple[Any, ...]]:
+def _split_fields(kind: type[msgspec.Struct], first_added: str) -> tuple[int, tuple[Any, ...]]:
     """Return how many fields stand before one, and the defaults from that one on."""
-    kept = kind.__struct_fields__.index(first)
+    kept = kind.__struct_fields__.index(first_added)
     added = len(kind.__struct_fields__) - kept
     return kept, kind.__struct_defaults__[-added:]
--- a/pondhatch/kernel/tests/test_backoff.py
+++ b/pondhatch/kernel/tests/test_backoff.py
@@ -14,13 +14,13 @@
             self.assertLessEqual(pause, most)
             self.assertGreaterEqual(pause, most / 2)
 
-    def test_a_try_that_worked_begins_anew(self) -> None:
+    def test_reset_begins_with_the_first_pause(self) -> None:
         backoff = Backoff(0.2, 1.0, random.Random(1))
         for _ in range(3):
             backoff.next()
         backoff.reset()
         self.assertLessEqual(backoff.next(), 0.2)
 
-    def test_two_do_not_come_back_at_the_same_moment(self) -> None:
+    def test_jitter_spreads_the_first_pauses(self) -> None:
         pauses = {Backoff(0.2, 1.0, random.Random(seed)).next() for seed in range(8)}
         self.assertEqual(len(pauses), 8)
--- a/pondhatch/kernel/tests/test_registry.py
+++ b/pondhatch/kernel/tests/test_registry.py
@@ -23,7 +23,7 @@
 
         self.plugin = ReadsLoads
 
-    def test_a_plugin_gets_just_what_it_declares(self) -> None:
+    def test_a_plugin_gets_only_its_declared_views(self) -> None:
         loads = Loads()
         built = self.registry.build("placement", "reads-loads", {Loads: loads, Other: Other()})
         self.assertIs(built.view(Loads), loads)
@@ -40,6 +40,6 @@
             with self.subTest(name=name), self.assertRaisesRegex(RegistryError, message):
                 self.registry.build(kind, name, {})
 
-    def test_a_name_is_taken_once(self) -> None:
+    def test_a_name_registered_twice_is_an_error(self) -> None:
         with self.assertRaisesRegex(RegistryError, "registered twice"):
             self.registry.register("placement", "reads-loads")(self.plugin)
--- a/pondhatch/kernel/tests/test_tasks.py
+++ b/pondhatch/kernel/tests/test_tasks.py
@@ -14,7 +14,7 @@
         number = logger.add(self.lines.append, level="ERROR", format="{message}")
         self.addCleanup(logger.remove, number)
 
-    async def test_one_that_ends_in_an_error_says_which_and_why(self) -> None:
+    async def test_a_failed_task_logs_its_name_and_error(self) -> None:
         async def failing() -> None:
             raise ValueError("a wrong entry")
 
@@ -23,7 +23,7 @@
         self.assertEqual(len(self.lines), 1)
         self.assertRegex(self.lines[0], "failing.*a wrong entry")
 
-    async def test_one_that_ends_or_is_cancelled_says_nothing(self) -> None:
+    async def test_a_finished_or_cancelled_task_logs_nothing(self) -> None:
         async def waiting() -> None:
             await asyncio.Event().wait()
 
--- a/pondhatch/kernel/tests/test_wire_form.py
+++ b/pondhatch/kernel/tests/test_wire_form.py
@@ -19,9 +19,9 @@
 
 
 class WireFormTest(unittest.TestCase):
-    def test_added_fields_are_left_out_while_they_say_nothing(self) -> None:
+    def test_added_fields_at_their_defaults_are_left_out(self) -> None:
         self.assertEqual(without_defaults(Message("a", 2), "added"), (7, "a", 2))
 
-    def test_all_are_written_where_one_says_something(self) -> None:
+    def test_all_fields_are_written_if_an_added_one_is_set(self) -> None:
         message = Message("a", words=("b",))
         self.assertIs(without_defaults(message, "added"), message)
--- a/pondhatch/limits/__init__.py
+++ b/pondhatch/limits/__init__.py
@@ -9,7 +9,7 @@
     LimitVerdict,
 )
 from pondhatch.limits._held_bytes import UNCOUNTED, HeldBytes, HeldCounter, fair_level
-from pondhatch.limits._pace import Pace
+from pondhatch.limits._rate_limiter import RateLimiter
 from pondhatch.limits._retries import RetryAllowance, RetryBudget, RetryBudgets
 from pondhatch.limits._shares import Demand, Share, ShareHome, ShareUser
 
@@ -24,7 +24,7 @@
     "HeldCounter",
     "LimitVerdict",
     "Limited",
-    "Pace",
+    "RateLimiter",
     "RetryAllowance",
     "RetryBudget",
     "RetryBudgets",
--- a/pondhatch/limits/_held_bytes.py
+++ b/pondhatch/limits/_held_bytes.py
@@ -21,7 +21,7 @@
 #: Name of the limit that an account reached; see ``Limited``.
 MEMORY_LIMIT = "memory"
 #: Bytes that a request counts for at least when it asks to be taken in: its answer may be held.
-LEAST_BYTES = 1
+MIN_REQUEST_BYTES = 1
 
 
 def fair_level(amounts: Iterable[int], bound: float) -> float:
@@ -30,12 +30,12 @@
     Infinite where all of them together stay below the bound.
     """
     ordered = sorted(amounts)
-    left = bound
-    for at, amount in enumerate(ordered):
-        share = left / (len(ordered) - at)
+    remaining = bound
+    for index, amount in enumerate(ordered):
+        share = remaining / (len(ordered) - index)
         if amount >= share:
             return share
-        left -= amount
+        remaining -= amount
     return float("inf")
 
 
@@ -44,20 +44,20 @@
 
     bound: int | None = None
     #: Sum over all accounts.
-    whole: int = 0
+    total: int = 0
     #: Accounts that hold nothing are left out.
     bytes_by_account: dict[str, int] = msgspec.field(default_factory=dict)
 
-    def change(self, account: str, by: int) -> None:
+    def change(self, account: str, delta: int) -> None:
         """Add to what an account holds, or take from it."""
-        amount = self.bytes_by_account.get(account, 0) + by
+        amount = self.bytes_by_account.get(account, 0) + delta
         if amount < 0:
-            raise ValueError(f"{account} holds {amount - by} bytes, fewer than {-by}")
+            raise ValueError(f"{account} holds {amount - delta} bytes, fewer than {-delta}")
         if amount:
             self.bytes_by_account[account] = amount
         else:
             self.bytes_by_account.pop(account, None)
-        self.whole += by
+        self.total += delta
 
     def may_hold(self, account: str, more: int) -> bool:
         """Return whether a request of an account may hold so many bytes more.
@@ -65,8 +65,8 @@
         One of an account that holds nothing always may: else a body larger than its account's
         share would find no moment at which it is taken.
         """
-        more = max(more, LEAST_BYTES)
-        if self.bound is None or self.whole + more <= self.bound:
+        more = max(more, MIN_REQUEST_BYTES)
+        if self.bound is None or self.total + more <= self.bound:
             return True
         held = self.bytes_by_account.get(account, 0)
         after = held + more
@@ -80,7 +80,7 @@
 
     def is_slowed(self, account: str) -> bool:
         """Return whether an account's sources are to be read more slowly."""
-        if self.bound is None or self.whole < self.bound:
+        if self.bound is None or self.total < self.bound:
             return False
         held = self.bytes_by_account.get(account, 0)
         if self._is_under_share(held):
--- a/pondhatch/limits/_pace.py
+++ b/pondhatch/limits/_rate_limiter.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Pace(msgspec.Struct):
+class RateLimiter(msgspec.Struct):
     """Turns at a rate, of which some may be taken at once after a quiet time."""
 
     #: Turns a second in the long run.
@@ -15,7 +15,7 @@
     #: When the next turn would come if none were saved, in the clock's seconds.
     _next_at: float = float("-inf")
 
-    def take(self, now: float) -> float:
+    def reserve(self, now: float) -> float:
         """Take a turn; return for how many seconds to wait for it."""
         step = 1.0 / self.rate
         earliest = now - (self.burst - 1) * step
--- a/pondhatch/limits/tests/test_held_bytes.py
+++ b/pondhatch/limits/tests/test_held_bytes.py
@@ -25,7 +25,7 @@
 
 
 class HeldBytesTest(unittest.TestCase):
-    def test_whose_requests_are_refused(self) -> None:
+    def test_refuses_the_accounts_above_the_fair_level(self) -> None:
         rows: tuple[tuple[dict[str, int], str, int, bool], ...] = (
             ({"a": 90}, "a", 10, True),
             ({"a": 90}, "a", 11, False),
@@ -43,7 +43,7 @@
                 self.assertEqual(table(holdings).may_hold(account, more), expected)
                 self.assertTrue(table(holdings, None).may_hold(account, more))
 
-    def test_whose_sources_are_read_slower(self) -> None:
+    def test_slows_the_sources_of_accounts_at_the_fair_level(self) -> None:
         rows: tuple[tuple[dict[str, int], set[str]], ...] = (
             ({"a": 60, "b": 39}, set()),
             ({"a": 60, "b": 40}, {"a"}),
@@ -58,7 +58,7 @@
                 self.assertFalse(any(map(table(holdings, None).is_slowed, holdings)))
 
     @given(HOLDINGS, ACCOUNTS, st.integers(0, BOUND))
-    def test_nobody_under_its_share_is_limited_for_others(
+    def test_no_account_under_its_even_share_is_limited(
         self, holdings: dict[str, int], account: str, more: int
     ) -> None:
         held = table(holdings)
@@ -68,48 +68,46 @@
             self.assertFalse(held.is_slowed(account))
 
     @given(HOLDINGS)
-    def test_at_the_bound_the_one_that_holds_most_is_limited(
-        self, holdings: dict[str, int]
-    ) -> None:
+    def test_at_the_bound_the_largest_holder_is_limited(self, holdings: dict[str, int]) -> None:
         held = table(holdings)
         most = max(holdings, key=lambda each: holdings[each])
-        at_bound = held.whole >= BOUND
+        at_bound = held.total >= BOUND
         self.assertEqual(held.is_slowed(most), at_bound)
         self.assertEqual(held.may_hold(most, 0), not at_bound)
 
     @given(HOLDINGS)
-    def test_cut_to_the_fair_level_all_fit_the_bound(self, holdings: dict[str, int]) -> None:
+    def test_amounts_cut_to_the_fair_level_fit_the_bound(self, holdings: dict[str, int]) -> None:
         level = fair_level(holdings.values(), BOUND)
         cut = sum(min(amount, level) for amount in holdings.values())
         self.assertAlmostEqual(cut, min(BOUND, sum(holdings.values())))
 
     @given(st.lists(st.tuples(ACCOUNTS, st.lists(st.integers(0, BOUND)))))
-    def test_once_all_holds_are_closed_nothing_is_left(
+    def test_closing_all_counters_leaves_nothing_counted(
         self, changes: list[tuple[str, list[int]]]
     ) -> None:
         held = HeldBytes(BOUND)
-        holds = [held.counter(account) for account, _ in changes]
-        for hold, (_, amounts) in zip(holds, changes, strict=True):
+        counters = [held.counter(account) for account, _ in changes]
+        for counter, (_, amounts) in zip(counters, changes, strict=True):
             for amount in amounts:
-                hold.set(amount)
-        self.assertEqual(held.whole, sum(hold.amount for hold in holds))
-        self.assertEqual(held.whole, sum(held.bytes_by_account.values()))
-        for hold in (*holds, *holds):
-            hold.close()
-            hold.set(9)
-        self.assertEqual((held.whole, held.bytes_by_account), (0, {}))
-
-    def test_a_request_that_is_over_holds_what_it_held(self) -> None:
-        hold = table({"a": 60, "b": 30}).counter("a")
-        self.assertIsNone(hold.try_set(10))
-        self.assertEqual(hold.try_set(11), Limited("memory", MEMORY_RETRY_AFTER))
-        self.assertEqual(hold.amount, 10)
+                counter.set(amount)
+        self.assertEqual(held.total, sum(hold.amount for hold in counters))
+        self.assertEqual(held.total, sum(held.bytes_by_account.values()))
+        for counter in (*counters, *counters):
+            counter.close()
+            counter.set(9)
+        self.assertEqual((held.total, held.bytes_by_account), (0, {}))
+
+    def test_a_refused_request_keeps_its_earlier_amount(self) -> None:
+        counter = table({"a": 60, "b": 30}).counter("a")
+        self.assertIsNone(counter.try_set(10))
+        self.assertEqual(counter.try_set(11), Limited("memory", MEMORY_RETRY_AFTER))
+        self.assertEqual(counter.amount, 10)
 
     def test_more_cannot_be_given_back_than_is_held(self) -> None:
         with self.assertRaises(ValueError):
             table({"a": 5}).change("a", -6)
 
-    def test_what_is_held_for_nobody_is_not_counted(self) -> None:
+    def test_the_uncounted_counter_stays_at_zero(self) -> None:
         UNCOUNTED.set(9)
         self.assertIsNone(UNCOUNTED.try_set(9))
         self.assertEqual((UNCOUNTED.amount, UNCOUNTED.is_slowed()), (0, False))
--- a/pondhatch/limits/tests/test_limits.py
+++ b/pondhatch/limits/tests/test_limits.py
@@ -11,7 +11,7 @@
     RetryBudget,
     RetryBudgets,
 )
-from pondhatch.limits._most_seen import MISSED_SECONDS
+from pondhatch.limits._peak_routers import PEAK_SECONDS
 
 LIMITS = AccountLimits(requests_per_second=10.0, burst=5, concurrency=4)
 
@@ -23,7 +23,7 @@
     def begin(self, now: float, limits: AccountLimits = LIMITS) -> object:
         return self.gate.begin("a", limits, now)
 
-    def test_the_burst_then_the_rate(self) -> None:
+    def test_allows_the_burst_and_then_the_rate(self) -> None:
         for _ in range(5):
             self.assertEqual(self.begin(0.0), Allowed())
             self.gate.end("a")
@@ -31,7 +31,7 @@
         self.assertEqual(limited, Limited("rate", 0.1))
         self.assertEqual(self.begin(0.11), Allowed())
 
-    def test_concurrency(self) -> None:
+    def test_requests_above_the_concurrency_are_refused(self) -> None:
         for _ in range(4):
             self.begin(0.0)
         self.assertEqual(self.begin(1.0), Limited("concurrency", 1.0))
@@ -72,8 +72,8 @@
         budget = RetryBudget()
         retried = 0
         for _ in range(1000):
-            budget.first_try()
-            retried += budget.may_retry()
+            budget.record_first_try()
+            retried += budget.spend_retry()
         self.assertLessEqual(retried, 1000 * 0.1 + 5)
         self.assertGreaterEqual(retried, 99)
 
@@ -85,22 +85,22 @@
 class RetryBudgetsTest(unittest.TestCase):
     """The fleet's allowance, shared out among routers that do not ask each other."""
 
-    def spent(self, budgets: RetryBudgets, service: str, requests: int) -> int:
-        budget = budgets.of(service)
+    def spend_all(self, budgets: RetryBudgets, service: str, requests: int) -> int:
+        budget = budgets.for_service(service)
         spent = 0
         for _ in range(requests):
-            budget.first_try()
-            while budget.may_retry():
+            budget.record_first_try()
+            while budget.spend_retry():
                 spent += 1
         return spent
 
-    def saved_up(self, routers: int, now: float = 0.0) -> RetryBudgets:
+    def full_budgets(self, routers: int, now: float = 0.0) -> RetryBudgets:
         """Return what a router has after a while without retries."""
         budgets = RetryBudgets(ALLOWANCE)
         budgets.set_routers(routers, now)
         for service in ("lang", "portal"):
             for _ in range(1000):
-                budgets.of(service).first_try()
+                budgets.for_service(service).record_first_try()
         return budgets
 
     def test_fleets_of_any_size_keep_to_the_allowance(self) -> None:
@@ -108,40 +108,41 @@
             with self.subTest(routers=routers):
                 requests = 2000 // routers
                 spent = sum(
-                    self.spent(self.saved_up(routers), "lang", requests) for _ in range(routers)
+                    self.spend_all(self.full_budgets(routers), "lang", requests)
+                    for _ in range(routers)
                 )
                 self.assertLessEqual(spent, 0.2 * requests * routers + 56)
 
-    def test_two_sides_of_a_cut_keep_to_it_together(self) -> None:
-        cut = [self.saved_up(8) for _ in range(8)]
-        for budgets in cut:
-            budgets.set_routers(4, MISSED_SECONDS + 1)
+    def test_two_sides_of_a_partition_keep_to_the_allowance_together(self) -> None:
+        partitioned = [self.full_budgets(8) for _ in range(8)]
+        for budgets in partitioned:
+            budgets.set_routers(4, PEAK_SECONDS + 1)
             for _ in range(1000):
-                budgets.of("lang").first_try()
-        spent = sum(self.spent(budgets, "lang", 100) for budgets in cut)
+                budgets.for_service("lang").record_first_try()
+        spent = sum(self.spend_all(budgets, "lang", 100) for budgets in partitioned)
         self.assertLessEqual(spent, 0.2 * 800 + 56)
 
-    def test_one_that_is_cut_off_for_a_moment_keeps_its_own_part_only(self) -> None:
-        budgets = self.saved_up(8)
+    def test_a_router_cut_off_for_a_moment_keeps_only_its_own_part(self) -> None:
+        budgets = self.full_budgets(8)
         budgets.set_routers(1, 5.0)
-        self.assertEqual(budgets.of("lang").most_saved, 3.5)
-        budgets.set_routers(1, MISSED_SECONDS + 1)
-        self.assertEqual(budgets.of("lang").most_saved, 28.0)
+        self.assertEqual(budgets.for_service("lang").max_saved, 3.5)
+        budgets.set_routers(1, PEAK_SECONDS + 1)
+        self.assertEqual(budgets.for_service("lang").max_saved, 28.0)
 
-    def test_what_one_service_earns_another_cannot_spend(self) -> None:
-        budgets = self.saved_up(8)
-        self.spent(budgets, "portal", 10)
-        self.assertFalse(budgets.of("portal").may_retry())
-        self.assertTrue(budgets.of("lang").may_retry())
+    def test_services_cannot_spend_each_others_retries(self) -> None:
+        budgets = self.full_budgets(8)
+        self.spend_all(budgets, "portal", 10)
+        self.assertFalse(budgets.for_service("portal").spend_retry())
+        self.assertTrue(budgets.for_service("lang").spend_retry())
 
-    def test_a_router_that_restarts_begins_with_one(self) -> None:
+    def test_a_restarted_router_begins_with_one_retry(self) -> None:
         budgets = RetryBudgets(ALLOWANCE)
         budgets.set_routers(8, 0.0)
-        tries = [budgets.of("lang").may_retry() for _ in range(3)]
+        tries = [budgets.for_service("lang").spend_retry() for _ in range(3)]
         self.assertEqual(tries, [True, False, False])
 
-    def test_a_larger_fleet_takes_back_what_was_saved(self) -> None:
-        budgets = self.saved_up(2)
-        self.assertEqual(budgets.of("lang").saved, 14.0)
+    def test_a_growing_fleet_lowers_what_each_router_has_saved(self) -> None:
+        budgets = self.full_budgets(2)
+        self.assertEqual(budgets.for_service("lang").saved, 14.0)
         budgets.set_routers(8, 1.0)
-        self.assertEqual(budgets.of("lang").saved, 3.5)
+        self.assertEqual(budgets.for_service("lang").saved, 3.5)
--- a/pondhatch/limits/tests/test_shares.py
+++ b/pondhatch/limits/tests/test_shares.py
@@ -18,7 +18,7 @@
         self.users = [ShareUser() for _ in range(count)]
         self.gates = [AccountGate() for _ in range(count)]
         self.home = ShareHome()
-        self.heard = True
+        self.home_is_reachable = True
         self.now = 0.0
         self._ends: list[list[float]] = [[] for _ in range(count)]
 
@@ -38,7 +38,7 @@
 
     def _request(self, at: int, lasts: float) -> bool:
         gate, user = self.gates[at], self.users[at]
-        user.came("a", gate.running("a"), self.now)
+        user.record_arrival("a", gate.running("a"), self.now)
         here = user.limits("a", WHOLE, len(self.users), self.now)
         if not isinstance(gate.begin("a", here, self.now), Allowed):
             return False
@@ -53,9 +53,11 @@
 
     def _exchange(self) -> None:
         for at, user in enumerate(self.users):
-            for demand in user.demands(self.now, len(self.users), {"a": WHOLE}):
-                if self.heard:
-                    user.given(self.home.asked(f"r{at}", demand, WHOLE, self.now), self.now)
+            for demand in user.due_demands(self.now, len(self.users), {"a": WHOLE}):
+                if self.home_is_reachable:
+                    user.record_share(
+                        self.home.allocate_share(f"r{at}", demand, WHOLE, self.now), self.now
+                    )
 
 
 class SharesTest(unittest.TestCase):
@@ -65,7 +67,7 @@
         allowed = routers.run(20, [38.0] + [0.0] * 7)
         self.assertGreater(allowed[0] / 20, 0.8 * WHOLE.requests_per_second)
 
-    def test_a_surge_is_held_to_the_limit_wherever_it_comes_through(self) -> None:
+    def test_a_surge_is_held_to_the_limit_through_any_routers(self) -> None:
         for arrivals in ([400.0] + [0.0] * 7, [50.0] * 8, [200.0, 150.0] + [8.0] * 6):
             with self.subTest(arrivals=arrivals):
                 routers = Routers(8)
@@ -87,10 +89,10 @@
         running = sum(gate.running("a") for gate in routers.gates)
         self.assertLessEqual(running, WHOLE.concurrency + 4)
 
-    def test_a_router_that_does_not_hear_the_home_falls_back_to_its_base(self) -> None:
+    def test_a_router_that_cannot_reach_the_home_falls_back_to_its_base(self) -> None:
         routers = Routers(8)
         routers.run(5, [20.0] * 8)
-        routers.heard = False
+        routers.home_is_reachable = False
         routers.run(6, [20.0] * 8)
         allowed = sum(routers.run(20, [20.0] * 8)) / 20
         self.assertLess(allowed, 0.3 * WHOLE.requests_per_second)
@@ -106,13 +108,13 @@
         routers.run(5, [30.0, 30.0])
         routers.run(10, [0.0, 0.0])
         routers.home.forget_old(routers.now)
-        self.assertEqual(routers.users[0].use_by_account, {})
+        self.assertEqual(routers.users[0].demand_by_account, {})
         self.assertEqual(routers.home.demand_by_account, {})
 
 
 class LastRouterTest(unittest.TestCase):
-    def test_a_router_that_stops_as_the_last_one_still_works_out_its_demands(self) -> None:
+    def test_the_last_router_still_computes_demands_while_it_stops(self) -> None:
         user = ShareUser()
         for _ in range(50):
-            user.came("a", 3, 1.0)
-        self.assertIsInstance(user.demands(2.0, 0, {"a": WHOLE}), tuple)
+            user.record_arrival("a", 3, 1.0)
+        self.assertIsInstance(user.due_demands(2.0, 0, {"a": WHOLE}), tuple)
--- a/pondhatch/platform/_era.py
+++ b/pondhatch/platform/_era.py
@@ -8,7 +8,7 @@
 
 from pondhatch.observing import log_for
 from pondhatch.platform import _names as names
-from pondhatch.store import MOST_ERAS, NO_ERA
+from pondhatch.store import MAX_ERA, NO_ERA
 from pondhatch.transport import CallFailed, StoreCalls
 
 log = log_for("store")
@@ -53,5 +53,5 @@
 def _era_in(value_by_name: Mapping[str, str], known: int) -> int:
     """Return the era that an answer tells; what tells none is taken to be of the one known."""
     told = value_by_name.get(names.STORE_ERA.lower(), "")
-    is_number = told.isascii() and told.isdigit() and len(told) <= len(str(MOST_ERAS))
-    return int(told) if is_number and int(told) <= MOST_ERAS else known
+    is_number = told.isascii() and told.isdigit() and len(told) <= len(str(MAX_ERA))
+    return int(told) if is_number and int(told) <= MAX_ERA else known
--- a/pondhatch/requests/_entry.py
+++ b/pondhatch/requests/_entry.py
@@ -143,7 +143,7 @@
 
     async def run(self) -> Placed | Refused:
         """Return the opened answer or the refusal that the caller is to be told."""
-        self._budget.first_try()
+        self._budget.record_first_try()
         ended = await self._walk()
         if isinstance(ended, Placed) and self._failed(ended):
             ended = await self._instead_of(ended)
@@ -161,7 +161,7 @@
         Its caller would repeat it later than a short objective allows. It costs a retry, so that
         a service that fails as a whole is not asked twice as much for nothing.
         """
-        if self._tries_are_spent() or not self._budget.may_retry():
+        if self._tries_are_spent() or not self._budget.spend_retry():
             return failed
         self.plan.refused(f"answered {failed.reply.answer.status}")
         before, may_have_run = self.engine, self._may_have_run
@@ -275,7 +275,7 @@
 
     async def run_again(self, engine: str) -> Placed | None:
         """Run the request once more; the engine that broke off is the last resort."""
-        if self._tries_are_spent() or not self._budget.may_retry():
+        if self._tries_are_spent() or not self._budget.spend_retry():
             return None
         engines = self._live_upstreams()
         others = tuple(name for name in engines if name != engine)
@@ -479,7 +479,7 @@
             return Refused(reply)
         if self._tries_are_spent() and not self.plan.keep_to(self._may_take_it):
             return Refused(self._told(reply))
-        if not body_is_whole or not self._budget.may_retry():
+        if not body_is_whole or not self._budget.spend_retry():
             return Refused(self._told(reply))
         if reply.code == CROSSED and not ask.fresh:
             # The connection was at fault, which is closed now; the engine may be the only one.
--- a/pondhatch/router/_beliefs.py
+++ b/pondhatch/router/_beliefs.py
@@ -116,7 +116,7 @@
                 "hall",
                 hall,
                 "evacuated" if hall in self._evacuated else "open",
-                evacuations.word_by_hall[hall].version,
+                evacuations.evacuation_by_hall[hall].version,
             )
             for hall in sorted(before ^ self._evacuated)
         ]
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -176,7 +176,7 @@
         """Return the section's keys."""
         held = self.view(RouterState).held
         return {
-            "held_bytes": held.whole,
+            "held_bytes": held.total,
             "held_bytes_bound": held.bound,
             "held_by_account": [
                 {"name": name, "bytes": amount, "slowed": held.is_slowed(name)}
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -39,17 +39,17 @@
     def take_listing(self, listed: Listed, now: float) -> bool:
         """Take in the evacuations that the platform lists; return whether any was news."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take_listing(listed, now), now)
+        return self._opened(before, self.evacuations.apply_listing(listed, now), now)
 
     def take_event(self, event: WatchEvent, now: float) -> bool:
         """Take in one event of a watch on evacuations; return whether it was news."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take_event(event), now)
+        return self._opened(before, self.evacuations.apply_event(event), now)
 
     def take(self, update: EvacuationUpdate, now: float) -> bool:
         """Take in what a peer knows of evacuations; return whether any was news."""
         before = self.evacuations.halls
-        return self._opened(before, self.evacuations.take(update, now), now)
+        return self._opened(before, self.evacuations.apply_update(update, now), now)
 
     def settle(self, now: float) -> bool:
         """Do what is due once an era has settled; return whether that changed anything."""
--- a/pondhatch/router/_intakes.py
+++ b/pondhatch/router/_intakes.py
@@ -9,7 +9,7 @@
 from pondhatch.configuration import ServiceSpec
 from pondhatch.placement import Intake, Notices, Regions, winner
 from pondhatch.router._hall_states import HallStates
-from pondhatch.store import LIVE, ColdClocks, Upstream, UpstreamList, Vanished
+from pondhatch.store import LIVE, ColdPeriods, Upstream, UpstreamList, VanishedUpstreams
 
 
 class Intakes(msgspec.Struct):
@@ -17,9 +17,9 @@
 
     upstreams: UpstreamList
     #: Those whose entries went a short while ago.
-    vanished: Vanished
+    vanished: VanishedUpstreams
     halls: HallStates
-    cold: ColdClocks
+    cold: ColdPeriods
     #: What upstreams said of themselves.
     notices: Notices
     #: Returns the clock's seconds.
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -53,7 +53,7 @@
 
     def begin(self, account: str, now: float) -> LimitVerdict:
         """Hold a request against the account's limits."""
-        self.user.came(account, self.gate.running(account), now)
+        self.user.record_arrival(account, self.gate.running(account), now)
         whole = self._limits_of(account)
         here = self.user.limits(account, whole, len(self._live), now)
         return self.gate.begin(account, here, now)
@@ -66,8 +66,10 @@
         """Return the demands that are due, a packet for each home."""
         self._now = now
         known = self._fleet().policy_by_account
-        limits = {name: self._limits_of(name) for name in self.user.use_by_account if name in known}
-        wanted = self.user.demands(now, len(self._live), limits)
+        limits = {
+            name: self._limits_of(name) for name in self.user.demand_by_account if name in known
+        }
+        wanted = self.user.due_demands(now, len(self._live), limits)
         if not wanted:
             return []
         self.gate.forget_idle(now, ACCOUNT_IDLE)
@@ -83,8 +85,10 @@
             if home is not None:
                 demands_by_home.setdefault(home, []).append(demand)
         for demand in demands_by_home.pop(self._name, []):
-            share = self.home.asked(self._name, demand, self._limits_of(demand.account), now)
-            self.user.given(share, now)
+            share = self.home.allocate_share(
+                self._name, demand, self._limits_of(demand.account), now
+            )
+            self.user.record_share(share, now)
         return [
             self._gossip.limit_datagram(message, by_name[home].address)
             for home, demands in demands_by_home.items()
@@ -95,7 +99,7 @@
         if isinstance(message, LimitShares):
             for given in message.shares:
                 share = Share(given.account, given.requests_per_second, given.concurrency)
-                self.user.given(share, self._now)
+                self.user.record_share(share, self._now)
             return []
         known = self._fleet().policy_by_account
         shares = [
@@ -108,7 +112,7 @@
     def _share(self, router: str, asked: LimitDemand) -> LimitShare:
         demand = Demand(asked.account, asked.rate, asked.running)
         whole = self._limits_of(asked.account)
-        share = self.home.asked(router, demand, whole, self._now)
+        share = self.home.allocate_share(router, demand, whole, self._now)
         return LimitShare(asked.account, share.requests_per_second, share.concurrency)
 
     def _limits_of(self, account: str) -> AccountLimits:
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -57,7 +57,7 @@
     Upstream,
     UpstreamList,
     UpstreamUpdate,
-    Vanished,
+    VanishedUpstreams,
     WatchEvent,
 )
 
@@ -89,7 +89,7 @@
     fleet: Fleet = field(default_factory=Fleet)
     upstreams: UpstreamList = field(default_factory=UpstreamList)
     #: Those whose entries went a short while ago.
-    vanished: Vanished = field(default_factory=Vanished)
+    vanished: VanishedUpstreams = field(default_factory=VanishedUpstreams)
     #: What is known of data halls: their regions, and which are evacuated.
     halls: HallStates = field(default_factory=HallStates)
     gate: Gate = field(default_factory=Gate)
@@ -515,7 +515,7 @@
         self.refresh()
         self.retries.set_routers(len(self.live_routers()), self.clock())
         is_alone = self.clock() - self._started_at < ALONE_SECONDS
-        self.cold_paces.share = 0.0 if is_alone else self.retries.routers.share
+        self.cold_paces.share = 0.0 if is_alone else self.retries.peak_routers.live_share
         self.publish()
         self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
 
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -17,14 +17,14 @@
     LIVE,
     REMOVED,
     SETTLE_SECONDS,
-    ColdClocks,
+    ColdPeriods,
     Listed,
     Position,
     Upstream,
     UpstreamList,
     UpstreamReader,
     UpstreamUpdate,
-    Vanished,
+    VanishedUpstreams,
     WatchEvent,
     era_of,
 )
@@ -115,22 +115,22 @@
     """Takes changes into a list of upstreams and notes who joined and who vanished."""
 
     upstreams: UpstreamList
-    vanished: Vanished
+    vanished: VanishedUpstreams
     #: What upstreams said of themselves.
     notices: Notices = msgspec.field(default_factory=Notices)
     joins: Joins = msgspec.field(default_factory=Joins)
     reader: UpstreamReader = msgspec.field(default_factory=UpstreamReader)
     settling: Settling = msgspec.field(default_factory=Settling)
-    cold: ColdClocks = msgspec.field(default_factory=ColdClocks)
+    cold: ColdPeriods = msgspec.field(default_factory=ColdPeriods)
 
     def take_listing(self, listed: Listed, now: float) -> bool:
         """Take in what the platform lists; return whether any was news."""
-        return self.take(self.reader.listing(listed), now)
+        return self.take(self.reader.read_listing(listed), now)
 
     def take(self, update: UpstreamUpdate, now: float) -> bool:
         """Take in a listing's or a peer's entries; return whether any was news."""
         names, live, leaving = self._names(), self._in_state(LIVE), self._known_leaving()
-        news = self.upstreams.take(update, self.settling.begins(update.version, now))
+        news = self.upstreams.apply_update(update, self.settling.begins(update.version, now))
         self.settling.note(self.upstreams.version, now)
         self._note(names, live, now)
         self._note_staying(leaving)
@@ -139,10 +139,10 @@
 
     def since(self, version: int, now: float) -> UpstreamUpdate:
         """Return what a peer at a version lacks, and what is known of who joined lately."""
-        update = self.upstreams.since(version)
+        update = self.upstreams.update_since(version)
         return replace(
             update,
-            entries=tuple(self.cold.as_of(entry, now) for entry in update.entries),
+            entries=tuple(self.cold.with_seconds_left(entry, now) for entry in update.entries),
             known_for=self.joins.known_for(now),
             age_by_name=self.joins.age_by_name(now),
         )
@@ -163,11 +163,11 @@
 
     def _apply(self, event: WatchEvent) -> bool:
         if event.type == "set":
-            upstream = self.reader.upstream(event.name, event.version, event.value)
+            upstream = self.reader.read_upstream(event.name, event.version, event.value)
             if upstream is not None:
                 return self.upstreams.set(upstream, event.version)
         if event.type in ("set", "unreadable"):
-            return self.upstreams.hold_back(event.name, event.version)
+            return self.upstreams.mark_unreadable(event.name, event.version)
         if event.type == "removed":
             return self.upstreams.remove(event.name, event.version)
         return False
@@ -176,16 +176,16 @@
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
         self.joins.note(names_before, self._names(), now)
-        self.cold.note(self.upstreams.entry_by_name.values(), now)
+        self.cold.update(self.upstreams.entry_by_name.values(), now)
         self._note_vanished(live_before, now)
 
     def _note_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
         """Note whose entries went without a word, and whose are back."""
         for name, entry in self.upstreams.entry_by_name.items():
             if entry.upstream.state != REMOVED:
-                self.vanished.returned(entry.upstream.id)
+                self.vanished.discard(entry.upstream.id)
             elif name in live_before and not self._started_again(entry.upstream):
-                self.vanished.note(live_before[name], now)
+                self.vanished.add(live_before[name], now)
 
     def _known_leaving(self) -> frozenset[str]:
         """Return the upstreams that leave both by the list and by an answer of theirs."""
@@ -204,7 +204,7 @@
                 self.notices.stays(name)
 
     def _started_again(self, ended: Upstream) -> bool:
-        newest = self.upstreams.newest(ended.id)
+        newest = self.upstreams.newest_start(ended.id)
         return newest is not None and newest.upstream.name != ended.name
 
     def _names(self) -> frozenset[str]:
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -16,7 +16,7 @@
 from pondhatch.router._state import ALONE_SECONDS
 from pondhatch.router.tests.test_sync import FIRST, meet, router, syncing
 from pondhatch.store import Listed, StoredObject, WatchEvent
-from pondhatch.store._evacuations import NONE_EVER
+from pondhatch.store._evacuations import NO_EVACUATIONS
 
 REGIONS = {"h1": "north", "h2": "south"}
 HALLS = ("h1", "h1", "h2")
@@ -198,4 +198,4 @@
         meet(state, peer)
         await self.run_for(syncing(state, self.platform, peer))
         self.assertTrue(state.halls.evacuations.is_known)
-        self.assertEqual(state.halls.evacuations.version, NONE_EVER)
+        self.assertEqual(state.halls.evacuations.version, NO_EVACUATIONS)
--- a/pondhatch/router/tests/test_new_eras.py
+++ b/pondhatch/router/tests/test_new_eras.py
@@ -10,7 +10,7 @@
     Listed,
     StoredObject,
     UpstreamList,
-    Vanished,
+    VanishedUpstreams,
     WatchEvent,
     position_of,
 )
@@ -48,7 +48,7 @@
 
 class ListTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.changes = UpstreamChanges(UpstreamList(), Vanished())
+        self.changes = UpstreamChanges(UpstreamList(), VanishedUpstreams())
         self.changes.take_listing(listed(1, 140, a=90, b=140), 0.0)
 
     def state(self, name: str) -> str:
--- a/pondhatch/router/tests/test_restoring.py
+++ b/pondhatch/router/tests/test_restoring.py
@@ -16,7 +16,7 @@
 
 
 def in_era(state: RouterState, era: int) -> None:
-    state.upstreams.seen(position_of(era, 10))
+    state.upstreams.advance_to(position_of(era, 10))
 
 
 class RestoringTest(unittest.TestCase):
@@ -63,7 +63,7 @@
             platform, state = PlatformInMemory(), router("r0")
             restoring = self.restoring(platform, state)
             for revision in (5, 900):
-                state.upstreams.seen(revision)
+                state.upstreams.advance_to(revision)
                 await restoring.look()
             listed = await platform.list(VM_KIND)
             assert isinstance(listed, Listed)
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -73,8 +73,8 @@
 
     def __init__(self, peer: RouterState, configuration: int, upstreams: int) -> None:
         self.configuration: Update = peer.update_since(configuration)
-        self.upstreams: UpstreamUpdate = peer.upstreams.since(upstreams)
-        self.evacuations: EvacuationUpdate | None = peer.halls.evacuations.told()
+        self.upstreams: UpstreamUpdate = peer.upstreams.update_since(upstreams)
+        self.evacuations: EvacuationUpdate | None = peer.halls.evacuations.as_update()
 
 
 def syncing(
--- a/pondhatch/store/__init__.py
+++ b/pondhatch/store/__init__.py
@@ -1,7 +1,7 @@
 """The platform: its object API behind a Protocol, and its list of upstreams."""
 
-from pondhatch.store._cold_clocks import ColdClocks
-from pondhatch.store._evacuations import IN_FORCE, Evacuations, EvacuationUpdate, HallWord
+from pondhatch.store._cold_periods import ColdPeriods
+from pondhatch.store._evacuations import IN_FORCE, Evacuations, EvacuationUpdate, HallEvacuation
 from pondhatch.store._objects import (
     Accepted,
     Conflict,
@@ -17,7 +17,7 @@
     WatchEvent,
 )
 from pondhatch.store._position import (
-    MOST_ERAS,
+    MAX_ERA,
     NO_ERA,
     REVISION_BITS,
     SETTLE_SECONDS,
@@ -26,7 +26,7 @@
     position_of,
     revision_of,
 )
-from pondhatch.store._reading import UpstreamReader
+from pondhatch.store._upstream_reader import UpstreamReader
 from pondhatch.store._upstreams import (
     LEAVING,
     LIVE,
@@ -36,19 +36,19 @@
     UpstreamList,
     UpstreamUpdate,
 )
-from pondhatch.store._vanished import RETURN_SECONDS, Vanished
+from pondhatch.store._vanished import RETURN_SECONDS, VanishedUpstreams
 
 __all__ = [
-    "ColdClocks",
+    "ColdPeriods",
     "EvacuationUpdate",
     "Evacuations",
-    "HallWord",
+    "HallEvacuation",
     "IN_FORCE",
     "RETURN_SECONDS",
-    "Vanished",
+    "VanishedUpstreams",
     "LEAVING",
     "LIVE",
-    "MOST_ERAS",
+    "MAX_ERA",
     "NO_ERA",
     "REVISION_BITS",
     "SETTLE_SECONDS",
--- a/pondhatch/store/_cold_clocks.py
+++ b/pondhatch/store/_cold_periods.py
@@ -15,7 +15,7 @@
 from pondhatch.store._upstreams import LIVE, UpstreamEntry
 
 
-class _Cold(msgspec.Struct, frozen=True):
+class _ColdPeriod(msgspec.Struct, frozen=True):
     """What an upstream last said of itself."""
 
     version: Position
@@ -23,35 +23,35 @@
     until: float
 
 
-class ColdClocks(msgspec.Struct):
+class ColdPeriods(msgspec.Struct):
     """Until when each upstream is cold, by its name."""
 
-    _cold_by_name: dict[str, _Cold] = msgspec.field(default_factory=dict)
+    _period_by_name: dict[str, _ColdPeriod] = msgspec.field(default_factory=dict)
 
-    def note(self, entries: Iterable[UpstreamEntry], now: float) -> None:
+    def update(self, entries: Iterable[UpstreamEntry], now: float) -> None:
         """Take in the entries of the list as they are now."""
-        told = [each for each in entries if each.upstream.cold_seconds > 0]
-        cold = [each for each in told if each.upstream.state == LIVE]
-        self._cold_by_name = {each.upstream.name: self._cold(each, now) for each in cold}
+        with_cold_time = [each for each in entries if each.upstream.cold_seconds > 0]
+        cold = [each for each in with_cold_time if each.upstream.state == LIVE]
+        self._period_by_name = {each.upstream.name: self._period_of(each, now) for each in cold}
 
-    def _cold(self, entry: UpstreamEntry, now: float) -> _Cold:
-        known = self._cold_by_name.get(entry.upstream.name)
+    def _period_of(self, entry: UpstreamEntry, now: float) -> _ColdPeriod:
+        known = self._period_by_name.get(entry.upstream.name)
         if known is not None and known.version == entry.version:
             return known
-        return _Cold(entry.version, now + entry.upstream.cold_seconds)
+        return _ColdPeriod(entry.version, now + entry.upstream.cold_seconds)
 
     def seconds_left(self, name: str, now: float) -> float:
         """Return for how many seconds an upstream is still cold; 0 where it is warm."""
-        cold = self._cold_by_name.get(name)
+        cold = self._period_by_name.get(name)
         return max(0.0, cold.until - now) if cold is not None else 0.0
 
     def count(self, now: float) -> int:
         """Return how many upstreams are cold."""
-        return sum(cold.until > now for cold in self._cold_by_name.values())
+        return sum(cold.until > now for cold in self._period_by_name.values())
 
-    def as_of(self, entry: UpstreamEntry, now: float) -> UpstreamEntry:
+    def with_seconds_left(self, entry: UpstreamEntry, now: float) -> UpstreamEntry:
         """Return an entry as a peer is to be told of it: with the seconds that are left now."""
         if not entry.upstream.cold_seconds:
             return entry
-        left = self.seconds_left(entry.upstream.identified().name, now)
+        left = self.seconds_left(entry.upstream.named_by_start().name, now)
         return replace(entry, upstream=replace(entry.upstream, cold_seconds=left))
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -22,10 +22,10 @@
 #: Field of the platform's object that ends an evacuation while the object stays.
 IN_FORCE = "in_force"
 #: What is told of routers that know that no hall ever was evacuated.
-NONE_EVER: Position = 1
+NO_EVACUATIONS: Position = 1
 
 
-class HallWord(msgspec.Struct, frozen=True):
+class HallEvacuation(msgspec.Struct, frozen=True):
     """The newest word on one hall."""
 
     in_force: bool
@@ -35,7 +35,7 @@
 class EvacuationUpdate(msgspec.Struct, frozen=True):
     """All that a router knows, for one that is behind; few halls, so always the whole."""
 
-    word_by_hall: dict[str, HallWord]
+    word_by_hall: dict[str, HallEvacuation]
 
 
 class Evacuations(msgspec.Struct):
@@ -43,7 +43,7 @@
 
     #: Whether the platform or a peer that knew it has told of them.
     is_known: bool = False
-    word_by_hall: dict[str, HallWord] = msgspec.field(default_factory=dict)
+    evacuation_by_hall: dict[str, HallEvacuation] = msgspec.field(default_factory=dict)
     #: Position of the newest listing that was read here.
     _listed_at: Position = 0
     #: When words of an older era that no listing shows are over, in the clock's seconds.
@@ -54,59 +54,65 @@
         """Position of the newest word; 0 where nothing is known."""
         if not self.is_known:
             return 0
-        return max((word.version for word in self.word_by_hall.values()), default=NONE_EVER)
+        return max(
+            (evacuation.version for evacuation in self.evacuation_by_hall.values()),
+            default=NO_EVACUATIONS,
+        )
 
     @property
     def halls(self) -> frozenset[str]:
         """The halls that are evacuated."""
-        return frozenset(hall for hall, word in self.word_by_hall.items() if word.in_force)
+        return frozenset(
+            hall for hall, evacuation in self.evacuation_by_hall.items() if evacuation.in_force
+        )
 
     def is_evacuated(self, hall: str) -> bool:
         """Return whether a hall's upstreams are to be sent nothing."""
-        word = self.word_by_hall.get(hall)
-        return word is not None and word.in_force
+        evacuation = self.evacuation_by_hall.get(hall)
+        return evacuation is not None and evacuation.in_force
 
-    def take_listing(self, listed: Listed, now: float) -> bool:
+    def apply_listing(self, listed: Listed, now: float) -> bool:
         """Take in what the platform lists; return whether any of it was news."""
         was_known, self.is_known = self.is_known, True
         self._listed_at = max(self._listed_at, listed.version)
         shown = {
-            each.name: HallWord(_says_in_force(each.value), each.version) for each in listed.objects
+            each.name: HallEvacuation(_is_in_force(each.value), each.version)
+            for each in listed.objects
         }
         # Nobody can read what it says, so what it is there for holds.
-        shown |= {hall: HallWord(True, listed.version) for hall in listed.left_out}
-        news = [self._set(hall, word) for hall, word in shown.items()]
+        shown |= {hall: HallEvacuation(True, listed.version) for hall in listed.left_out}
+        changes = [self._set(hall, evacuation) for hall, evacuation in shown.items()]
         if listed.is_whole:
-            news += self._end_unlisted(shown, listed.version, now)
-        return any(news) or not was_known
+            changes += self._end_unlisted(shown, listed.version, now)
+        return any(changes) or not was_known
 
-    def take_event(self, event: WatchEvent) -> bool:
+    def apply_event(self, event: WatchEvent) -> bool:
         """Take in one event of a watch; return whether it was news."""
         if event.type == "removed":
-            return self._set(event.name, HallWord(False, event.version))
+            return self._set(event.name, HallEvacuation(False, event.version))
         if event.type in ("set", "unreadable"):
-            in_force = event.type == "unreadable" or _says_in_force(event.value)
-            return self._set(event.name, HallWord(in_force, event.version))
+            in_force = event.type == "unreadable" or _is_in_force(event.value)
+            return self._set(event.name, HallEvacuation(in_force, event.version))
         return False
 
-    def take(self, update: EvacuationUpdate, now: float) -> bool:
+    def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
         """Take in what a peer knows; return whether any of it was news."""
         was_known, self.is_known = self.is_known, True
-        news = [self._take_word(*each, now) for each in update.word_by_hall.items()]
-        return any(news) or not was_known
+        changes = [self._apply_from_peer(*each, now) for each in update.word_by_hall.items()]
+        return any(changes) or not was_known
 
-    def _take_word(self, hall: str, word: HallWord, now: float) -> bool:
-        is_older = word.version <= self._listed_at and hall not in self.word_by_hall
-        if is_older and era_of(word.version) == era_of(self._listed_at):
+    def _apply_from_peer(self, hall: str, evacuation: HallEvacuation, now: float) -> bool:
+        is_older = evacuation.version <= self._listed_at and hall not in self.evacuation_by_hall
+        if is_older and era_of(evacuation.version) == era_of(self._listed_at):
             # The listing would have shown it: it was over by then.
-            return self._set(hall, HallWord(False, self._listed_at))
+            return self._set(hall, HallEvacuation(False, self._listed_at))
         if is_older:
             self._settles_at = min(self._settles_at, now + SETTLE_SECONDS)
-        return self._set(hall, word)
+        return self._set(hall, evacuation)
 
-    def told(self) -> EvacuationUpdate | None:
+    def as_update(self) -> EvacuationUpdate | None:
         """Return what a peer is told; None where nothing is known here."""
-        return EvacuationUpdate(dict(self.word_by_hall)) if self.is_known else None
+        return EvacuationUpdate(dict(self.evacuation_by_hall)) if self.is_known else None
 
     def settle(self, now: float) -> bool:
         """End what an older era said and nobody has said again; return whether there was any."""
@@ -114,31 +120,33 @@
             return False
         self._settles_at = float("inf")
         era = era_of(self._listed_at)
-        left = [hall for hall in self.halls if era_of(self.word_by_hall[hall].version) < era]
-        changes = [self._set(hall, HallWord(False, self._listed_at)) for hall in left]
+        unconfirmed = [
+            hall for hall in self.halls if era_of(self.evacuation_by_hall[hall].version) < era
+        ]
+        changes = [self._set(hall, HallEvacuation(False, self._listed_at)) for hall in unconfirmed]
         return any(changes)
 
     def _end_unlisted(
-        self, shown: Mapping[str, HallWord], listed_at: Position, now: float
+        self, shown: Mapping[str, HallEvacuation], listed_at: Position, now: float
     ) -> list[bool]:
         """End what a whole listing no longer shows, at once within an era."""
         ended = []
         for hall in self.halls - shown.keys():
-            if era_of(self.word_by_hall[hall].version) < era_of(listed_at):
+            if era_of(self.evacuation_by_hall[hall].version) < era_of(listed_at):
                 self._settles_at = min(self._settles_at, now + SETTLE_SECONDS)
             else:
-                ended.append(self._set(hall, HallWord(False, listed_at)))
+                ended.append(self._set(hall, HallEvacuation(False, listed_at)))
         return ended
 
-    def _set(self, hall: str, word: HallWord) -> bool:
+    def _set(self, hall: str, evacuation: HallEvacuation) -> bool:
         """Take in a word unless a newer one is known; return whether it changes what holds."""
-        known = self.word_by_hall.get(hall)
-        if known is not None and known.version >= word.version:
+        known = self.evacuation_by_hall.get(hall)
+        if known is not None and known.version >= evacuation.version:
             return False
-        self.word_by_hall[hall] = word
-        return known is None or known.in_force != word.in_force
+        self.evacuation_by_hall[hall] = evacuation
+        return known is None or known.in_force != evacuation.in_force
 
 
-def _says_in_force(value: Any) -> bool:
+def _is_in_force(value: Any) -> bool:
     """Return whether an object asks for an evacuation, as it does by being there."""
     return not (isinstance(value, Mapping) and value.get(IN_FORCE) is False)
--- a/pondhatch/store/_position.py
+++ b/pondhatch/store/_position.py
@@ -18,7 +18,7 @@
 #: the bits above, up to 2**53, the largest whole number that every reader of JSON takes.
 REVISION_BITS = 40
 #: The highest era that a position can hold; one beyond it is taken for none.
-MOST_ERAS = 2**13 - 1
+MAX_ERA = 2**13 - 1
 #: Seconds for which an era of the platform's store settles: who writes there has written itself
 #: again within two of its return, and what ended unseen lapses in three or four.
 SETTLE_SECONDS = 3.0
--- a/pondhatch/store/_reading.py
+++ b/pondhatch/store/_upstream_reader.py
@@ -19,12 +19,13 @@
     """Reads the platform's entries of upstreams; one that makes no sense hides no other."""
 
     def __init__(self) -> None:
-        self._told = Once()
+        self._reported = Once()
 
-    def listing(self, listed: Listed) -> UpstreamUpdate:
+    def read_listing(self, listed: Listed) -> UpstreamUpdate:
         """Return a platform listing as an update, without the entries that make no sense."""
         found = [
-            (each, self.upstream(each.name, each.version, each.value)) for each in listed.objects
+            (each, self.read_upstream(each.name, each.version, each.value))
+            for each in listed.objects
         ]
         entries = [UpstreamEntry(read, each.version) for each, read in found if read is not None]
         left_out = {each.name for each, read in found if read is None}
@@ -32,34 +33,34 @@
             listed.version, tuple(entries), listed.is_whole, listed.left_out | left_out
         )
 
-    def upstream(self, name: str, version: int, value: Any) -> Upstream | None:
+    def read_upstream(self, name: str, version: int, value: Any) -> Upstream | None:
         """Return an entry's upstream; None where it makes no sense, which is told once."""
         try:
-            found = _upstream(name, value)
+            found = _convert_upstream(name, value)
         except msgspec.ValidationError as error:
-            if self._told.is_first((name, version)):
+            if self._reported.is_first((name, version)):
                 log.error("Upstream {} is left out: {}.", name, error)
             return None
         if found.state == LIVE and not _has_address(found.url):
-            if self._told.is_first((name, version)):
+            if self._reported.is_first((name, version)):
                 log.error("Upstream {} takes no work, its address is none: {!r}.", name, found.url)
             # Not left out: one that was there with an address must get no new work either.
             return msgspec.structs.replace(found, url="", state=LEAVING)
         return found
 
 
-def _upstream(name: str, value: Any) -> Upstream:
+def _convert_upstream(name: str, value: Any) -> Upstream:
     """Return an entry's upstream. Raises msgspec.ValidationError."""
     try:
         return msgspec.convert(value, Upstream)
     except msgspec.ValidationError:
-        if not _says_that_it_leaves(value):
+        if not _is_leaving(value):
             raise
         # It must get no new work, whatever else of its entry cannot be read.
         return Upstream(name, "", "", "", LEAVING)
 
 
-def _says_that_it_leaves(value: Any) -> bool:
+def _is_leaving(value: Any) -> bool:
     return isinstance(value, Mapping) and value.get("state") == LEAVING
 
 
--- a/pondhatch/store/_upstreams.py
+++ b/pondhatch/store/_upstreams.py
@@ -26,7 +26,7 @@
 REMOVED = "removed"
 
 #: Removed entries kept so that peers that are behind learn of the removal.
-KEPT_REMOVED = 2048
+MAX_REMOVED = 2048
 
 
 class Upstream(msgspec.Struct, frozen=True):
@@ -57,7 +57,7 @@
         """The id that it answers to."""
         return self.instance or self.name
 
-    def identified(self) -> Upstream:
+    def named_by_start(self) -> Upstream:
         """Return it under a name that no other start of it has.
 
         All that routers take to be so of an upstream they keep by its name: what it holds, how
@@ -125,13 +125,13 @@
 
     def set(self, upstream: Upstream, version: int) -> bool:
         """Take in one entry; return whether it was news."""
-        news = self._set(upstream, version)
-        if news:
+        changed = self._set(upstream, version)
+        if changed:
             self._drop_oldest_removed()
-        return news
+        return changed
 
     def _set(self, upstream: Upstream, version: int) -> bool:
-        upstream = self._as_known(upstream).identified()
+        upstream = self._with_known_start(upstream).named_by_start()
         known = self.entry_by_name.get(upstream.name)
         if known is not None and known.version >= version:
             return False
@@ -142,9 +142,9 @@
         self.version = max(self.version, version)
         return True
 
-    def _as_known(self, upstream: Upstream) -> Upstream:
+    def _with_known_start(self, upstream: Upstream) -> Upstream:
         """Return one that leaves, and of which nobody says when it started, as it was known."""
-        known = self.newest(upstream.id)
+        known = self.newest_start(upstream.id)
         if upstream.start or upstream.state != LEAVING or known is None:
             return upstream
         return msgspec.structs.replace(upstream, start=known.upstream.start)
@@ -164,34 +164,34 @@
         self.entry_by_name[name] = UpstreamEntry(ended, version)
         return True
 
-    def newest(self, upstream_id: str) -> UpstreamEntry | None:
+    def newest_start(self, upstream_id: str) -> UpstreamEntry | None:
         """Return the newest start of an upstream, None where none was ever listed."""
         return self.entry_by_name.get(self._name_by_id.get(upstream_id, ""))
 
     def remove(self, upstream_id: str, version: int) -> bool:
         """Note that the platform no longer lists an upstream."""
-        known = self.newest(upstream_id)
+        known = self.newest_start(upstream_id)
         if known is None:
-            self.seen(version)
+            self.advance_to(version)
             return False
         return self.set(msgspec.structs.replace(known.upstream, state=REMOVED), version)
 
-    def hold_back(self, upstream_id: str, version: int) -> bool:
+    def mark_unreadable(self, upstream_id: str, version: int) -> bool:
         """Note that what the platform lists of an upstream names none: it gets nothing new.
 
         What runs there goes on.
         """
-        known = self.newest(upstream_id)
+        known = self.newest_start(upstream_id)
         if known is None or known.upstream.state == REMOVED:
-            self.seen(version)
+            self.advance_to(version)
             return False
         return self._set(msgspec.structs.replace(known.upstream, state=LEAVING), version)
 
-    def seen(self, version: int) -> None:
+    def advance_to(self, version: int) -> None:
         """Note that nothing changed up to a version."""
         self.version = max(self.version, version)
 
-    def since(self, version: int) -> UpstreamUpdate:
+    def update_since(self, version: int) -> UpstreamUpdate:
         """Return what a router at a version lacks."""
         whole = version < self.complete_since
         # Who takes a start in ends the one before it.
@@ -203,30 +203,30 @@
         )
         return UpstreamUpdate(self.version, entries, whole)
 
-    def take(self, update: UpstreamUpdate, is_settling: bool = False) -> bool:
+    def apply_update(self, update: UpstreamUpdate, is_settling: bool = False) -> bool:
         """Take in a peer's or a listing's entries; return whether any was news.
 
         ``is_settling`` says that the era of what is taken in has begun just now.
         """
-        news = False
+        changed = False
         newer = update.version > self.version
         for entry in update.entries:
-            if is_settling and self._is_taken_back(entry):
+            if is_settling and self._would_revive(entry):
                 continue
-            news = self._set(entry.upstream, entry.version) or news
+            changed = self._set(entry.upstream, entry.version) or changed
         for upstream_id in update.left_out:
-            news = self.hold_back(upstream_id, update.version) or news
+            changed = self.mark_unreadable(upstream_id, update.version) or changed
         if update.whole and newer and not is_settling:
-            news = self._remove_unlisted(update) or news
+            changed = self._remove_unlisted(update) or changed
         # Once for all of them: it goes through the whole list, and with 2,100 entries, one by
         # one, nothing else ran for 0.15 s.
         self._drop_oldest_removed()
-        self.seen(update.version)
-        return news
+        self.advance_to(update.version)
+        return changed
 
-    def _is_taken_back(self, entry: UpstreamEntry) -> bool:
+    def _would_revive(self, entry: UpstreamEntry) -> bool:
         """Return whether an entry shows a start as taking work that is known to leave or gone."""
-        known = self.entry_by_name.get(self._as_known(entry.upstream).identified().name)
+        known = self.entry_by_name.get(self._with_known_start(entry.upstream).named_by_start().name)
         if known is None or entry.upstream.state != LIVE:
             return False
         is_of_era = era_of(known.version) == era_of(entry.version)
@@ -235,15 +235,15 @@
     def settle(self) -> bool:
         """Take for gone what nobody has written or shown in this era; return whether any was."""
         era = era_of(self.version)
-        left = [
+        unconfirmed = [
             self.entry_by_name[name].upstream
             for name in self._name_by_id.values()
             if era_of(self.entry_by_name[name].version) < era
             and self.entry_by_name[name].upstream.state != REMOVED
         ]
-        for upstream in left:
+        for upstream in unconfirmed:
             self._set(msgspec.structs.replace(upstream, state=REMOVED), self.version)
-        return bool(left)
+        return bool(unconfirmed)
 
     def _remove_unlisted(self, update: UpstreamUpdate) -> bool:
         listed = {entry.upstream.id for entry in update.entries} | update.left_out
@@ -263,7 +263,7 @@
             for name, entry in self.entry_by_name.items()
             if entry.upstream.state == REMOVED
         )
-        for version, name in removed[: max(0, len(removed) - KEPT_REMOVED)]:
+        for version, name in removed[: max(0, len(removed) - MAX_REMOVED)]:
             self.complete_since = max(self.complete_since, version)
             dropped = self.entry_by_name.pop(name).upstream
             if self._name_by_id.get(dropped.id) == name:
--- a/pondhatch/store/_vanished.py
+++ b/pondhatch/store/_vanished.py
@@ -20,13 +20,13 @@
 #: Share of a service's upstreams that must vanish together to be in doubt, and the least
 #: number of them.
 TOGETHER_SHARE = 0.5
-TOGETHER_LEAST = 2
+TOGETHER_MIN = 2
 #: Seconds between two that vanish together at most: a store that is back drops lapsed
 #: entries in one go, while planned work takes upstreams away some seconds apart.
 TOGETHER_SECONDS = 0.3
 
 
-class Vanished(msgspec.Struct):
+class VanishedUpstreams(msgspec.Struct):
     """Upstreams that vanished a short while ago, by id: the start of each that was there."""
 
     _at_by_id: dict[str, tuple[Upstream, float]] = msgspec.field(default_factory=dict)
@@ -34,11 +34,11 @@
     def __bool__(self) -> bool:
         return bool(self._at_by_id)
 
-    def note(self, upstream: Upstream, now: float) -> None:
+    def add(self, upstream: Upstream, now: float) -> None:
         """Note that an upstream's entry went though it had not said that it leaves."""
         self._at_by_id[upstream.id] = (upstream, now)
 
-    def returned(self, upstream_id: str) -> None:
+    def discard(self, upstream_id: str) -> None:
         """Note that an upstream's entry is back, of whichever start, or says that it leaves."""
         self._at_by_id.pop(upstream_id, None)
 
@@ -51,9 +51,11 @@
 
     def in_doubt(self, service: str, listed: int) -> tuple[Upstream, ...]:
         """Return a service's upstreams that may be there still; ``listed`` counts the others."""
-        gone = [each for each in self._at_by_id.values() if each[0].service == service]
-        enough = max(TOGETHER_LEAST, TOGETHER_SHARE * (listed + len(gone)))
-        return tuple(upstream for upstream, at in gone if _beside(at, gone) >= enough)
+        vanished = [each for each in self._at_by_id.values() if each[0].service == service]
+        enough = max(TOGETHER_MIN, TOGETHER_SHARE * (listed + len(vanished)))
+        return tuple(
+            upstream for upstream, at in vanished if _count_vanished_around(at, vanished) >= enough
+        )
 
     def upstream(self, name: str) -> Upstream | None:
         """Return an upstream that vanished a short while ago, or None."""
@@ -65,6 +67,6 @@
         return None
 
 
-def _beside(at: float, gone: list[tuple[Upstream, float]]) -> int:
+def _count_vanished_around(at: float, vanished: list[tuple[Upstream, float]]) -> int:
     """Return how many vanished at about the same time, the one itself included."""
-    return sum(abs(other - at) <= TOGETHER_SECONDS for _, other in gone)
+    return sum(abs(other - at) <= TOGETHER_SECONDS for _, other in vanished)
--- a/pondhatch/store/tests/test_eras.py
+++ b/pondhatch/store/tests/test_eras.py
@@ -35,13 +35,15 @@
 
 class PositionTest(unittest.TestCase):
     @given(st.tuples(st.integers(0, 100), st.integers(0, 2**40 - 1)), st.data())
-    def test_the_era_comes_first(self, one: tuple[int, int], data: st.DataObject) -> None:
+    def test_positions_order_by_era_and_then_revision(
+        self, one: tuple[int, int], data: st.DataObject
+    ) -> None:
         other = data.draw(st.tuples(st.integers(0, 100), st.integers(0, 2**40 - 1)))
         first, second = position_of(*one), position_of(*other)
         self.assertEqual(first < second, one < other)
         self.assertEqual((era_of(first), revision_of(first)), one)
 
-    def test_without_an_era_it_is_the_revision(self) -> None:
+    def test_a_position_without_an_era_is_the_revision(self) -> None:
         self.assertEqual(position_of(0, 130), 130)
 
 
@@ -49,57 +51,57 @@
     def setUp(self) -> None:
         self.upstreams = UpstreamList()
         held = [entry("a", 1, 90), entry("b", 1, 140), entry("c", 1, 131), entry("d", 1, 50)]
-        self.upstreams.take(listing(1, 140, *held))
+        self.upstreams.apply_update(listing(1, 140, *held))
 
     def states(self) -> dict[str, str]:
         entries = self.upstreams.entry_by_name.items()
         return {name: each.upstream.state for name, each in entries}
 
-    def test_what_is_written_under_a_lower_number_counts(self) -> None:
-        self.upstreams.take(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
+    def test_a_write_with_a_lower_revision_of_a_newer_era_is_applied(self) -> None:
+        self.upstreams.apply_update(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
         self.assertTrue(self.upstreams.set(upstream("b", LEAVING), position_of(2, 104)))
         self.assertFalse(self.upstreams.set(upstream("b"), position_of(1, 141)))
         self.assertEqual(self.states()["b"], LEAVING)
 
-    def test_who_is_missing_in_the_copy_is_there_until_the_era_has_settled(self) -> None:
-        self.upstreams.take(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
+    def test_an_upstream_missing_from_the_copy_stays_until_the_era_has_settled(self) -> None:
+        self.upstreams.apply_update(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
         self.assertEqual(set(self.states().values()), {LIVE})
         self.upstreams.set(upstream("c"), position_of(2, 101))
         self.assertTrue(self.upstreams.settle())
         self.assertEqual(self.states(), {"a": LIVE, "b": LIVE, "c": LIVE, "d": REMOVED})
         self.assertFalse(self.upstreams.settle())
 
-    def test_who_left_since_the_copy_is_not_taken_back(self) -> None:
+    def test_an_upstream_that_left_since_the_copy_is_not_revived(self) -> None:
         self.upstreams.remove("a", position_of(1, 141))
         self.upstreams.set(upstream("b", LEAVING), position_of(1, 142))
         copied = [entry(name, 2, 90) for name in "abcd"]
-        self.upstreams.take(listing(2, 100, *copied), True)
+        self.upstreams.apply_update(listing(2, 100, *copied), True)
         self.assertEqual(self.states(), {"a": REMOVED, "b": LEAVING, "c": LIVE, "d": LIVE})
         self.upstreams.settle()
         self.assertEqual(self.states(), {"a": REMOVED, "b": REMOVED, "c": LIVE, "d": LIVE})
 
-    def test_what_an_upstream_says_while_the_era_settles_counts(self) -> None:
-        self.upstreams.take(listing(2, 100, *(entry(name, 2, 90) for name in "abcd")), True)
+    def test_writes_of_upstreams_apply_while_the_era_settles(self) -> None:
+        self.upstreams.apply_update(listing(2, 100, *(entry(name, 2, 90) for name in "abcd")), True)
         self.upstreams.remove("a", position_of(2, 101))
         self.upstreams.set(upstream("b", LEAVING), position_of(2, 102))
         again = [entry("a", 2, 90), entry("b", 2, 102, LEAVING)]
-        self.upstreams.take(listing(2, 103, *again), True)
+        self.upstreams.apply_update(listing(2, 103, *again), True)
         self.assertEqual(self.states(), {"a": REMOVED, "b": LEAVING, "c": LIVE, "d": LIVE})
 
-    def test_an_upstream_that_starts_again_is_another_one(self) -> None:
+    def test_a_restarted_upstream_is_a_new_entry(self) -> None:
         self.upstreams.set(upstream("e", start=5), position_of(1, 150))
         self.upstreams.remove("e", position_of(1, 151))
         started = UpstreamEntry(upstream("e", start=9), position_of(2, 102))
-        self.upstreams.take(listing(2, 102, started), True)
+        self.upstreams.apply_update(listing(2, 102, started), True)
         self.assertEqual(self.states()["e~9"], LIVE)
 
-    def test_routers_that_hear_of_it_from_a_peer_come_to_hold_the_same(self) -> None:
+    def test_a_peer_converges_on_the_same_list(self) -> None:
         peer = UpstreamList()
-        peer.take(self.upstreams.since(0))
+        peer.apply_update(self.upstreams.update_since(0))
         held = peer.version
-        self.upstreams.take(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
+        self.upstreams.apply_update(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
         self.assertGreater(self.upstreams.version, held)
-        peer.take(self.upstreams.since(held), True)
+        peer.apply_update(self.upstreams.update_since(held), True)
         for each in (self.upstreams, peer):
             each.settle()
         self.assertEqual(peer.entry_by_name, self.upstreams.entry_by_name)
--- a/pondhatch/store/tests/test_starts.py
+++ b/pondhatch/store/tests/test_starts.py
@@ -31,7 +31,7 @@
     return dict(msgspec.to_builtins(upstream))
 
 
-def heard(version: int, name: str, start: int, state: str = LIVE) -> WatchEvent:
+def set_event(version: int, name: str, start: int, state: str = LIVE) -> WatchEvent:
     return WatchEvent("set", version, name, value(name, start, state))
 
 
@@ -40,7 +40,7 @@
     return Listed(version, tuple(objects))
 
 
-class StartedAgainTest(unittest.TestCase):
+class RestartTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = router("r0")
         self.state.take_change(FIRST)
@@ -49,30 +49,30 @@
         self.state.clock = lambda: self.now
         self.state.take_listed_upstreams(listed(3, ("e0", 100), ("e1", 100)))
         self.now = NOW
-        self.before = self.name("e0")
+        self.old_name = self.current_name("e0")
 
-    def name(self, upstream_id: str) -> str:
-        entry = self.state.upstreams.newest(upstream_id)
+    def current_name(self, upstream_id: str) -> str:
+        entry = self.state.upstreams.newest_start(upstream_id)
         assert entry is not None
         return entry.upstream.name
 
-    def test_it_has_another_name_and_answers_to_the_same_id(self) -> None:
-        self.state.take_upstream_event(heard(5, "e0", 200))
-        after = self.name("e0")
-        self.assertNotEqual(after, self.before)
+    def test_a_restart_gets_another_name_and_keeps_its_id(self) -> None:
+        self.state.take_upstream_event(set_event(5, "e0", 200))
+        after = self.current_name("e0")
+        self.assertNotEqual(after, self.old_name)
         target = self.state.target(after)
         assert target is not None
         self.assertEqual((target.instance, target.intake.takes_new), ("e0", True))
-        ended = self.state.target(self.before)
+        ended = self.state.target(self.old_name)
         self.assertTrue(ended is None or not ended.intake.takes_new)
         self.assertEqual(len(self.state.live_upstreams("lang")), 2)
 
-    def test_what_was_taken_to_be_so_of_the_earlier_start_ends_with_it(self) -> None:
-        self.state.note_served(7, self.before)
-        self.state.hear(self.before, Notice(is_leaving=True))
-        self.state.gate.ask(self.before, NOW, 1.0, 0, 1, 1, 0)
-        self.state.take_upstream_event(heard(5, "e0", 200))
-        after = self.name("e0")
+    def test_state_of_the_earlier_start_is_dropped(self) -> None:
+        self.state.note_served(7, self.old_name)
+        self.state.hear(self.old_name, Notice(is_leaving=True))
+        self.state.gate.ask(self.old_name, NOW, 1.0, 0, 1, 1, 0)
+        self.state.take_upstream_event(set_event(5, "e0", 200))
+        after = self.current_name("e0")
         self.assertNotEqual(self.state.last_served(7), after)
         self.assertFalse(self.state.notices.is_leaving(after, NOW))
         self.assertEqual(self.state.gate.in_flight(after, NOW), 0)
@@ -80,55 +80,58 @@
         assert target is not None
         self.assertTrue(target.intake.takes_new)
 
-    def test_it_joined_lately_and_has_not_vanished(self) -> None:
-        self.state.take_upstream_event(heard(5, "e0", 200))
-        self.assertTrue(self.state.is_young(self.name("e0")))
+    def test_a_restart_is_young_and_not_vanished(self) -> None:
+        self.state.take_upstream_event(set_event(5, "e0", 200))
+        self.assertTrue(self.state.is_young(self.current_name("e0")))
         self.assertFalse(self.state.vanished)
 
-    def test_one_that_lapsed_and_is_back_with_its_start_is_the_same(self) -> None:
+    def test_a_lapsed_entry_that_returns_with_its_start_is_the_same(self) -> None:
         self.state.take_upstream_event(WatchEvent("removed", 5, "e0"))
-        self.state.take_upstream_event(heard(6, "e0", 100))
-        self.assertEqual(self.name("e0"), self.before)
-        self.assertFalse(self.state.is_young(self.before))
+        self.state.take_upstream_event(set_event(6, "e0", 100))
+        self.assertEqual(self.current_name("e0"), self.old_name)
+        self.assertFalse(self.state.is_young(self.old_name))
 
-    def test_one_that_lapsed_and_is_back_with_another_start_is_in_no_doubt(self) -> None:
+    def test_a_lapsed_entry_that_returns_with_another_start_is_not_in_doubt(self) -> None:
         for name in ("e0", "e1"):
             self.state.take_upstream_event(WatchEvent("removed", 5, name))
         self.assertEqual(len(self.state.live_upstreams("lang")), 2)
         for at, name in enumerate(("e0", "e1")):
-            self.state.take_upstream_event(heard(6 + at, name, 200))
+            self.state.take_upstream_event(set_event(6 + at, name, 200))
         self.assertFalse(self.state.vanished)
-        self.assertEqual(set(self.state.live_upstreams("lang")), {self.name("e0"), self.name("e1")})
+        self.assertEqual(
+            set(self.state.live_upstreams("lang")),
+            {self.current_name("e0"), self.current_name("e1")},
+        )
 
-    def test_a_late_word_of_the_earlier_start_brings_it_not_back(self) -> None:
-        self.state.take_upstream_event(heard(9, "e0", 200))
-        after = self.name("e0")
-        self.assertFalse(self.state.take_upstream_event(heard(7, "e0", 100)))
-        self.assertEqual(self.name("e0"), after)
+    def test_a_late_event_of_the_earlier_start_is_ignored(self) -> None:
+        self.state.take_upstream_event(set_event(9, "e0", 200))
+        after = self.current_name("e0")
+        self.assertFalse(self.state.take_upstream_event(set_event(7, "e0", 100)))
+        self.assertEqual(self.current_name("e0"), after)
 
-    def test_a_start_whose_clock_stepped_back_is_the_newer_one_all_the_same(self) -> None:
-        self.state.take_upstream_event(heard(9, "e0", 50))
-        self.assertEqual(self.name("e0"), "e0~50")
+    def test_a_start_after_a_clock_step_back_is_the_newer_one(self) -> None:
+        self.state.take_upstream_event(set_event(9, "e0", 50))
+        self.assertEqual(self.current_name("e0"), "e0~50")
 
-    def test_one_that_leaves_and_does_not_say_when_it_started_is_the_one_known(self) -> None:
-        self.state.take_upstream_event(heard(9, "e0", 0, LEAVING))
-        self.assertEqual(self.name("e0"), self.before)
+    def test_a_leaving_entry_without_a_start_is_the_known_start(self) -> None:
+        self.state.take_upstream_event(set_event(9, "e0", 0, LEAVING))
+        self.assertEqual(self.current_name("e0"), self.old_name)
         self.assertEqual(len(self.state.live_upstreams("lang")), 1)
 
-    def test_where_nobody_says_the_start_the_id_is_the_name(self) -> None:
-        self.state.take_upstream_event(heard(9, "e5", 0))
-        self.assertEqual(self.name("e5"), "e5")
+    def test_an_entry_without_a_start_is_named_by_its_id(self) -> None:
+        self.state.take_upstream_event(set_event(9, "e5", 0))
+        self.assertEqual(self.current_name("e5"), "e5")
         target = self.state.target("e5")
         assert target is not None
         self.assertEqual(target.instance, "")
 
-    def test_a_peer_hears_of_it_under_its_id_and_knows_the_same(self) -> None:
+    def test_a_peer_receives_a_restart_under_its_id_and_names_it_alike(self) -> None:
         peer = UpstreamList()
-        peer.take(self.state.upstreams.since(0))
-        self.state.take_upstream_event(heard(5, "e0", 200))
-        update = self.state.upstreams.since(3)
+        peer.apply_update(self.state.upstreams.update_since(0))
+        self.state.take_upstream_event(set_event(5, "e0", 200))
+        update = self.state.upstreams.update_since(3)
         self.assertEqual([each.upstream.name for each in update.entries], ["e0"])
-        peer.take(update)
+        peer.apply_update(update)
         self.assertEqual(
             [each.name for each in peer.of_service("lang")],
             [each.name for each in self.state.upstreams.of_service("lang")],
@@ -136,7 +139,7 @@
 
 
 class HomesTest(unittest.TestCase):
-    def test_the_chats_of_one_that_starts_again_stay_where_they_are(self) -> None:
+    def test_a_restarted_engine_keeps_its_chats(self) -> None:
         ids = [f"e{at}" for at in range(9)]
         before = [name_of_start(each, 100) for each in ids]
         after = [name_of_start("e4", 200) if each == "e4~100" else each for each in before]
@@ -161,7 +164,7 @@
         ),
         st.randoms(use_true_random=False),
     )
-    def test_routers_that_hear_in_any_order_know_the_same_starts(
+    def test_updates_in_any_order_converge_on_the_same_starts(
         self, steps: list[tuple[str, int, str]], rng: Any
     ) -> None:
         """Each router takes in parts of what the others hold, in any order and twice."""
@@ -172,16 +175,16 @@
             if state == "removed":
                 watcher.remove(name, version)
             elif state == "unreadable":
-                watcher.hold_back(name, version)
+                watcher.mark_unreadable(name, version)
             else:
                 upstream = Upstream(name, "lang", "http://x", "h1", state, start=start)
                 watcher.set(upstream, version)
-            updates.append(watcher.since(rng.randint(0, version)))
+            updates.append(watcher.update_since(rng.randint(0, version)))
         peer = UpstreamList()
         shuffled = [*updates, *updates]
         rng.shuffle(shuffled)
-        for update in [*shuffled, watcher.since(0)]:
-            peer.take(update)
+        for update in [*shuffled, watcher.update_since(0)]:
+            peer.apply_update(update)
         self.assertEqual(peer.of_service("lang"), watcher.of_service("lang"))
         for name in ("e0", "e1"):
-            self.assertEqual(peer.newest(name), watcher.newest(name))
+            self.assertEqual(peer.newest_start(name), watcher.newest_start(name))
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -191,7 +191,7 @@
         walk = Walk(
             self._state,
             self._ways,
-            self._state.retries.of(work.head.service),
+            self._state.retries.for_service(work.head.service),
             work.head,
             work.body,
             lambda: deadline - time.monotonic(),
--- a/pondhatch/transport/_store_calls.py
+++ b/pondhatch/transport/_store_calls.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pondhatch.limits import Pace
+from pondhatch.limits import RateLimiter
 from pondhatch.requests import Headers, ReplayableBody
 from pondhatch.transport._http_client import Address, HttpClient, NotSent
 from pondhatch.transport._http_connection import Exchange
@@ -49,13 +49,13 @@
         self.made = 0
         self._client = client
         self._address = Address.of_url(url)
-        self._pace = Pace(CALLS_PER_SECOND, CALLS_AT_ONCE)
+        self._pace = RateLimiter(CALLS_PER_SECOND, CALLS_AT_ONCE)
 
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float = CALL_SECONDS
     ) -> StoreAnswer:
         """Return an answer. Raises CallFailed."""
-        wait = self._pace.take(asyncio.get_running_loop().time())
+        wait = self._pace.reserve(asyncio.get_running_loop().time())
         if wait > 0:
             await asyncio.sleep(wait)
         self.made += 1
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -127,7 +127,7 @@
         self.held.bound = 3 * (FIRST + NEXT)
         others = await self.read_slowly(ROSA)
         engines = [await self.read_slowly(PINA) for _ in range(2)]
-        self.assertGreaterEqual(self.held.whole, self.held.bound)
+        self.assertGreaterEqual(self.held.total, self.held.bound)
         metrics = self.callers._metrics = mock.Mock()
         self.assertEqual(await self.served(PINA), b"429")
         self.assertIn(b"Retry-After: 1.000", self.told)
@@ -139,7 +139,7 @@
         self.assertFalse(self.is_paused(others))
         self.assertFalse(any(wire.aborted for _, wire in self.slow))
         await self.read_all()
-        self.assertEqual((self.held.whole, self.held.bytes_by_account), (0, {}))
+        self.assertEqual((self.held.total, self.held.bytes_by_account), (0, {}))
         self.assertFalse(any(map(self.is_paused, engines)))
         self.assertEqual(await self.served(PINA), b"200")
 
@@ -156,15 +156,15 @@
     async def test_halfway_through_answers(self) -> None:
         for _ in range(4):
             await self.read_slowly(PINA)
-        self.assertGreater(self.held.whole, 4 * (FIRST + NEXT))
+        self.assertGreater(self.held.total, 4 * (FIRST + NEXT))
         for at, (channel, _) in enumerate(self.slow[:2]):
             await self.lose(channel)
             self.assertTrue(self.reactor.wires[at].aborted)
-        self.assertGreater(self.held.whole, 2 * (FIRST + NEXT))
+        self.assertGreater(self.held.total, 2 * (FIRST + NEXT))
         for connection in self.reactor.connections[2:]:
             await self.lose(connection)
         await self.read_all()
-        self.assertEqual((self.held.whole, self.callers.in_flight), (0, 0))
+        self.assertEqual((self.held.total, self.callers.in_flight), (0, 0))
         self.assertTrue(all(wire.aborted for _, wire in self.slow[2:]))
 
     async def test_while_a_body_comes_or_waits_for_its_engine(self) -> None:
@@ -182,7 +182,7 @@
                     else:
                         self.callers._tasks.cancel_all()
                         await self.settle()
-                    self.assertEqual(self.held.whole, 0)
+                    self.assertEqual(self.held.total, 0)
 
 
 class BodiesTest(HeldTest):
@@ -220,11 +220,11 @@
         self.upstreams.hold = asyncio.Event()
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Content-Length: {9 * HIGH_WATER}\r\n\r\n".encode() + b"abc")
-        self.assertEqual(self.state.held.whole, 0)
+        self.assertEqual(self.state.held.total, 0)
         await self.send(b"x" * 2 * HIGH_WATER)
         self.assertEqual(self.state.held.bytes_by_account, {"pina": 2 * HIGH_WATER})
         await self.lose()
-        self.assertEqual(self.state.held.whole, 0)
+        self.assertEqual(self.state.held.total, 0)
 
     async def test_one_with_a_key_is_counted_until_its_run_ends(self) -> None:
         self.upstreams.hold = asyncio.Event()
@@ -237,7 +237,7 @@
         self.assertEqual(self.state.held.bytes_by_account, {"pina": 2})
         self.upstreams.hold.set()
         await self.settle()
-        self.assertEqual(self.state.held.whole, 0)
+        self.assertEqual(self.state.held.total, 0)
 
     async def test_what_waits_in_an_engines_connection_is_counted_until_it_is_lost(self) -> None:
         held, wire = HeldBytes(), SlowWire()
@@ -248,13 +248,13 @@
         sending = asyncio.ensure_future(connection.send_body(body, held.counter("pina")))
         for expected in (FIRST, FIRST):
             await asyncio.sleep(0)
-            self.assertEqual(held.whole, expected)
+            self.assertEqual(held.total, expected)
             wire.take_all()
         await asyncio.sleep(0)
-        self.assertEqual(held.whole, FIRST)
+        self.assertEqual(held.total, FIRST)
         sending.cancel()
         await asyncio.wait([sending])
-        self.assertEqual(held.whole, 0)
+        self.assertEqual(held.total, 0)
 
     async def lose(self) -> None:
         self.channel.connectionLost(Failure(ConnectionLost()))
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -342,7 +342,7 @@
         self.assertEqual(len(set(engines)), 2)
 
     async def test_an_engine_that_cannot_be_reached_costs_no_retry(self) -> None:
-        budget = self.state.retries.of("portal")
+        budget = self.state.retries.for_service("portal")
         budget.ratio = budget.saved = 0.0
         self.upstreams.replies = [
             NotRun("upstream-unreachable", "refused"),
@@ -352,9 +352,9 @@
         self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
 
     async def test_one_service_spends_nothing_of_anothers_retries(self) -> None:
-        budget = self.state.retries.of("portal")
+        budget = self.state.retries.for_service("portal")
         budget.ratio = budget.saved = 0.0
-        self.state.retries.of("lang").saved = 5.0
+        self.state.retries.for_service("lang").saved = 5.0
         self.upstreams.replies = [Opened(Answer((), whole=False)), Opened(Answer((b"yes!",)))]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
