--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -93,14 +93,14 @@
     FAILED,
 )
 #: Refusals by which an engine says that it has nothing for a request, places or not.
-OWN_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
+PERMANENT_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
 #: Seconds for which a place must have been free for a walk to know of it: it asks engines one
 #: after the other, each question and its word take 0.01 s and a refused send as long.
-KNOWN_AFTER = 0.1
+PROPAGATION_SECONDS = 0.1
 #: What may befall one packet between routers.
 PACKET_FAULTS = ("none", "lost", "late", "very-late", "twice")
 #: Seconds by which a late packet is behind; the last is longer than an owner is waited for.
-LATENESS = {"late": 0.15, "very-late": 2.0}
+DELAY_BY_FAULT = {"late": 0.15, "very-late": 2.0}
 
 
 def answer_of(request: str) -> bytes:
@@ -122,7 +122,7 @@
     #: What each engine's refusal said, by request and engine.
     refusals: dict[tuple[str, str], EngineRefusal] = field(default_factory=dict)
     #: Requests refused while an engine that might still run them had a place.
-    refused_beside_a_place: list[str] = field(default_factory=list)
+    refused_despite_free_place: list[str] = field(default_factory=list)
     outcome_by_request: dict[str, object] = field(default_factory=dict)
     text_by_request: dict[str, bytes] = field(default_factory=dict)
     #: When each caller that gave up left, in the loop's seconds.
@@ -132,7 +132,7 @@
     worked_until: dict[str, float] = field(default_factory=dict)
 
 
-class Loads:
+class EngineLoads:
     """What really runs at each engine, against the ceiling at the time of each start.
 
     A request counts into its service's total from its grant on, which is some
@@ -140,33 +140,33 @@
     """
 
     #: Seconds for which a walk's knowledge of other engines may be behind.
-    KNOWN_FOR = 2.0
+    TOTALS_WINDOW = 2.0
 
-    def __init__(self, engines: int, granted: Callable[[], int]) -> None:
-        self._granted = granted
+    def __init__(self, engines: int, count_granted: Callable[[], int]) -> None:
+        self._count_granted = count_granted
         self.running: Counter[str] = Counter()
         #: Largest share of the ceiling that a start came to.
-        self.most = 0.0
+        self.peak_share = 0.0
         self._engines = engines
         self._total_by_time: list[tuple[float, int]] = []
 
     def start(self, engine: str) -> None:
         now = asyncio.get_running_loop().time()
         self.running[engine] += 1
-        totals = [total for at, total in self._total_by_time if at >= now - self.KNOWN_FOR]
+        totals = [total for at, total in self._total_by_time if at >= now - self.TOTALS_WINDOW]
         # The newest total counts this request itself, which its ceiling must not.
         ceiling = admission_ceiling(BOUND, max([*totals[:-1], totals[-1] - 1]), self._engines)
-        self.most = max(self.most, self.running[engine] / ceiling)
+        self.peak_share = max(self.peak_share, self.running[engine] / ceiling)
 
-    def granted(self) -> None:
+    def record_total(self) -> None:
         """Note the total after each grant."""
-        self._total_by_time.append((asyncio.get_running_loop().time(), self._granted()))
+        self._total_by_time.append((asyncio.get_running_loop().time(), self._count_granted()))
 
     def end(self, engine: str) -> None:
         self.running[engine] -= 1
 
 
-class Script:
+class FaultScript:
     """Faults in the order in which they strike; none once it is used up."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -176,23 +176,23 @@
         return self._faults.pop(0) if self._faults else "none"
 
 
-class Stream:
+class FakeStream:
     """An answer that may be cut."""
 
     def __init__(
-        self, content: bytes, cut_at: int | None, slow: bool, ended: Callable[[], None]
+        self, content: bytes, cut_at: int | None, slow: bool, on_end: Callable[[], None]
     ) -> None:
-        self._ended: Callable[[], None] | None = ended
+        self._on_end: Callable[[], None] | None = on_end
         self.status = 200
         self.headers: Headers = STREAM
         self._content = content
         self._cut_at = cut_at
         self._slow = slow
-        self._at = 0
+        self._position = 0
 
     def break_off(self) -> None:
         """End it here: its engine is gone."""
-        self._cut_at = self._at
+        self._cut_at = self._position
 
     async def pour(self, sink: PartSink) -> None:
         # Nobody but its reader cancels it, as with a connection to a real one.
@@ -203,23 +203,25 @@
 
     async def _part(self) -> bytes:
         await asyncio.sleep(0.5 if self._slow else 0.01)
-        if self._cut_at is not None and self._at >= self._cut_at:
+        if self._cut_at is not None and self._position >= self._cut_at:
             self.cancel()
             raise Lost(Broken("answer-broken", "cut"))
-        end = min(self._at + 9, len(self._content), self._cut_at or len(self._content))
-        part, self._at = self._content[self._at : end], end
+        end = min(self._position + 9, len(self._content), self._cut_at or len(self._content))
+        part, self._position = self._content[self._position : end], end
         return part
 
     def cancel(self) -> None:
-        ended, self._ended = self._ended, None
-        if ended is not None:
-            ended()
+        on_end, self._on_end = self._on_end, None
+        if on_end is not None:
+            on_end()
 
 
 class FakeUpstreams:
     """Upstreams that run, refuse, lose and cut as the script says."""
 
-    def __init__(self, history: History, script: Script, leaving: set[str], loads: Loads) -> None:
+    def __init__(
+        self, history: History, script: FaultScript, leaving: set[str], loads: EngineLoads
+    ) -> None:
         self._loads = loads
         #: Requests that an engine really runs at once, where that is less than its owner knows.
         self.places: dict[str, int] = {}
@@ -227,8 +229,8 @@
         #: earlier one reaches this, for it answers to the same id at the same address.
         self.start_by_id: dict[str, str] = {}
         #: Engines that turn away what comes now.
-        self.rests: set[str] = set()
-        self._streams_by_engine: dict[str, list[Stream]] = {}
+        self.resting: set[str] = set()
+        self._streams_by_engine: dict[str, list[FakeStream]] = {}
         self._history = history
         self._script = script
         self._leaving = leaving
@@ -244,7 +246,7 @@
         fault = self._script.next()
         await asyncio.sleep(0.01)
         engine = self.start_by_id.get(id_of(target.name), target.name)
-        if engine in self.rests:
+        if engine in self.resting:
             fault = EngineRefusal.OVERLOADED
         elif not self.has_place(engine):
             fault = EngineRefusal.FULL
@@ -274,22 +276,22 @@
         self._loads.start(engine)
         self._history.worked_until[request] = math.inf
 
-        def ended() -> None:
+        def on_end() -> None:
             self._history.worked_until[request] = clock()
             self._loads.end(engine)
 
-        stream = Stream(content, cut, fault == "slow", ended)
+        stream = FakeStream(content, cut, fault == "slow", on_end)
         self._streams_by_engine.setdefault(engine, []).append(stream)
         return Opened(stream)
 
-    def _failure(self, engine: str) -> Stream:
+    def _failure(self, engine: str) -> FakeStream:
         """Return an answer that says that an upstream failed."""
         self._loads.start(engine)
-        failure = Stream(FAILED_ANSWER, None, False, lambda: self._loads.end(engine))
+        failure = FakeStream(FAILED_ANSWER, None, False, lambda: self._loads.end(engine))
         failure.status, failure.headers = FAILURE_STATUS, ()
         return failure
 
-    def start_again(self, engine: str, start: str) -> None:
+    def restart(self, engine: str, start: str) -> None:
         """Break off what runs at an engine; from now on another start answers in its place."""
         for stream in self._streams_by_engine.pop(engine, []):
             stream.break_off()
@@ -303,7 +305,7 @@
 class Network:
     """Carries packets between routers, as the script says."""
 
-    def __init__(self, script: Script) -> None:
+    def __init__(self, script: FaultScript) -> None:
         self._script = script
         self.take_by_name: dict[str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]]
         self.take_by_name = {}
@@ -315,7 +317,7 @@
         copies = {"lost": 0, "twice": 2}.get(fault, 1)
         payload = encode_grant_packet(packet)
         for at in range(copies):
-            delay = 0.01 + 0.02 * at + LATENESS.get(fault, 0.0)
+            delay = 0.01 + 0.02 * at + DELAY_BY_FAULT.get(fault, 0.0)
             asyncio.get_running_loop().call_later(delay, self._deliver, sender, to, payload)
 
     def _deliver(self, sender: str, to: str, payload: bytes) -> None:
@@ -342,16 +344,16 @@
         await asyncio.sleep(0.001)
 
 
-class NotedGate(Gate):
+class RecordingGate(Gate):
     """A gate whose grants are noted."""
 
-    note: Callable[[], None] = lambda: None
+    on_grant: Callable[[], None] = lambda: None
     #: When a grant at an engine was last given back.
     freed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
         verdict = super()._grant(engine, count, held, ceiling)
-        self.note()
+        self.on_grant()
         return verdict
 
     def release(self, engine: str) -> None:
@@ -361,31 +363,31 @@
     def has_room(self, engine: str, others: int, engines: int) -> bool:
         """Return whether it would grant one request more, and would have for a while."""
         now = asyncio.get_running_loop().time()
-        if now - self.freed_at.get(engine, -math.inf) < KNOWN_AFTER:
+        if now - self.freed_at.get(engine, -math.inf) < PROPAGATION_SECONDS:
             return False
         # A copy, since a gate counts what it grants.
         verdict = Gate(dict(self.by_engine)).ask(engine, now, BOUND, others, engines, 8)
         return isinstance(verdict, Granted)
 
 
-class View:
+class RouterView:
     """One router's view; routers may differ on who owns an engine."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self._fleet = fleet
         self._name = name
-        self.disagrees = False
+        self.claims_all_engines = False
         #: What engines said to this router of themselves.
         self.notices = Notices()
         #: The router that all engines moved to, where they did.
-        self.moved_to: str | None = None
+        self.owner_override: str | None = None
         #: The starts that this router knows of; None where it knows them all.
-        self.known: tuple[str, ...] | None = None
+        self.known_engines: tuple[str, ...] | None = None
 
     @property
     def engines(self) -> tuple[str, ...]:
         """The engines that this router takes to be there."""
-        return self._fleet.engines if self.known is None else self.known
+        return self._fleet.engines if self.known_engines is None else self.known_engines
 
     def target(self, engine: str) -> Target | None:
         if engine not in self.engines:
@@ -403,9 +405,9 @@
         return None
 
     def owner_name(self, engine: str) -> str | None:
-        if self.disagrees:
+        if self.claims_all_engines:
             return self._name
-        return self.moved_to or winner(engine, self._fleet.live)
+        return self.owner_override or winner(engine, self._fleet.live)
 
     def elsewhere_in_flight(self, engine: str) -> int:
         return 0
@@ -450,8 +452,8 @@
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         clock = asyncio.get_running_loop().time
-        self.view = View(fleet, name)
-        self.gate = NotedGate(note=fleet.loads.granted)
+        self.view = RouterView(fleet, name)
+        self.gate = RecordingGate(on_grant=fleet.loads.record_total)
         self.health = Health()
         self.cold_paces = ColdPaces(COLD_ALLOWANCE, share=1.0)
         self.owner = LocalOwner(
@@ -466,7 +468,7 @@
             NUMBERS - 3,
         )
         self.sides = GrantSides(self.entry, OwnerGrants(self.owner, self._tasks))
-        self._rounds = self._tasks.start(self._tick())
+        self._ticking = self._tasks.start(self._tick())
 
     async def _tick(self) -> None:
         while True:
@@ -474,10 +476,10 @@
             await asyncio.sleep(0.1)
 
     def stop(self) -> None:
-        self._rounds.cancel()
+        self._ticking.cancel()
 
 
-class ListeningUpstreams:
+class NoticeRecordingUpstreams:
     """One router's connections: they go by what engines say of themselves, and take it in."""
 
     def __init__(self, router: Router, fleet: Fleet) -> None:
@@ -486,7 +488,7 @@
         #: Each time that a request was sent to an engine.
         self.sends: list[tuple[str, float]] = []
         #: Each notice that was heard of an engine, and when.
-        self.heard: list[tuple[str, Notice, float]] = []
+        self.notices_received: list[tuple[str, Notice, float]] = []
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
@@ -500,27 +502,27 @@
         notice = self._fleet.notice_of(target.name)
         reply = await self._fleet.upstreams.send(target, head, body)
         if notice and not (isinstance(reply, Unknown) and reply.code != CROSSED):
-            self._hear(target.name, notice)
+            self._record_notice(target.name, notice)
         return reply
 
-    def _hear(self, engine: str, notice: Notice) -> None:
+    def _record_notice(self, engine: str, notice: Notice) -> None:
         now = asyncio.get_running_loop().time()
-        self.heard.append((engine, notice, now))
+        self.notices_received.append((engine, notice, now))
         if self._router.view.notices.hear(engine, notice, now, is_start_known=True):
             self._router.gate.rests(engine, now, notice.rest)
 
 
-class NotedWalk(Walk):
+class RecordingWalk(Walk):
     """A walk whose questions are noted."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         #: Work elsewhere that the last question about each engine told of.
-        self.told: dict[str, int] = {}
+        self.seen_elsewhere_by_engine: dict[str, int] = {}
 
     def _question(self, engine: str, *args: Any, **kwargs: Any) -> Question:
         question = super()._question(engine, *args, **kwargs)
-        self.told[engine] = question.seen_elsewhere
+        self.seen_elsewhere_by_engine[engine] = question.seen_elsewhere
         return question
 
 
@@ -532,43 +534,43 @@
         self.engines: tuple[str, ...] = ("e0", "e1", "e2")
         self.resumes = resumes
         self.history = History()
-        self.network = Network(Script(packet_faults))
+        self.network = Network(FaultScript(packet_faults))
         self.known_leaving: set[str] = set()
         #: What single engines take, where it is not all that comes.
         self.intake_by_engine: dict[str, Intake] = {}
-        self.loads = Loads(len(self.engines), self.granted)
+        self.loads = EngineLoads(len(self.engines), self.total_granted)
         #: Whether all requests belong to one chat, and so to one home engine.
         self.same_chat = False
         #: Engines that a request may be sent to at most; 0 sets no limit.
         self.most_tries = 0
         #: Walks of requests that have no answer yet, or got it a moment ago.
-        self._walks: list[NotedWalk] = []
-        script = Script(upstream_faults)
+        self._walks: list[RecordingWalk] = []
+        script = FaultScript(upstream_faults)
         self.upstreams = FakeUpstreams(self.history, script, self.known_leaving, self.loads)
         #: What single engines' answers say of them, and when that begins and ends.
         self.notices: list[tuple[str, Notice, float, float]] = []
         #: Seconds that a connection to an engine takes.
         self.connect_seconds = 0.0
         self.routers = {name: Router(name, self) for name in self.names}
-        self.listening = {
-            name: ListeningUpstreams(router, self) for name, router in self.routers.items()
+        self.connections_by_router = {
+            name: NoticeRecordingUpstreams(router, self) for name, router in self.routers.items()
         }
         self.network.take_by_name = {
             name: each.sides.receive for name, each in self.routers.items()
         }
 
-    def start_again(self, at: int, start: int) -> None:
+    def restart_engine(self, index: int, start: int) -> None:
         """Have an engine start again under its id; no router knows of that yet."""
-        before = self.engines[at]
+        before = self.engines[index]
         name = name_of_start(id_of(before), start)
         for router in self.routers.values():
-            router.view.known = router.view.engines
-        self.engines = (*self.engines[:at], name, *self.engines[at + 1 :])
-        self.upstreams.start_again(before, name)
+            router.view.known_engines = router.view.engines
+        self.engines = (*self.engines[:index], name, *self.engines[index + 1 :])
+        self.upstreams.restart(before, name)
 
-    def hears_of_starts(self, router: str) -> None:
+    def learn_starts(self, router: str) -> None:
         """Have a router learn which starts there are now."""
-        self.routers[router].view.known = self.engines
+        self.routers[router].view.known_engines = self.engines
 
     def intake_of(self, engine: str) -> Intake:
         """Return what an engine takes, as every router knows it."""
@@ -581,14 +583,14 @@
         now = asyncio.get_running_loop().time()
         in_force = [each for each in self.notices if each[0] == engine and each[2] <= now < each[3]]
         rest = max((notice.rest for _, notice, _, _ in in_force), default=0.0)
-        self.upstreams.rests = self.upstreams.rests - {engine} | ({engine} if rest else set())
+        self.upstreams.resting = self.upstreams.resting - {engine} | ({engine} if rest else set())
         return Notice(any(notice.is_leaving for _, notice, _, _ in in_force), rest)
 
     @property
     def live(self) -> tuple[str, ...]:
         return tuple(name for name in self.names if name not in self.network.silent)
 
-    def granted(self) -> int:
+    def total_granted(self) -> int:
         """Return the grants that all routers together count."""
         gates = [router.gate for router in self.routers.values()]
         return sum(count.granted for gate in gates for count in gate.by_engine.values())
@@ -631,9 +633,9 @@
         until = asyncio.get_running_loop().time() + 10.0
         remaining: Callable[[], float] = lambda: until - asyncio.get_running_loop().time()  # noqa: E731
         router = self.routers[entry]
-        walk = NotedWalk(
+        walk = RecordingWalk(
             router.view,
-            Ways(router.entry, self.listening[entry]),
+            Ways(router.entry, self.connections_by_router[entry]),
             RetryBudget(),
             head,
             ReplayableBody(b"body"),
@@ -644,39 +646,43 @@
         try:
             reply = await walk.run()
             if not isinstance(reply, Placed):
-                self._note_places(request, walk, reply.refusal)
+                self._record_free_places(request, walk, reply.refusal)
         finally:
             # Those behind it in a line are served a moment after it has left.
-            asyncio.get_running_loop().call_later(KNOWN_AFTER, self._walks.remove, walk)
+            asyncio.get_running_loop().call_later(PROPAGATION_SECONDS, self._walks.remove, walk)
         if not isinstance(reply, Placed):
             self.history.outcome_by_request[request] = reply.refusal
             return
 
-        def record(text: bytes) -> None:
+        def record_text(text: bytes) -> None:
             self.history.text_by_request[request] = text
 
-        delivered = await Delivery(walk, reply, Sink(record)).run()
+        delivered = await Delivery(walk, reply, Sink(record_text)).run()
         self.history.outcome_by_request[request] = delivered.outcome
 
-    def _note_places(self, request: str, walk: NotedWalk, refusal: NotRun | Unknown) -> None:
+    def _record_free_places(
+        self, request: str, walk: RecordingWalk, refusal: NotRun | Unknown
+    ) -> None:
         """Note whether an engine that might run a request had a place as it was refused."""
-        own = [self.history.refusals.get((request, engine)) for engine in self.engines]
-        about_the_request = EngineRefusal.BAD_REQUEST in own or own.count(EngineRefusal.UNKNOWN) > 1
+        refusals = [self.history.refusals.get((request, engine)) for engine in self.engines]
+        about_the_request = (
+            EngineRefusal.BAD_REQUEST in refusals or refusals.count(EngineRefusal.UNKNOWN) > 1
+        )
         if isinstance(refusal, Unknown) or about_the_request or walk._budget.saved < 1:
             return
         for engine in self.engines:
-            if self._might_run(request, engine) and self._has_place(engine, walk):
-                told = f"{request} was refused as {refusal.code} while {engine} had a place"
-                self.history.refused_beside_a_place.append(told)
+            if self._may_be_sent(request, engine) and self._would_be_granted(engine, walk):
+                violation = f"{request} was refused as {refusal.code} while {engine} had a place"
+                self.history.refused_despite_free_place.append(violation)
 
-    def _might_run(self, request: str, engine: str) -> bool:
+    def _may_be_sent(self, request: str, engine: str) -> bool:
         """Return whether a request may go to an engine, and was not refused for its own sake."""
-        if self.history.refusals.get((request, engine)) in OWN_REFUSALS:
+        if self.history.refusals.get((request, engine)) in PERMANENT_REFUSALS:
             return False
         sent_to = {to for sent, to in self.history.sends if sent == request}
         return engine in sent_to or not 0 < self.most_tries <= len(sent_to)
 
-    def _has_place(self, engine: str, walk: NotedWalk) -> bool:
+    def _would_be_granted(self, engine: str, walk: RecordingWalk) -> bool:
         """Return whether an engine has a place that its owner would grant by what it was told."""
         owner = self.routers[winner(engine, self.live) or ""]
         known = owner.health.health_by_upstream.get(engine)
@@ -684,8 +690,12 @@
             return False
         # A line is served in order: one that knows of less work elsewhere, and so of a lower
         # ceiling, holds up those behind it.
-        told = [each.told[engine] for each in self._walks if engine in each.told]
-        others = min(told, default=walk.plan.seen_elsewhere(engine))
+        reported = [
+            each.seen_elsewhere_by_engine[engine]
+            for each in self._walks
+            if engine in each.seen_elsewhere_by_engine
+        ]
+        others = min(reported, default=walk.plan.seen_elsewhere(engine))
         return owner.gate.has_room(engine, others, len(self.engines))
 
 
@@ -710,8 +720,8 @@
     for request, may_repeat in repeatable.items():
         if not may_repeat and history.runs[request] > 1:
             found.append(f"{request} may not be repeated and ran {history.runs[request]} times")
-    if fleet.loads.most > owners:
-        found.append(f"a start came to {fleet.loads.most} times the ceiling of its engine")
+    if fleet.loads.peak_share > owners:
+        found.append(f"a start came to {fleet.loads.peak_share} times the ceiling of its engine")
     for request in history.outcome_by_request:
         sent_to = {engine for sent, engine in history.sends if sent == request}
         if 0 < fleet.most_tries < len(sent_to):
--- a/pondhatch/requests/tests/test_gone_histories.py
+++ b/pondhatch/requests/tests/test_caller_gone_histories.py
@@ -21,7 +21,7 @@
 REQUEST = st.tuples(st.booleans(), st.floats(0, 0.3), st.floats(0, 1.5))
 
 
-def worked_on(fleet: Fleet) -> list[str]:
+def work_after_leaving(fleet: Fleet) -> list[str]:
     """Return what reached an upstream, or was at work there, long after its caller left."""
     history, found = fleet.history, []
     for request, left in history.left_at.items():
@@ -34,9 +34,9 @@
     return found
 
 
-def counted(fleet: Fleet) -> list[str]:
+def remaining_counts(fleet: Fleet) -> list[str]:
     """Return what owners still count, or have in their lines."""
-    found = [f"{fleet.granted()} grants"] if fleet.granted() else []
+    found = [f"{fleet.total_granted()} grants"] if fleet.total_granted() else []
     for name, router in fleet.routers.items():
         waiting = sum(router.owner._lines.waiting(engine) for engine in fleet.engines)
         if waiting:
@@ -44,8 +44,10 @@
     return found
 
 
-class GoneTest(unittest.TestCase):
-    async def leaving(self, fleet: Fleet, requests: list[tuple[bool, float, float]]) -> None:
+class CallerGoneTest(unittest.TestCase):
+    async def run_leaving_callers(
+        self, fleet: Fleet, requests: list[tuple[bool, float, float]]
+    ) -> None:
         """Have requests come whose callers leave; return half a second after the last."""
 
         async def one(number: int, repeatable: bool, at: float, stays: float) -> None:
@@ -72,9 +74,9 @@
     ) -> None:
         async def history() -> list[str]:
             fleet = Fleet(upstream_faults, packet_faults, resumes)
-            await self.leaving(fleet, requests)
+            await self.run_leaving_callers(fleet, requests)
             await asyncio.sleep(10)
-            return worked_on(fleet)
+            return work_after_leaving(fleet)
 
         self.assertEqual(run_virtually(history()), [])
 
@@ -85,7 +87,7 @@
         st.lists(st.sampled_from(DELAYS), max_size=20),
         st.booleans(),
     )
-    def test_no_owner_counts_a_caller_that_left_or_has_it_wait(
+    def test_no_owner_counts_or_queues_a_caller_that_left(
         self,
         requests: list[tuple[bool, float, float]],
         upstream_faults: list[str],
@@ -95,13 +97,13 @@
         async def history() -> list[str]:
             fleet = Fleet(upstream_faults, delays, resumes=True)
             fleet.same_chat = same_chat
-            await self.leaving(fleet, requests)
-            return counted(fleet)
+            await self.run_leaving_callers(fleet, requests)
+            return remaining_counts(fleet)
 
         self.assertEqual(run_virtually(history()), [])
 
 
-class InLineTest(GrantCase):
+class GoneWhileQueuedTest(GrantCase):
     """A caller that leaves while its request waits in a line at another router."""
 
     def after_leaving(self, *packet_faults: str) -> list[str]:
@@ -115,17 +117,17 @@
             await asyncio.sleep(0.05)
             asked.cancel()
             await asyncio.sleep(GONE_SECONDS)
-            return counted(fleet)
+            return remaining_counts(fleet)
 
         found = run_virtually(main())
         self.assertEqual(found[0], "1 grants")
         return found[1:]
 
-    def test_its_place_is_given_up(self) -> None:
+    def test_its_place_in_the_queue_is_given_up(self) -> None:
         self.assertEqual(self.after_leaving(), [])
 
-    def test_however_late_the_release_is(self) -> None:
+    def test_its_place_is_given_up_after_a_late_release(self) -> None:
         self.assertEqual(self.after_leaving("none", "none", "late"), [])
 
-    def test_where_the_question_comes_after_its_release(self) -> None:
+    def test_its_place_is_given_up_if_the_release_overtakes_the_question(self) -> None:
         self.assertEqual(self.after_leaving("late"), [])
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -29,7 +29,7 @@
     Walk,
     Ways,
 )
-from pondhatch.requests.tests._history import Fleet, Sink, Stream, answer_of
+from pondhatch.requests.tests._history import FakeStream, Fleet, Sink, answer_of
 
 CUT = Unknown("upstream-lost", "reset", was_cut=True)
 
@@ -39,10 +39,10 @@
 
     def __init__(self, ends_left: int) -> None:
         self.ends_left = ends_left
-        self.suspected = False
+        self.is_request_suspected = False
         #: Engines that ended, in order.
-        self.cut: list[str] = []
-        self.whole = False
+        self.cut_engines: list[str] = []
+        self.was_whole = False
 
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
         return QUARANTINED if self.is_quarantined() else None
@@ -51,21 +51,21 @@
         return self.ends_left <= 0
 
     def is_suspected(self) -> bool:
-        return self.suspected
+        return self.is_request_suspected
 
     async def run_was_cut(self, target: Target) -> bool:
-        self.cut.append(target.name)
+        self.cut_engines.append(target.name)
         self.ends_left -= 1
         return True
 
     def run_was_whole(self) -> None:
-        self.whole = True
+        self.was_whole = True
 
     def close(self) -> None:
         """Do nothing."""
 
 
-class Guard:
+class FakeCrashGuard:
     """Gives the one watch out; see CrashGuard."""
 
     def __init__(self, watch: ScriptedWatch) -> None:
@@ -79,7 +79,7 @@
     def walk(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Walk:
         router = fleet.routers["r0"]
         head = RequestHead("q0", "a", "s", 7, "POST", "/", (), repeatable, 10.0, 5, digest=1)
-        ways = Ways(router.entry, fleet.upstreams, Guard(watch))
+        ways = Ways(router.entry, fleet.upstreams, FakeCrashGuard(watch))
         return Walk(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
 
     def run_with(self, watch: ScriptedWatch, *replies: Any, repeatable: bool = True) -> Any:
@@ -104,22 +104,22 @@
         return run_virtually(main())
 
 
-class ConvictedRequestTest(WalkCase):
-    def test_it_is_sent_nowhere_and_its_caller_hears_that_it_has_run(self) -> None:
+class QuarantinedRequestTest(WalkCase):
+    def test_it_is_not_sent_and_its_refusal_does_not_claim_that_it_never_ran(self) -> None:
         self.assertEqual(self.run_with(ScriptedWatch(0)), (Refused(QUARANTINED), 0))
         self.assertNotIsInstance(QUARANTINED, NotRun)
         self.assertEqual(QUARANTINED.status, 400)
 
-    def test_the_end_that_convicts_it_is_its_last(self) -> None:
+    def test_the_cut_that_quarantines_it_is_its_last_attempt(self) -> None:
         watch = ScriptedWatch(2)
         self.assertEqual(self.run_with(watch, CUT, CUT), (Refused(QUARANTINED), 2))
-        self.assertEqual(len(watch.cut), 2)
+        self.assertEqual(len(watch.cut_engines), 2)
 
-    def test_one_that_may_not_be_repeated_hears_the_final_word_too(self) -> None:
+    def test_a_request_that_may_not_be_repeated_is_refused_as_quarantined_too(self) -> None:
         found = self.run_with(ScriptedWatch(1), CUT, repeatable=False)
         self.assertEqual(found, (Refused(QUARANTINED), 1))
 
-    def test_a_word_that_comes_while_it_waits_for_a_grant_stops_it(self) -> None:
+    def test_a_quarantine_during_the_wait_for_a_grant_stops_it(self) -> None:
         class Late(ScriptedWatch):
             async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
                 self.ends_left = 0
@@ -134,27 +134,27 @@
             placed = await walk.run()
             assert isinstance(placed, Placed)
             placed.reply.answer.cancel()
-            broken = Stream(answer_of("q0"), 0, False, lambda: None)
-            with patch.object(broken, "_part", self.lose):
+            broken = FakeStream(answer_of("q0"), 0, False, lambda: None)
+            with patch.object(broken, "_part", self.raise_lost):
                 placed = replace(placed, reply=Opened(broken))
                 ended = await Delivery(walk, placed, Sink(lambda _: None)).run()
             self.assertEqual(ended.outcome, QUARANTINED)
 
         run_virtually(main())
 
-    async def lose(self) -> bytes:
+    async def raise_lost(self) -> bytes:
         from pondhatch.requests import Lost
 
         raise Lost(Broken("answer-broken", "reset", was_cut=True))
 
 
 class EvidenceTest(WalkCase):
-    def test_what_this_router_gave_up_is_no_evidence(self) -> None:
+    def test_a_request_given_up_by_this_router_is_no_evidence(self) -> None:
         watch = ScriptedWatch(3)
         self.run_with(watch, replace(CUT, was_cut=False), repeatable=False)
-        self.assertEqual(watch.cut, [])
+        self.assertEqual(watch.cut_engines, [])
 
-    def test_an_engine_that_leaves_ends_as_planned(self) -> None:
+    def test_the_end_of_a_leaving_or_unknown_engine_is_no_evidence(self) -> None:
         async def main() -> None:
             fleet = Fleet([], [], False)
             watch = ScriptedWatch(3)
@@ -162,22 +162,22 @@
             fleet.known_leaving.add("e0")
             await walk.note_cut("e0", CUT)
             await walk.note_cut("e9", CUT)
-            self.assertEqual(watch.cut, [])
+            self.assertEqual(watch.cut_engines, [])
             await walk.note_cut("e1", CUT)
-            self.assertEqual(watch.cut, ["e1"])
+            self.assertEqual(watch.cut_engines, ["e1"])
 
         run_virtually(main())
 
-    def test_only_an_answer_that_is_no_failure_shows_that_an_engine_bore_it(self) -> None:
+    def test_only_an_answer_other_than_a_5xx_clears_the_request(self) -> None:
         async def main() -> None:
             for status, clears in ((200, True), (404, True), (500, False), (504, False)):
                 watch = ScriptedWatch(3)
                 self.walk(Fleet([], [], False), watch).note_whole(status)
-                self.assertEqual(watch.whole, clears, status)
+                self.assertEqual(watch.was_whole, clears, status)
 
         run_virtually(main())
 
-    def test_a_suspected_request_takes_no_context_over(self) -> None:
+    def test_a_suspected_request_fetches_no_context_from_another_engine(self) -> None:
         async def main() -> None:
             fleet = Fleet([], [], False)
             watch = ScriptedWatch(3)
@@ -188,7 +188,7 @@
             holder = replace(target, name="e1", url="http://10.0.0.2:80")
             with patch.object(tries._view, "target", lambda _: holder):
                 self.assertEqual(tries._context_source(target, head), "10.0.0.2:80")
-                watch.suspected = True
+                watch.is_request_suspected = True
                 self.assertEqual(tries._context_source(target, head), "")
 
         run_virtually(main())
--- a/pondhatch/requests/tests/test_digest.py
+++ b/pondhatch/requests/tests/test_digest.py
@@ -6,7 +6,7 @@
 
 
 class DigestTest(unittest.TestCase):
-    def test_attempts_at_the_same_request_share_it_and_no_others_do(self) -> None:
+    def test_only_attempts_at_the_same_request_share_a_digest(self) -> None:
         asked = ("pina", "POST", "/notes/a", b"body")
         others = [
             ("olga", "POST", "/notes/a", b"body"),
--- a/pondhatch/requests/tests/test_grant_packets.py
+++ b/pondhatch/requests/tests/test_grant_packets.py
@@ -22,7 +22,7 @@
 
 
 class LoadFieldsTest(unittest.TestCase):
-    def test_what_says_nothing_of_load_has_the_bytes_that_it_always_had(self) -> None:
+    def test_packets_without_load_fields_keep_their_bytes(self) -> None:
         self.assertEqual(encode_grant_packet(QUESTION), QUESTION_BYTES)
         self.assertEqual(encode_grant_packet(BusyWord(7, 6, 6)), BUSY_BYTES)
 
@@ -30,7 +30,7 @@
         self.assertEqual(decode_grant_packet(QUESTION_BYTES), QUESTION)
         self.assertEqual(decode_grant_packet(BUSY_BYTES), BusyWord(7, 6, 6))
 
-    def test_what_is_said_of_load_arrives(self) -> None:
+    def test_load_fields_survive_encoding(self) -> None:
         question = msgspec.structs.replace(
             QUESTION, in_time=90, queues=3, tokens=1300, parts=((17, 512),)
         )
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -37,7 +37,7 @@
         self.owner = winner(ENGINE, ("r0", "r1", "r2")) or ""
         self.entry = next(name for name in ("r0", "r1", "r2") if name != self.owner)
 
-    def granted(self, fleet: Fleet, router: str | None = None) -> int:
+    def granted_count(self, fleet: Fleet, router: str | None = None) -> int:
         count = fleet.routers[router or self.owner].gate.by_engine.get(ENGINE)
         return count.granted if count is not None else 0
 
@@ -46,55 +46,55 @@
         return fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
 
 
-class AloneTest(GrantCase):
+class OwnerUnreachableTest(GrantCase):
     """A router decides by what it knows where an engine's owner cannot be asked."""
 
-    def alone(self, fleet: Fleet, **changes: Any) -> OwnerReply:
+    def decide_alone(self, fleet: Fleet, **changes: Any) -> OwnerReply:
         asked = question(fleet, self.entry, **changes)
         return fleet.routers[self.entry].entry.ask_nobody(asked)
 
-    def test_it_grants_up_to_the_ceiling_that_it_knows(self) -> None:
+    def test_a_router_grants_up_to_the_ceiling_that_it_knows(self) -> None:
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
-            return [self.alone(fleet) for _ in range(CEILING + 1)]
+            return [self.decide_alone(fleet) for _ in range(CEILING + 1)]
 
         replies = run_virtually(main())
         self.assertTrue(all(isinstance(each, Granted) for each in replies[:CEILING]), replies)
         self.assertIsInstance(replies[-1], Busy)
 
-    def test_it_sends_nothing_to_an_engine_that_is_leaving_or_down(self) -> None:
+    def test_a_router_grants_nothing_at_a_leaving_or_down_engine(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply]:
             fleet = Fleet([], [], False)
             fleet.known_leaving.add(ENGINE)
-            leaving = self.alone(fleet)
+            leaving = self.decide_alone(fleet)
             fleet.known_leaving.clear()
             for _ in range(FAILURES):
                 fleet.routers[self.entry].entry.local._health.failed(ENGINE, 0.0)
-            return leaving, self.alone(fleet)
+            return leaving, self.decide_alone(fleet)
 
         codes = [reply.code for reply in run_virtually(main()) if isinstance(reply, NotRun)]
         self.assertEqual(codes, ["upstream-leaving", "upstream-down"])
 
-    def test_the_owner_counts_it_once_it_is_heard_of(self) -> None:
+    def test_the_owner_counts_the_grant_once_it_is_reachable(self) -> None:
         async def main() -> tuple[int, int]:
             fleet = Fleet([], [], False)
-            self.alone(fleet)
-            before = self.granted(fleet)
+            self.decide_alone(fleet)
+            before = self.granted_count(fleet)
             fleet.routers[self.entry].entry.follow_owners(lambda _: self.owner)
             await asyncio.sleep(1)
-            return before, self.granted(fleet)
+            return before, self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), (0, 1))
-        self.assertEqual(self.granted_at_entry(), 0)
+        self.assertEqual(self.granted_at_entry_after_takeover(), 0)
 
-    def granted_at_entry(self) -> int:
+    def granted_at_entry_after_takeover(self) -> int:
         """Return what the entry router still counts as its own after the owner took over."""
 
         async def main() -> int:
             fleet = Fleet([], [], False)
-            self.alone(fleet)
+            self.decide_alone(fleet)
             fleet.routers[self.entry].entry.follow_owners(lambda _: self.owner)
-            return self.granted(fleet, self.entry)
+            return self.granted_count(fleet, self.entry)
 
         return run_virtually(main())
 
@@ -109,30 +109,30 @@
             owner = fleet.routers[self.owner]
             owner.gate.by_engine.clear()
             owner.entry.local.leases.by_holder.clear()
-            before = self.granted(fleet)
+            before = self.granted_count(fleet)
             fleet.routers[self.entry].entry.hold_again(self.owner)
             await asyncio.sleep(1)
-            return before, self.granted(fleet)
+            return before, self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), (0, 1))
 
-    def test_what_an_entry_router_held_before_it_restarted_is_given_back(self) -> None:
+    def test_grants_held_by_a_restarted_entry_router_are_given_back(self) -> None:
         async def main() -> tuple[int, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             owner = fleet.routers[self.owner].entry.local
             owner.restarted_router(short_id(self.entry))
-            at_once = self.granted(fleet)
+            at_once = self.granted_count(fleet)
             await asyncio.sleep(START_SECONDS + 0.1)
             owner.restarted_router(short_id(self.entry))
-            return at_once, self.granted(fleet)
+            return at_once, self.granted_count(fleet)
 
         # What was granted just now is the new process's own.
         self.assertEqual(run_virtually(main()), (1, 0))
 
 
 class PacketTest(GrantCase):
-    def test_whatever_befalls_one_packet_the_grant_is_counted_once(self) -> None:
+    def test_a_grant_is_counted_once_whatever_happens_to_one_packet(self) -> None:
         for faults in (["lost"], ["none", "lost"], ["twice", "twice"], ["late"], ["none", "late"]):
             with self.subTest(faults=faults):
 
@@ -141,17 +141,17 @@
                     reply = await self.ask(fleet)
                     held = dict(fleet.routers[self.entry].entry.held_by_number)
                     await asyncio.sleep(1)
-                    counted = self.granted(fleet)
+                    counted = self.granted_count(fleet)
                     for number in held:
                         fleet.routers[self.entry].entry.release(number, Ended.ANSWERED)
                     await asyncio.sleep(1)
-                    return reply, counted, self.granted(fleet)
+                    return reply, counted, self.granted_count(fleet)
 
                 reply, counted, after = run_virtually(main())
                 self.assertIsInstance(reply, Granted)
                 self.assertEqual((counted, after), (1, 0))
 
-    def test_an_owner_that_gives_no_word_ran_nothing_and_is_found_out_soon(self) -> None:
+    def test_a_silent_owner_is_given_up_after_the_first_wait(self) -> None:
         async def main() -> tuple[OwnerReply, float]:
             fleet = Fleet([], [], False)
             fleet.network.silent.add(self.owner)
@@ -161,28 +161,28 @@
         self.assertIsInstance(reply, NotRun)
         self.assertAlmostEqual(at, FIRST_WAIT, places=2)
 
-    def test_a_grant_whose_word_came_too_late_is_given_back(self) -> None:
+    def test_a_grant_whose_reply_came_too_late_is_given_back(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
             # Of the packets after the late word, all questions and the first release are lost.
             fleet = Fleet([], ["none", "very-late", *["lost"] * len(PARTS)], False)
             reply = await self.ask(fleet)
             await asyncio.sleep(3)
-            return reply, self.granted(fleet)
+            return reply, self.granted_count(fleet)
 
         reply, counted = run_virtually(main())
         self.assertIsInstance(reply, NotRun)
         self.assertEqual(counted, 0)
 
-    def test_a_lost_release_is_made_good_by_the_lease(self) -> None:
+    def test_a_lost_release_is_recovered_when_the_lease_expires(self) -> None:
         async def main() -> tuple[int, int]:
             fleet = Fleet([], ["none", "none", "lost"], False)
             await self.ask(fleet)
             entry = fleet.routers[self.entry].entry
             entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
             await asyncio.sleep(1)
-            before = self.granted(fleet)
+            before = self.granted_count(fleet)
             await asyncio.sleep(LEASE_SECONDS)
-            return before, self.granted(fleet)
+            return before, self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), (1, 0))
 
@@ -191,7 +191,7 @@
             fleet = Fleet([], ["none", "none", "lost"], False)
             await self.ask(fleet)
             await asyncio.sleep(3 * LEASE_SECONDS)
-            return self.granted(fleet)
+            return self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), 1)
 
@@ -208,26 +208,26 @@
                 fleet.routers[self.owner].entry.local._health.failed(ENGINE, 0.0)
             await asyncio.sleep(FIRST_PAUSE + 0.1)
             asked = question(fleet, self.entry)
-            words: list[GrantPacket] = []
+            received: list[GrantPacket] = []
             side = fleet.routers[self.owner].sides
-            side.receive(asked, words.append)
+            side.receive(asked, received.append)
             between(fleet)
-            side.receive(asked, words.append)
-            return [type(word) for word in words], self.granted(fleet)
+            side.receive(asked, received.append)
+            return [type(word) for word in received], self.granted_count(fleet)
 
         return run_virtually(main())
 
-    def test_one_that_was_let_through_to_try_the_engine_keeps_its_grant(self) -> None:
+    def test_a_probe_of_a_down_engine_keeps_its_grant(self) -> None:
         expected = ([GrantedWord, GrantedWord], 1)
         self.assertEqual(self.replies(lambda fleet: None), expected)
 
-    def test_one_whose_engine_leaves_meanwhile_holds_nothing(self) -> None:
+    def test_a_question_whose_engine_leaves_meanwhile_holds_nothing(self) -> None:
         expected = ([GrantedWord, DeclinedWord], 0)
         self.assertEqual(self.replies(lambda fleet: fleet.known_leaving.add(ENGINE)), expected)
 
 
 class WaitingTest(GrantCase):
-    def test_a_question_waits_in_line_and_is_granted_though_the_first_word_is_lost(self) -> None:
+    def test_a_queued_question_is_granted_although_the_first_reply_is_lost(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply, int]:
             fleet = Fleet([], ["none", "none", "none", "lost", "none", "lost"], False)
             first = await self.ask(fleet)
@@ -235,14 +235,14 @@
             number = next(iter(entry.held_by_number))
             asyncio.get_running_loop().call_later(0.7, entry.release, number, Ended.ANSWERED)
             second = await self.ask(fleet, patience=5000)
-            return first, second, self.granted(fleet)
+            return first, second, self.granted_count(fleet)
 
         first, second, counted = run_virtually(main())
         self.assertIsInstance(first, Granted)
         self.assertIsInstance(second, Granted)
         self.assertEqual(counted, 1)
 
-    def test_one_who_stops_waiting_leaves_the_line(self) -> None:
+    def test_a_cancelled_question_leaves_the_queue(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
@@ -253,13 +253,13 @@
             entry = fleet.routers[self.entry].entry
             entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
             await asyncio.sleep(0.2)
-            return await self.ask(fleet), self.granted(fleet)
+            return await self.ask(fleet), self.granted_count(fleet)
 
         reply, counted = run_virtually(main())
         self.assertIsInstance(reply, Granted)
         self.assertEqual(counted, 1)
 
-    def test_a_question_taken_back_in_the_moment_it_came_leaves_nothing(self) -> None:
+    def test_a_question_released_as_it_arrives_leaves_nothing(self) -> None:
         async def main() -> tuple[int, OwnerReply]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
@@ -271,7 +271,7 @@
             entry = fleet.routers[self.entry].entry
             entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
             await asyncio.sleep(0.2)
-            return self.granted(fleet), await asyncio.wait_for(
+            return self.granted_count(fleet), await asyncio.wait_for(
                 entry.ask(self.owner, asked, FIRST_WAIT), 10
             )
 
@@ -279,7 +279,7 @@
         self.assertEqual(counted, 0)
         self.assertIsInstance(reply, Granted)
 
-    def test_patience_ends_with_busy(self) -> None:
+    def test_a_wait_that_reaches_its_limit_ends_in_busy(self) -> None:
         async def main() -> OwnerReply:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
@@ -287,7 +287,7 @@
 
         self.assertEqual(run_virtually(main()), Busy(CEILING, CEILING))
 
-    def test_who_waited_in_vain_is_told_what_runs_there_now(self) -> None:
+    def test_a_busy_reply_after_a_wait_tells_the_current_load(self) -> None:
         """The next owner counts it, and one that ended meanwhile raised its ceiling to twice."""
 
         async def main() -> OwnerReply:
@@ -308,16 +308,16 @@
 class AilingTest(GrantCase):
     """An engine that takes all requests and answers many with failures of its own."""
 
-    async def fail_much(self, fleet: Fleet) -> None:
+    async def fail_until_passed_over(self, fleet: Fleet) -> None:
         entry = fleet.routers[self.entry].entry
         while isinstance(await self.ask(fleet), Granted):
             entry.release(next(iter(entry.held_by_number)), Ended.ERRED)
             await asyncio.sleep(0.1)
 
-    def test_it_gets_only_what_insists(self) -> None:
+    def test_an_ailing_engine_gets_only_insisting_requests(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply]:
             fleet = Fleet([], [], False)
-            await self.fail_much(fleet)
+            await self.fail_until_passed_over(fleet)
             return await self.ask(fleet), await self.ask(fleet, insist=True)
 
         passed_over, insisting = run_virtually(main())
@@ -325,10 +325,10 @@
         self.assertEqual(getattr(passed_over, "code", ""), AILING)
         self.assertIsInstance(insisting, Granted)
 
-    def test_it_is_tried_again_after_its_rest(self) -> None:
+    def test_an_ailing_engine_is_tried_again_after_its_pause(self) -> None:
         async def main() -> OwnerReply:
             fleet = Fleet([], [], False)
-            await self.fail_much(fleet)
+            await self.fail_until_passed_over(fleet)
             await asyncio.sleep(FIRST_PASSED_OVER)
             return await self.ask(fleet)
 
@@ -342,30 +342,30 @@
             await self.ask(fleet)
             fleet.network.silent.add(self.owner)
             await asyncio.sleep(0.3)
-            heir = winner(ENGINE, fleet.live) or ""
-            counted = self.granted(fleet, heir)
+            successor = winner(ENGINE, fleet.live) or ""
+            counted = self.granted_count(fleet, successor)
             asked = question(fleet, self.entry)
-            return counted, await fleet.routers[self.entry].entry.ask(heir, asked, FIRST_WAIT)
+            return counted, await fleet.routers[self.entry].entry.ask(successor, asked, FIRST_WAIT)
 
         counted, reply = run_virtually(main())
         self.assertEqual((counted, reply), (1, Busy(CEILING, CEILING)))
 
-    def test_an_owner_that_gives_up_an_engine_says_so_and_keeps_no_count(self) -> None:
+    def test_a_former_owner_replies_not_owner_and_keeps_no_count(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             for router in fleet.routers.values():
-                router.view.moved_to = self.entry
+                router.view.owner_override = self.entry
             await asyncio.sleep(0.3)
-            return await self.ask(fleet), self.granted(fleet)
+            return await self.ask(fleet), self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), (NotOwner(self.entry), 0))
 
-    def test_the_grants_of_a_router_that_is_gone_are_taken_back(self) -> None:
+    def test_the_grants_of_a_lost_router_are_given_back(self) -> None:
         async def main() -> int:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             fleet.routers[self.owner].owner.lost_router(short_id(self.entry))
-            return self.granted(fleet)
+            return self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), 0)
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -14,8 +14,8 @@
 from pondhatch.requests import EngineRefusal, EntryGrants, OwnerReply, Question
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests.tests._history import (
-    OWN_REFUSALS,
     PACKET_FAULTS,
+    PERMANENT_REFUSALS,
     UPSTREAM_FAULTS,
     Fleet,
     violations,
@@ -41,7 +41,7 @@
 )
 
 #: What befalls tries where engines refuse; "full" is said by those that are, and no others.
-REFUSED = ("none", "slow", EngineRefusal.BAD_REQUEST, *OWN_REFUSALS)
+REFUSAL_FAULTS = ("none", "slow", EngineRefusal.BAD_REQUEST, *PERMANENT_REFUSALS)
 
 
 class HistoryTest(unittest.TestCase):
@@ -56,7 +56,7 @@
         st.booleans(),
         st.one_of(st.none(), st.tuples(st.sampled_from(["r0", "r1", "r2"]), st.floats(0, 0.5))),
     )
-    def test_promises_hold(
+    def test_guarantees_hold(
         self,
         requests: list[tuple[bool, bool, float]],
         upstream_faults: list[str],
@@ -71,7 +71,7 @@
             fleet = Fleet(upstream_faults, packet_faults, resumes)
             fleet.same_chat = same_chat
             for name in disagreeing:
-                fleet.routers[name].view.disagrees = True
+                fleet.routers[name].view.claims_all_engines = True
 
             async def leave() -> None:
                 if leaves_at is not None:
@@ -97,7 +97,7 @@
     @settings(PROFILE)
     @given(
         st.lists(REQUEST, min_size=1, max_size=12),
-        st.lists(st.sampled_from(REFUSED), max_size=16),
+        st.lists(st.sampled_from(REFUSAL_FAULTS), max_size=16),
         st.lists(st.integers(1, 4), min_size=3, max_size=3),
         st.integers(0, 3),
         st.booleans(),
@@ -123,12 +123,12 @@
             await asyncio.sleep(2 * LEASE_SECONDS)
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
             found = violations(fleet, repeatable)
-            return found + fleet.history.refused_beside_a_place
+            return found + fleet.history.refused_despite_free_place
 
         self.assertEqual(run_virtually(history()), [])
 
 
-class DirectedTest(unittest.TestCase):
+class SingleFaultTest(unittest.TestCase):
     """Single faults, whose outcome is known."""
 
     def outcome(
@@ -143,7 +143,7 @@
 
         return run_virtually(history())
 
-    def test_outcomes(self) -> None:
+    def test_each_single_fault_has_its_outcome(self) -> None:
         cases: list[tuple[list[str], bool, str, int]] = [
             # faults, may be repeated, outcome, runs
             ([EngineRefusal.UNKNOWN], True, "Whole", 1),
@@ -170,7 +170,7 @@
 
         self.assertEqual(run_virtually(history()), "Whole")
 
-    def test_a_stream_that_goes_on_tells_of_no_load_that_its_walk_saw(self) -> None:
+    def test_a_resumed_stream_reports_no_load_seen_by_its_earlier_attempts(self) -> None:
         async def main() -> list[tuple[bool, int]]:
             fleet = Fleet(["slow", "cut"], [], resumes=True)
             fleet.same_chat = True
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -27,7 +27,7 @@
 from pondhatch.requests.tests.test_histories import PROFILE, REQUEST
 
 #: Seconds from a grant to its send at the engine, in these histories.
-SENT_IN = 0.011
+SEND_DELAY = 0.011
 PACE = 6.0
 COLD = Intake(cold_pace=PACE)
 EVACUATED = Intake(is_evacuated=True)
@@ -64,7 +64,7 @@
             fleet = Fleet(upstream_faults, packet_faults, resumes)
             fleet.same_chat = same_chat
             for name in disagreeing:
-                fleet.routers[name].view.disagrees = True
+                fleet.routers[name].view.claims_all_engines = True
 
             async def evacuate() -> float:
                 await asyncio.sleep(evacuated_at)
@@ -76,7 +76,7 @@
             await asyncio.gather(*sent)
             known_at = await evacuating
             await asyncio.sleep(2 * LEASE_SECONDS)
-            late = [at for at in sends_to(fleet, "e0") if at > known_at + SENT_IN]
+            late = [at for at in sends_to(fleet, "e0") if at > known_at + SEND_DELAY]
             found = [f"an evacuated hall got a request at {at}" for at in late]
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
             # An owner whose words are lost is decided for, and counts on by itself.
@@ -85,7 +85,7 @@
 
         self.assertEqual(run_virtually(history()), [])
 
-    def test_where_nothing_is_open_requests_are_refused_at_once(self) -> None:
+    def test_requests_are_refused_at_once_if_all_halls_are_evacuated(self) -> None:
         async def history() -> tuple[float, list[object], int]:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine = dict.fromkeys(fleet.engines, EVACUATED)
@@ -110,7 +110,7 @@
         st.one_of(st.none(), st.tuples(st.sampled_from(["r0", "r1", "r2"]), st.floats(0, 1.0))),
         st.integers(1, 3),
     )
-    def test_a_cold_engine_gets_no_more_than_it_bears(
+    def test_a_cold_engine_gets_no_more_than_its_allowance(
         self,
         starts: list[float],
         upstream_faults: list[str],
@@ -127,7 +127,7 @@
             fleet.same_chat = same_chat
             fleet.intake_by_engine = dict.fromkeys(fleet.engines[:cold], COLD)
             if disagreeing is not None:
-                fleet.routers[disagreeing].view.disagrees = True
+                fleet.routers[disagreeing].view.claims_all_engines = True
 
             async def freeze() -> None:
                 if freezes is not None and disagreeing is None:
@@ -142,7 +142,7 @@
 
         self.assertEqual(run_virtually(history()), [])
 
-    def test_it_is_used_beside_warm_ones_and_alone(self) -> None:
+    def test_cold_engines_are_used_beside_warm_ones_and_alone(self) -> None:
         async def history(cold: int) -> int:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine = dict.fromkeys(fleet.engines[:cold], COLD)
--- a/pondhatch/requests/tests/test_keys.py
+++ b/pondhatch/requests/tests/test_keys.py
@@ -53,7 +53,7 @@
         known = self.table.claim("k", record("q2"), 0.0)
         self.assertEqual(known.record.state if isinstance(known, Known) else "", "unknown")
 
-    def test_what_is_done_stays_done(self) -> None:
+    def test_a_settled_record_is_not_replaced(self) -> None:
         self.table.claim("k", record("q1"), 0.0)
         done = KeyRecord("POST /log 1", "r0", "q1", "done", ANSWER)
         self.table.settle("k", done, 1.0)
@@ -77,7 +77,7 @@
         self.assertIsNotNone(kept(200, (), b"x" * 65536))
         self.assertIsNone(kept(200, (), b"x" * 65537))
 
-    def test_refusals(self) -> None:
+    def test_each_known_record_has_its_refusal_code(self) -> None:
         cases = [
             (record("q1"), "key-running"),
             (KeyRecord("POST /log 1", "r0", "q1", "done"), "key-done"),
@@ -88,7 +88,7 @@
             self.assertEqual(refusal_of(Known(known), record("q2")).code, code)
 
 
-class Holder:
+class SlowHolder:
     """A router's table behind calls that take time."""
 
     def __init__(self, pause: float) -> None:
@@ -108,10 +108,10 @@
         self.table.release(key, request_id)
 
 
-class View:
+class HoldersView:
     """An entry router's view of who holds a key."""
 
-    def __init__(self, holders: dict[str, Holder], ranked: list[str]) -> None:
+    def __init__(self, holders: dict[str, SlowHolder], ranked: list[str]) -> None:
         self._holders = holders
         self.ranked = ranked
 
@@ -139,13 +139,13 @@
         self, tries: list[tuple[list[str], float, bool]], pauses: list[float]
     ) -> None:
         async def history() -> int:
-            holders = {f"h{at}": Holder(pause) for at, pause in enumerate(pauses)}
+            holders = {f"h{at}": SlowHolder(pause) for at, pause in enumerate(pauses)}
             runs = 0
 
             async def one(number: int, ranked: list[str], after: float, finishes: bool) -> None:
                 nonlocal runs
                 await asyncio.sleep(after)
-                keyed = KeyedRun(View(holders, list(ranked)), "k", record(f"q{number}"))
+                keyed = KeyedRun(HoldersView(holders, list(ranked)), "k", record(f"q{number}"))
                 begun = await keyed.begin()
                 if not isinstance(begun, Fresh):
                     return
@@ -161,8 +161,10 @@
 
         self.assertLessEqual(run_virtually(history()), 1)
 
-    def test_holders_that_cannot_be_reached_refuse_the_call(self) -> None:
+    def test_a_call_is_refused_if_no_holder_can_be_reached(self) -> None:
         async def begin() -> object:
-            return await KeyedRun(View({}, ["h0", "h1", "h2", "h3"]), "k", record("q")).begin()
+            return await KeyedRun(
+                HoldersView({}, ["h0", "h1", "h2", "h3"]), "k", record("q")
+            ).begin()
 
         self.assertIsInstance(run_virtually(begin()), NotRun)
--- a/pondhatch/requests/tests/test_lines.py
+++ b/pondhatch/requests/tests/test_lines.py
@@ -16,7 +16,7 @@
 ASKED = Question(1, 1, "e", "a", chat=0, priority=5, patience=1000)
 
 
-class Engine:
+class FullEngine:
     """A full engine whose slots the test frees."""
 
     def __init__(self) -> None:
@@ -42,9 +42,9 @@
 
 
 class LinesTest(unittest.TestCase):
-    def test_a_freed_slot_goes_to_who_waits(self) -> None:
+    def test_a_freed_slot_goes_to_a_waiting_request(self) -> None:
         async def main() -> tuple[Verdict, int]:
-            engine = Engine()
+            engine = FullEngine()
             waiting = engine.wait()
             await asyncio.sleep(0.1)
             engine.release()
@@ -53,9 +53,9 @@
         self.assertEqual(run_virtually(main()), (Granted(2, 2), 0))
 
     # An engine was granted to nobody any more: whoever left took out the place of another.
-    def test_who_joins_as_the_last_ones_leave_keeps_its_place(self) -> None:
+    def test_a_request_that_joins_as_the_last_ones_leave_is_served(self) -> None:
         async def main() -> tuple[Verdict, Verdict, int]:
-            engine = Engine()
+            engine = FullEngine()
             first, second = engine.wait(), engine.wait()
             await asyncio.sleep(0.1)
             # In this order in one turn of the loop: the second leaves, the third joins, and the
@@ -69,18 +69,18 @@
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), Granted(2, 2), 0))
 
-    def test_patience_ends(self) -> None:
+    def test_a_wait_ends_at_its_limit(self) -> None:
         async def main() -> tuple[Verdict, float]:
-            verdict = await Engine().wait()
+            verdict = await FullEngine().wait()
             return verdict, asyncio.get_running_loop().time()
 
         verdict, at = run_virtually(main())
         self.assertEqual(verdict, FULL)
         self.assertAlmostEqual(at, 1.0, places=2)
 
-    def test_a_grant_to_one_who_went_away_is_given_back(self) -> None:
+    def test_a_grant_to_a_cancelled_request_is_given_back(self) -> None:
         async def main() -> int:
-            engine = Engine()
+            engine = FullEngine()
             waiting = engine.wait()
             await asyncio.sleep(0.1)
             engine.release()
@@ -90,24 +90,24 @@
 
         self.assertEqual(run_virtually(main()), 1)
 
-    def test_a_full_line_refuses_its_own_kind_and_makes_room_for_the_urgent(self) -> None:
+    def test_a_full_queue_refuses_equal_priority_and_evicts_for_a_higher_one(self) -> None:
         async def main() -> tuple[list[Verdict], Verdict]:
-            engine = Engine()
+            engine = FullEngine()
             waiting = [engine.wait() for _ in range(LINE_LIMIT)]
             await asyncio.sleep(0.01)
             refused = await engine.wait()
             urgent = engine.wait(msgspec.structs.replace(ASKED, priority=0))
             await asyncio.sleep(0.01)
-            pushed_out = [task.result() for task in waiting if task.done()]
+            evicted = [task.result() for task in waiting if task.done()]
             engine.release()
-            return [refused, *pushed_out], await urgent
+            return [refused, *evicted], await urgent
 
         refused, urgent = run_virtually(main())
         self.assertEqual((refused, urgent), ([FULL, FULL], Granted(2, 2)))
 
-    def test_who_cannot_be_served_in_time_is_refused_at_once(self) -> None:
+    def test_a_request_that_cannot_be_served_in_time_is_refused_at_once(self) -> None:
         async def main() -> tuple[Verdict, float]:
-            engine = Engine()
+            engine = FullEngine()
             patient = msgspec.structs.replace(ASKED, patience=9000)
             waiting = [engine.wait(patient) for _ in range(6)]
             for _ in range(4):
@@ -123,9 +123,9 @@
 
         self.assertEqual(run_virtually(main()), (FULL, 0.0))
 
-    def test_a_quiet_account_is_not_refused_for_the_line_of_a_loud_one(self) -> None:
+    def test_one_accounts_queue_does_not_refuse_another_account(self) -> None:
         async def main() -> tuple[Verdict, float]:
-            engine = Engine()
+            engine = FullEngine()
             loud = msgspec.structs.replace(ASKED, patience=60_000)
             waiting = [engine.wait(loud) for _ in range(LINE_LIMIT)]
             for _ in range(4):
@@ -147,9 +147,9 @@
         self.assertEqual(verdict, Granted(2, 2))
         self.assertAlmostEqual(spent, 0.5, places=2)
 
-    def test_a_long_idle_time_says_nothing_of_an_engines_pace(self) -> None:
+    def test_idle_time_does_not_lower_the_expected_release_rate(self) -> None:
         async def main() -> Verdict:
-            engine = Engine()
+            engine = FullEngine()
             for pause in (60.0, 60.0, 0.0):
                 engine.release()
                 await asyncio.sleep(pause)
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -26,7 +26,9 @@
 
 
 class NewcomerTest(unittest.TestCase):
-    def told(self, takes_over: bool, newcomers: set[str]) -> tuple[str | None, tuple[str, ...]]:
+    def home_question(
+        self, takes_over: bool, newcomers: set[str]
+    ) -> tuple[str | None, tuple[str, ...]]:
         """Return where the home's owner is told that the chat was before, and its order."""
 
         async def main() -> tuple[str | None, tuple[str, ...]]:
@@ -54,13 +56,13 @@
 
         return run_virtually(main())
 
-    def test_one_that_takes_contexts_over_gets_its_chats_at_once(self) -> None:
+    def test_a_newcomer_that_fetches_contexts_gets_its_chats_at_once(self) -> None:
         home = ranked(str(CHAT), ("e0", "e1", "e2"))[0]
-        self.assertIsNone(self.told(True, {home})[0])
+        self.assertIsNone(self.home_question(True, {home})[0])
 
-    def test_one_that_cannot_leaves_them_where_they_were_before(self) -> None:
+    def test_a_newcomer_that_fetches_no_contexts_leaves_chats_at_their_former_home(self) -> None:
         order = ranked(str(CHAT), ("e0", "e1", "e2"))
-        self.assertEqual(self.told(False, {order[0]})[0], order[1])
-        self.assertEqual(self.told(False, set(order[:2]))[0], order[2])
-        self.assertIsNone(self.told(False, set(order))[0])
-        self.assertIsNone(self.told(False, set())[0])
+        self.assertEqual(self.home_question(False, {order[0]})[0], order[1])
+        self.assertEqual(self.home_question(False, set(order[:2]))[0], order[2])
+        self.assertIsNone(self.home_question(False, set(order))[0])
+        self.assertIsNone(self.home_question(False, set())[0])
--- a/pondhatch/requests/tests/test_notice_histories.py
+++ b/pondhatch/requests/tests/test_notice_histories.py
@@ -35,8 +35,8 @@
     Notice(is_leaving=True, rest=0.3),
 )
 #: What may befall a try of an engine that is within reach.
-REACHED = [fault for fault in UPSTREAM_FAULTS if fault != "unreachable"]
-SAID = st.tuples(
+FAULTS_IN_REACH = [fault for fault in UPSTREAM_FAULTS if fault != "unreachable"]
+NOTICE_PERIOD = st.tuples(
     st.sampled_from(["e0", "e1", "e2"]),
     st.sampled_from(NOTICES),
     st.floats(0, 0.3),  # from when, in seconds
@@ -44,12 +44,12 @@
 )
 
 
-def unheard(fleet: Fleet) -> list[str]:
+def sends_against_notices(fleet: Fleet) -> list[str]:
     """Return every request that a router sent to an engine that had told it not to."""
     found = []
-    for name, way in fleet.listening.items():
-        for engine, notice, heard_at in way.heard:
-            later = [at for to, at in way.sends if to == engine and at > heard_at]
+    for name, connections in fleet.connections_by_router.items():
+        for engine, notice, heard_at in connections.notices_received:
+            later = [at for to, at in connections.sends if to == engine and at > heard_at]
             if notice.is_leaving and later:
                 found.append(f"{name} sent to {engine} at {later}, which leaves since {heard_at}")
             if any(at < heard_at + notice.rest for at in later):
@@ -61,15 +61,15 @@
     @settings(PROFILE)
     @given(
         st.lists(REQUEST, min_size=1, max_size=16),
-        st.lists(SAID, min_size=1, max_size=4),
+        st.lists(NOTICE_PERIOD, min_size=1, max_size=4),
         # One that is out of reach was sent nothing, and still counts as asked.
-        st.lists(st.sampled_from(REACHED), max_size=12),
+        st.lists(st.sampled_from(FAULTS_IN_REACH), max_size=12),
         st.lists(st.sampled_from(PACKET_FAULTS), max_size=12),
         st.sampled_from([0.0, 0.05, 0.3]),
         st.booleans(),
         st.sampled_from([0, 2]),
     )
-    def test_what_an_engine_says_binds_who_heard_it(
+    def test_a_router_obeys_every_notice_that_it_received(
         self,
         requests: list[tuple[bool, bool, float]],
         said: list[tuple[str, Notice, float, float]],
@@ -90,14 +90,14 @@
             await asyncio.sleep(2 * LEASE_SECONDS)
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
             is_unheard = bool({"lost", "very-late"} & set(packet_faults))
-            return unheard(fleet) + violations(fleet, repeatable, 1 + is_unheard)
+            return sends_against_notices(fleet) + violations(fleet, repeatable, 1 + is_unheard)
 
         self.assertEqual(run_virtually(history()), [])
 
 
 class RestingTest(unittest.TestCase):
     # A request was sent twice within two milliseconds to an engine that had asked for rest.
-    def test_where_all_rest_a_request_is_told_at_once_when_the_first_rest_ends(self) -> None:
+    def test_if_all_engines_rest_the_refusal_names_the_end_of_the_first_rest(self) -> None:
         async def history() -> tuple[list[object], int, float]:
             fleet = Fleet([], [], False)
             began = asyncio.get_running_loop().time()
@@ -106,7 +106,7 @@
                 for engine, rest in zip(fleet.engines, (5.0, 3.0, 4.0), strict=True)
             ]
             await fleet.request(0, True, False)
-            sends = len(fleet.listening["r0"].sends)
+            sends = len(fleet.connections_by_router["r0"].sends)
             await fleet.request(3, True, False)
             took = asyncio.get_running_loop().time() - began
             return list(fleet.history.outcome_by_request.values()), sends, took
@@ -119,7 +119,7 @@
         self.assertAlmostEqual(second.retry_after, 3.0, delta=0.3)
 
     # A rest of an hour at one engine sent callers away for an hour, though the others were down.
-    def test_where_others_are_only_down_its_caller_comes_back_before_the_rest_ends(self) -> None:
+    def test_if_the_others_are_down_the_retry_comes_before_the_rest_ends(self) -> None:
         async def history() -> object:
             fleet = Fleet([], [], False)
             began = asyncio.get_running_loop().time()
@@ -139,7 +139,7 @@
         self.assertEqual(outcome.code, "engines-resting")
         self.assertLessEqual(outcome.retry_after, FULL_RETRY_AFTER)
 
-    def test_a_rest_that_is_over_soon_is_waited_for(self) -> None:
+    def test_a_short_rest_is_waited_out(self) -> None:
         async def history() -> tuple[object, float]:
             fleet = Fleet([], [], False)
             began = asyncio.get_running_loop().time()
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -26,7 +26,7 @@
 SLOTS = 6
 
 
-class OneEngine:
+class OneEngineView:
     """A view of one engine that queues three requests beyond its slots; see OwnerView."""
 
     def __init__(self, pace: int = 100, memory: int | None = None) -> None:
@@ -56,7 +56,7 @@
 class GrantedAheadTest(unittest.TestCase):
     def setUp(self) -> None:
         memory, health = SpillMemory(), Health()
-        self.owner = LocalOwner("r0", OneEngine(), Gate(), memory, lambda: 1.0, health)
+        self.owner = LocalOwner("r0", OneEngineView(), Gate(), memory, lambda: 1.0, health)
         self.owner._lines._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
 
@@ -64,7 +64,7 @@
         question = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
         return self.owner.decide(replace(question, in_time=in_time))
 
-    def test_only_those_that_wait_are_sent_ahead_of_a_free_slot(self) -> None:
+    def test_only_waiting_requests_are_granted_before_a_slot_is_free(self) -> None:
         granted = [self.ask() for _ in range(SLOTS)]
         self.assertTrue(all(isinstance(each, Granted) for each in granted))
         self.assertIsInstance(self.ask(), Busy)
@@ -75,7 +75,7 @@
 class SlowEngineTest(unittest.TestCase):
     """An engine at two fifths of its speed; its owner lowers the ceiling."""
 
-    def test_only_a_request_whose_context_is_there_goes_by_the_usual_ceiling(self) -> None:
+    def test_only_a_request_with_its_context_there_gets_the_usual_ceiling(self) -> None:
         """Guards against waiting chats that crowd an engine without their context."""
         rows: tuple[tuple[str, dict[str, Any], type], ...] = (
             ("at its home", {"home": True, "returning": True}, Granted),
@@ -87,24 +87,24 @@
             ),
             ("without a context", {}, Busy),
         )
-        for name, said, expected in rows:
+        for name, fields, expected in rows:
             with self.subTest(name):
                 gate = Gate()
-                view = OneEngine(pace=250)
+                view = OneEngineView(pace=250)
                 owner = LocalOwner("r0", view, gate, SpillMemory(), lambda: 1.0, Health())
                 for _ in range(3):
                     gate.adopt(ENGINE)
-                question = replace(Question(1, 1, ENGINE, "a", 0, 5), **said)
+                question = replace(Question(1, 1, ENGINE, "a", 0, 5), **fields)
                 self.assertIsInstance(owner.decide(question), expected)
 
 
 class TooLargeTest(unittest.TestCase):
-    def test_no_memory_is_kept_for_a_request_that_states_more_than_there_is(self) -> None:
+    def test_no_memory_is_reserved_for_a_request_larger_than_all_memory(self) -> None:
         """Guards against one false header that stops all others at an engine."""
 
         async def main() -> object:
             counts = TokenCounts()
-            view = OneEngine(memory=10_000)
+            view = OneEngineView(memory=10_000)
             owner = LocalOwner(
                 "r0", view, Gate(), SpillMemory(), lambda: 1.0, Health(), tokens=counts
             )
--- a/pondhatch/requests/tests/test_owner_waits.py
+++ b/pondhatch/requests/tests/test_owner_waits.py
@@ -30,51 +30,53 @@
 
 #: Seconds that a word takes between halls of a region, and to a router five times slower
 #: than it is loaded.
-USUAL = 0.004
-SLOW = 0.25
+USUAL_SECONDS = 0.004
+SLOW_SECONDS = 0.25
 #: What a plain call can bear, and what a long stream can.
-PLAIN = 0.02
-STREAM = 0.12
+PLAIN_MAX_WAIT = 0.02
+STREAM_MAX_WAIT = 0.12
 
 
-def times_of(seconds: float, words: int = 20) -> OwnerWaits:
+def waits_after(seconds: float, replies: int = 20) -> OwnerWaits:
     """Return what is known after some words of an owner that each took as long."""
     waits = OwnerWaits()
-    for _ in range(words):
+    for _ in range(replies):
         waits.answered("r1", seconds, 0.0)
     return waits
 
 
-class WaitTest(unittest.TestCase):
+class SilentOwnerTest(unittest.TestCase):
     """The pattern: an owner falls silent (it is dead, frozen, cut off or starting)."""
 
-    def test_an_owner_that_answers_fast_is_waited_for_a_tenth_as_long_as_an_unknown_one(
+    def test_a_fast_owner_gets_the_shortest_wait_and_an_unknown_one_the_first_wait(
         self,
     ) -> None:
-        known = sum(times_of(USUAL).pauses("r1", FIRST_WAIT, 0.0))
+        known = sum(waits_after(USUAL_SECONDS).pauses("r1", FIRST_WAIT, 0.0))
         unknown = sum(OwnerWaits().pauses("r1", FIRST_WAIT, 0.0))
         self.assertAlmostEqual(known, SHORTEST_WAIT)
         self.assertAlmostEqual(unknown, FIRST_WAIT)
 
-    def test_no_request_waits_longer_than_it_can_bear_or_the_least_there_is(self) -> None:
+    def test_no_request_waits_beyond_its_bound_or_the_shortest_wait(self) -> None:
         rows = [
             (seconds, bearable)
             for seconds in (0.001, 0.01, 0.03, 0.1)
-            for bearable in (0, PLAIN, STREAM, 5)
+            for bearable in (0, PLAIN_MAX_WAIT, STREAM_MAX_WAIT, 5)
         ]
         for seconds, bearable in rows:
             with self.subTest(seconds=seconds, bearable=bearable):
                 most = max(SHORTEST_WAIT, min(bearable, FIRST_WAIT))
-                waits = times_of(seconds, 2)
+                waits = waits_after(seconds, 2)
                 self.assertLessEqual(sum(waits.pauses("r1", bearable, 0.0)), most + 1e-9)
                 self.assertLessEqual(sum(OwnerWaits().pauses("r1", bearable, 0.0)), most + 1e-9)
 
-    def test_a_link_that_loses_one_packet_in_forty_makes_no_owner_silent(self) -> None:
+    def test_a_link_that_loses_one_packet_in_forty_does_not_silence_an_owner(self) -> None:
         """A question and its word come through with 0.95; three sends fail once in 8,000."""
-        self.assertEqual(len(times_of(USUAL).pauses("r1", PLAIN, 0.0)), len(PARTS))
+        self.assertEqual(
+            len(waits_after(USUAL_SECONDS).pauses("r1", PLAIN_MAX_WAIT, 0.0)), len(PARTS)
+        )
         self.assertLess((1 - 0.975**2) ** len(PARTS), 1 / 8000)
 
-    def test_an_owner_whose_answers_scatter_is_waited_for_longer(self) -> None:
+    def test_an_owner_with_varying_reply_times_gets_a_longer_wait(self) -> None:
         scattered = OwnerWaits()
         for at in range(20):
             scattered.answered("r1", 0.002 if at % 2 else 0.03, 0.0)
@@ -85,42 +87,42 @@
 class SlowOwnerTest(unittest.TestCase):
     """The pattern: an owner runs five times slower, and answers after its askers gave up."""
 
-    def asked_in_vain(self, waits: OwnerWaits, at: float) -> None:
+    def record_late_reply(self, waits: OwnerWaits, at: float) -> None:
         waits.gave_up(1, "r1", at)
-        waits.came_late(1, at + SLOW)
+        waits.came_late(1, at + SLOW_SECONDS)
 
-    def test_after_some_late_words_nobody_waits_for_it(self) -> None:
-        waits = times_of(USUAL)
+    def test_after_a_few_late_replies_nobody_waits_for_the_owner(self) -> None:
+        waits = waits_after(USUAL_SECONDS)
         asked = 0
-        while waits.pauses("r1", PLAIN, 0.0) and asked < 100:
-            self.asked_in_vain(waits, 0.0)
+        while waits.pauses("r1", PLAIN_MAX_WAIT, 0.0) and asked < 100:
+            self.record_late_reply(waits, 0.0)
             asked += 1
         self.assertLessEqual(asked, 2)
         for _ in range(4):
-            self.asked_in_vain(waits, 0.0)
-        self.assertTrue(waits.is_too_slow("r1", SLOW))
+            self.record_late_reply(waits, 0.0)
+        self.assertTrue(waits.is_too_slow("r1", SLOW_SECONDS))
 
-    def test_what_was_known_of_it_is_forgotten_so_that_it_is_tried_again(self) -> None:
-        waits = times_of(SLOW)
-        self.assertEqual(waits.pauses("r1", PLAIN, 0.0), ())
-        self.assertTrue(waits.pauses("r1", PLAIN, KNOWN_FOR + 0.1))
+    def test_reply_times_expire_so_that_a_slow_owner_is_tried_again(self) -> None:
+        waits = waits_after(SLOW_SECONDS)
+        self.assertEqual(waits.pauses("r1", PLAIN_MAX_WAIT, 0.0), ())
+        self.assertTrue(waits.pauses("r1", PLAIN_MAX_WAIT, KNOWN_FOR + 0.1))
 
-    def test_one_late_word_of_a_fast_owner_has_it_asked_again(self) -> None:
+    def test_a_fast_owner_is_asked_again_after_one_late_reply(self) -> None:
         """A pause of 60 ms, such as a change of the configuration, is no slowness."""
-        waits = times_of(USUAL)
+        waits = waits_after(USUAL_SECONDS)
         waits.gave_up(1, "r1", 0.0)
         self.assertEqual(waits.came_late(1, 0.06), "r1")
         self.assertFalse(waits.is_too_slow("r1", 0.06))
-        self.assertTrue(waits.pauses("r1", PLAIN, 0.06))
+        self.assertTrue(waits.pauses("r1", PLAIN_MAX_WAIT, 0.06))
 
-    def test_a_word_that_nobody_waited_for_or_that_comes_much_later_tells_nothing(self) -> None:
+    def test_unexpected_and_very_late_replies_are_ignored(self) -> None:
         waits = OwnerWaits()
         waits.gave_up(1, "r1", 0.0)
         waits.forget_old(REMEMBERED + 0.1)
         self.assertIsNone(waits.came_late(1, REMEMBERED + 0.2))
         self.assertIsNone(waits.came_late(2, 0.0))
 
-    def test_too_slow_is_a_mean_above_the_first_pause_for_an_unknown_owner(self) -> None:
+    def test_an_owner_is_too_slow_above_a_mean_of_the_first_pause(self) -> None:
         self.assertTrue(pauses(AnswerTimes(TOO_SLOW, 0.0, 0.0), FIRST_WAIT))
         self.assertEqual(pauses(AnswerTimes(FIRST_WAIT + 0.01, 0.0, 0.0), FIRST_WAIT), ())
 
@@ -135,7 +137,7 @@
     def asked(self, fleet: Fleet, instead: bool) -> Question:
         return question(fleet, self.entry, instead_of_owner=instead)
 
-    def test_the_next_router_counts_for_all_while_the_owner_gives_no_word(self) -> None:
+    def test_the_next_router_counts_for_all_while_the_owner_is_silent(self) -> None:
         async def main() -> tuple[object, int, int]:
             fleet = Fleet([], [], False)
             entry = fleet.routers[self.entry].entry
@@ -148,34 +150,34 @@
         self.assertIsInstance(reply, Granted)
         self.assertEqual((counted, refused), (1, 1))
 
-    def test_a_grant_of_the_silent_owner_that_comes_after_another_s_is_given_back(self) -> None:
+    def test_a_late_grant_of_the_silent_owner_is_given_back(self) -> None:
         async def main() -> list[object]:
             fleet = Fleet([], [], False)
             entry: EntryGrants = fleet.routers[self.entry].entry
             fleet.network.silent.add(self.owner)
             asked = self.asked(fleet, True)
-            reply = await entry.ask(self.owner, asked, PLAIN)
+            reply = await entry.ask(self.owner, asked, PLAIN_MAX_WAIT)
             self.assertIsInstance(reply, NotRun)
             fleet.network.silent.clear()
             reply = await entry.ask(self.other, asked, FIRST_WAIT)
             self.assertIsInstance(reply, Granted)
-            back: list[object] = []
-            entry.receive(GrantedWord(asked.number, 1, 1), back.append)
+            returned: list[object] = []
+            entry.receive(GrantedWord(asked.number, 1, 1), returned.append)
             await asyncio.sleep(0)
-            return back
+            return returned
 
         self.assertEqual([type(each).__name__ for each in run_virtually(main())], ["Release"])
 
-    def test_an_owner_that_is_heard_late_is_used_again_at_once(self) -> None:
+    def test_a_late_reply_makes_the_owner_usable_at_once(self) -> None:
         async def main() -> list[str]:
             fleet = Fleet([], [], False)
-            heard: list[str] = []
+            replied: list[str] = []
             entry = fleet.routers[self.entry].entry
-            entry.on_heard = heard.append
+            entry.on_heard = replied.append
             fleet.network.silent.add(self.owner)
             asked = self.asked(fleet, False)
-            await entry.ask(self.owner, asked, PLAIN)
+            await entry.ask(self.owner, asked, PLAIN_MAX_WAIT)
             entry.receive(GrantedWord(asked.number, 1, 1), lambda _: None)
-            return heard
+            return replied
 
         self.assertEqual(run_virtually(main()), [self.owner])
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -34,13 +34,13 @@
 DECLINED = EngineRefusal.DECLINED
 OVERLOADED = EngineRefusal.OVERLOADED
 #: Refusals or failures in a row from which an engine is ailing.
-ENOUGH = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_SHARE)
+AILING_AFTER = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_SHARE)
 
 
 class RequestTest(unittest.TestCase):
     """One request: where it goes after refusals, and what its caller is told."""
 
-    def test_where_a_request_goes_by_the_reasons_of_its_refusals(self) -> None:
+    def test_the_refusal_reasons_decide_where_a_request_goes(self) -> None:
         rows: tuple[tuple[list[EngineRefusal], int, str, int, int], ...] = (
             # refusals in order, most tries, outcome, sends, engines that were sent it
             ([FULL], 2, "Whole", 2, 2),
@@ -66,12 +66,12 @@
         )
         for refusals, most_tries, expected, sends, engines in rows:
             with self.subTest(refusals=refusals, most_tries=most_tries):
-                fleet, told = self.told(refusals, most_tries)
+                fleet, told = self.run_refused(refusals, most_tries)
                 sent_to = [engine for _, engine in fleet.history.sends]
                 found = (told, len(sent_to), len(set(sent_to)))
                 self.assertEqual(found, (expected, sends, engines))
 
-    def told(self, refusals: list[EngineRefusal], most_tries: int) -> tuple[Fleet, str]:
+    def run_refused(self, refusals: list[EngineRefusal], most_tries: int) -> tuple[Fleet, str]:
         async def main() -> tuple[Fleet, str]:
             fleet = Fleet(list(refusals), [], False)
             fleet.most_tries = most_tries
@@ -81,7 +81,7 @@
 
         return run_virtually(main())
 
-    def test_what_the_caller_is_told(self) -> None:
+    def test_the_refusal_reason_decides_status_and_retry_after(self) -> None:
         rows = (
             # reason, status, whether to come back, and then sooner than where load is why
             (LEAVING, UNAVAILABLE_STATUS, True, True),
@@ -92,7 +92,7 @@
         )
         for reason, status, comes_back, soon in rows:
             with self.subTest(reason=reason):
-                fleet, _ = self.told([reason] * 2, 2)
+                fleet, _ = self.run_refused([reason] * 2, 2)
                 ended = fleet.history.outcome_by_request["q0"]
                 if not isinstance(ended, NotRun):
                     self.fail(f"not refused: {ended}")
@@ -114,7 +114,7 @@
         asked = question(fleet, self.entry, seen_elsewhere=10, insist=True)
         return await fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
 
-    def test_a_full_engine_gets_no_more_than_it_holds_for_a_while(self) -> None:
+    def test_a_full_engine_gets_no_more_than_it_runs_for_a_while(self) -> None:
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
             for _ in range(3):
@@ -129,7 +129,7 @@
         self.assertEqual(run_virtually(main())[:2], [Busy(2, 2), Granted(2, 2)])
         self.assertIsInstance(run_virtually(main())[2], Granted)
 
-    def test_an_engine_that_turns_some_away_gets_what_has_nowhere_else_to_go(self) -> None:
+    def test_a_resting_engine_gets_insisting_requests_only(self) -> None:
         async def main(rest: Rest, insist: bool) -> OwnerReply:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine["e0"] = Intake(rest=rest)
@@ -147,21 +147,21 @@
                 reply = run_virtually(main(rest, insist))
                 self.assertEqual(getattr(reply, "code", ""), code)
 
-    def test_an_engine_that_goes_on_being_full_of_nothing_is_passed_over(self) -> None:
+    def test_an_idle_engine_that_keeps_refusing_as_full_is_passed_over(self) -> None:
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
             replies = []
-            for _ in range(ENOUGH + 1):
+            for _ in range(AILING_AFTER + 1):
                 replies.append(await self.ask(fleet))
                 await self.end_one_if_held(fleet, Ended.FULL)
             return replies
 
         replies = run_virtually(main())
-        self.assertTrue(all(isinstance(each, Granted) for each in replies[:ENOUGH]), replies)
-        self.assertEqual(getattr(replies[ENOUGH], "code", ""), AILING)
+        self.assertTrue(all(isinstance(each, Granted) for each in replies[:AILING_AFTER]), replies)
+        self.assertEqual(getattr(replies[AILING_AFTER], "code", ""), AILING)
 
     # Engines that turned requests away by chance were held to less each time, down to one.
-    def test_an_engine_that_declines_with_places_is_held_to_no_less(self) -> None:
+    def test_declines_do_not_lower_an_engines_ceiling(self) -> None:
         async def main(ended: Ended) -> OwnerReply:
             fleet = Fleet([], [], False)
             for _ in range(6):
@@ -178,12 +178,12 @@
         if fleet.routers[self.entry].entry.held_by_number:
             await self.end_one(fleet, ended)
 
-    def test_how_many_refusals_speak_against_an_engine(self) -> None:
+    def test_an_engine_is_passed_over_after_enough_refusals(self) -> None:
         rows = (
             # what its requests told, how often before it gets none, and what is said then
             (Ended.LEAVING, 1, AILING),
             (Ended.FAILED, FAILURES, "upstream-down"),
-            (Ended.ERRED, ENOUGH, AILING),
+            (Ended.ERRED, AILING_AFTER, AILING),
         )
         for ended, times, code in rows:
             with self.subTest(ended=ended):
@@ -191,8 +191,8 @@
                 self.assertTrue(all(isinstance(each, Granted) for each in replies[:-1]), replies)
                 self.assertEqual(getattr(replies[-1], "code", ""), code)
 
-    def test_a_request_that_is_wrong_says_nothing_of_the_engine(self) -> None:
-        replies = self.replies(Ended.NOTHING, 2 * ENOUGH)
+    def test_bad_requests_do_not_count_against_an_engine(self) -> None:
+        replies = self.replies(Ended.NOTHING, 2 * AILING_AFTER)
         self.assertTrue(all(isinstance(each, Granted) for each in replies), replies)
 
     def replies(self, ended: Ended, times: int) -> list[OwnerReply]:
@@ -221,7 +221,7 @@
 
 
 class PacketTest(unittest.TestCase):
-    def test_what_a_release_tells_survives_the_way(self) -> None:
+    def test_the_end_in_a_release_survives_encoding(self) -> None:
         for ended in Ended:
             with self.subTest(ended=ended):
                 packet = decode_grant_packet(encode_grant_packet(release_of(1, 2, ended)))
@@ -229,7 +229,7 @@
                     self.fail(f"no release: {packet}")
                 self.assertEqual(ended_of(packet), ended)
 
-    def test_a_router_that_does_not_know_a_reason_takes_the_grant_back(self) -> None:
+    def test_new_end_reasons_are_sent_as_nothing_to_older_routers(self) -> None:
         for ended in (Ended.FULL, Ended.LEAVING):
             with self.subTest(ended=ended):
                 self.assertEqual(release_of(1, 2, ended).ended, Ended.NOTHING)
--- a/pondhatch/requests/tests/test_start_histories.py
+++ b/pondhatch/requests/tests/test_restart_histories.py
@@ -18,10 +18,10 @@
 from pondhatch.requests.tests.test_histories import PROFILE, REQUEST
 
 #: Seconds until a router has heard of a start: a round and a pull, several times over.
-NEWS = st.floats(0, 0.5)
+LEARNING_DELAY = st.floats(0, 0.5)
 
 
-class StartHistoryTest(unittest.TestCase):
+class RestartHistoryTest(unittest.TestCase):
     @settings(PROFILE)
     @given(
         st.lists(REQUEST, min_size=1, max_size=8),
@@ -30,9 +30,9 @@
         st.booleans(),
         st.booleans(),
         st.lists(st.tuples(st.integers(0, 2), st.floats(0, 0.4)), min_size=1, max_size=4),
-        st.tuples(NEWS, NEWS, NEWS),
+        st.tuples(LEARNING_DELAY, LEARNING_DELAY, LEARNING_DELAY),
     )
-    def test_promises_hold(
+    def test_guarantees_hold_across_restarts(
         self,
         requests: list[tuple[bool, bool, float]],
         upstream_faults: list[str],
@@ -48,10 +48,10 @@
 
             async def start(number: int, engine: int, after: float) -> None:
                 await asyncio.sleep(after)
-                fleet.start_again(engine, 1000 + number)
+                fleet.restart_engine(engine, 1000 + number)
                 loop = asyncio.get_running_loop()
                 for router, seconds in zip(fleet.names, news, strict=True):
-                    loop.call_later(seconds, fleet.hears_of_starts, router)
+                    loop.call_later(seconds, fleet.learn_starts, router)
 
             sent = [
                 fleet.request_later(number, *request) for number, request in enumerate(requests)
@@ -66,7 +66,7 @@
         self.assertEqual(run_virtually(history()), [])
 
 
-class OneStartTest(unittest.TestCase):
+class OneRestartTest(unittest.TestCase):
     """One engine starts again while it streams, where nobody else takes the request."""
 
     def outcome(self, repeatable: bool, resumes: bool) -> tuple[str, int]:
@@ -75,17 +75,17 @@
             sent = asyncio.ensure_future(fleet.request(0, repeatable, gives_up=False))
             await asyncio.sleep(0.05)
             (_, engine) = fleet.history.sends[0]
-            fleet.start_again(fleet.engines.index(engine), 1000)
+            fleet.restart_engine(fleet.engines.index(engine), 1000)
             for router in fleet.names:
-                fleet.hears_of_starts(router)
+                fleet.learn_starts(router)
             await sent
             ended = fleet.history.outcome_by_request["q0"]
             return type(ended).__name__, fleet.history.runs["q0"]
 
         return run_virtually(history())
 
-    def test_what_ran_there_broke_and_is_not_said_to_have_not_run(self) -> None:
+    def test_a_request_cut_by_a_restart_is_broken_and_not_refused(self) -> None:
         self.assertEqual(self.outcome(repeatable=False, resumes=False), ("Broken", 1))
 
-    def test_a_stream_that_only_its_engine_could_go_on_with_ends_with_the_start(self) -> None:
+    def test_a_stream_that_only_the_restarted_engine_could_resume_breaks(self) -> None:
         self.assertEqual(self.outcome(repeatable=True, resumes=True), ("Broken", 1))
--- a/pondhatch/requests/tests/test_sending.py
+++ b/pondhatch/requests/tests/test_sending.py
@@ -52,7 +52,7 @@
         granted.cancel()
         return released
 
-    async def test_each_end_is_told_once_and_as_what_it_was(self) -> None:
+    async def test_each_end_is_reported_once_with_its_kind(self) -> None:
         cases = (
             (Answer(200), Ended.ANSWERED),
             (Answer(404), Ended.ANSWERED),
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -37,19 +37,19 @@
 from pondhatch.requests._lines import Lines
 from pondhatch.requests._queues import FirstGrant, NotGranted, Queues
 from pondhatch.requests._wait_limits import MARGIN, UsualTimes, in_time, wait_limit
-from pondhatch.requests.tests._history import Fleet, Sink, Stream, View
+from pondhatch.requests.tests._history import FakeStream, Fleet, RouterView, Sink
 
 #: Places of a plain upstream, and the seconds in which a request runs there.
 PLACES = 6
-RUN = (0.015, 0.022)
+RUN_SECONDS = (0.015, 0.022)
 #: Seconds for which callers wait, and within which an answer is in time.
-BEARABLE = 1.05
+CALLER_TIMEOUT = 1.05
 OBJECTIVE = 0.152
 #: As the service's routes say it while load is not managed.
 PATIENCE = Patience(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
 
 
-class ManagedView(View):
+class ManagedView(RouterView):
     """A view of plain upstreams; load is managed."""
 
     def load_managed(self) -> bool:
@@ -75,10 +75,10 @@
         self.running[target.name] += 1
         self.most = max(self.most, self.running[target.name])
         try:
-            await asyncio.sleep(self._rng.uniform(*RUN))
+            await asyncio.sleep(self._rng.uniform(*RUN_SECONDS))
         finally:
             self.running[target.name] -= 1
-        return Opened(Stream(b"", None, False, lambda: None))
+        return Opened(FakeStream(b"", None, False, lambda: None))
 
 
 class Service:
@@ -86,7 +86,7 @@
 
     def __init__(self, engines: tuple[str, ...]) -> None:
         self.rng = random.Random(7)
-        with mock.patch("pondhatch.requests.tests._history.View", ManagedView):
+        with mock.patch("pondhatch.requests.tests._history.RouterView", ManagedView):
             self.fleet = Fleet([], [], False)
         self.fleet.engines = engines
         self.upstreams = PlainUpstreams(self.rng)
@@ -103,11 +103,11 @@
         began = clock()
         number = self.rng.getrandbits(32)
         head = RequestHead(
-            f"q{number}", "a", "s", 0, "POST", "/", (), False, BEARABLE, 5, most_tries=1
+            f"q{number}", "a", "s", 0, "POST", "/", (), False, CALLER_TIMEOUT, 5, most_tries=1
         )
         router = self.fleet.routers[entry]
         ways = Ways(router.entry, self.upstreams, run_times=self.run_times)
-        remaining: Callable[[], float] = lambda: began + BEARABLE - clock()  # noqa: E731
+        remaining: Callable[[], float] = lambda: began + CALLER_TIMEOUT - clock()  # noqa: E731
         body = ReplayableBody(b"")
         walk = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
         reply = await walk.run()
@@ -122,7 +122,7 @@
         if isinstance(reply.refusal, NotRun):
             self.retry_after.append(reply.refusal.retry_after)
 
-    async def clumps(self, a_second: float, seconds: float, largest: int) -> None:
+    async def send_bursts(self, a_second: float, seconds: float, largest: int) -> None:
         """Send so many requests a second in clumps of a few up to some, from all routers."""
         tasks = []
         until = asyncio.get_running_loop().time() + seconds
@@ -147,12 +147,12 @@
 class OneUpstreamLeftTest(unittest.TestCase):
     """One of three plain upstreams is left: 140 requests a second in clumps, 15 to 22 ms each."""
 
-    def test_all_requests_of_clumps_are_served_in_the_time_that_callers_wait(self) -> None:
+    def test_all_requests_of_bursts_are_served_before_callers_time_out(self) -> None:
         """Guards against refusing requests for which a slot comes free before their deadline."""
 
         async def main() -> Service:
             service = Service(("e0",))
-            await service.clumps(140.0, 20.0, 40)
+            await service.send_bursts(140.0, 20.0, 40)
             return service
 
         service = run_virtually(main())
@@ -168,7 +168,7 @@
 
         async def main() -> Service:
             service = Service(("e0",))
-            await service.clumps(500.0, 10.0, 40)
+            await service.send_bursts(500.0, 10.0, 40)
             return service
 
         service = run_virtually(main())
@@ -192,7 +192,7 @@
 
         async def main() -> Service:
             service = Service(("e0", "e1", "e2"))
-            await service.clumps(420.0, 5.0, 90)
+            await service.send_bursts(420.0, 5.0, 90)
             return service
 
         service = run_virtually(main())
@@ -232,14 +232,14 @@
         """Guards against refusing a granted request for good while another engine has a slot."""
 
         async def main() -> list[str]:
-            with mock.patch("pondhatch.requests.tests._history.View", ManagedView):
+            with mock.patch("pondhatch.requests.tests._history.RouterView", ManagedView):
                 fleet = Fleet([EngineRefusal.LEAVING], [], False)
             fleet.upstreams.places = dict.fromkeys(fleet.engines, 1)
             after = (0.0, 0.25, 0.25, 0.25)
             await asyncio.gather(
                 *(fleet.request_later(at, False, False, each) for at, each in enumerate(after))
             )
-            return fleet.history.refused_beside_a_place
+            return fleet.history.refused_despite_free_place
 
         self.assertEqual(run_virtually(main()), [])
 
@@ -255,7 +255,7 @@
             fleet = service.fleet
             dying = fleet.routers["r0"].view.owner_name("e0") or ""
             service.entries = tuple(name for name in fleet.names if name != dying)
-            sending = asyncio.ensure_future(service.clumps(100.0, 4.0, 40))
+            sending = asyncio.ensure_future(service.send_bursts(100.0, 4.0, 40))
             while fleet.routers[dying].owner._lines.waiting("e0") < 2 * PLACES:
                 await asyncio.sleep(0.01)
             fleet.network.silent.add(dying)
@@ -270,7 +270,7 @@
 class RisingLoadTest(unittest.TestCase):
     """Load rises from zero: the totals that owners heard of are those of a second ago."""
 
-    def test_the_least_loaded_engine_goes_by_the_mean_of_those_seen(self) -> None:
+    def test_the_least_loaded_engine_uses_the_mean_of_the_engines_seen(self) -> None:
         plan = Plan("c", [f"e{at}" for at in range(30)])
         for held in (9, 10, 11, 9, 10, 11, 9, 10, 11, 8, 10, 12):
             self.assertIsInstance(plan.next(), Ask)
@@ -280,7 +280,7 @@
         self.assertEqual(plan.estimated_elsewhere(least, 30), 120 * 30 // 12 - 8)
         self.assertEqual(plan.estimated_elsewhere(plan.queue_engines(4)[1], 30), 0)
 
-    def test_a_cold_engine_or_too_few_say_nothing_of_the_mean(self) -> None:
+    def test_a_cold_engine_or_too_few_engines_give_no_mean(self) -> None:
         for engines, is_cold in ((7, False), (9, True)):
             with self.subTest(engines=engines):
                 plan = Plan("c", [f"e{at}" for at in range(engines)])
@@ -289,7 +289,7 @@
                 self.assertEqual(plan.estimated_elsewhere(plan.queue_engines(1)[0], 30), 0)
 
 
-class RuleTest(unittest.TestCase):
+class QueueRulesTest(unittest.TestCase):
     """The rules by which a queue is ordered, bounded and left, each by itself."""
 
     def test_late_requests_come_after_those_in_time_and_before_the_less_urgent(self) -> None:
@@ -303,19 +303,19 @@
             line.served(ticket)
         self.assertEqual(order, ["in time", "late", "less"])
 
-    def test_refused_callers_are_told_times_that_lie_one_free_place_apart(self) -> None:
+    def test_retry_delays_are_one_release_interval_apart(self) -> None:
         returns = RetrySchedule()
         told = [returns.next_delay(0.0, 30.0, 0.1, 1) for _ in range(3)]
         self.assertEqual([round(each, 3) for each in told], [3.0, 3.1, 3.2])
         self.assertEqual(returns.next_delay(0.0, 900.0, 0.1, 1), LONGEST_RETRY_AFTER)
 
-    def test_the_wait_leaves_the_usual_run_time_and_the_first_event_its_time(self) -> None:
+    def test_the_wait_limit_leaves_time_for_the_run_and_the_first_event(self) -> None:
         plain, stream = answer_deadlines(0.152, False, 0.0), answer_deadlines(0.6, True, 0.1)
         self.assertAlmostEqual(wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - MARGIN)
         self.assertAlmostEqual(wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - MARGIN)
         self.assertAlmostEqual(in_time(stream, 0.2, UsualTimes(0.3, 9.0)), 0.1)
 
-    def test_a_place_that_nobody_waits_for_after_a_refusal_counts_against_it(self) -> None:
+    def test_a_slot_that_stays_free_after_a_refusal_counts_it_as_in_vain(self) -> None:
         async def main() -> list[int]:
             lines = Lines(lambda _: None, is_managed=lambda: True)
             lines._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -38,7 +38,7 @@
     Ways,
 )
 from pondhatch.requests._owner_waits import FIRST_WAIT
-from pondhatch.requests.tests._history import Fleet, View
+from pondhatch.requests.tests._history import Fleet, RouterView
 
 Result = TypeVar("Result")
 
@@ -53,15 +53,15 @@
 SECONDS = 30.0
 
 
-def run(main: Coroutine[Any, Any, Result], managed: bool = True) -> Result:
+def run_managed(main: Coroutine[Any, Any, Result], managed: bool = True) -> Result:
     """Run a test in virtual time at engines with a memory, whose owners may know of it."""
 
-    def target(view: View, engine: str) -> Target:
+    def target(view: RouterView, engine: str) -> Target:
         return Target(engine, "", OPEN, 1.5, len(ENGINES), 48, slack=40, memory_tokens=MEMORY)
 
     with (
-        patch.object(View, "load_managed", lambda view: managed),
-        patch.object(View, "target", target),
+        patch.object(RouterView, "load_managed", lambda view: managed),
+        patch.object(RouterView, "target", target),
     ):
         return run_virtually(main)
 
@@ -104,10 +104,10 @@
         return Opened(Answer(seconds, lambda: self.used.subtract({target.name: tokens})))
 
 
-async def play() -> tuple[int, dict[int, float]]:
+async def simulate() -> tuple[int, dict[int, float]]:
     """Return the most tokens at one engine, and the share served of each size."""
     fleet, engines, rng = Fleet([], [], False), Engines(), random.Random(1)
-    came: Counter[int] = Counter()
+    arrived: Counter[int] = Counter()
     served: Counter[int] = Counter()
 
     async def request(number: int, tokens: int) -> None:
@@ -115,7 +115,7 @@
         asked = head(tokens, request_id=f"q{number}")
         ways, body = Ways(router.entry, engines), ReplayableBody(b"")
         walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0, Patience(0.0, 2.0))
-        came[tokens] += 1
+        arrived[tokens] += 1
         placed = await walk.run()
         if isinstance(placed, Placed):
             served[tokens] += 1
@@ -133,18 +133,18 @@
     assert not any(
         router.owner._engine_memory._counts.by_engine for router in fleet.routers.values()
     )
-    return engines.most, {tokens: served[tokens] / came[tokens] for tokens in came}
+    return engines.most, {tokens: served[tokens] / arrived[tokens] for tokens in arrived}
 
 
 class LargeAmongSmallTest(unittest.TestCase):
     def test_no_engine_runs_out_of_memory_and_both_sizes_are_served(self) -> None:
-        most, share_by_tokens = run(play())
+        most, share_by_tokens = run_managed(simulate())
         self.assertLessEqual(most, MEMORY)
         for tokens, share in share_by_tokens.items():
             self.assertGreater(share, 0.95, tokens)
 
-    def test_where_load_is_not_managed_nothing_is_held_back(self) -> None:
-        most, share_by_tokens = run(play(), managed=False)
+    def test_without_load_management_nothing_is_held_back(self) -> None:
+        most, share_by_tokens = run_managed(simulate(), managed=False)
         self.assertGreater(most, MEMORY)
         self.assertEqual(set(share_by_tokens.values()), {1.0})
 
@@ -170,7 +170,7 @@
 
 
 class WaitingTest(OwnerCase):
-    def test_a_large_request_gets_its_memory_though_small_ones_go_on_coming(self) -> None:
+    def test_a_large_request_gets_its_memory_while_small_ones_keep_arriving(self) -> None:
         async def main() -> tuple[OwnerReply, float]:
             fleet = Fleet([], [], False)
             release = fleet.routers[self.entry].entry.release
@@ -194,12 +194,12 @@
                 task.cancel()
             return reply, asyncio.get_running_loop().time() - began
 
-        reply, waited = run(main())
+        reply, waited = run_managed(main())
         self.assertIsInstance(reply, Granted)
         # As long as those take that ran when it came.
         self.assertLess(waited, 0.7)
 
-    def test_one_that_stops_waiting_keeps_no_memory(self) -> None:
+    def test_a_cancelled_request_keeps_no_memory(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet, 5_000)
@@ -211,7 +211,7 @@
             after, _ = await self.ask(fleet, 1_000)
             return during, after, self.used(fleet)
 
-        during, after, used = run(main())
+        during, after, used = run_managed(main())
         self.assertIsInstance(during, Busy)
         self.assertIsInstance(after, Granted)
         self.assertEqual(used, 6_000)
@@ -220,29 +220,29 @@
 class FailureTest(OwnerCase):
     """Owners that change or start anew while requests run."""
 
-    def test_a_new_owner_counts_what_it_is_told_as_the_mean_of_what_it_knows(self) -> None:
+    def test_a_new_owner_counts_adopted_grants_at_its_mean_size(self) -> None:
         async def main() -> tuple[int, OwnerReply, int]:
             fleet = Fleet([], [], False)
             numbers = [(await self.ask(fleet, 3_000))[1] for _ in range(2)]
             fleet.network.silent.add(self.owner)
-            heir = winner("e0", fleet.live) or ""
+            successor = winner("e0", fleet.live) or ""
             for router in fleet.routers.values():
-                router.view.moved_to = heir
+                router.view.owner_override = successor
             # What it granted at another engine, before it is told of those here.
-            numbers.append((await self.ask(fleet, 4_000, heir, "e1"))[1])
+            numbers.append((await self.ask(fleet, 4_000, successor, "e1"))[1])
             await asyncio.sleep(0.3)
-            adopted = self.used(fleet, heir)
-            reply, _ = await self.ask(fleet, 2_000, heir)
+            adopted = self.used(fleet, successor)
+            reply, _ = await self.ask(fleet, 2_000, successor)
             for number in numbers:
                 fleet.routers[self.entry].entry.release(number, Ended.ANSWERED)
             await asyncio.sleep(0.3)
-            return adopted, reply, self.used(fleet, heir)
+            return adopted, reply, self.used(fleet, successor)
 
-        adopted, reply, left = run(main())
+        adopted, reply, left = run_managed(main())
         self.assertEqual((adopted, left), (8_000, 0))
         self.assertIsInstance(reply, Busy)
 
-    def test_an_owner_that_starts_anew_ends_with_a_count_of_nothing(self) -> None:
+    def test_a_restarted_owner_ends_with_a_count_of_zero(self) -> None:
         async def main() -> tuple[int, int]:
             fleet = Fleet([], [], False)
             _, before = await self.ask(fleet, 3_000)
@@ -259,7 +259,7 @@
             await asyncio.sleep(0.3)
             return used, self.used(fleet)
 
-        self.assertEqual(run(main()), (2_000, 0))
+        self.assertEqual(run_managed(main()), (2_000, 0))
 
 
 class QuestionTest(unittest.TestCase):
@@ -271,14 +271,14 @@
             walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
             return walk._question("e0", insist=False)
 
-        return run(main(), managed)
+        return run_managed(main(), managed)
 
-    def test_it_states_the_largest_shared_parts_in_few_bytes_and_the_rest_as_own(self) -> None:
+    def test_a_question_states_the_largest_shared_parts_and_the_rest_as_own(self) -> None:
         parts = ((2**32 + 7, 100), (8, 50), (9, 60), (10, 70), (11, 80))
         question = self.asked(True, answer_tokens=200, prompt_parts=parts)
         expected = ((7, 100), (11, 80), (10, 70), (9, 60), (0, 690))
         self.assertEqual((question.tokens, question.parts), (200, expected))
 
-    def test_it_states_nothing_where_load_is_not_managed(self) -> None:
+    def test_a_question_states_no_tokens_without_load_management(self) -> None:
         question = self.asked(False, answer_tokens=200)
         self.assertEqual((question.tokens, question.parts), (0, ()))
--- a/pondhatch/requests/tests/test_own_failures.py
+++ b/pondhatch/requests/tests/test_upstream_failures.py
@@ -21,8 +21,8 @@
 UNREACHABLE = "unreachable"
 
 
-class OwnFailuresTest(unittest.TestCase):
-    def ended(self, faults: list[str], repeatable: bool, most_tries: int = 2) -> Fleet:
+class UpstreamFailureTest(unittest.TestCase):
+    def run_request(self, faults: list[str], repeatable: bool, most_tries: int = 2) -> Fleet:
         """Return what came of one request."""
 
         async def main() -> Fleet:
@@ -34,7 +34,7 @@
 
         return run_virtually(main())
 
-    def test_what_the_caller_gets(self) -> None:
+    def test_a_failure_is_retried_elsewhere_within_the_limits(self) -> None:
         rows: tuple[tuple[list[str], bool, int, bytes, int], ...] = (
             # faults in order, may be repeated, most tries, what the caller gets, sends
             ([FAILED], True, 2, ANSWER, 2),
@@ -51,18 +51,18 @@
         )
         for faults, repeatable, most_tries, expected, sends in rows:
             with self.subTest(faults=faults, repeatable=repeatable, most_tries=most_tries):
-                fleet = self.ended(list(faults), repeatable, most_tries)
+                fleet = self.run_request(list(faults), repeatable, most_tries)
                 self.assertIsInstance(fleet.history.outcome_by_request["q0"], Whole)
                 found = fleet.history.text_by_request["q0"], len(fleet.history.sends)
                 self.assertEqual(found, (expected, sends))
                 self.assertEqual([each for each in violations(fleet, {}) if "still" in each], [])
 
-    def test_the_upstream_that_failed_is_not_asked_again(self) -> None:
-        fleet = self.ended([FAILED], True)
+    def test_the_retry_goes_to_another_upstream(self) -> None:
+        fleet = self.run_request([FAILED], True)
         (_, first), (_, second) = fleet.history.sends
         self.assertNotEqual(first, second)
 
-    def test_an_answer_that_was_given_up_for_another_still_speaks_against_its_upstream(
+    def test_a_retried_failure_still_counts_against_its_upstream(
         self,
     ) -> None:
         enough = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_SHARE)
@@ -79,7 +79,7 @@
         states = [router.health.states(0.0).get(home) for router in fleet.routers.values()]
         self.assertIn("ailing", states)
 
-    def test_each_costs_a_retry_so_that_a_service_that_fails_is_not_asked_twice_as_much(
+    def test_each_retry_spends_budget_so_that_a_failing_service_gets_at_most_double_load(
         self,
     ) -> None:
         async def main() -> Fleet:
