--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -512,7 +512,7 @@
             self._router.gate.rests(engine, now, notice.rest)
 
 
-class RecordingWalk(Walk):
+class RecordingDispatch(Walk):
     """A walk whose questions are noted."""
 
     def __init__(self, *args: Any) -> None:
@@ -521,9 +521,9 @@
         self.seen_elsewhere_by_engine: dict[str, int] = {}
 
     def _question(self, engine: str, *args: Any, **kwargs: Any) -> Question:
-        question = super()._question(engine, *args, **kwargs)
-        self.seen_elsewhere_by_engine[engine] = question.seen_elsewhere
-        return question
+        grant_request = super()._question(engine, *args, **kwargs)
+        self.seen_elsewhere_by_engine[engine] = grant_request.seen_elsewhere
+        return grant_request
 
 
 class Fleet:
@@ -544,7 +544,7 @@
         #: Engines that a request may be sent to at most; 0 sets no limit.
         self.most_tries = 0
         #: Walks of requests that have no answer yet, or got it a moment ago.
-        self._walks: list[RecordingWalk] = []
+        self._dispatches: list[RecordingDispatch] = []
         script = FaultScript(upstream_faults)
         self.upstreams = FakeUpstreams(self.history, script, self.known_leaving, self.loads)
         #: What single engines' answers say of them, and when that begins and ends.
@@ -633,7 +633,7 @@
         until = asyncio.get_running_loop().time() + 10.0
         remaining: Callable[[], float] = lambda: until - asyncio.get_running_loop().time()  # noqa: E731
         router = self.routers[entry]
-        walk = RecordingWalk(
+        dispatch = RecordingDispatch(
             router.view,
             Ways(router.entry, self.connections_by_router[entry]),
             RetryBudget(),
@@ -642,14 +642,16 @@
             remaining,
             Patience(0.2, 1.0),
         )
-        self._walks.append(walk)
+        self._dispatches.append(dispatch)
         try:
-            reply = await walk.run()
+            reply = await dispatch.run()
             if not isinstance(reply, Placed):
-                self._record_free_places(request, walk, reply.refusal)
+                self._record_free_places(request, dispatch, reply.refusal)
         finally:
             # Those behind it in a line are served a moment after it has left.
-            asyncio.get_running_loop().call_later(PROPAGATION_SECONDS, self._walks.remove, walk)
+            asyncio.get_running_loop().call_later(
+                PROPAGATION_SECONDS, self._dispatches.remove, dispatch
+            )
         if not isinstance(reply, Placed):
             self.history.outcome_by_request[request] = reply.refusal
             return
@@ -657,21 +659,21 @@
         def record_text(text: bytes) -> None:
             self.history.text_by_request[request] = text
 
-        delivered = await Delivery(walk, reply, Sink(record_text)).run()
+        delivered = await Delivery(dispatch, reply, Sink(record_text)).run()
         self.history.outcome_by_request[request] = delivered.outcome
 
     def _record_free_places(
-        self, request: str, walk: RecordingWalk, refusal: NotRun | Unknown
+        self, request: str, dispatch: RecordingDispatch, refusal: NotRun | Unknown
     ) -> None:
         """Note whether an engine that might run a request had a place as it was refused."""
         refusals = [self.history.refusals.get((request, engine)) for engine in self.engines]
         about_the_request = (
             EngineRefusal.BAD_REQUEST in refusals or refusals.count(EngineRefusal.UNKNOWN) > 1
         )
-        if isinstance(refusal, Unknown) or about_the_request or walk._budget.saved < 1:
+        if isinstance(refusal, Unknown) or about_the_request or dispatch._budget.saved < 1:
             return
         for engine in self.engines:
-            if self._may_be_sent(request, engine) and self._would_be_granted(engine, walk):
+            if self._may_be_sent(request, engine) and self._would_be_granted(engine, dispatch):
                 violation = f"{request} was refused as {refusal.code} while {engine} had a place"
                 self.history.refused_despite_free_place.append(violation)
 
@@ -682,7 +684,7 @@
         sent_to = {to for sent, to in self.history.sends if sent == request}
         return engine in sent_to or not 0 < self.most_tries <= len(sent_to)
 
-    def _would_be_granted(self, engine: str, walk: RecordingWalk) -> bool:
+    def _would_be_granted(self, engine: str, dispatch: RecordingDispatch) -> bool:
         """Return whether an engine has a place that its owner would grant by what it was told."""
         owner = self.routers[winner(engine, self.live) or ""]
         known = owner.health.health_by_upstream.get(engine)
@@ -692,10 +694,10 @@
         # ceiling, holds up those behind it.
         reported = [
             each.seen_elsewhere_by_engine[engine]
-            for each in self._walks
+            for each in self._dispatches
             if engine in each.seen_elsewhere_by_engine
         ]
-        others = min(reported, default=walk.plan.seen_elsewhere(engine))
+        others = min(reported, default=dispatch.plan.seen_elsewhere(engine))
         return owner.gate.has_room(engine, others, len(self.engines))
 
 
--- a/pondhatch/requests/tests/test_caller_gone_histories.py
+++ b/pondhatch/requests/tests/test_caller_gone_histories.py
@@ -113,9 +113,9 @@
             # The first two packets ask and grant what fills the engine.
             fleet = Fleet([], ["none", "none", *packet_faults], False)
             await self.ask(fleet)
-            asked = asyncio.ensure_future(self.ask(fleet, patience=5000))
+            waiting = asyncio.ensure_future(self.ask(fleet, patience=5000))
             await asyncio.sleep(0.05)
-            asked.cancel()
+            waiting.cancel()
             await asyncio.sleep(GONE_SECONDS)
             return remaining_counts(fleet)
 
@@ -129,5 +129,5 @@
     def test_its_place_is_given_up_after_a_late_release(self) -> None:
         self.assertEqual(self.after_leaving("none", "none", "late"), [])
 
-    def test_its_place_is_given_up_if_the_release_overtakes_the_question(self) -> None:
+    def test_its_place_is_given_up_if_the_release_overtakes_the_request(self) -> None:
         self.assertEqual(self.after_leaving("late"), [])
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -75,8 +75,8 @@
         return self._watch
 
 
-class WalkCase(unittest.TestCase):
-    def walk(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Walk:
+class DispatchCase(unittest.TestCase):
+    def dispatch(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Walk:
         router = fleet.routers["r0"]
         head = RequestHead("q0", "a", "s", 7, "POST", "/", (), repeatable, 10.0, 5, digest=1)
         ways = Ways(router.entry, fleet.upstreams, FakeCrashGuard(watch))
@@ -95,7 +95,7 @@
                 return left.pop(0)
 
             with patch.object(fleet.upstreams, "send", send):
-                ended = await self.walk(fleet, watch, repeatable).run()
+                ended = await self.dispatch(fleet, watch, repeatable).run()
             await asyncio.sleep(1.0)
             held = [len(router.entry.held_by_number) for router in fleet.routers.values()]
             self.assertEqual(held, [0, 0, 0])
@@ -104,7 +104,7 @@
         return run_virtually(main())
 
 
-class QuarantinedRequestTest(WalkCase):
+class QuarantinedRequestTest(DispatchCase):
     def test_it_is_not_sent_and_its_refusal_does_not_claim_that_it_never_ran(self) -> None:
         self.assertEqual(self.run_with(ScriptedWatch(0)), (Refused(QUARANTINED), 0))
         self.assertNotIsInstance(QUARANTINED, NotRun)
@@ -130,14 +130,14 @@
     def test_an_answer_that_broke_before_its_first_part_ends_as_a_refusal(self) -> None:
         async def main() -> None:
             fleet = Fleet([], [], False)
-            walk = self.walk(fleet, ScriptedWatch(1))
-            placed = await walk.run()
+            dispatch = self.dispatch(fleet, ScriptedWatch(1))
+            placed = await dispatch.run()
             assert isinstance(placed, Placed)
             placed.reply.answer.cancel()
             broken = FakeStream(answer_of("q0"), 0, False, lambda: None)
             with patch.object(broken, "_part", self.raise_lost):
                 placed = replace(placed, reply=Opened(broken))
-                ended = await Delivery(walk, placed, Sink(lambda _: None)).run()
+                ended = await Delivery(dispatch, placed, Sink(lambda _: None)).run()
             self.assertEqual(ended.outcome, QUARANTINED)
 
         run_virtually(main())
@@ -148,7 +148,7 @@
         raise Lost(Broken("answer-broken", "reset", was_cut=True))
 
 
-class EvidenceTest(WalkCase):
+class EvidenceTest(DispatchCase):
     def test_a_request_given_up_by_this_router_is_no_evidence(self) -> None:
         watch = ScriptedWatch(3)
         self.run_with(watch, replace(CUT, was_cut=False), repeatable=False)
@@ -158,12 +158,12 @@
         async def main() -> None:
             fleet = Fleet([], [], False)
             watch = ScriptedWatch(3)
-            walk = self.walk(fleet, watch)
+            dispatch = self.dispatch(fleet, watch)
             fleet.known_leaving.add("e0")
-            await walk.note_cut("e0", CUT)
-            await walk.note_cut("e9", CUT)
+            await dispatch.note_cut("e0", CUT)
+            await dispatch.note_cut("e9", CUT)
             self.assertEqual(watch.cut_engines, [])
-            await walk.note_cut("e1", CUT)
+            await dispatch.note_cut("e1", CUT)
             self.assertEqual(watch.cut_engines, ["e1"])
 
         run_virtually(main())
@@ -172,7 +172,7 @@
         async def main() -> None:
             for status, clears in ((200, True), (404, True), (500, False), (504, False)):
                 watch = ScriptedWatch(3)
-                self.walk(Fleet([], [], False), watch).note_whole(status)
+                self.dispatch(Fleet([], [], False), watch).note_whole(status)
                 self.assertEqual(watch.was_whole, clears, status)
 
         run_virtually(main())
@@ -181,7 +181,7 @@
         async def main() -> None:
             fleet = Fleet([], [], False)
             watch = ScriptedWatch(3)
-            tries = self.walk(fleet, watch)._tries
+            tries = self.dispatch(fleet, watch)._tries
             tries.context_at = "e1"
             target = Target("e0", "", OPEN, 1.5, 3, 8, shares_context=True)
             head = RequestHead("q", "a", "s", 7, "POST", "/", (), True, 9.0, 5, returning=True)
--- a/pondhatch/requests/tests/test_digest.py
+++ b/pondhatch/requests/tests/test_digest.py
@@ -7,7 +7,7 @@
 
 class DigestTest(unittest.TestCase):
     def test_only_attempts_at_the_same_request_share_a_digest(self) -> None:
-        asked = ("pina", "POST", "/notes/a", b"body")
+        attempt = ("pina", "POST", "/notes/a", b"body")
         others = [
             ("olga", "POST", "/notes/a", b"body"),
             ("pina", "PUT", "/notes/a", b"body"),
@@ -15,5 +15,5 @@
             ("pinaPOST", "", "/notes/a", b"body"),
             ("pina", "POST", "/notes/a", b""),
         ]
-        self.assertEqual(digest_of(*asked), digest_of(*asked))
-        self.assertEqual(len({digest_of(*each) for each in [asked, *others]}), 6)
+        self.assertEqual(digest_of(*attempt), digest_of(*attempt))
+        self.assertEqual(len({digest_of(*each) for each in [attempt, *others]}), 6)
--- a/pondhatch/requests/tests/test_lines.py
+++ b/pondhatch/requests/tests/test_engine_queues.py
@@ -13,7 +13,7 @@
 from pondhatch.requests._lines import LINE_LIMIT, Lines
 
 FULL = Full(2, 2)
-ASKED = Question(1, 1, "e", "a", chat=0, priority=5, patience=1000)
+GRANT_REQUEST = Question(1, 1, "e", "a", chat=0, priority=5, patience=1000)
 
 
 class FullEngine:
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.free = 0
         self.returned = 0
-        self.lines = Lines(self.give_back)
+        self.queues = Lines(self.give_back)
 
     def give_back(self, engine: str) -> None:
         self.returned += 1
@@ -33,22 +33,22 @@
         self.free -= 1
         return Granted(2, 2)
 
-    def wait(self, asked: Question = ASKED) -> asyncio.Task[Verdict]:
-        return asyncio.ensure_future(self.lines.wait(asked, FULL, self.ask))
+    def wait(self, grant_request: Question = GRANT_REQUEST) -> asyncio.Task[Verdict]:
+        return asyncio.ensure_future(self.queues.wait(grant_request, FULL, self.ask))
 
     def release(self) -> None:
         self.free += 1
-        self.lines.gave_back("e", asyncio.get_running_loop().time())
+        self.queues.gave_back("e", asyncio.get_running_loop().time())
 
 
-class LinesTest(unittest.TestCase):
+class EngineQueuesTest(unittest.TestCase):
     def test_a_freed_slot_goes_to_a_waiting_request(self) -> None:
         async def main() -> tuple[Verdict, int]:
             engine = FullEngine()
             waiting = engine.wait()
             await asyncio.sleep(0.1)
             engine.release()
-            return await waiting, engine.lines.waiting("e")
+            return await waiting, engine.queues.waiting("e")
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), 0))
 
@@ -65,7 +65,7 @@
             engine.release()
             granted = await first
             engine.release()
-            return granted, await third, engine.lines.waiting("e")
+            return granted, await third, engine.queues.waiting("e")
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), Granted(2, 2), 0))
 
@@ -96,7 +96,7 @@
             waiting = [engine.wait() for _ in range(LINE_LIMIT)]
             await asyncio.sleep(0.01)
             refused = await engine.wait()
-            urgent = engine.wait(msgspec.structs.replace(ASKED, priority=0))
+            urgent = engine.wait(msgspec.structs.replace(GRANT_REQUEST, priority=0))
             await asyncio.sleep(0.01)
             evicted = [task.result() for task in waiting if task.done()]
             engine.release()
@@ -108,7 +108,7 @@
     def test_a_request_that_cannot_be_served_in_time_is_refused_at_once(self) -> None:
         async def main() -> tuple[Verdict, float]:
             engine = FullEngine()
-            patient = msgspec.structs.replace(ASKED, patience=9000)
+            patient = msgspec.structs.replace(GRANT_REQUEST, patience=9000)
             waiting = [engine.wait(patient) for _ in range(6)]
             for _ in range(4):
                 engine.release()
@@ -126,18 +126,18 @@
     def test_one_accounts_queue_does_not_refuse_another_account(self) -> None:
         async def main() -> tuple[Verdict, float]:
             engine = FullEngine()
-            loud = msgspec.structs.replace(ASKED, patience=60_000)
-            waiting = [engine.wait(loud) for _ in range(LINE_LIMIT)]
+            first_account = msgspec.structs.replace(GRANT_REQUEST, patience=60_000)
+            waiting = [engine.wait(first_account) for _ in range(LINE_LIMIT)]
             for _ in range(4):
                 engine.release()
                 await asyncio.sleep(0.5)
-            waiting += [engine.wait(loud) for _ in range(4)]
+            waiting += [engine.wait(first_account) for _ in range(4)]
             await asyncio.sleep(0.01)
             began = asyncio.get_running_loop().time()
-            quiet = engine.wait(msgspec.structs.replace(ASKED, account="quiet"))
+            second_account = engine.wait(msgspec.structs.replace(GRANT_REQUEST, account="quiet"))
             await asyncio.sleep(0.5)
             engine.release()
-            verdict = await quiet
+            verdict = await second_account
             spent = asyncio.get_running_loop().time() - began
             for task in waiting:
                 task.cancel()
--- a/pondhatch/requests/tests/test_grant_packets.py
+++ b/pondhatch/requests/tests/test_grant_packets.py
@@ -13,9 +13,9 @@
 )
 from pondhatch.requests._questions import Question
 
-QUESTION = Question(7, 3, "i-1", "desk", 0, 5, 31)
+GRANT_REQUEST = Question(7, 3, "i-1", "desk", 0, 5, 31)
 #: As routers without load management write it.
-QUESTION_BYTES = msgspec.msgpack.encode(
+GRANT_REQUEST_BYTES = msgspec.msgpack.encode(
     [50, 7, 3, "i-1", "desk", 0, 5, 31, 1000, 0, False, False, None, False, False, False]
 )
 BUSY_BYTES = msgspec.msgpack.encode([53, 7, 6, 6, False])
@@ -23,17 +23,17 @@
 
 class LoadFieldsTest(unittest.TestCase):
     def test_packets_without_load_fields_keep_their_bytes(self) -> None:
-        self.assertEqual(encode_grant_packet(QUESTION), QUESTION_BYTES)
+        self.assertEqual(encode_grant_packet(GRANT_REQUEST), GRANT_REQUEST_BYTES)
         self.assertEqual(encode_grant_packet(BusyWord(7, 6, 6)), BUSY_BYTES)
 
     def test_packets_of_routers_without_load_management_are_read(self) -> None:
-        self.assertEqual(decode_grant_packet(QUESTION_BYTES), QUESTION)
+        self.assertEqual(decode_grant_packet(GRANT_REQUEST_BYTES), GRANT_REQUEST)
         self.assertEqual(decode_grant_packet(BUSY_BYTES), BusyWord(7, 6, 6))
 
     def test_load_fields_survive_encoding(self) -> None:
-        question = msgspec.structs.replace(
-            QUESTION, in_time=90, queues=3, tokens=1300, parts=((17, 512),)
+        grant_request = msgspec.structs.replace(
+            GRANT_REQUEST, in_time=90, queues=3, tokens=1300, parts=((17, 512),)
         )
         busy = BusyWord(7, 6, 6, False, 120, 400)
-        self.assertEqual(decode_grant_packet(encode_grant_packet(question)), question)
+        self.assertEqual(decode_grant_packet(encode_grant_packet(grant_request)), grant_request)
         self.assertEqual(decode_grant_packet(encode_grant_packet(busy)), busy)
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -24,7 +24,7 @@
 CEILING = 1
 
 
-def question(fleet: Fleet, entry: str, **changes: Any) -> Question:
+def grant_request(fleet: Fleet, entry: str, **changes: Any) -> Question:
     number = fleet.routers[entry].entry.next_number()
     fields: dict[str, Any] = {"chat": 0, "priority": 5, **changes}
     return Question(number, short_id(entry), ENGINE, "a", **fields)
@@ -42,16 +42,16 @@
         return count.granted if count is not None else 0
 
     def ask(self, fleet: Fleet, **changes: Any) -> Coroutine[Any, Any, OwnerReply]:
-        asked = question(fleet, self.entry, **changes)
-        return fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
+        request = grant_request(fleet, self.entry, **changes)
+        return fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
 
 
 class OwnerUnreachableTest(GrantCase):
     """A router decides by what it knows where an engine's owner cannot be asked."""
 
     def decide_alone(self, fleet: Fleet, **changes: Any) -> OwnerReply:
-        asked = question(fleet, self.entry, **changes)
-        return fleet.routers[self.entry].entry.ask_nobody(asked)
+        request = grant_request(fleet, self.entry, **changes)
+        return fleet.routers[self.entry].entry.ask_nobody(request)
 
     def test_a_router_grants_up_to_the_ceiling_that_it_knows(self) -> None:
         async def main() -> list[OwnerReply]:
@@ -196,7 +196,7 @@
         self.assertEqual(run_virtually(main()), 1)
 
 
-class AskedAgainTest(GrantCase):
+class RepeatedRequestTest(GrantCase):
     """A question whose word was lost is asked again, with the same number."""
 
     def replies(self, between: Callable[[Fleet], None]) -> tuple[list[type], int]:
@@ -207,12 +207,12 @@
             for _ in range(FAILURES):
                 fleet.routers[self.owner].entry.local._health.failed(ENGINE, 0.0)
             await asyncio.sleep(FIRST_PAUSE + 0.1)
-            asked = question(fleet, self.entry)
+            request = grant_request(fleet, self.entry)
             received: list[GrantPacket] = []
             side = fleet.routers[self.owner].sides
-            side.receive(asked, received.append)
+            side.receive(request, received.append)
             between(fleet)
-            side.receive(asked, received.append)
+            side.receive(request, received.append)
             return [type(word) for word in received], self.granted_count(fleet)
 
         return run_virtually(main())
@@ -221,13 +221,13 @@
         expected = ([GrantedWord, GrantedWord], 1)
         self.assertEqual(self.replies(lambda fleet: None), expected)
 
-    def test_a_question_whose_engine_leaves_meanwhile_holds_nothing(self) -> None:
+    def test_a_request_whose_engine_leaves_meanwhile_holds_nothing(self) -> None:
         expected = ([GrantedWord, DeclinedWord], 0)
         self.assertEqual(self.replies(lambda fleet: fleet.known_leaving.add(ENGINE)), expected)
 
 
 class WaitingTest(GrantCase):
-    def test_a_queued_question_is_granted_although_the_first_reply_is_lost(self) -> None:
+    def test_a_queued_request_is_granted_although_the_first_reply_is_lost(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply, int]:
             fleet = Fleet([], ["none", "none", "none", "lost", "none", "lost"], False)
             first = await self.ask(fleet)
@@ -242,7 +242,7 @@
         self.assertIsInstance(second, Granted)
         self.assertEqual(counted, 1)
 
-    def test_a_cancelled_question_leaves_the_queue(self) -> None:
+    def test_a_cancelled_request_leaves_the_queue(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
@@ -259,20 +259,22 @@
         self.assertIsInstance(reply, Granted)
         self.assertEqual(counted, 1)
 
-    def test_a_question_released_as_it_arrives_leaves_nothing(self) -> None:
+    def test_a_request_released_as_it_arrives_leaves_nothing(self) -> None:
         async def main() -> tuple[int, OwnerReply]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             side = fleet.routers[self.owner]
-            asked = question(fleet, self.entry, patience=50_000)
-            side.sides.receive(asked, lambda _: None)
-            side.sides.receive(Release(asked.router, asked.number, Ended.NOTHING), lambda _: None)
+            request = grant_request(fleet, self.entry, patience=50_000)
+            side.sides.receive(request, lambda _: None)
+            side.sides.receive(
+                Release(request.router, request.number, Ended.NOTHING), lambda _: None
+            )
             await asyncio.sleep(0.2)
             entry = fleet.routers[self.entry].entry
             entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
             await asyncio.sleep(0.2)
             return self.granted_count(fleet), await asyncio.wait_for(
-                entry.ask(self.owner, asked, FIRST_WAIT), 10
+                entry.ask(self.owner, request, FIRST_WAIT), 10
             )
 
         counted, reply = run_virtually(main())
@@ -344,8 +346,10 @@
             await asyncio.sleep(0.3)
             successor = winner(ENGINE, fleet.live) or ""
             counted = self.granted_count(fleet, successor)
-            asked = question(fleet, self.entry)
-            return counted, await fleet.routers[self.entry].entry.ask(successor, asked, FIRST_WAIT)
+            request = grant_request(fleet, self.entry)
+            return counted, await fleet.routers[self.entry].entry.ask(
+                successor, request, FIRST_WAIT
+            )
 
         counted, reply = run_virtually(main())
         self.assertEqual((counted, reply), (1, Busy(CEILING, CEILING)))
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -175,22 +175,22 @@
             fleet = Fleet(["slow", "cut"], [], resumes=True)
             fleet.same_chat = True
             entry = fleet.routers["r1"].entry
-            asked: list[tuple[bool, int]] = []
+            recorded: list[tuple[bool, int]] = []
             ask = EntryGrants.ask
 
-            async def noted(
-                side: EntryGrants, owner: str, question: Question, bearable: float
+            async def recording_ask(
+                side: EntryGrants, owner: str, grant_request: Question, max_wait: float
             ) -> OwnerReply:
                 if side is entry:
-                    asked.append((question.resuming, question.seen_elsewhere))
-                return await ask(side, owner, question, bearable)
+                    recorded.append((grant_request.resuming, grant_request.seen_elsewhere))
+                return await ask(side, owner, grant_request, max_wait)
 
-            with patch.object(EntryGrants, "ask", noted):
+            with patch.object(EntryGrants, "ask", recording_ask):
                 first = asyncio.ensure_future(fleet.request(0, True, gives_up=False))
                 await asyncio.sleep(0.1)
                 await fleet.request(1, True, gives_up=False)
             await first
-            return asked
+            return recorded
 
         # The first asked is full, so the next is told of the work there; the stream breaks there.
         self.assertEqual(run_virtually(main()), [(False, 0), (False, 1), (True, 0)])
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -26,7 +26,7 @@
 
 
 class NewcomerTest(unittest.TestCase):
-    def home_question(
+    def settled_and_order(
         self, takes_over: bool, newcomers: set[str]
     ) -> tuple[str | None, tuple[str, ...]]:
         """Return where the home's owner is told that the chat was before, and its order."""
@@ -48,21 +48,21 @@
             ):
                 ways = Ways(router.entry, fleet.upstreams)
                 body = ReplayableBody(b"")
-                walk = Walk(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_PATIENCE)
-                home = walk.plan.home or ""
-                settled = walk._question(home, insist=False).settled
+                dispatch = Walk(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_PATIENCE)
+                home = dispatch.plan.home or ""
+                settled = dispatch._question(home, insist=False).settled
             await asyncio.sleep(0)
-            return settled, walk.plan.order
+            return settled, dispatch.plan.order
 
         return run_virtually(main())
 
     def test_a_newcomer_that_fetches_contexts_gets_its_chats_at_once(self) -> None:
         home = ranked(str(CHAT), ("e0", "e1", "e2"))[0]
-        self.assertIsNone(self.home_question(True, {home})[0])
+        self.assertIsNone(self.settled_and_order(True, {home})[0])
 
     def test_a_newcomer_that_fetches_no_contexts_leaves_chats_at_their_former_home(self) -> None:
         order = ranked(str(CHAT), ("e0", "e1", "e2"))
-        self.assertEqual(self.home_question(False, {order[0]})[0], order[1])
-        self.assertEqual(self.home_question(False, set(order[:2]))[0], order[2])
-        self.assertIsNone(self.home_question(False, set(order))[0])
-        self.assertIsNone(self.home_question(False, set())[0])
+        self.assertEqual(self.settled_and_order(False, {order[0]})[0], order[1])
+        self.assertEqual(self.settled_and_order(False, set(order[:2]))[0], order[2])
+        self.assertIsNone(self.settled_and_order(False, set(order))[0])
+        self.assertIsNone(self.settled_and_order(False, set())[0])
--- a/pondhatch/requests/tests/test_notice_histories.py
+++ b/pondhatch/requests/tests/test_notice_histories.py
@@ -72,7 +72,7 @@
     def test_a_router_obeys_every_notice_that_it_received(
         self,
         requests: list[tuple[bool, bool, float]],
-        said: list[tuple[str, Notice, float, float]],
+        notice_periods: list[tuple[str, Notice, float, float]],
         upstream_faults: list[str],
         packet_faults: list[str],
         connect_seconds: float,
@@ -84,7 +84,9 @@
             fleet.same_chat, fleet.most_tries = same_chat, most_tries
             fleet.connect_seconds = connect_seconds
             began = asyncio.get_running_loop().time()
-            fleet.notices = [(e, n, began + at, began + at + lasts) for e, n, at, lasts in said]
+            fleet.notices = [
+                (e, n, began + at, began + at + lasts) for e, n, at, lasts in notice_periods
+            ]
             sent = [fleet.request_later(at, *request) for at, request in enumerate(requests)]
             await asyncio.gather(*sent)
             await asyncio.sleep(2 * LEASE_SECONDS)
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -61,8 +61,8 @@
         self._numbers = iter(range(99))
 
     def ask(self, in_time: int = 0, patience: int = 0) -> object:
-        question = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
-        return self.owner.decide(replace(question, in_time=in_time))
+        grant_request = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
+        return self.owner.decide(replace(grant_request, in_time=in_time))
 
     def test_only_waiting_requests_are_granted_before_a_slot_is_free(self) -> None:
         granted = [self.ask() for _ in range(SLOTS)]
@@ -94,8 +94,8 @@
                 owner = LocalOwner("r0", view, gate, SpillMemory(), lambda: 1.0, Health())
                 for _ in range(3):
                     gate.adopt(ENGINE)
-                question = replace(Question(1, 1, ENGINE, "a", 0, 5), **fields)
-                self.assertIsInstance(owner.decide(question), expected)
+                grant_request = replace(Question(1, 1, ENGINE, "a", 0, 5), **fields)
+                self.assertIsInstance(owner.decide(grant_request), expected)
 
 
 class TooLargeTest(unittest.TestCase):
@@ -109,8 +109,8 @@
                 "r0", view, Gate(), SpillMemory(), lambda: 1.0, Health(), tokens=counts
             )
             owner.decide(Question(1, 1, ENGINE, "a", 0, 5, tokens=100))
-            false = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
-            waiting = asyncio.ensure_future(owner.ask(false))
+            too_large = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
+            waiting = asyncio.ensure_future(owner.ask(too_large))
             await asyncio.sleep(0.05)
             owner.tick()
             reply = owner.decide(Question(3, 1, ENGINE, "c", 0, 5, tokens=100))
--- a/pondhatch/requests/tests/test_owner_waits.py
+++ b/pondhatch/requests/tests/test_owner_timeouts.py
@@ -26,7 +26,7 @@
     pauses,
 )
 from pondhatch.requests.tests._history import Fleet
-from pondhatch.requests.tests.test_grants import question
+from pondhatch.requests.tests.test_grants import grant_request
 
 #: Seconds that a word takes between halls of a region, and to a router five times slower
 #: than it is loaded.
@@ -37,12 +37,12 @@
 STREAM_MAX_WAIT = 0.12
 
 
-def waits_after(seconds: float, replies: int = 20) -> OwnerWaits:
+def timeouts_after(seconds: float, replies: int = 20) -> OwnerWaits:
     """Return what is known after some words of an owner that each took as long."""
-    waits = OwnerWaits()
+    timeouts = OwnerWaits()
     for _ in range(replies):
-        waits.answered("r1", seconds, 0.0)
-    return waits
+        timeouts.answered("r1", seconds, 0.0)
+    return timeouts
 
 
 class SilentOwnerTest(unittest.TestCase):
@@ -51,28 +51,28 @@
     def test_a_fast_owner_gets_the_shortest_wait_and_an_unknown_one_the_first_wait(
         self,
     ) -> None:
-        known = sum(waits_after(USUAL_SECONDS).pauses("r1", FIRST_WAIT, 0.0))
+        known = sum(timeouts_after(USUAL_SECONDS).pauses("r1", FIRST_WAIT, 0.0))
         unknown = sum(OwnerWaits().pauses("r1", FIRST_WAIT, 0.0))
         self.assertAlmostEqual(known, SHORTEST_WAIT)
         self.assertAlmostEqual(unknown, FIRST_WAIT)
 
     def test_no_request_waits_beyond_its_bound_or_the_shortest_wait(self) -> None:
         rows = [
-            (seconds, bearable)
+            (seconds, max_wait)
             for seconds in (0.001, 0.01, 0.03, 0.1)
-            for bearable in (0, PLAIN_MAX_WAIT, STREAM_MAX_WAIT, 5)
+            for max_wait in (0, PLAIN_MAX_WAIT, STREAM_MAX_WAIT, 5)
         ]
         for seconds, bearable in rows:
             with self.subTest(seconds=seconds, bearable=bearable):
                 most = max(SHORTEST_WAIT, min(bearable, FIRST_WAIT))
-                waits = waits_after(seconds, 2)
-                self.assertLessEqual(sum(waits.pauses("r1", bearable, 0.0)), most + 1e-9)
+                timeouts = timeouts_after(seconds, 2)
+                self.assertLessEqual(sum(timeouts.pauses("r1", bearable, 0.0)), most + 1e-9)
                 self.assertLessEqual(sum(OwnerWaits().pauses("r1", bearable, 0.0)), most + 1e-9)
 
     def test_a_link_that_loses_one_packet_in_forty_does_not_silence_an_owner(self) -> None:
         """A question and its word come through with 0.95; three sends fail once in 8,000."""
         self.assertEqual(
-            len(waits_after(USUAL_SECONDS).pauses("r1", PLAIN_MAX_WAIT, 0.0)), len(PARTS)
+            len(timeouts_after(USUAL_SECONDS).pauses("r1", PLAIN_MAX_WAIT, 0.0)), len(PARTS)
         )
         self.assertLess((1 - 0.975**2) ** len(PARTS), 1 / 8000)
 
@@ -87,40 +87,40 @@
 class SlowOwnerTest(unittest.TestCase):
     """The pattern: an owner runs five times slower, and answers after its askers gave up."""
 
-    def record_late_reply(self, waits: OwnerWaits, at: float) -> None:
-        waits.gave_up(1, "r1", at)
-        waits.came_late(1, at + SLOW_SECONDS)
+    def record_late_reply(self, timeouts: OwnerWaits, at: float) -> None:
+        timeouts.gave_up(1, "r1", at)
+        timeouts.came_late(1, at + SLOW_SECONDS)
 
     def test_after_a_few_late_replies_nobody_waits_for_the_owner(self) -> None:
-        waits = waits_after(USUAL_SECONDS)
-        asked = 0
-        while waits.pauses("r1", PLAIN_MAX_WAIT, 0.0) and asked < 100:
-            self.record_late_reply(waits, 0.0)
-            asked += 1
-        self.assertLessEqual(asked, 2)
+        timeouts = timeouts_after(USUAL_SECONDS)
+        requests = 0
+        while timeouts.pauses("r1", PLAIN_MAX_WAIT, 0.0) and requests < 100:
+            self.record_late_reply(timeouts, 0.0)
+            requests += 1
+        self.assertLessEqual(requests, 2)
         for _ in range(4):
-            self.record_late_reply(waits, 0.0)
-        self.assertTrue(waits.is_too_slow("r1", SLOW_SECONDS))
+            self.record_late_reply(timeouts, 0.0)
+        self.assertTrue(timeouts.is_too_slow("r1", SLOW_SECONDS))
 
     def test_reply_times_expire_so_that_a_slow_owner_is_tried_again(self) -> None:
-        waits = waits_after(SLOW_SECONDS)
-        self.assertEqual(waits.pauses("r1", PLAIN_MAX_WAIT, 0.0), ())
-        self.assertTrue(waits.pauses("r1", PLAIN_MAX_WAIT, KNOWN_FOR + 0.1))
+        timeouts = timeouts_after(SLOW_SECONDS)
+        self.assertEqual(timeouts.pauses("r1", PLAIN_MAX_WAIT, 0.0), ())
+        self.assertTrue(timeouts.pauses("r1", PLAIN_MAX_WAIT, KNOWN_FOR + 0.1))
 
     def test_a_fast_owner_is_asked_again_after_one_late_reply(self) -> None:
         """A pause of 60 ms, such as a change of the configuration, is no slowness."""
-        waits = waits_after(USUAL_SECONDS)
-        waits.gave_up(1, "r1", 0.0)
-        self.assertEqual(waits.came_late(1, 0.06), "r1")
-        self.assertFalse(waits.is_too_slow("r1", 0.06))
-        self.assertTrue(waits.pauses("r1", PLAIN_MAX_WAIT, 0.06))
+        timeouts = timeouts_after(USUAL_SECONDS)
+        timeouts.gave_up(1, "r1", 0.0)
+        self.assertEqual(timeouts.came_late(1, 0.06), "r1")
+        self.assertFalse(timeouts.is_too_slow("r1", 0.06))
+        self.assertTrue(timeouts.pauses("r1", PLAIN_MAX_WAIT, 0.06))
 
     def test_unexpected_and_very_late_replies_are_ignored(self) -> None:
-        waits = OwnerWaits()
-        waits.gave_up(1, "r1", 0.0)
-        waits.forget_old(REMEMBERED + 0.1)
-        self.assertIsNone(waits.came_late(1, REMEMBERED + 0.2))
-        self.assertIsNone(waits.came_late(2, 0.0))
+        timeouts = OwnerWaits()
+        timeouts.gave_up(1, "r1", 0.0)
+        timeouts.forget_old(REMEMBERED + 0.1)
+        self.assertIsNone(timeouts.came_late(1, REMEMBERED + 0.2))
+        self.assertIsNone(timeouts.came_late(2, 0.0))
 
     def test_an_owner_is_too_slow_above_a_mean_of_the_first_pause(self) -> None:
         self.assertTrue(pauses(AnswerTimes(TOO_SLOW, 0.0, 0.0), FIRST_WAIT))
@@ -134,16 +134,16 @@
         self.owner = winner("e0", ("r0", "r1", "r2")) or ""
         self.entry, self.other = (name for name in ("r0", "r1", "r2") if name != self.owner)
 
-    def asked(self, fleet: Fleet, instead: bool) -> Question:
-        return question(fleet, self.entry, instead_of_owner=instead)
+    def request(self, fleet: Fleet, instead: bool) -> Question:
+        return grant_request(fleet, self.entry, instead_of_owner=instead)
 
     def test_the_next_router_counts_for_all_while_the_owner_is_silent(self) -> None:
         async def main() -> tuple[object, int, int]:
             fleet = Fleet([], [], False)
             entry = fleet.routers[self.entry].entry
-            reply = await entry.ask(self.other, self.asked(fleet, True), FIRST_WAIT)
+            reply = await entry.ask(self.other, self.request(fleet, True), FIRST_WAIT)
             count = fleet.routers[self.other].gate.by_engine["e0"].granted
-            second = await entry.ask(self.other, self.asked(fleet, True), FIRST_WAIT)
+            second = await entry.ask(self.other, self.request(fleet, True), FIRST_WAIT)
             return reply, count, 0 if isinstance(second, Granted) else 1
 
         reply, counted, refused = run_virtually(main())
@@ -155,14 +155,14 @@
             fleet = Fleet([], [], False)
             entry: EntryGrants = fleet.routers[self.entry].entry
             fleet.network.silent.add(self.owner)
-            asked = self.asked(fleet, True)
-            reply = await entry.ask(self.owner, asked, PLAIN_MAX_WAIT)
+            request = self.request(fleet, True)
+            reply = await entry.ask(self.owner, request, PLAIN_MAX_WAIT)
             self.assertIsInstance(reply, NotRun)
             fleet.network.silent.clear()
-            reply = await entry.ask(self.other, asked, FIRST_WAIT)
+            reply = await entry.ask(self.other, request, FIRST_WAIT)
             self.assertIsInstance(reply, Granted)
             returned: list[object] = []
-            entry.receive(GrantedWord(asked.number, 1, 1), returned.append)
+            entry.receive(GrantedWord(request.number, 1, 1), returned.append)
             await asyncio.sleep(0)
             return returned
 
@@ -175,9 +175,9 @@
             entry = fleet.routers[self.entry].entry
             entry.on_heard = replied.append
             fleet.network.silent.add(self.owner)
-            asked = self.asked(fleet, False)
-            await entry.ask(self.owner, asked, PLAIN_MAX_WAIT)
-            entry.receive(GrantedWord(asked.number, 1, 1), lambda _: None)
+            request = self.request(fleet, False)
+            await entry.ask(self.owner, request, PLAIN_MAX_WAIT)
+            entry.receive(GrantedWord(request.number, 1, 1), lambda _: None)
             return replied
 
         self.assertEqual(run_virtually(main()), [self.owner])
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -24,7 +24,7 @@
 from pondhatch.requests._owner_waits import FIRST_WAIT
 from pondhatch.requests._tries import ENDED_BY_REFUSAL
 from pondhatch.requests.tests._history import Fleet
-from pondhatch.requests.tests.test_grants import GrantCase, question
+from pondhatch.requests.tests.test_grants import GrantCase, grant_request
 
 FULL = EngineRefusal.FULL
 LEAVING = EngineRefusal.LEAVING
@@ -66,9 +66,9 @@
         )
         for refusals, most_tries, expected, sends, engines in rows:
             with self.subTest(refusals=refusals, most_tries=most_tries):
-                fleet, told = self.run_refused(refusals, most_tries)
+                fleet, outcome = self.run_refused(refusals, most_tries)
                 sent_to = [engine for _, engine in fleet.history.sends]
-                found = (told, len(sent_to), len(set(sent_to)))
+                found = (outcome, len(sent_to), len(set(sent_to)))
                 self.assertEqual(found, (expected, sends, engines))
 
     def run_refused(self, refusals: list[EngineRefusal], most_tries: int) -> tuple[Fleet, str]:
@@ -109,22 +109,22 @@
         entry.release(max(entry.held_by_number), ended)
         await asyncio.sleep(0.1)
 
-    async def ask_among_many(self, fleet: Fleet) -> OwnerReply:
+    async def ask_below_the_ceiling(self, fleet: Fleet) -> OwnerReply:
         """Ask where the ceiling, by the work elsewhere, is well above what the engine holds."""
-        asked = question(fleet, self.entry, seen_elsewhere=10, insist=True)
-        return await fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
+        request = grant_request(fleet, self.entry, seen_elsewhere=10, insist=True)
+        return await fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
 
     def test_a_full_engine_gets_no_more_than_it_runs_for_a_while(self) -> None:
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
             for _ in range(3):
-                await self.ask_among_many(fleet)
+                await self.ask_below_the_ceiling(fleet)
             await self.end_one(fleet, Ended.FULL)
-            at_once = await self.ask_among_many(fleet)
+            at_once = await self.ask_below_the_ceiling(fleet)
             await self.end_one(fleet, Ended.ANSWERED)
-            in_its_place = await self.ask_among_many(fleet)
+            in_its_place = await self.ask_below_the_ceiling(fleet)
             await asyncio.sleep(FULL_SECONDS)
-            return [at_once, in_its_place, await self.ask_among_many(fleet)]
+            return [at_once, in_its_place, await self.ask_below_the_ceiling(fleet)]
 
         self.assertEqual(run_virtually(main())[:2], [Busy(2, 2), Granted(2, 2)])
         self.assertIsInstance(run_virtually(main())[2], Granted)
@@ -133,8 +133,8 @@
         async def main(rest: Rest, insist: bool) -> OwnerReply:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine["e0"] = Intake(rest=rest)
-            asked = question(fleet, self.entry, insist=insist)
-            return await fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
+            request = grant_request(fleet, self.entry, insist=insist)
+            return await fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
 
         for rest, insist, code in (
             (Rest(of_some=1.0), False, AILING),
@@ -165,10 +165,10 @@
         async def main(ended: Ended) -> OwnerReply:
             fleet = Fleet([], [], False)
             for _ in range(6):
-                await self.ask_among_many(fleet)
+                await self.ask_below_the_ceiling(fleet)
             for _ in range(3):
                 await self.end_one(fleet, ended)
-            return await self.ask_among_many(fleet)
+            return await self.ask_below_the_ceiling(fleet)
 
         self.assertEqual(run_virtually(main(Ended.FULL)), Busy(3, 3))
         reply = run_virtually(main(ENDED_BY_REFUSAL[DECLINED]))
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -109,16 +109,16 @@
         ways = Ways(router.entry, self.upstreams, run_times=self.run_times)
         remaining: Callable[[], float] = lambda: began + CALLER_TIMEOUT - clock()  # noqa: E731
         body = ReplayableBody(b"")
-        walk = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
-        reply = await walk.run()
+        dispatch = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
+        reply = await dispatch.run()
         if isinstance(reply, Placed):
             await reply.reply.answer.pour(Sink(lambda _: None))
             self.outcomes["whole" if remaining() > 0 else "too late"] += 1
             self.seconds.append(clock() - began)
             return
         self.outcomes[reply.refusal.code] += 1
-        if walk.queued.end is not QueueEnd.NONE:
-            self.outcomes[walk.queued.end.value] += 1
+        if dispatch.queued.end is not QueueEnd.NONE:
+            self.outcomes[dispatch.queued.end.value] += 1
         if isinstance(reply.refusal, NotRun):
             self.retry_after.append(reply.refusal.retry_after)
 
@@ -179,9 +179,9 @@
         self.assertLess(service.outcomes["in-vain"], 0.1 * service.outcomes["refused"])
         self.assertLess(service.outcomes["too late"], 0.01 * len(service.seconds))
         self.assertLessEqual(service.upstreams.most, PLACES)
-        told = [after for after in service.retry_after if after != FULL_RETRY_AFTER]
-        self.assertGreater(len(set(told)), 0.3 * len(told))
-        self.assertLessEqual(max(told), LONGEST_RETRY_AFTER)
+        predicted = [after for after in service.retry_after if after != FULL_RETRY_AFTER]
+        self.assertGreater(len(set(predicted)), 0.3 * len(predicted))
+        self.assertLessEqual(max(predicted), LONGEST_RETRY_AFTER)
 
 
 class SeveralQueuesTest(unittest.TestCase):
@@ -208,21 +208,21 @@
         """A place that stays taken until its lease ends, as its grant came unseen."""
         grants = mock.Mock()
 
-        async def ask(question: Question) -> Granted:
+        async def ask(request: Question) -> Granted:
             await asyncio.sleep(0.01)
             return Granted(1, 6)
 
-        def question(engine: str, _: float) -> Question:
+        def grant_request(engine: str, _: float) -> Question:
             return Question(int(engine[1:]), 1, engine, "a", 0, 5)
 
         async def main() -> FirstGrant | NotGranted:
-            queues = Queues(grants, lambda _: "r0", ask, question)
+            queues = Queues(grants, lambda _: "r0", ask, grant_request)
             return await queues.first(("e0", "e1", "e2"), 1.0)
 
-        won = run_virtually(main())
-        assert isinstance(won, FirstGrant)
+        first_grant = run_virtually(main())
+        assert isinstance(first_grant, FirstGrant)
         released = [call.args[0] for call in grants.release.mock_calls]
-        self.assertEqual(sorted([won.question.number, *released]), [0, 1, 2])
+        self.assertEqual(sorted([first_grant.question.number, *released]), [0, 1, 2])
 
 
 class RefusedAfterWaitTest(unittest.TestCase):
@@ -304,10 +304,10 @@
         self.assertEqual(order, ["in time", "late", "less"])
 
     def test_retry_delays_are_one_release_interval_apart(self) -> None:
-        returns = RetrySchedule()
-        told = [returns.next_delay(0.0, 30.0, 0.1, 1) for _ in range(3)]
-        self.assertEqual([round(each, 3) for each in told], [3.0, 3.1, 3.2])
-        self.assertEqual(returns.next_delay(0.0, 900.0, 0.1, 1), LONGEST_RETRY_AFTER)
+        schedule = RetrySchedule()
+        delays = [schedule.next_delay(0.0, 30.0, 0.1, 1) for _ in range(3)]
+        self.assertEqual([round(each, 3) for each in delays], [3.0, 3.1, 3.2])
+        self.assertEqual(schedule.next_delay(0.0, 900.0, 0.1, 1), LONGEST_RETRY_AFTER)
 
     def test_the_wait_limit_leaves_time_for_the_run_and_the_first_event(self) -> None:
         plain, stream = answer_deadlines(0.152, False, 0.0), answer_deadlines(0.6, True, 0.1)
@@ -315,19 +315,19 @@
         self.assertAlmostEqual(wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - MARGIN)
         self.assertAlmostEqual(in_time(stream, 0.2, UsualTimes(0.3, 9.0)), 0.1)
 
-    def test_a_slot_that_stays_free_after_a_refusal_counts_it_as_in_vain(self) -> None:
+    def test_a_slot_that_stays_free_after_a_refusal_counts_as_wrongly_refused(self) -> None:
         async def main() -> list[int]:
-            lines = Lines(lambda _: None, is_managed=lambda: True)
-            lines._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
-            asked = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
-            waiting = asyncio.ensure_future(lines.wait(asked, Full(1, 1), lambda: Granted(1, 1)))
+            queues = Lines(lambda _: None, is_managed=lambda: True)
+            queues._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
+            request = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
+            waiting = asyncio.ensure_future(queues.wait(request, Full(1, 1), lambda: Granted(1, 1)))
             await asyncio.sleep(0)
-            refused = await lines.wait(asked, Full(1, 1), lambda: Granted(1, 1))
+            refused = await queues.wait(request, Full(1, 1), lambda: Granted(1, 1))
             counts = []
             for at in (0.1, 0.2, 0.3):
-                lines.gave_back("e", at)
+                queues.gave_back("e", at)
                 await waiting
-                counts.append(lines.refused_in_vain)
+                counts.append(queues.refused_in_vain)
             assert isinstance(refused, Full)
             return [*counts, refused.predicted_ms]
 
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -112,11 +112,13 @@
 
     async def request(number: int, tokens: int) -> None:
         router = fleet.routers[fleet.names[number % 3]]
-        asked = head(tokens, request_id=f"q{number}")
+        request_head = head(tokens, request_id=f"q{number}")
         ways, body = Ways(router.entry, engines), ReplayableBody(b"")
-        walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0, Patience(0.0, 2.0))
+        dispatch = Walk(
+            router.view, ways, RetryBudget(), request_head, body, lambda: 10.0, Patience(0.0, 2.0)
+        )
         arrived[tokens] += 1
-        placed = await walk.run()
+        placed = await dispatch.run()
         if isinstance(placed, Placed):
             served[tokens] += 1
             await placed.reply.answer.pour(None)  # type: ignore[arg-type]
@@ -162,8 +164,8 @@
         """Return an owner's reply, and the number of the question."""
         entry = fleet.routers[self.entry].entry
         number, fields = entry.next_number(), {"chat": 0, "priority": 5, **changes}
-        asked = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
-        return await entry.ask(owner or self.owner, asked, FIRST_WAIT), number
+        request = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
+        return await entry.ask(owner or self.owner, request, FIRST_WAIT), number
 
     def used(self, fleet: Fleet, owner: str = "") -> int:
         return fleet.routers[owner or self.owner].owner._engine_memory._counts.used("e0")
@@ -262,23 +264,23 @@
         self.assertEqual(run_managed(main()), (2_000, 0))
 
 
-class QuestionTest(unittest.TestCase):
-    def asked(self, managed: bool, **stated: Any) -> Question:
+class GrantRequestTest(unittest.TestCase):
+    def grant_request(self, managed: bool, **stated: Any) -> Question:
         async def main() -> Question:
             router = Fleet([], [], False).routers["r0"]
             ways, body = Ways(router.entry, Engines()), ReplayableBody(b"")
-            asked = head(1_000, **stated)
-            walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
-            return walk._question("e0", insist=False)
+            request_head = head(1_000, **stated)
+            dispatch = Walk(router.view, ways, RetryBudget(), request_head, body, lambda: 10.0)
+            return dispatch._question("e0", insist=False)
 
         return run_managed(main(), managed)
 
-    def test_a_question_states_the_largest_shared_parts_and_the_rest_as_own(self) -> None:
+    def test_a_grant_request_states_the_largest_shared_parts_and_the_rest_as_own(self) -> None:
         parts = ((2**32 + 7, 100), (8, 50), (9, 60), (10, 70), (11, 80))
-        question = self.asked(True, answer_tokens=200, prompt_parts=parts)
+        request = self.grant_request(True, answer_tokens=200, prompt_parts=parts)
         expected = ((7, 100), (11, 80), (10, 70), (9, 60), (0, 690))
-        self.assertEqual((question.tokens, question.parts), (200, expected))
+        self.assertEqual((request.tokens, request.parts), (200, expected))
 
-    def test_a_question_states_no_tokens_without_load_management(self) -> None:
-        question = self.asked(False, answer_tokens=200)
-        self.assertEqual((question.tokens, question.parts), (0, ()))
+    def test_a_grant_request_states_no_tokens_without_load_management(self) -> None:
+        request = self.grant_request(False, answer_tokens=200)
+        self.assertEqual((request.tokens, request.parts), (0, ()))
