--- a/pondhatch/limits/_shares.py
+++ b/pondhatch/limits/_shares.py
@@ -55,13 +55,13 @@
 class ShareUser(msgspec.Struct):
     """One router's demands and the shares that it was given."""
 
-    demand_by_account: dict[str, AccountDemand] = msgspec.field(default_factory=dict)
+    own_demand_by_account: dict[str, AccountDemand] = msgspec.field(default_factory=dict)
     share_by_account: dict[str, tuple[Share, float]] = msgspec.field(default_factory=dict)
     _next_ask: float = float("-inf")
 
     def record_arrival(self, account: str, running: int, now: float) -> None:
         """Note that a request came while so many of the account's ran here."""
-        use = self.demand_by_account.setdefault(account, AccountDemand(now))
+        use = self.own_demand_by_account.setdefault(account, AccountDemand(now))
         use.arrivals += 1
         use.peak_running = max(use.peak_running, running + 1)
 
@@ -69,7 +69,7 @@
         """Return the limits that this router holds the account to."""
         if routers <= 1:
             return whole
-        use = self.demand_by_account.get(account)
+        use = self.own_demand_by_account.get(account)
         share, until = self.share_by_account.get(account, (Share(account, 0.0, 0.0), now))
         answered = until > now
         if not answered and (use is None or now - use.first_at < FIRST_SHARE_GRACE):
@@ -93,12 +93,12 @@
             return ()
         self._next_ask = now + ASK_INTERVAL
         wanted = []
-        for account, use in tuple(self.demand_by_account.items()):
+        for account, use in tuple(self.own_demand_by_account.items()):
             demand = Demand(account, use.arrivals / ASK_INTERVAL, float(use.peak_running))
             idle = use.arrivals == 0 and use.last_demand is not None and use.last_demand.rate == 0
             use.last_demand, use.arrivals, use.peak_running = demand, 0, 0
             if idle:
-                del self.demand_by_account[account]
+                del self.own_demand_by_account[account]
                 continue
             whole = limits_of.get(account)
             if whole is not None and _exceeds_ask_threshold(demand, whole, routers):
--- a/pondhatch/limits/tests/test_shares.py
+++ b/pondhatch/limits/tests/test_shares.py
@@ -108,7 +108,7 @@
         routers.run(5, [30.0, 30.0])
         routers.run(10, [0.0, 0.0])
         routers.home.forget_old(routers.now)
-        self.assertEqual(routers.users[0].demand_by_account, {})
+        self.assertEqual(routers.users[0].own_demand_by_account, {})
         self.assertEqual(routers.home.demand_by_account, {})
 
 
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -67,7 +67,7 @@
         self._now = now
         known = self._fleet().policy_by_account
         limits = {
-            name: self._limits_of(name) for name in self.user.demand_by_account if name in known
+            name: self._limits_of(name) for name in self.user.own_demand_by_account if name in known
         }
         wanted = self.user.due_demands(now, len(self._live), limits)
         if not wanted:
