--- a/pondhatch/limits/__init__.py
+++ b/pondhatch/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits: rates and concurrency of client accounts, bytes held for them, the retry budget."""
+"""Rate and concurrency limits of client accounts, limits on held bytes, and retry budgets."""
 
 from pondhatch.limits._bucket import (
     AccountGate,
--- a/pondhatch/limits/_bucket.py
+++ b/pondhatch/limits/_bucket.py
@@ -1,7 +1,7 @@
-"""Rates and concurrency of client accounts, without I/O.
+"""Token buckets and concurrency limits of client accounts, without I/O.
 
-What a router holds an account to is worked out in ``_shares``; a bucket that is
-new is full to the account's whole burst.
+``_shares`` computes the part of an account's limits that applies at one router. A new bucket
+starts full, with the account's whole burst.
 """
 
 from __future__ import annotations
@@ -10,37 +10,37 @@
 
 
 class AccountLimits(msgspec.Struct, frozen=True):
-    """An account's limits over the whole fleet."""
+    """An account's limits across the whole fleet."""
 
-    #: Requests a second in the long run.
+    #: Sustained requests per second.
     requests_per_second: float
-    #: Requests that may come at once above the rate.
+    #: Capacity of the token bucket: requests that may arrive at once.
     burst: int
-    #: Requests in flight at once.
+    #: Maximum number of requests in flight.
     concurrency: int
 
 
 class Allowed(msgspec.Struct, frozen=True):
-    """The request may go on; end it with ``AccountGate.end``."""
+    """The request is admitted; report its end with ``AccountGate.end``."""
 
 
 class Limited(msgspec.Struct, frozen=True):
-    """The request is over a limit and was not run."""
+    """The request exceeds a limit and was not run."""
 
-    #: Which limit: "rate", "concurrency" or "memory".
+    #: The limit that was exceeded: "rate", "concurrency" or "memory".
     limit: str
-    #: Seconds after which it is worth coming back.
+    #: Seconds after which the caller should retry.
     retry_after: float
 
 
 LimitVerdict = Allowed | Limited
 
-#: Seconds after which to come back when a concurrency limit is reached.
+#: Seconds after which to retry when a concurrency limit is reached.
 CONCURRENCY_RETRY_AFTER = 1.0
 
 
 class AccountUse(msgspec.Struct):
-    """What one account has used at this router."""
+    """One account's token bucket and number of running requests at this router."""
 
     tokens: float
     refilled_at: float
@@ -48,17 +48,17 @@
 
 
 class AccountGate(msgspec.Struct):
-    """Token buckets and running counts by account."""
+    """Token buckets and numbers of running requests by account."""
 
     use_by_account: dict[str, AccountUse] = msgspec.field(default_factory=dict)
 
     def running(self, account: str) -> int:
-        """Return how many of an account's requests run here."""
+        """Return how many of an account's requests are running at this router."""
         use = self.use_by_account.get(account)
         return use.running if use is not None else 0
 
     def begin(self, account: str, limits: AccountLimits, now: float) -> LimitVerdict:
-        """Take one request in, or say which limit it is over."""
+        """Admit one request, or return the limit that it exceeds."""
         rate = limits.requests_per_second
         use = self.use_by_account.setdefault(account, AccountUse(float(limits.burst), now))
         refilled = use.tokens + rate * max(0.0, now - use.refilled_at)
@@ -73,14 +73,17 @@
         return Allowed()
 
     def end(self, account: str) -> None:
-        """Note that a request that was allowed has ended."""
+        """Record the end of an admitted request.
+
+        Raises ValueError if none is running for the account.
+        """
         use = self.use_by_account[account]
         if use.running < 1:
             raise ValueError(f"{account} has no request to end")
         use.running -= 1
 
     def forget_idle(self, now: float, idle: float) -> None:
-        """Drop accounts without requests for ``idle`` seconds, to bound the table."""
+        """Drop accounts without requests for ``idle`` seconds, to bound the size of the table."""
         stale = [
             account
             for account, use in self.use_by_account.items()
--- a/pondhatch/limits/_held_bytes.py
+++ b/pondhatch/limits/_held_bytes.py
@@ -1,10 +1,10 @@
-"""Bytes that a router holds for callers and engines, counted by account, without I/O.
+"""Bytes that a router buffers for callers and engines, counted by account, without I/O.
 
-An account is limited only while the whole reaches the bound, and only by what it holds above the
-fair level: the amount to which the largest accounts would have to be cut for the whole to fit the
-bound. The level is never below an even share, so the accounts that hold most are limited first
-and none is limited while it holds less than its share. What such accounts still bring may take
-the whole past the bound.
+Accounts are limited only while the total reaches the bound, and only if they hold more than the
+max-min fair level: the amount to which the largest holders would have to be cut for the total to
+fit the bound. The level is never below an even share, so the largest holders are limited first
+and no account is limited below its even share. Accounts below their share may push the total
+past the bound.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 
 from pondhatch.limits._bucket import Limited
 
-#: Seconds after which to retry when a router holds as many bytes as it may. Slow readers
-#: take seconds for what is held for them.
+#: Seconds after which to retry when the router holds as many bytes as its bound allows. Slow
+#: readers take seconds to drain what is buffered for them.
 MEMORY_RETRY_AFTER = 1.0
-#: Name of the limit that an account reached; see ``Limited``.
+#: Name of this limit in ``Limited``.
 MEMORY_LIMIT = "memory"
-#: Bytes that a request counts for at least when it asks to be taken in: its answer may be held.
+#: Least number of bytes that a new request counts for at admission, since its answer may have to
+#: be buffered even if its body is empty.
 MIN_REQUEST_BYTES = 1
 
 
 def fair_level(amounts: Iterable[int], bound: float) -> float:
-    """Return the amount to which the largest are cut so that all fit a bound.
+    """Return the max-min fair level: the cap on each amount at which their sum fits the bound.
 
-    Infinite where all of them together stay below the bound.
+    Infinite if the sum is below the bound.
     """
     ordered = sorted(amounts)
     remaining = bound
@@ -40,16 +41,20 @@
 
 
 class HeldBytes(msgspec.Struct):
-    """Bytes held by account, and their sum against a bound; None where there is no bound."""
+    """Bytes held by each account, and their sum, which a bound limits."""
 
+    #: Bound on the sum; None for no bound.
     bound: int | None = None
     #: Sum over all accounts.
     total: int = 0
-    #: Accounts that hold nothing are left out.
+    #: Accounts that hold nothing have no entry.
     bytes_by_account: dict[str, int] = msgspec.field(default_factory=dict)
 
     def change(self, account: str, delta: int) -> None:
-        """Add to what an account holds, or take from it."""
+        """Add ``delta`` bytes, which may be negative, to what an account holds.
+
+        Raises ValueError if the account would hold fewer than 0 bytes.
+        """
         amount = self.bytes_by_account.get(account, 0) + delta
         if amount < 0:
             raise ValueError(f"{account} holds {amount - delta} bytes, fewer than {-delta}")
@@ -60,10 +65,10 @@
         self.total += delta
 
     def may_hold(self, account: str, more: int) -> bool:
-        """Return whether a request of an account may hold so many bytes more.
+        """Return whether a request of an account may hold ``more`` bytes in addition.
 
-        One of an account that holds nothing always may: else a body larger than its account's
-        share would find no moment at which it is taken.
+        An account that holds nothing always may: otherwise a body larger than the account's
+        share would never be admitted.
         """
         more = max(more, MIN_REQUEST_BYTES)
         if self.bound is None or self.total + more <= self.bound:
@@ -79,7 +84,7 @@
         return after <= fair_level({**self.bytes_by_account, account: after}.values(), self.bound)
 
     def is_slowed(self, account: str) -> bool:
-        """Return whether an account's sources are to be read more slowly."""
+        """Return whether the sources of an account's bytes should be read more slowly."""
         if self.bound is None or self.total < self.bound:
             return False
         held = self.bytes_by_account.get(account, 0)
@@ -88,38 +93,38 @@
         return held >= fair_level(self.bytes_by_account.values(), self.bound)
 
     def _is_under_share(self, held: int) -> bool:
-        """Return whether an amount is below an even share of the bound, without a sort."""
+        """Return whether an amount is below an even share; needs no sort, as fair_level does."""
         return self.bound is None or held * len(self.bytes_by_account) < self.bound
 
     def largest(self, count: int) -> list[tuple[str, int]]:
-        """Return the accounts that hold most, each with its bytes, the largest first."""
+        """Return the ``count`` largest holders as (account, bytes), the largest first."""
         return sorted(self.bytes_by_account.items(), key=lambda item: (-item[1], item[0]))[:count]
 
     def counter(self, account: str) -> HeldCounter:
-        """Return a new holder of bytes for an account; it holds none yet."""
+        """Return a new counter for an account, at 0 bytes."""
         return HeldCounter(self, account)
 
 
 class HeldCounter:
-    """What one body, pipe or buffer holds of its account's bytes, until it is closed."""
+    """The bytes that one body, pipe or buffer holds for its account, until it is closed."""
 
     __slots__ = ("_account", "_is_closed", "_table", "amount")
 
     def __init__(self, table: HeldBytes, account: str) -> None:
-        #: Bytes that it holds now.
+        #: Bytes held now.
         self.amount = 0
         self._table = table
         self._account = account
         self._is_closed = False
 
     def set(self, amount: int) -> None:
-        """Count so many bytes in all, whatever the bound; once closed, none."""
+        """Set the number of bytes held, regardless of the bound; no effect once closed."""
         if amount != self.amount and not self._is_closed:
             self._table.change(self._account, amount - self.amount)
             self.amount = amount
 
     def try_set(self, amount: int) -> Limited | None:
-        """Count so many bytes in all for a new request, unless it is over the bound."""
+        """Set the number of bytes held for a new request, or return the limit it exceeds."""
         if self._is_closed:
             return None
         if not self._table.may_hold(self._account, amount - self.amount):
@@ -128,15 +133,15 @@
         return None
 
     def is_slowed(self) -> bool:
-        """Return whether its source is to be read more slowly."""
+        """Return whether the source of these bytes should be read more slowly."""
         return self._table.is_slowed(self._account)
 
     def close(self) -> None:
-        """Give everything back; safe to call twice."""
+        """Release all bytes; safe to call twice."""
         self.set(0)
         self._is_closed = True
 
 
-#: Counts nothing: for what is held for no account.
+#: A closed counter, which counts nothing: for bytes that belong to no account.
 UNCOUNTED = HeldCounter(HeldBytes(), "")
 UNCOUNTED.close()
--- a/pondhatch/limits/_peak_routers.py
+++ b/pondhatch/limits/_peak_routers.py
@@ -1,4 +1,4 @@
-"""The most routers seen live in a while: what parts of the fleet's allowances are counted by."""
+"""The recent peak of live routers, by which fleet-wide allowances are divided among routers."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 import msgspec
 
-#: Seconds for which a router that is no longer heard of still counts: it may only be cut
-#: off, and use its part.
+#: Seconds for which a router still counts after it was last live: it may only be partitioned
+#: from this one and go on spending its part.
 PEAK_SECONDS = 60.0
 
 
 class PeakRouters(msgspec.Struct):
-    """How many routers were live at the most, of late."""
+    """The largest number of routers that were live at once within the last PEAK_SECONDS."""
 
-    #: Numbers of live routers, each with when it was last seen, the newest last. Each is
-    #: greater than those after it: a smaller one that is older can never be the most.
+    #: (number of live routers, time last recorded), oldest first: a monotonic queue. Each number
+    #: is greater than those after it, as an older and smaller one can never be the peak.
     _counts: deque[tuple[int, float]] = msgspec.field(
         default_factory=lambda: deque([(1, float("-inf"))])
     )
 
     def record(self, live: int, now: float) -> None:
-        """Note how many routers are live, this one included."""
+        """Record how many routers are live, including this one."""
         while self._counts and now - self._counts[0][1] > PEAK_SECONDS:
             self._counts.popleft()
         while self._counts and self._counts[-1][0] <= live:
@@ -30,10 +30,10 @@
 
     @property
     def peak(self) -> int:
-        """The most that were live at the same time."""
+        """The largest number of routers live at the same time."""
         return self._counts[0][0]
 
     @property
     def live_share(self) -> float:
-        """Those that are live now, as a share of the most."""
+        """The number of routers live now divided by the peak."""
         return self._counts[-1][0] / self.peak
--- a/pondhatch/limits/_rate_limiter.py
+++ b/pondhatch/limits/_rate_limiter.py
@@ -1,4 +1,4 @@
-"""A bound on how often something is done: what comes too soon waits for its turn."""
+"""A rate limiter that delays calls instead of refusing them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class RateLimiter(msgspec.Struct):
-    """Turns at a rate, of which some may be taken at once after a quiet time."""
+    """Slots at a fixed rate, of which a burst may be reserved at once after an idle time."""
 
-    #: Turns a second in the long run.
+    #: Sustained slots per second.
     rate: float
-    #: Turns that may be taken at once.
+    #: Slots that may be reserved at once.
     burst: int
-    #: When the next turn would come if none were saved, in the clock's seconds.
+    #: When the next slot comes if no burst has accumulated, in the clock's seconds.
     _next_at: float = float("-inf")
 
     def reserve(self, now: float) -> float:
-        """Take a turn; return for how many seconds to wait for it."""
+        """Reserve the next slot and return the seconds to wait for it."""
         step = 1.0 / self.rate
         earliest = now - (self.burst - 1) * step
         turn = max(self._next_at, earliest)
--- a/pondhatch/limits/_retries.py
+++ b/pondhatch/limits/_retries.py
@@ -1,8 +1,9 @@
-"""The retry budget: retries can never feed an overload.
+"""Retry budgets, which keep retries from amplifying an overload.
 
-The fleet may send a service so many requests beyond the first try of each: a share of the
-requests for it, and a few more in any stretch of time. Each router spends its own part of
-that without asking: it earns by its own requests, and saves up its part of the few.
+For each service the fleet may send a limited number of requests beyond their first tries: a
+share of the service's requests, plus a fixed slack in any ten seconds or so. Each router spends
+its own part without coordination: it earns the share from its own requests and saves up to its
+part of the slack.
 """
 
 from __future__ import annotations
@@ -11,33 +12,34 @@
 
 from pondhatch.limits._peak_routers import PeakRouters
 
-#: Retries allowed for each first try.
+#: Retries earned by each first try.
 DEFAULT_RATIO = 0.1
-#: Retries that may be saved up, so that a quiet router can still retry.
+#: Retries that may be saved up, so that a router with few requests can still retry.
 DEFAULT_SAVED = 5.0
-#: Part of the fleet's allowance that routers give out among themselves. The other part
-#: covers two sides of a cut that each count their own routers alone, and routers that
-#: restart with what they had spent forgotten.
+#: Part of the fleet's allowance that is divided among the routers. The rest covers the two sides
+#: of a network partition, each of which counts only its own routers, and routers that restart
+#: and have lost the count of what they spent.
 SHARED_PART = 0.5
-#: Least that one router may save up: less could never be spent.
+#: Least number of retries that one router may save up: with less than one it could never retry.
 MIN_SAVED = 1.0
 
 
 class RetryBudget(msgspec.Struct):
-    """Each first try earns a fraction of a retry; each retry spends one."""
+    """A budget of retries: each first try earns a fraction of one, each retry spends one."""
 
     #: Retries that a first try earns.
     ratio: float = DEFAULT_RATIO
+    #: Upper bound of ``saved``.
     max_saved: float = DEFAULT_SAVED
-    #: Retries that may be made now.
+    #: Retries available now.
     saved: float = DEFAULT_SAVED
 
     def record_first_try(self) -> None:
-        """Earn the fraction of a retry that a first try brings."""
+        """Add the fraction of a retry that a first try earns."""
         self.saved = min(self.max_saved, self.saved + self.ratio)
 
     def spend_retry(self) -> bool:
-        """Spend one retry if there is one."""
+        """Spend one retry and return True, or return False if none is available."""
         if self.saved < 1.0:
             return False
         self.saved -= 1.0
@@ -45,44 +47,44 @@
 
 
 class RetryAllowance(msgspec.Struct, frozen=True):
-    """What the whole fleet may send to one service beyond the first try of each request."""
+    """Retries that the whole fleet may send to one service."""
 
-    #: Share of the requests for the service.
+    #: Retries as a share of the service's requests.
     share: float = DEFAULT_RATIO / SHARED_PART
-    #: Retries beyond the share in any stretch of ten seconds or so.
+    #: Retries allowed beyond the share in any ten seconds or so.
     slack: float = 80.0
 
 
 class RetryBudgets(msgspec.Struct):
-    """One router's part of the fleet's allowance, for each service."""
+    """One router's part of the fleet's retry allowance, by service."""
 
     allowance: RetryAllowance = msgspec.field(default_factory=RetryAllowance)
     budget_by_service: dict[str, RetryBudget] = msgspec.field(default_factory=dict)
-    #: Routers that were seen; one that is missed may only be cut off, and spend its part.
+    #: Recent peak of live routers: one that is missing may be partitioned and still spend its part.
     peak_routers: PeakRouters = msgspec.field(default_factory=PeakRouters)
 
     def for_service(self, service: str) -> RetryBudget:
         """Return the budget for a service."""
         if service not in self.budget_by_service:
-            # One retry to begin with: a part that was spent before a restart is forgotten.
+            # Starts with one retry, since a restart loses the count of retries already spent.
             ratio = self.allowance.share * SHARED_PART
             self.budget_by_service[service] = RetryBudget(ratio, self._max_saved(), MIN_SAVED)
         return self.budget_by_service[service]
 
     def set_routers(self, live: int, now: float) -> None:
-        """Set how many routers are live, this one included."""
+        """Set the number of live routers, including this one."""
         before = self._max_saved()
         self.peak_routers.record(live, now)
         if self._max_saved() != before:
             self._apply_max_saved()
 
     def _apply_max_saved(self) -> None:
-        """Bound what each service's budget may save by this router's part of now."""
+        """Apply this router's current part of the slack to every service's budget."""
         max_saved = self._max_saved()
         for budget in self.budget_by_service.values():
             budget.max_saved = max_saved
             budget.saved = min(budget.saved, max_saved)
 
     def _max_saved(self) -> float:
-        """Return this router's part of the slack, by the most routers seen in a while."""
+        """Return this router's part of the slack, divided by the recent peak of live routers."""
         return max(MIN_SAVED, self.allowance.slack * SHARED_PART / self.peak_routers.peak)
--- a/pondhatch/limits/_shares.py
+++ b/pondhatch/limits/_shares.py
@@ -1,9 +1,9 @@
-"""Sharing an account's limits between the routers that its requests come through.
+"""Division of an account's limits among the routers that receive its requests.
 
-Each account has a home router. A router uses a small base share freely; one that
-sees more demand tells the home each second, and the home splits the rest by
-demand. A router that does not hear the home falls back to its base share, so
-that a cut can at most add one pool for each side that has a home of its own.
+Each account has a home router. Every router may use a small base share without asking. A router
+with more demand reports it to the home once a second, and the home divides the rest of the limits
+by demand. A router that gets no answer falls back to its base share, so a network partition adds
+at most one such pool for each side that has a home of its own.
 """
 
 from __future__ import annotations
@@ -15,28 +15,29 @@
 
 #: Part of each limit that all routers together may use without asking.
 BASE_PART = 0.2
-#: Part of its own base share at which a router begins to ask.
+#: Part of its base share above which a router asks the home for more.
 ASK_THRESHOLD = 0.5
-#: Seconds between asks, and for which demand is counted.
+#: Seconds between reports of demand; each covers the demand of one interval.
 ASK_INTERVAL = 1.0
-#: Seconds for which an ask or a share holds.
+#: Seconds for which a reported demand or an allocated share is valid.
 SHARE_LIFETIME = 3.5
-#: Seconds from the first demand until a router without an answer falls back to its base.
+#: Seconds after an account's first request for which a router without an answer applies the whole
+#: limits; after that it falls back to its base share.
 FIRST_SHARE_GRACE = 2.0
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What one router wants for one account."""
+    """One router's demand for one account."""
 
     account: str
-    #: Requests that came in the last second, refused ones too.
+    #: Requests per second that arrived in the last interval, including refused ones.
     rate: float
-    #: Requests that ran at once, refused ones too.
+    #: Peak number of concurrent requests, including refused ones.
     running: float
 
 
 class Share(msgspec.Struct, frozen=True):
-    """What the home gives one router beyond its base."""
+    """The part of an account's limits that the home allocates to a router beyond its base."""
 
     account: str
     requests_per_second: float
@@ -44,7 +45,7 @@
 
 
 class AccountDemand(msgspec.Struct):
-    """One account's demand at this router."""
+    """One account's demand at this router in the current interval."""
 
     first_at: float
     arrivals: int = 0
@@ -53,20 +54,20 @@
 
 
 class ShareUser(msgspec.Struct):
-    """One router's demands and the shares that it was given."""
+    """One router's demand by account, and the shares that homes allocated to it."""
 
     own_demand_by_account: dict[str, AccountDemand] = msgspec.field(default_factory=dict)
     share_by_account: dict[str, tuple[Share, float]] = msgspec.field(default_factory=dict)
     _next_ask: float = float("-inf")
 
     def record_arrival(self, account: str, running: int, now: float) -> None:
-        """Note that a request came while so many of the account's ran here."""
+        """Record a request that arrived while ``running`` others of its account ran here."""
         use = self.own_demand_by_account.setdefault(account, AccountDemand(now))
         use.arrivals += 1
         use.peak_running = max(use.peak_running, running + 1)
 
     def limits(self, account: str, whole: AccountLimits, routers: int, now: float) -> AccountLimits:
-        """Return the limits that this router holds the account to."""
+        """Return the account's limits at this router; ``whole`` are those of the fleet."""
         if routers <= 1:
             return whole
         use = self.own_demand_by_account.get(account)
@@ -88,7 +89,7 @@
     def due_demands(
         self, now: float, routers: int, limits_of: dict[str, AccountLimits]
     ) -> tuple[Demand, ...]:
-        """Return what to ask for, once each interval."""
+        """Return the demands to report to homes now; empty until the next interval."""
         if now < self._next_ask:
             return ()
         self._next_ask = now + ASK_INTERVAL
@@ -106,20 +107,20 @@
         return tuple(wanted)
 
     def record_share(self, share: Share, now: float) -> None:
-        """Take in the home's answer."""
+        """Store a share that a home allocated."""
         self.share_by_account[share.account] = (share, now + SHARE_LIFETIME)
 
     def forget_old(self, now: float) -> None:
-        """Drop shares that ran out."""
+        """Drop expired shares."""
         self.share_by_account = {
             account: held for account, held in self.share_by_account.items() if held[1] > now
         }
 
 
 class ShareHome(msgspec.Struct):
-    """The demands of routers on the accounts that this router is home to."""
+    """The demands of all routers for the accounts whose home is this router."""
 
-    #: Demands and when they came, by account and router.
+    #: Demands and when they arrived, by account and router.
     demand_by_account: dict[str, dict[str, tuple[Demand, float]]] = msgspec.field(
         default_factory=dict
     )
@@ -127,7 +128,7 @@
     def allocate_share(
         self, router: str, demand: Demand, whole: AccountLimits, now: float
     ) -> Share:
-        """Take in a router's demand and return its share of what is not free to all."""
+        """Record a router's demand and return its share of the limits beyond all base shares."""
         demands = self.demand_by_account.setdefault(demand.account, {})
         demands[router] = (demand, now)
         for name in [name for name, (_, at) in demands.items() if now - at > SHARE_LIFETIME]:
@@ -142,14 +143,14 @@
         )
 
     def forget_old(self, now: float) -> None:
-        """Drop accounts that nobody asked for lately."""
+        """Drop accounts all of whose demands have expired."""
         for account, demands in tuple(self.demand_by_account.items()):
             if all(now - at > SHARE_LIFETIME for _, at in demands.values()):
                 del self.demand_by_account[account]
 
 
 def _exceeds_ask_threshold(demand: Demand, whole: AccountLimits, routers: int) -> bool:
-    live = max(1, routers)  # The last router that stops has no live one beside it.
+    live = max(1, routers)  # The last router counts no live ones while it stops.
     base_rate = whole.requests_per_second * BASE_PART / live
     base_running = max(1.0, whole.concurrency * BASE_PART / live)
     return demand.rate > base_rate * ASK_THRESHOLD or demand.running > base_running * ASK_THRESHOLD
--- a/pondhatch/limits/tests/test_held_bytes.py
+++ b/pondhatch/limits/tests/test_held_bytes.py
@@ -1,4 +1,4 @@
-"""Whom a router limits when it holds as many bytes as it may."""
+"""Guards against limiting accounts below their even share when a router's buffers are full."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 BOUND = 100
 ACCOUNTS = st.sampled_from("abcd")
-#: What accounts hold.
+#: Bytes held by account.
 HOLDINGS = st.dictionaries(ACCOUNTS, st.integers(1, 2 * BOUND), min_size=1)
 
 
 def table(holdings: dict[str, int], bound: int | None = BOUND) -> HeldBytes:
-    """Return a table in which accounts hold these bytes."""
+    """Return a table in which the accounts hold the given bytes."""
     held = HeldBytes(bound)
     for account, amount in holdings.items():
         held.change(account, amount)
--- a/pondhatch/limits/tests/test_limits.py
+++ b/pondhatch/limits/tests/test_limits.py
@@ -78,12 +78,12 @@
         self.assertGreaterEqual(retried, 99)
 
 
-#: What the users' pages allow: a fifth of the requests and 56 in ten seconds.
+#: The required limit: a fifth of the requests plus 56 in ten seconds.
 ALLOWANCE = RetryAllowance(0.2, 56.0)
 
 
 class RetryBudgetsTest(unittest.TestCase):
-    """The fleet's allowance, shared out among routers that do not ask each other."""
+    """The fleet's allowance, divided among routers that do not coordinate."""
 
     def spend_all(self, budgets: RetryBudgets, service: str, requests: int) -> int:
         budget = budgets.for_service(service)
@@ -95,7 +95,7 @@
         return spent
 
     def full_budgets(self, routers: int, now: float = 0.0) -> RetryBudgets:
-        """Return what a router has after a while without retries."""
+        """Return a router's budgets after a time without retries."""
         budgets = RetryBudgets(ALLOWANCE)
         budgets.set_routers(routers, now)
         for service in ("lang", "portal"):
--- a/pondhatch/limits/tests/test_shares.py
+++ b/pondhatch/limits/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""An account's limits over a fleet of routers that ask its home."""
+"""An account's limits divided among routers by the account's home router."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Routers:
-    """Several routers, a home, and whether they hear each other."""
+    """Several routers and an account's home, which may be unreachable."""
 
     def __init__(self, count: int) -> None:
         self.users = [ShareUser() for _ in range(count)]
@@ -23,7 +23,7 @@
         self._ends: list[list[float]] = [[] for _ in range(count)]
 
     def run(self, seconds: float, arrivals: list[float], lasts: float = 0.1) -> list[int]:
-        """Send each router so many requests a second; return how many were allowed."""
+        """Send router i ``arrivals[i]`` requests a second; return how many each one allowed."""
         rng = random.Random(3)
         allowed = [0] * len(self.users)
         for _ in range(round(seconds / STEP)):
