--- a/pondhatch/kernel/__init__.py
+++ b/pondhatch/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The kernel: the registry of plug-ins and the one loop."""
+"""The plug-in registry, the shared event loop, and helpers that every process needs."""
 
 from pondhatch.kernel._addresses import host_and_port
 from pondhatch.kernel._backoff import Backoff
--- a/pondhatch/kernel/_backoff.py
+++ b/pondhatch/kernel/_backoff.py
@@ -1,16 +1,16 @@
-"""Pauses between tries at something that is out of reach."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
 import random
 
-#: Least share of a pause that is waited: with jitter above it, callers that failed
-#: together come back spread over half of the pause.
+#: Least fraction of a pause that is waited. The rest is jitter, so that callers that failed
+#: together retry spread over half of the pause.
 MIN_FRACTION = 0.5
 
 
 class Backoff:
-    """Pauses that double up to a bound, with jitter."""
+    """Pauses in seconds that double up to a bound, with jitter."""
 
     def __init__(self, first: float, longest: float, rng: random.Random) -> None:
         self._first = first
@@ -19,11 +19,11 @@
         self._pause = first
 
     def next(self) -> float:
-        """Return for how many seconds to wait before the next try."""
+        """Return the seconds to wait before the next attempt."""
         pause = self._pause
         self._pause = min(self._longest, pause * 2)
         return pause * self._rng.uniform(MIN_FRACTION, 1.0)
 
     def reset(self) -> None:
-        """Begin with the first pause again, after a try that worked."""
+        """Start over with the first pause, after a successful attempt."""
         self._pause = self._first
--- a/pondhatch/kernel/_garbage_collection.py
+++ b/pondhatch/kernel/_garbage_collection.py
@@ -1,4 +1,4 @@
-"""Python's search for garbage, which is held back while a process starts."""
+"""Control of Python's cyclic garbage collector, which is off while a process starts."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def enable_garbage_collection() -> None:
-    """Search for garbage from now on; what is there already stays, and is passed over."""
+    """Enable the collector and exempt all objects that exist by now from collection."""
     gc.freeze()
     gc.enable()
--- a/pondhatch/kernel/_loop.py
+++ b/pondhatch/kernel/_loop.py
@@ -1,4 +1,4 @@
-"""The one loop: twisted's reactor on top of asyncio, so that grpclib shares it."""
+"""The event loop: Twisted's reactor on top of asyncio, so that grpclib can share it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def install_reactor() -> asyncio.AbstractEventLoop:
-    """Install the asyncio reactor; to be called before any import of the reactor."""
+    """Install the asyncio reactor and return its loop; call before any import of the reactor."""
     if "twisted.internet.reactor" in sys.modules:
         return asyncio.get_event_loop()
     loop = asyncio.new_event_loop()
@@ -28,14 +28,14 @@
 
 
 def as_future(deferred: Deferred[Result]) -> asyncio.Future[Result]:
-    """Return a future that an asyncio coroutine can await."""
+    """Return a deferred's result as a future that an asyncio coroutine can await."""
     return deferred.asFuture(asyncio.get_running_loop())
 
 
 def as_deferred(coroutine: Coroutine[Any, Any, Result]) -> Deferred[Result | None]:
     """Run an asyncio coroutine and return a deferred for its result.
 
-    A cancelled one, such as that of a caller who went away, results in None.
+    The result is None if the coroutine is cancelled, as when its caller has disconnected.
     """
 
     async def none_if_cancelled() -> Result | None:
@@ -48,20 +48,20 @@
 
 
 class Tasks:
-    """Background coroutines of a process; holds them so that none is collected."""
+    """Background tasks of a process, with references that keep them from being collected."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def start(self, coroutine: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Start a coroutine and keep it until it ends."""
+        """Start a coroutine as a task and hold a reference to it until it ends."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     def _on_done(self, task: asyncio.Task[Any]) -> None:
-        """Let go of a task; one that ended in an error says so, since nobody may await it."""
+        """Drop the reference to a task, and log its error, since nobody may be awaiting it."""
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
@@ -69,6 +69,6 @@
             log.opt(exception=error).error("Task {} ended in an error: {!r}.", name, error)
 
     def cancel_all(self) -> None:
-        """Cancel everything that still runs."""
+        """Cancel all tasks that are still running."""
         for task in tuple(self._tasks):
             task.cancel()
--- a/pondhatch/kernel/_registry.py
+++ b/pondhatch/kernel/_registry.py
@@ -1,8 +1,8 @@
-"""The registry of plug-ins.
+"""The plug-in registry.
 
-A plug-in is a class that registers itself under a kind and a name, and says in
-the class attribute ``DEPENDENCIES`` which views it reads. The kernel builds it
-once every dependency is at hand, so no plug-in reaches for another.
+A plug-in is a class that registers itself under a kind and a name, and declares in the class
+attribute ``DEPENDENCIES`` the types of the views that it reads. The registry passes it instances
+of just these when it builds it, so no plug-in looks up another.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Plugin:
-    """Base of all plug-ins: declares what it reads and receives just that."""
+    """Base class of plug-ins, which receive only the views that they declare."""
 
     #: Types of the views that the plug-in reads.
     DEPENDENCIES: ClassVar[tuple[type[Any], ...]] = ()
@@ -30,7 +30,7 @@
         self._views = views
 
     def view(self, view_type: type[View]) -> View:
-        """Return a declared dependency; anything undeclared is an error."""
+        """Return a declared dependency. Raises RegistryError for an undeclared one."""
         if view_type not in self.DEPENDENCIES:
             raise RegistryError(f"{type(self).__name__} does not declare {view_type.__name__}")
         found: View = self._views[view_type]
@@ -38,13 +38,16 @@
 
 
 class Registry(msgspec.Struct):
-    """Plug-in classes by kind and name, and the views they may depend on."""
+    """Plug-in classes by kind and name."""
 
     #: Classes by (kind, name).
     by_kind_and_name: dict[tuple[str, str], type[Plugin]] = msgspec.field(default_factory=dict)
 
     def register(self, kind: str, name: str) -> Callable[[PluginType], PluginType]:
-        """Return a class decorator that records the class under kind and name."""
+        """Return a class decorator that registers the class under a kind and a name.
+
+        The decorator raises RegistryError if the name is taken.
+        """
 
         def record(plugin: PluginType) -> PluginType:
             if (kind, name) in self.by_kind_and_name:
@@ -59,7 +62,7 @@
         return tuple(sorted(name for each, name in self.by_kind_and_name if each == kind))
 
     def build(self, kind: str, name: str, views: Mapping[type[Any], Any]) -> Plugin:
-        """Build a plug-in with just the views it declares.
+        """Build a plug-in, passing only the views that it declares.
 
         Raises RegistryError for an unknown name or a missing view.
         """
@@ -73,5 +76,5 @@
         return plugin({need: views[need] for need in plugin.DEPENDENCIES})
 
 
-#: The registry that the shipped plug-ins register with.
+#: The registry of the plug-ins that pondhatch ships.
 REGISTRY = Registry()
--- a/pondhatch/kernel/_wire_form.py
+++ b/pondhatch/kernel/_wire_form.py
@@ -1,7 +1,7 @@
-"""What is encoded of messages whose last fields were added later.
+"""Encoding of messages whose last fields were added in a later version.
 
-A message is written as an array. Left out while they hold their defaults, fields that were added
-cost no bytes, and programs that do not know them read the message as they always did.
+Messages are encoded as arrays. Added fields are left out while all of them hold their defaults, so
+they cost no bytes, and programs that do not know them still read the message.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def without_defaults(message: msgspec.Struct, first_added: str) -> msgspec.Struct | tuple[Any, ...]:
-    """Return what is to be encoded of a message: without the field ``first`` and those behind it.
+    """Return what to encode of a message: its fields before ``first_added``, and its tag if any.
 
-    The whole message where one of them says something else than its default.
+    Returns the message itself if ``first_added`` or a field after it differs from its default.
     """
     kept, defaults = _split_fields(type(message), first_added)
     values = astuple(message)
@@ -28,7 +28,7 @@
 
 @functools.cache
 def _split_fields(kind: type[msgspec.Struct], first_added: str) -> tuple[int, tuple[Any, ...]]:
-    """Return how many fields stand before one, and the defaults from that one on."""
+    """Return the number of fields before ``first_added``, and the defaults from it on."""
     kept = kind.__struct_fields__.index(first_added)
     added = len(kind.__struct_fields__) - kept
     return kept, kind.__struct_defaults__[-added:]
--- a/pondhatch/kernel/tests/test_wire_form.py
+++ b/pondhatch/kernel/tests/test_wire_form.py
@@ -1,4 +1,4 @@
-"""Guards against bytes that programs without the added fields would not have sent."""
+"""Guards against encodings that programs without the added fields cannot read."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A message; the last two fields were added later."""
+    """A message whose last two fields were added later."""
 
     name: str
     number: int = 1
--- a/pondhatch/store/__init__.py
+++ b/pondhatch/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform: its object API behind a Protocol, and its list of upstreams."""
+"""The platform's object API as a Protocol, and its lists of upstreams and evacuations."""
 
 from pondhatch.store._cold_periods import ColdPeriods
 from pondhatch.store._evacuations import IN_FORCE, Evacuations, EvacuationUpdate, HallEvacuation
--- a/pondhatch/store/_cold_periods.py
+++ b/pondhatch/store/_cold_periods.py
@@ -1,7 +1,8 @@
-"""Until when upstreams are cold, by this router's own clock.
+"""When the cold periods of upstreams end, by this router's own clock.
 
-An upstream says for how long it stays cold as of its word; the clocks of two hosts are never
-compared. Who hears of it late takes it to be cold for longer, which does no harm.
+An upstream reports the remaining duration of its cold period, not a time, since the clocks of two
+hosts are never compared. A router that receives the report late takes the upstream to be cold for
+longer, which is harmless.
 """
 
 from __future__ import annotations
@@ -16,20 +17,24 @@
 
 
 class _ColdPeriod(msgspec.Struct, frozen=True):
-    """What an upstream last said of itself."""
+    """The cold period that an upstream last reported."""
 
+    #: Version of the entry that reported it.
     version: Position
-    #: In this router's clock.
+    #: When it ends, by this router's clock.
     until: float
 
 
 class ColdPeriods(msgspec.Struct):
-    """Until when each upstream is cold, by its name."""
+    """The cold periods of upstreams, by name."""
 
     _period_by_name: dict[str, _ColdPeriod] = msgspec.field(default_factory=dict)
 
     def update(self, entries: Iterable[UpstreamEntry], now: float) -> None:
-        """Take in the entries of the list as they are now."""
+        """Replace all periods by those of the list's current entries.
+
+        An entry that was already known at the same version keeps its end.
+        """
         with_cold_time = [each for each in entries if each.upstream.cold_seconds > 0]
         cold = [each for each in with_cold_time if each.upstream.state == LIVE]
         self._period_by_name = {each.upstream.name: self._period_of(each, now) for each in cold}
@@ -41,7 +46,7 @@
         return _ColdPeriod(entry.version, now + entry.upstream.cold_seconds)
 
     def seconds_left(self, name: str, now: float) -> float:
-        """Return for how many seconds an upstream is still cold; 0 where it is warm."""
+        """Return the seconds for which an upstream is still cold; 0 if it is warm."""
         cold = self._period_by_name.get(name)
         return max(0.0, cold.until - now) if cold is not None else 0.0
 
@@ -50,7 +55,7 @@
         return sum(cold.until > now for cold in self._period_by_name.values())
 
     def with_seconds_left(self, entry: UpstreamEntry, now: float) -> UpstreamEntry:
-        """Return an entry as a peer is to be told of it: with the seconds that are left now."""
+        """Return an entry for a peer, with the seconds that are left of its cold period."""
         if not entry.upstream.cold_seconds:
             return entry
         left = self.seconds_left(entry.upstream.named_by_start().name, now)
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -1,12 +1,13 @@
-"""Which data halls are evacuated: as the platform says, relayed between routers.
+"""Which data halls are evacuated, as read from the platform and relayed between routers.
 
-Each hall's newest word bears the platform's position. Whoever takes words in keeps the newest of
-each hall, so they may come in any order, twice, or by way of peers that were cut off.
+Each hall's state carries the platform's position of its last change. A router keeps the state
+with the highest position, so states may arrive in any order, repeatedly, or from peers that were
+partitioned.
 
-What a listing does not show is over as of that listing, also where a peer tells of it later. But
-a platform that has just come back from an older copy may not show it yet: its writer writes it
-again. So what only does not stand there is over once the era has settled, and until then the
-hall gets nothing.
+An evacuation that is missing from a listing has ended as of that listing, even if a peer reports
+it later. But a platform that was just restored from an older copy may not list it yet, until its
+writer writes it again. So after a restore a missing evacuation ends only once the era has settled;
+until then the hall gets no work.
 """
 
 from __future__ import annotations
@@ -21,37 +22,40 @@
 
 #: Field of the platform's object that ends an evacuation while the object stays.
 IN_FORCE = "in_force"
-#: What is told of routers that know that no hall ever was evacuated.
+#: Version of a router that knows that no hall was ever evacuated; 0 means that nothing is known.
 NO_EVACUATIONS: Position = 1
 
 
 class HallEvacuation(msgspec.Struct, frozen=True):
-    """The newest word on one hall."""
+    """The newest known state of one hall's evacuation."""
 
     in_force: bool
     version: Position
 
 
 class EvacuationUpdate(msgspec.Struct, frozen=True):
-    """All that a router knows, for one that is behind; few halls, so always the whole."""
+    """All evacuations that a router knows, for a peer that is behind.
+
+    Always complete, since there are few halls.
+    """
 
     word_by_hall: dict[str, HallEvacuation]
 
 
 class Evacuations(msgspec.Struct):
-    """The halls that are to be sent nothing more, as one router knows them."""
+    """The evacuated halls, which get no work, as one router knows them."""
 
-    #: Whether the platform or a peer that knew it has told of them.
+    #: Whether the platform, or a peer to which they were known, has reported them.
     is_known: bool = False
     evacuation_by_hall: dict[str, HallEvacuation] = msgspec.field(default_factory=dict)
-    #: Position of the newest listing that was read here.
+    #: Position of the newest listing that this router read.
     _listed_at: Position = 0
-    #: When words of an older era that no listing shows are over, in the clock's seconds.
+    #: When evacuations of an older era that are not listed end, in the clock's seconds.
     _settles_at: float = float("inf")
 
     @property
     def version(self) -> Position:
-        """Position of the newest word; 0 where nothing is known."""
+        """Position of the newest change; 0 if nothing is known."""
         if not self.is_known:
             return 0
         return max(
@@ -61,25 +65,25 @@
 
     @property
     def halls(self) -> frozenset[str]:
-        """The halls that are evacuated."""
+        """The evacuated halls."""
         return frozenset(
             hall for hall, evacuation in self.evacuation_by_hall.items() if evacuation.in_force
         )
 
     def is_evacuated(self, hall: str) -> bool:
-        """Return whether a hall's upstreams are to be sent nothing."""
+        """Return whether a hall is evacuated, so that its upstreams get nothing."""
         evacuation = self.evacuation_by_hall.get(hall)
         return evacuation is not None and evacuation.in_force
 
     def apply_listing(self, listed: Listed, now: float) -> bool:
-        """Take in what the platform lists; return whether any of it was news."""
+        """Apply a listing of the platform; return whether it changed anything."""
         was_known, self.is_known = self.is_known, True
         self._listed_at = max(self._listed_at, listed.version)
         shown = {
             each.name: HallEvacuation(_is_in_force(each.value), each.version)
             for each in listed.objects
         }
-        # Nobody can read what it says, so what it is there for holds.
+        # An unreadable object counts as an evacuation in force, which its existence means.
         shown |= {hall: HallEvacuation(True, listed.version) for hall in listed.left_out}
         changes = [self._set(hall, evacuation) for hall, evacuation in shown.items()]
         if listed.is_whole:
@@ -87,7 +91,7 @@
         return any(changes) or not was_known
 
     def apply_event(self, event: WatchEvent) -> bool:
-        """Take in one event of a watch; return whether it was news."""
+        """Apply one event of a watch; return whether it changed anything."""
         if event.type == "removed":
             return self._set(event.name, HallEvacuation(False, event.version))
         if event.type in ("set", "unreadable"):
@@ -96,7 +100,7 @@
         return False
 
     def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
-        """Take in what a peer knows; return whether any of it was news."""
+        """Apply a peer's update; return whether it changed anything."""
         was_known, self.is_known = self.is_known, True
         changes = [self._apply_from_peer(*each, now) for each in update.word_by_hall.items()]
         return any(changes) or not was_known
@@ -104,18 +108,21 @@
     def _apply_from_peer(self, hall: str, evacuation: HallEvacuation, now: float) -> bool:
         is_older = evacuation.version <= self._listed_at and hall not in self.evacuation_by_hall
         if is_older and era_of(evacuation.version) == era_of(self._listed_at):
-            # The listing would have shown it: it was over by then.
+            # The listing would have shown it, so it had ended by then.
             return self._set(hall, HallEvacuation(False, self._listed_at))
         if is_older:
             self._settles_at = min(self._settles_at, now + SETTLE_SECONDS)
         return self._set(hall, evacuation)
 
     def as_update(self) -> EvacuationUpdate | None:
-        """Return what a peer is told; None where nothing is known here."""
+        """Return all evacuations as an update for a peer; None if nothing is known here."""
         return EvacuationUpdate(dict(self.evacuation_by_hall)) if self.is_known else None
 
     def settle(self, now: float) -> bool:
-        """End what an older era said and nobody has said again; return whether there was any."""
+        """End evacuations of an older era that were not written again since.
+
+        Does nothing before the era has settled. Returns whether any ended.
+        """
         if now < self._settles_at:
             return False
         self._settles_at = float("inf")
@@ -129,7 +136,7 @@
     def _end_unlisted(
         self, shown: Mapping[str, HallEvacuation], listed_at: Position, now: float
     ) -> list[bool]:
-        """End what a whole listing no longer shows, at once within an era."""
+        """End evacuations missing from a complete listing: at once within an era, else later."""
         ended = []
         for hall in self.halls - shown.keys():
             if era_of(self.evacuation_by_hall[hall].version) < era_of(listed_at):
@@ -139,7 +146,7 @@
         return ended
 
     def _set(self, hall: str, evacuation: HallEvacuation) -> bool:
-        """Take in a word unless a newer one is known; return whether it changes what holds."""
+        """Store a hall's state unless a newer one is known; return whether in_force changed."""
         known = self.evacuation_by_hall.get(hall)
         if known is not None and known.version >= evacuation.version:
             return False
@@ -148,5 +155,5 @@
 
 
 def _is_in_force(value: Any) -> bool:
-    """Return whether an object asks for an evacuation, as it does by being there."""
+    """Return whether an object's evacuation is in force, as it is unless it says otherwise."""
     return not (isinstance(value, Mapping) and value.get(IN_FORCE) is False)
--- a/pondhatch/store/_objects.py
+++ b/pondhatch/store/_objects.py
@@ -1,4 +1,4 @@
-"""The platform's object API as the rest of pondhatch sees it."""
+"""The platform's object API as the rest of pondhatch uses it."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """One object with the version of its last change."""
+    """One object and the version of its last change."""
 
     kind: str
     name: str
-    #: The platform's position at its last change; a later change of any object has a higher one.
+    #: The platform's position at its last change; later changes of any object have higher ones.
     version: Position
     value: Any
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One line of a watch."""
+    """One event of a watch."""
 
-    #: "set", "removed", "bookmark", or "unreadable": set to what makes no sense.
+    #: "set", "removed", "bookmark", or "unreadable" (set to a value that does not decode).
     type: str
     version: Position
     name: str = ""
@@ -31,26 +31,26 @@
 
 
 class Found(msgspec.Struct, frozen=True):
-    """The object as read."""
+    """The object that was read."""
 
     object: StoredObject
 
 
 class Missing(msgspec.Struct, frozen=True):
-    """There is no such object."""
+    """The object does not exist."""
 
-    #: The platform's position then, as far as it tells it: its era at the least.
+    #: The platform's position at the read, as far as it reports one: at least its era.
     as_of: Position = 0
 
 
 class Listed(msgspec.Struct, frozen=True):
-    """All objects of a kind, as of a version."""
+    """All objects of a kind at a version."""
 
     version: Position
     objects: tuple[StoredObject, ...]
-    #: Names of objects that are there but make no sense to this router.
+    #: Names of objects that exist but that this router cannot decode.
     left_out: frozenset[str] = frozenset()
-    #: Whether no other object is there.
+    #: Whether the listing is complete: no other object exists.
     is_whole: bool = True
 
 
@@ -61,27 +61,27 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """The write did not take effect: the object is not as the writer thought."""
+    """The write did not take effect: the object's current version is not the expected one."""
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """The answer to a write was lost; it may have taken effect."""
+    """The reply to a write was lost; the write may have taken effect."""
 
     reason: str
 
 
 class Unavailable(msgspec.Struct, frozen=True):
-    """The platform could not be asked, or did not answer in time."""
+    """The platform could not be reached, or did not reply in time."""
 
     reason: str
 
 
 class TooOld(Exception):
-    """A watch asked for changes that the platform no longer keeps; list anew."""
+    """A watch asked for changes that the platform no longer keeps; list again."""
 
 
 class PlatformLost(Exception):
-    """A watch or call broke off."""
+    """A watch or call was cut off."""
 
 
 class Platform(Protocol):
@@ -90,13 +90,13 @@
     async def get(
         self, kind: str, name: str, may_be_old: bool = False
     ) -> Found | Missing | Unavailable:
-        """Read one object, as it was some seconds ago at worst where that will do.
+        """Read one object; with ``may_be_old`` it may be some seconds stale.
 
-        What may be old costs the platform a tenth, and it takes as many such calls as come.
+        Stale reads cost the platform a tenth as much, and it does not limit their number.
         """
 
     async def list(self, kind: str, may_be_old: bool = False) -> Listed | Unavailable:
-        """Read all objects of a kind, with the version they are as of; see get."""
+        """Read all objects of a kind and their version; see ``get`` for ``may_be_old``."""
 
     async def create(
         self, kind: str, name: str, value: Any
@@ -106,10 +106,10 @@
     async def update(
         self, kind: str, name: str, value: Any, version: Position
     ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
-        """Replace an object that must still have the given version."""
+        """Replace an object, whose current version must be the given one."""
 
     def watch(self, kind: str, since: int | None) -> AsyncIterator[WatchEvent]:
-        """Yield a bookmark, then changes after a version, or from now on where it is None.
+        """Yield a bookmark, then the changes after a version, or from now on if it is None.
 
         Raises TooOld or PlatformLost.
         """
--- a/pondhatch/store/_position.py
+++ b/pondhatch/store/_position.py
@@ -1,28 +1,28 @@
-"""A place in the store's history: how often it came back from an older copy, and its revision.
+"""Positions in the store's history: an era, which counts restores, and a revision.
 
-A store that comes back from a copy gives revisions out again, so a revision alone does not
-say which of two words is the newer. A position does, and is told between routers in the place
-of the revision: the era stands above the revision's bits in one whole number. So positions
-compare as numbers do, and where a platform tells no era they are its revisions, which routers
-of an earlier version of pondhatch know.
+A store that is restored from an older copy hands out the same revisions again, so a revision alone
+does not order two changes. A position does, and routers exchange it in place of the revision: an
+integer with the era in the bits above the revision. So positions compare as integers, and if a
+platform reports no era they equal its revisions, which is the form that routers of an earlier
+version of pondhatch understand.
 """
 
 from __future__ import annotations
 
 from typing import TypeAlias
 
-#: Ordered: the higher one is the newer.
+#: A higher position is newer.
 Position: TypeAlias = int
 
-#: Bits of a revision: at several hundred writes a second they last for eighty years. Eras take
-#: the bits above, up to 2**53, the largest whole number that every reader of JSON takes.
+#: Bits of a revision, which last for eighty years at several hundred writes a second. The era
+#: takes the bits above, up to 2**53, the range in which every JSON parser keeps integers exact.
 REVISION_BITS = 40
-#: The highest era that a position can hold; one beyond it is taken for none.
+#: The highest era that a position can hold; a higher one is treated as not reported.
 MAX_ERA = 2**13 - 1
-#: Seconds for which an era of the platform's store settles: who writes there has written itself
-#: again within two of its return, and what ended unseen lapses in three or four.
+#: Seconds until an era of the platform's store has settled: live writers renew their entries
+#: within two seconds of its return, and entries that ended unseen lapse in three or four.
 SETTLE_SECONDS = 3.0
-#: The era of a platform that tells none.
+#: The era of a platform that reports none.
 NO_ERA = 0
 
 
@@ -32,10 +32,10 @@
 
 
 def era_of(position: Position) -> int:
-    """Return how often the store had come back by then."""
+    """Return the era of a position: how often the store had been restored by then."""
     return position >> REVISION_BITS
 
 
 def revision_of(position: Position) -> int:
-    """Return the store's own number, which says nothing outside its era."""
+    """Return the store's own revision, which is meaningful only within its era."""
     return position & ((1 << REVISION_BITS) - 1)
--- a/pondhatch/store/_upstream_reader.py
+++ b/pondhatch/store/_upstream_reader.py
@@ -1,4 +1,4 @@
-"""Reading the platform's entries of upstreams; one that makes no sense hides no other."""
+"""Decoding of the platform's upstream entries, each independently of the others."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class UpstreamReader:
-    """Reads the platform's entries of upstreams; one that makes no sense hides no other."""
+    """Decodes the platform's upstream entries; an invalid one does not affect the others."""
 
     def __init__(self) -> None:
         self._reported = Once()
 
     def read_listing(self, listed: Listed) -> UpstreamUpdate:
-        """Return a platform listing as an update, without the entries that make no sense."""
+        """Return a platform listing as an update, with the names of its invalid entries apart."""
         found = [
             (each, self.read_upstream(each.name, each.version, each.value))
             for each in listed.objects
@@ -34,7 +34,7 @@
         )
 
     def read_upstream(self, name: str, version: int, value: Any) -> Upstream | None:
-        """Return an entry's upstream; None where it makes no sense, which is told once."""
+        """Return an entry's upstream; None if the entry is invalid, which is logged once."""
         try:
             found = _convert_upstream(name, value)
         except msgspec.ValidationError as error:
@@ -44,19 +44,19 @@
         if found.state == LIVE and not _has_address(found.url):
             if self._reported.is_first((name, version)):
                 log.error("Upstream {} takes no work, its address is none: {!r}.", name, found.url)
-            # Not left out: one that was there with an address must get no new work either.
+            # Not left out: an upstream known by an earlier address must get no new work either.
             return msgspec.structs.replace(found, url="", state=LEAVING)
         return found
 
 
 def _convert_upstream(name: str, value: Any) -> Upstream:
-    """Return an entry's upstream. Raises msgspec.ValidationError."""
+    """Return an entry's upstream. Raises msgspec.ValidationError if it does not decode."""
     try:
         return msgspec.convert(value, Upstream)
     except msgspec.ValidationError:
         if not _is_leaving(value):
             raise
-        # It must get no new work, whatever else of its entry cannot be read.
+        # A leaving upstream must get no new work, even if the rest of its entry is invalid.
         return Upstream(name, "", "", "", LEAVING)
 
 
--- a/pondhatch/store/_upstreams.py
+++ b/pondhatch/store/_upstreams.py
@@ -1,16 +1,16 @@
-"""The list of upstreams: as the platform lists them, relayed between routers.
-
-The list carries the platform's position, and each entry the position of its own
-change. A router takes an entry only if its position is higher than the one it
-holds, so that a stale watcher or peer never brings back an older state.
-
-A platform that comes back from an older copy begins an era, and its positions are above all
-that were before. What it then shows of an upstream is older than what is known: one that had
-left since the copy stands in it as if it took work, and one that had come does not stand in
-it until it has written itself again. So while an era settles, nothing that was known to leave
-or gone is taken back, nothing is taken for gone that only does not stand there, and what
-upstreams do from then on counts as ever. Once it has settled, what nobody has written or shown in
-this era is gone.
+"""The list of upstreams, as read from the platform and relayed between routers.
+
+The list carries the platform's position, and each entry the position of its own change. A router
+applies an entry only if its position is higher than that of the known one, so a stale watch or
+peer never restores an older state.
+
+A platform that is restored from an older copy begins a new era, whose positions are above all
+earlier ones, although its content is older than what routers know: upstreams that have left since
+the copy are listed as live, and upstreams that have joined since are missing until they write
+their entries again. So while an era settles, an upstream known to be leaving or removed is not
+revived, and one that is only missing from a listing is not removed; writes made in the new era
+apply as usual. Once the era has settled, upstreams that were neither written nor listed in it are
+removed.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 LEAVING = "leaving"
 REMOVED = "removed"
 
-#: Removed entries kept so that peers that are behind learn of the removal.
+#: Number of removed entries kept so that peers that are behind learn of the removal.
 MAX_REMOVED = 2048
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """A back end: a model engine or an instance of a plain service."""
+    """A model engine or an instance of a plain service."""
 
     name: str
     service: str
@@ -38,30 +38,29 @@
     url: str
     hall: str
     state: str = LIVE
-    #: Whether it can resume a broken stream from a position.
+    #: Whether it can resume a broken stream from a position in it.
     resumes: bool = False
-    #: Whether it refuses an order with an old fencing number.
+    #: Whether it refuses an order with an outdated fencing number.
     checks_fencing: bool = False
-    #: Requests that it can take at once; 0 where its service says so.
+    #: Requests that it can run at once; 0 if its service's setting applies.
     slots: int = 0
-    #: When it started, in milliseconds since 1970; 0 where nobody says.
+    #: When it started, in milliseconds since 1970; 0 if unknown.
     start: int = 0
-    #: For how many seconds it was still cold when it said so.
+    #: Seconds of its cold period that remained when it reported them.
     cold_seconds: float = 0.0
-    #: The id that it answers to, which an earlier start of it had as well; empty where its name
-    #: is that.
+    #: The id by which it is addressed, the same for all its starts; empty if that is its name.
     instance: str = ""
 
     @property
     def id(self) -> str:
-        """The id that it answers to."""
+        """The id by which it is addressed, the same for all its starts."""
         return self.instance or self.name
 
     def named_by_start(self) -> Upstream:
-        """Return it under a name that no other start of it has.
+        """Return it under a name that is unique to this start.
 
-        All that routers take to be so of an upstream they keep by its name: what it holds, how
-        well it is, what runs there. So none of that is ever looked up for another start.
+        Routers key all state of an upstream by its name: its cached contexts, its health, its
+        running requests. So the state of one start is never used for another.
         """
         if not self.start or self.instance:
             return self
@@ -70,7 +69,7 @@
         )
 
     def as_listed(self) -> Upstream:
-        """Return it as the platform lists it, under its id."""
+        """Return it under its id, as the platform lists it."""
         return msgspec.structs.replace(self, name=self.id, instance="")
 
 
@@ -84,38 +83,38 @@
 class UpstreamUpdate(msgspec.Struct, frozen=True):
     """Entries for a router that is behind."""
 
-    #: Version of the list once the entries are taken in.
+    #: Version of the list once the entries are applied.
     version: int
     entries: tuple[UpstreamEntry, ...]
-    #: Whether the entries are all there are.
+    #: Whether the entries are the complete list.
     whole: bool
-    #: Names that are listed with entries that make no sense: not gone, but not news either.
+    #: Names listed with entries that do not decode: not removed, but without a new state.
     left_out: frozenset[str] = frozenset()
-    #: Seconds for which the router that sends it has known a list; 0 from the platform.
+    #: Seconds for which the sending router has known a list; 0 if the platform sent it.
     known_for: float = 0.0
-    #: Seconds since upstreams joined, by the names of those that did so lately.
+    #: Seconds since each upstream joined, by name, for those that joined recently.
     age_by_name: dict[str, float] = {}
 
 
 class UpstreamList(msgspec.Struct):
-    """All upstreams known to a router."""
+    """All upstreams that a router knows."""
 
     version: Position = 0
     entry_by_name: dict[str, UpstreamEntry] = msgspec.field(default_factory=dict)
     #: Version below which removed entries may be missing.
     complete_since: Position = 0
-    #: The name of the newest start of each upstream, by its id.
+    #: Name of each upstream's newest start, by id.
     _name_by_id: dict[str, str] = msgspec.field(default_factory=dict)
 
     def upstream(self, name: str) -> Upstream | None:
-        """Return an upstream that was not removed, or None."""
+        """Return an upstream by name; None if it is unknown or removed."""
         entry = self.entry_by_name.get(name)
         if entry is None or entry.upstream.state == REMOVED:
             return None
         return entry.upstream
 
     def of_service(self, service: str) -> tuple[Upstream, ...]:
-        """Return the service's upstreams that take new work, by name."""
+        """Return the service's live upstreams, which take new work, sorted by name."""
         found = [
             entry.upstream
             for entry in self.entry_by_name.values()
@@ -124,7 +123,7 @@
         return tuple(sorted(found, key=lambda upstream: upstream.name))
 
     def set(self, upstream: Upstream, version: int) -> bool:
-        """Take in one entry; return whether it was news."""
+        """Apply one entry; return whether it was newer than the known one."""
         changed = self._set(upstream, version)
         if changed:
             self._drop_oldest_removed()
@@ -143,16 +142,17 @@
         return True
 
     def _with_known_start(self, upstream: Upstream) -> Upstream:
-        """Return one that leaves, and of which nobody says when it started, as it was known."""
+        """Return an upstream with its known start time if it is leaving and states none."""
         known = self.newest_start(upstream.id)
         if upstream.start or upstream.state != LEAVING or known is None:
             return upstream
         return msgspec.structs.replace(upstream, start=known.upstream.start)
 
     def _supersede(self, upstream: Upstream, version: int) -> bool:
-        """End another start of an upstream; return False where that one is the newer.
+        """Mark an older start of an upstream as removed; return False if that start is newer.
 
-        The platform's version decides: clocks of upstreams may step back.
+        The platform's version decides which start is newer, since clocks of upstreams may step
+        back.
         """
         name = self._name_by_id.get(upstream.id, upstream.name)
         other = self.entry_by_name.get(name)
@@ -165,11 +165,11 @@
         return True
 
     def newest_start(self, upstream_id: str) -> UpstreamEntry | None:
-        """Return the newest start of an upstream, None where none was ever listed."""
+        """Return the newest start of an upstream; None if it was never listed."""
         return self.entry_by_name.get(self._name_by_id.get(upstream_id, ""))
 
     def remove(self, upstream_id: str, version: int) -> bool:
-        """Note that the platform no longer lists an upstream."""
+        """Mark an upstream that the platform no longer lists as removed."""
         known = self.newest_start(upstream_id)
         if known is None:
             self.advance_to(version)
@@ -177,9 +177,9 @@
         return self.set(msgspec.structs.replace(known.upstream, state=REMOVED), version)
 
     def mark_unreadable(self, upstream_id: str, version: int) -> bool:
-        """Note that what the platform lists of an upstream names none: it gets nothing new.
+        """Mark an upstream whose entry does not decode as leaving, so that it gets no new work.
 
-        What runs there goes on.
+        Requests that run there go on.
         """
         known = self.newest_start(upstream_id)
         if known is None or known.upstream.state == REMOVED:
@@ -188,13 +188,13 @@
         return self._set(msgspec.structs.replace(known.upstream, state=LEAVING), version)
 
     def advance_to(self, version: int) -> None:
-        """Note that nothing changed up to a version."""
+        """Advance the list's version without a change."""
         self.version = max(self.version, version)
 
     def update_since(self, version: int) -> UpstreamUpdate:
-        """Return what a router at a version lacks."""
+        """Return the entries that a router at a version lacks."""
         whole = version < self.complete_since
-        # Who takes a start in ends the one before it.
+        # The newest starts suffice: applying one marks the start before it as removed.
         newest = map(self.entry_by_name.__getitem__, self._name_by_id.values())
         entries = tuple(
             UpstreamEntry(entry.upstream.as_listed(), entry.version)
@@ -204,9 +204,9 @@
         return UpstreamUpdate(self.version, entries, whole)
 
     def apply_update(self, update: UpstreamUpdate, is_settling: bool = False) -> bool:
-        """Take in a peer's or a listing's entries; return whether any was news.
+        """Apply the entries of a peer or a listing; return whether anything changed.
 
-        ``is_settling`` says that the era of what is taken in has begun just now.
+        ``is_settling`` says that the era of the update has not settled yet.
         """
         changed = False
         newer = update.version > self.version
@@ -218,14 +218,14 @@
             changed = self.mark_unreadable(upstream_id, update.version) or changed
         if update.whole and newer and not is_settling:
             changed = self._remove_unlisted(update) or changed
-        # Once for all of them: it goes through the whole list, and with 2,100 entries, one by
-        # one, nothing else ran for 0.15 s.
+        # Once for all entries, since it scans the whole list: called for each of 2,100 entries,
+        # it blocked the event loop for 0.15 s.
         self._drop_oldest_removed()
         self.advance_to(update.version)
         return changed
 
     def _would_revive(self, entry: UpstreamEntry) -> bool:
-        """Return whether an entry shows a start as taking work that is known to leave or gone."""
+        """Return whether an entry lists a start as live that is known as leaving or removed."""
         known = self.entry_by_name.get(self._with_known_start(entry.upstream).named_by_start().name)
         if known is None or entry.upstream.state != LIVE:
             return False
@@ -233,7 +233,7 @@
         return known.upstream.state != LIVE and not is_of_era
 
     def settle(self) -> bool:
-        """Take for gone what nobody has written or shown in this era; return whether any was."""
+        """Remove upstreams neither written nor listed in this era; return whether any were."""
         era = era_of(self.version)
         unconfirmed = [
             self.entry_by_name[name].upstream
--- a/pondhatch/store/tests/test_eras.py
+++ b/pondhatch/store/tests/test_eras.py
@@ -1,4 +1,7 @@
-"""A platform that comes back from an older copy gives its revisions out again."""
+"""Guards against stale entries after a platform is restored from an older copy.
+
+The restored platform hands out the same revisions again, and lists upstreams as of the copy.
+"""
 
 from __future__ import annotations
 
--- a/pondhatch/store/tests/test_evacuations.py
+++ b/pondhatch/store/tests/test_evacuations.py
@@ -1,4 +1,7 @@
-"""Which halls are evacuated, through listings, watches, peers and eras in any order."""
+"""Guards against lost or revived evacuations.
+
+Listings, watch events and updates of peers may arrive in any order, across eras of the store.
+"""
 
 from __future__ import annotations
 
@@ -85,7 +88,7 @@
         self.known.apply_listing(listed(20), 0.0)
         self.known.apply_update(EvacuationUpdate({"h1": HallEvacuation(True, 10)}), 0.0)
         self.assertEqual(self.known.halls, frozenset())
-        # And the peer learns that it is over.
+        # The peer learns in turn that it has ended.
         behind = Evacuations()
         behind.apply_update(EvacuationUpdate({"h1": HallEvacuation(True, 10)}), 0.0)
         self.assertGreater(self.known.version, behind.version)
--- a/pondhatch/store/tests/test_starts.py
+++ b/pondhatch/store/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""An upstream that starts again under its id: nothing known of the earlier start is used for it."""
+"""Guards against using the state of an earlier start for an upstream that restarts under its id."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def value(name: str, start: int, state: str = LIVE) -> dict[str, Any]:
-    """Return an entry as the adapter gives it."""
+    """Return an entry's value as the platform's adapter returns it."""
     upstream = Upstream(name, "lang", "http://10.0.0.1:80", "h1", state, slots=8, start=start)
     return dict(msgspec.to_builtins(upstream))
 
@@ -167,7 +167,7 @@
     def test_updates_in_any_order_converge_on_the_same_starts(
         self, steps: list[tuple[str, int, str]], rng: Any
     ) -> None:
-        """Each router takes in parts of what the others hold, in any order and twice."""
+        """The peer applies partial updates of the watcher in any order, each of them twice."""
         watcher = UpstreamList()
         updates = []
         for at, (name, start, state) in enumerate(steps):
