--- a/pondhatch/kernel/_loop.py
+++ b/pondhatch/kernel/_loop.py
@@ -66,7 +66,7 @@
         error = None if task.cancelled() else task.exception()
         if error is not None:
             name = getattr(task.get_coro(), "__qualname__", task.get_name())
-            log.opt(exception=error).error("Task {} ended in an error: {!r}.", name, error)
+            log.opt(exception=error).error("Task {} failed: {!r}.", name, error)
 
     def cancel_all(self) -> None:
         """Cancel all tasks that are still running."""
--- a/pondhatch/store/_upstream_reader.py
+++ b/pondhatch/store/_upstream_reader.py
@@ -39,11 +39,13 @@
             found = _convert_upstream(name, value)
         except msgspec.ValidationError as error:
             if self._reported.is_first((name, version)):
-                log.error("Upstream {} is left out: {}.", name, error)
+                log.error("Upstream {} is ignored, its entry is invalid: {}.", name, error)
             return None
         if found.state == LIVE and not _has_address(found.url):
             if self._reported.is_first((name, version)):
-                log.error("Upstream {} takes no work, its address is none: {!r}.", name, found.url)
+                log.error(
+                    "Upstream {} gets no new work, its address is invalid: {!r}.", name, found.url
+                )
             # Not left out: an upstream known by an earlier address must get no new work either.
             return msgspec.structs.replace(found, url="", state=LEAVING)
         return found
