--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -122,7 +122,7 @@
     #: What each engine's refusal said, by request and engine.
     refusals: dict[tuple[str, str], EngineRefusal] = field(default_factory=dict)
     #: Requests refused while an engine that might still run them had a place.
-    refused_despite_free_place: list[str] = field(default_factory=list)
+    refused_despite_free_slot: list[str] = field(default_factory=list)
     outcome_by_request: dict[str, object] = field(default_factory=dict)
     text_by_request: dict[str, bytes] = field(default_factory=dict)
     #: When each caller that gave up left, in the loop's seconds.
@@ -224,7 +224,7 @@
     ) -> None:
         self._loads = loads
         #: Requests that an engine really runs at once, where that is less than its owner knows.
-        self.places: dict[str, int] = {}
+        self.slots: dict[str, int] = {}
         #: The start that runs now of each engine that started again, by its id. Who asks for an
         #: earlier one reaches this, for it answers to the same id at the same address.
         self.start_by_id: dict[str, str] = {}
@@ -248,7 +248,7 @@
         engine = self.start_by_id.get(id_of(target.name), target.name)
         if engine in self.resting:
             fault = EngineRefusal.OVERLOADED
-        elif not self.has_place(engine):
+        elif not self.has_free_slot(engine):
             fault = EngineRefusal.FULL
         if isinstance(fault, EngineRefusal):
             self._history.refusals[request, target.name] = fault
@@ -297,9 +297,9 @@
             stream.break_off()
         self.start_by_id[id_of(engine)] = start
 
-    def has_place(self, engine: str) -> bool:
+    def has_free_slot(self, engine: str) -> bool:
         """Return whether an engine can run one more request now."""
-        return self._loads.running[engine] < self.places.get(engine, math.inf)
+        return self._loads.running[engine] < self.slots.get(engine, math.inf)
 
 
 class Network:
@@ -646,7 +646,7 @@
         try:
             reply = await dispatch.run()
             if not isinstance(reply, Placed):
-                self._record_free_places(request, dispatch, reply.refusal)
+                self._record_free_slots(request, dispatch, reply.refusal)
         finally:
             # Those behind it in a line are served a moment after it has left.
             asyncio.get_running_loop().call_later(
@@ -662,7 +662,7 @@
         delivered = await Delivery(dispatch, reply, Sink(record_text)).run()
         self.history.outcome_by_request[request] = delivered.outcome
 
-    def _record_free_places(
+    def _record_free_slots(
         self, request: str, dispatch: RecordingDispatch, refusal: NotRun | Unknown
     ) -> None:
         """Note whether an engine that might run a request had a place as it was refused."""
@@ -675,7 +675,7 @@
         for engine in self.engines:
             if self._may_be_sent(request, engine) and self._would_be_granted(engine, dispatch):
                 violation = f"{request} was refused as {refusal.code} while {engine} had a place"
-                self.history.refused_despite_free_place.append(violation)
+                self.history.refused_despite_free_slot.append(violation)
 
     def _may_be_sent(self, request: str, engine: str) -> bool:
         """Return whether a request may go to an engine, and was not refused for its own sake."""
@@ -688,7 +688,7 @@
         """Return whether an engine has a place that its owner would grant by what it was told."""
         owner = self.routers[winner(engine, self.live) or ""]
         known = owner.health.health_by_upstream.get(engine)
-        if not self.upstreams.has_place(engine) or (known and known.is_taken_for_down):
+        if not self.upstreams.has_free_slot(engine) or (known and known.is_taken_for_down):
             return False
         # A line is served in order: one that knows of less work elsewhere, and so of a lower
         # ceiling, holds up those behind it.
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -102,11 +102,11 @@
         st.integers(0, 3),
         st.booleans(),
     )
-    def test_no_request_is_refused_while_a_place_is_free_for_it(
+    def test_no_request_is_refused_while_a_slot_is_free_for_it(
         self,
         requests: list[tuple[bool, bool, float]],
         refusals: list[str],
-        places: list[int],
+        slots: list[int],
         most_tries: int,
         same_chat: bool,
     ) -> None:
@@ -115,7 +115,7 @@
         async def history() -> list[str]:
             fleet = Fleet(refusals, [], False)
             fleet.same_chat, fleet.most_tries = same_chat, most_tries
-            fleet.upstreams.places = dict(zip(fleet.engines, places, strict=True))
+            fleet.upstreams.slots = dict(zip(fleet.engines, slots, strict=True))
 
             await asyncio.gather(
                 *(fleet.request_later(at, *request) for at, request in enumerate(requests))
@@ -123,7 +123,7 @@
             await asyncio.sleep(2 * LEASE_SECONDS)
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
             found = violations(fleet, repeatable)
-            return found + fleet.history.refused_despite_free_place
+            return found + fleet.history.refused_despite_free_slot
 
         self.assertEqual(run_virtually(history()), [])
 
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -40,7 +40,7 @@
 from pondhatch.requests.tests._history import FakeStream, Fleet, RouterView, Sink
 
 #: Places of a plain upstream, and the seconds in which a request runs there.
-PLACES = 6
+SLOTS = 6
 RUN_SECONDS = (0.015, 0.022)
 #: Seconds for which callers wait, and within which an answer is in time.
 CALLER_TIMEOUT = 1.05
@@ -57,7 +57,7 @@
 
     def target(self, engine: str) -> Target | None:
         known = super().target(engine)
-        return replace(known, bound=1.7, slack=3, slots=PLACES) if known else None
+        return replace(known, bound=1.7, slack=3, slots=SLOTS) if known else None
 
 
 class PlainUpstreams:
@@ -157,7 +157,7 @@
 
         service = run_virtually(main())
         self.assertEqual(set(service.outcomes), {"whole"}, service.outcomes)
-        self.assertLessEqual(service.upstreams.most, PLACES)
+        self.assertLessEqual(service.upstreams.most, SLOTS)
         self.assertFalse(any(service.left_over()))
 
     def test_a_long_overload_does_not_make_every_request_late(self) -> None:
@@ -178,7 +178,7 @@
         self.assertGreater(len(service.seconds), 1600)
         self.assertLess(service.outcomes["in-vain"], 0.1 * service.outcomes["refused"])
         self.assertLess(service.outcomes["too late"], 0.01 * len(service.seconds))
-        self.assertLessEqual(service.upstreams.most, PLACES)
+        self.assertLessEqual(service.upstreams.most, SLOTS)
         predicted = [after for after in service.retry_after if after != FULL_RETRY_AFTER]
         self.assertGreater(len(set(predicted)), 0.3 * len(predicted))
         self.assertLessEqual(max(predicted), LONGEST_RETRY_AFTER)
@@ -234,12 +234,12 @@
         async def main() -> list[str]:
             with mock.patch("pondhatch.requests.tests._history.RouterView", ManagedView):
                 fleet = Fleet([EngineRefusal.LEAVING], [], False)
-            fleet.upstreams.places = dict.fromkeys(fleet.engines, 1)
+            fleet.upstreams.slots = dict.fromkeys(fleet.engines, 1)
             after = (0.0, 0.25, 0.25, 0.25)
             await asyncio.gather(
                 *(fleet.request_later(at, False, False, each) for at, each in enumerate(after))
             )
-            return fleet.history.refused_despite_free_place
+            return fleet.history.refused_despite_free_slot
 
         self.assertEqual(run_virtually(main()), [])
 
@@ -256,7 +256,7 @@
             dying = fleet.routers["r0"].view.owner_name("e0") or ""
             service.entries = tuple(name for name in fleet.names if name != dying)
             sending = asyncio.ensure_future(service.send_bursts(100.0, 4.0, 40))
-            while fleet.routers[dying].owner._lines.waiting("e0") < 2 * PLACES:
+            while fleet.routers[dying].owner._lines.waiting("e0") < 2 * SLOTS:
                 await asyncio.sleep(0.01)
             fleet.network.silent.add(dying)
             await sending
