--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -1,4 +1,8 @@
-"""A few routers and upstreams at the interfaces, and the history of what they did."""
+"""A simulated fleet of routers and upstreams, and a record of what upstreams ran and callers got.
+
+The code that serves runs unchanged; upstreams and the packets between routers are simulated, with
+faults from a script.
+"""
 
 from __future__ import annotations
 
@@ -70,16 +74,16 @@
 from pondhatch.requests._sending import FAILURE_STATUS
 
 EVENTS = 5
-#: The service's set multiple of the mean.
+#: The service's load bound: an engine's ceiling as a multiple of the mean load.
 BOUND = 1.5
 SAME_CHAT = 7
 STREAM: Headers = (("Content-Type", "text/event-stream"),)
-#: What a cold engine bears beside its pace.
+#: How much a cold engine tolerates beyond its pace.
 COLD_ALLOWANCE = ColdAllowance(overshoot=1.5, slack=5.0)
-#: An upstream answers with a failure of its own.
+#: The fault that an upstream answers with a failure status of its own.
 FAILED = "failed"
 FAILED_ANSWER = b"failed"
-#: What may befall one try at an upstream.
+#: Faults of one attempt at an upstream.
 UPSTREAM_FAULTS = (
     "none",
     *EngineRefusal,
@@ -92,60 +96,60 @@
     "slow",
     FAILED,
 )
-#: Refusals by which an engine says that it has nothing for a request, places or not.
+#: Refusals that do not depend on whether the engine has a free slot.
 PERMANENT_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
-#: Seconds for which a place must have been free for a walk to know of it: it asks engines one
-#: after the other, each question and its word take 0.01 s and a refused send as long.
+#: Seconds for which a slot must have been free for a dispatch to know of it: it asks engines one
+#: after the other, and each grant request, its reply and a refused send take 0.01 s each.
 PROPAGATION_SECONDS = 0.1
-#: What may befall one packet between routers.
+#: Faults of one packet between routers.
 PACKET_FAULTS = ("none", "lost", "late", "very-late", "twice")
-#: Seconds by which a late packet is behind; the last is longer than an owner is waited for.
+#: Additional delay in seconds; the last is longer than the wait for an owner's reply.
 DELAY_BY_FAULT = {"late": 0.15, "very-late": 2.0}
 
 
 def answer_of(request: str) -> bytes:
-    """Return the whole answer to a request."""
+    """Return the complete answer to a request."""
     events = [f"data: {request} {at}\n\n" for at in range(EVENTS)]
     return ("".join(events) + "data: [DONE]\n\n").encode()
 
 
 @dataclass
 class History:
-    """What upstreams ran and what callers got."""
+    """Record of what upstreams ran and what callers got."""
 
     runs: Counter[str] = field(default_factory=Counter)
     sends_to_leaving: int = 0
-    #: Each time that a request was sent to an engine, in order.
+    #: (request, engine id) of each send, in order.
     sends: list[tuple[str, str]] = field(default_factory=list)
-    #: When each of these was, in the loop's seconds.
+    #: Time of each of these sends, in the loop's seconds.
     sent_at: list[float] = field(default_factory=list)
-    #: What each engine's refusal said, by request and engine.
+    #: Reason of each refusal, by request and engine.
     refusals: dict[tuple[str, str], EngineRefusal] = field(default_factory=dict)
-    #: Requests refused while an engine that might still run them had a place.
+    #: Requests that were refused while an engine that could still run them had a free slot.
     refused_despite_free_slot: list[str] = field(default_factory=list)
     outcome_by_request: dict[str, object] = field(default_factory=dict)
     text_by_request: dict[str, bytes] = field(default_factory=dict)
-    #: When each caller that gave up left, in the loop's seconds.
+    #: When the caller of each abandoned request left, in the loop's seconds.
     left_at: dict[str, float] = field(default_factory=dict)
-    #: When each last reached an upstream, and was last at work there.
+    #: When each request last reached an upstream, and when an upstream last worked on it.
     reached_at: dict[str, float] = field(default_factory=dict)
     worked_until: dict[str, float] = field(default_factory=dict)
 
 
 class EngineLoads:
-    """What really runs at each engine, against the ceiling at the time of each start.
+    """Numbers of requests that actually run at engines, compared with the ceiling at each start.
 
-    A request counts into its service's total from its grant on, which is some
-    packets before it runs.
+    A request counts towards its service's total from its grant on, which is some packets before
+    it runs.
     """
 
-    #: Seconds for which a walk's knowledge of other engines may be behind.
+    #: Seconds by which a dispatch's knowledge of other engines may be out of date.
     TOTALS_WINDOW = 2.0
 
     def __init__(self, engines: int, count_granted: Callable[[], int]) -> None:
         self._count_granted = count_granted
         self.running: Counter[str] = Counter()
-        #: Largest share of the ceiling that a start came to.
+        #: Largest ratio of an engine's load to its ceiling at the start of a request.
         self.peak_share = 0.0
         self._engines = engines
         self._total_by_time: list[tuple[float, int]] = []
@@ -154,12 +158,12 @@
         now = asyncio.get_running_loop().time()
         self.running[engine] += 1
         totals = [total for at, total in self._total_by_time if at >= now - self.TOTALS_WINDOW]
-        # The newest total counts this request itself, which its ceiling must not.
+        # The newest total includes this request itself, which its ceiling must not count.
         ceiling = admission_ceiling(BOUND, max([*totals[:-1], totals[-1] - 1]), self._engines)
         self.peak_share = max(self.peak_share, self.running[engine] / ceiling)
 
     def record_total(self) -> None:
-        """Note the total after each grant."""
+        """Record the total of grants; called after each grant."""
         self._total_by_time.append((asyncio.get_running_loop().time(), self._count_granted()))
 
     def end(self, engine: str) -> None:
@@ -167,7 +171,7 @@
 
 
 class FaultScript:
-    """Faults in the order in which they strike; none once it is used up."""
+    """Faults in the order in which they occur; "none" once all are used up."""
 
     def __init__(self, faults: list[str]) -> None:
         self._faults = list(faults)
@@ -177,7 +181,7 @@
 
 
 class FakeStream:
-    """An answer that may be cut."""
+    """An answer that may be slow, or cut off at a byte position."""
 
     def __init__(
         self, content: bytes, cut_at: int | None, slow: bool, on_end: Callable[[], None]
@@ -191,11 +195,11 @@
         self._position = 0
 
     def break_off(self) -> None:
-        """End it here: its engine is gone."""
+        """Cut the answer off at the current position, as its engine has ended."""
         self._cut_at = self._position
 
     async def pour(self, sink: PartSink) -> None:
-        # Nobody but its reader cancels it, as with a connection to a real one.
+        # Only the reader cancels it, as with the connection to a real upstream.
         while part := await self._part():
             if not sink.write(part):
                 await sink.ready()
@@ -217,18 +221,18 @@
 
 
 class FakeUpstreams:
-    """Upstreams that run, refuse, lose and cut as the script says."""
+    """Upstreams that run, refuse, lose and cut requests according to a script."""
 
     def __init__(
         self, history: History, script: FaultScript, leaving: set[str], loads: EngineLoads
     ) -> None:
         self._loads = loads
-        #: Requests that an engine really runs at once, where that is less than its owner knows.
+        #: Requests that an engine actually runs at once, if fewer than its owner believes.
         self.slots: dict[str, int] = {}
-        #: The start that runs now of each engine that started again, by its id. Who asks for an
-        #: earlier one reaches this, for it answers to the same id at the same address.
+        #: Name of the current start of each restarted engine, by id. Sends to an earlier start
+        #: reach this one, since it has the same id and address.
         self.start_by_id: dict[str, str] = {}
-        #: Engines that turn away what comes now.
+        #: Engines that currently refuse all requests.
         self.resting: set[str] = set()
         self._streams_by_engine: dict[str, list[FakeStream]] = {}
         self._history = history
@@ -285,14 +289,14 @@
         return Opened(stream)
 
     def _failure(self, engine: str) -> FakeStream:
-        """Return an answer that says that an upstream failed."""
+        """Return an answer with the status of a failure of the upstream."""
         self._loads.start(engine)
         failure = FakeStream(FAILED_ANSWER, None, False, lambda: self._loads.end(engine))
         failure.status, failure.headers = FAILURE_STATUS, ()
         return failure
 
     def restart(self, engine: str, start: str) -> None:
-        """Break off what runs at an engine; from now on another start answers in its place."""
+        """Cut off everything that runs at an engine and replace it by another start."""
         for stream in self._streams_by_engine.pop(engine, []):
             stream.break_off()
         self.start_by_id[id_of(engine)] = start
@@ -303,13 +307,13 @@
 
 
 class Network:
-    """Carries packets between routers, as the script says."""
+    """Carries packets between routers, with faults from a script."""
 
     def __init__(self, script: FaultScript) -> None:
         self._script = script
         self.take_by_name: dict[str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]]
         self.take_by_name = {}
-        #: Routers that are frozen or gone.
+        #: Routers that neither send nor receive packets, as they are frozen or gone.
         self.silent: set[str] = set()
 
     def send(self, sender: str, to: str, packet: GrantPacket) -> None:
@@ -323,13 +327,13 @@
     def _deliver(self, sender: str, to: str, payload: bytes) -> None:
         packet = decode_grant_packet(payload)
         if packet is None:
-            raise AssertionError("a packet that does not parse")
+            raise AssertionError("a packet does not decode")
         if not {sender, to} & self.silent:
             self.take_by_name[to](packet, lambda reply: self.send(to, sender, reply))
 
 
 class Sink:
-    """What a caller got."""
+    """Records what a caller received; is ready for more after every other write."""
 
     def __init__(self, record: Callable[[bytes], None]) -> None:
         self._received = bytearray()
@@ -345,10 +349,10 @@
 
 
 class RecordingGate(Gate):
-    """A gate whose grants are noted."""
+    """A gate that reports its grants and records its releases."""
 
     on_grant: Callable[[], None] = lambda: None
-    #: When a grant at an engine was last given back.
+    #: When a grant was last released, by engine.
     freed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
@@ -361,32 +365,32 @@
         self.freed_at[engine] = asyncio.get_running_loop().time()
 
     def has_room(self, engine: str, others: int, engines: int) -> bool:
-        """Return whether it would grant one request more, and would have for a while."""
+        """Return whether it would grant another request, and could for PROPAGATION_SECONDS."""
         now = asyncio.get_running_loop().time()
         if now - self.freed_at.get(engine, -math.inf) < PROPAGATION_SECONDS:
             return False
-        # A copy, since a gate counts what it grants.
+        # Asks a copy, since a gate counts its grants.
         verdict = Gate(dict(self.by_engine)).ask(engine, now, BOUND, others, engines, 8)
         return isinstance(verdict, Granted)
 
 
 class RouterView:
-    """One router's view; routers may differ on who owns an engine."""
+    """One router's view of the fleet; routers may disagree on which router owns an engine."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self._fleet = fleet
         self._name = name
         self.claims_all_engines = False
-        #: What engines said to this router of themselves.
+        #: Notices that this router received from engines.
         self.notices = Notices()
-        #: The router that all engines moved to, where they did.
+        #: The router that owns all engines, if ownership was moved.
         self.owner_override: str | None = None
-        #: The starts that this router knows of; None where it knows them all.
+        #: Names of the engine starts that this router knows; None if it knows the current ones.
         self.known_engines: tuple[str, ...] | None = None
 
     @property
     def engines(self) -> tuple[str, ...]:
-        """The engines that this router takes to be there."""
+        """The engines that this router takes to exist."""
         return self._fleet.engines if self.known_engines is None else self.known_engines
 
     def target(self, engine: str) -> Target | None:
@@ -396,7 +400,7 @@
         return Target(engine, "", intake, BOUND, len(self._fleet.engines), 8)
 
     def note_served(self, chat: int, engine: str) -> None:
-        """Remember nothing."""
+        """Do nothing."""
 
     def last_served(self, chat: int) -> str | None:
         return None
@@ -425,14 +429,14 @@
         return name in self._fleet.live
 
     def unreachable(self, name: str) -> None:
-        """Do nothing: the walk goes on."""
+        """Do nothing; the dispatch goes on."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
         closed = {e: self._intake(e).closed_to(regions) for e in self.engines}
         return tuple(e for e in self.engines if closed[e] in (None, Closed.RESTING))
 
     def _intake(self, engine: str) -> Intake:
-        """Return what an engine takes, by what it said to this router as well."""
+        """Return an engine's intake, including the notices that this router received."""
         intake, now = self._fleet.intake_of(engine), asyncio.get_running_loop().time()
         if self.notices.is_leaving(engine, now):
             intake = msgspec.structs.replace(intake, is_live=False)
@@ -448,7 +452,7 @@
 
 
 class Router:
-    """One router's side of grants."""
+    """One router's grants, as an owner and as an entry router."""
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         clock = asyncio.get_running_loop().time
@@ -480,14 +484,14 @@
 
 
 class NoticeRecordingUpstreams:
-    """One router's connections: they go by what engines say of themselves, and take it in."""
+    """One router's connections, which obey and record the notices that engines send in answers."""
 
     def __init__(self, router: Router, fleet: Fleet) -> None:
         self._router = router
         self._fleet = fleet
-        #: Each time that a request was sent to an engine.
+        #: (engine, time) of each send.
         self.sends: list[tuple[str, float]] = []
-        #: Each notice that was heard of an engine, and when.
+        #: (engine, notice, time of receipt) of each notice.
         self.notices_received: list[tuple[str, Notice, float]] = []
 
     async def send(
@@ -513,11 +517,11 @@
 
 
 class RecordingDispatch(Walk):
-    """A walk whose questions are noted."""
+    """A dispatch that records the load elsewhere that its grant requests state."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        #: Work elsewhere that the last question about each engine told of.
+        #: Load at other engines as stated in the last grant request, by engine.
         self.seen_elsewhere_by_engine: dict[str, int] = {}
 
     def _question(self, engine: str, *args: Any, **kwargs: Any) -> Question:
@@ -527,7 +531,7 @@
 
 
 class Fleet:
-    """Three routers before three engines."""
+    """Three routers in front of three engines."""
 
     def __init__(self, upstream_faults: list[str], packet_faults: list[str], resumes: bool) -> None:
         self.names = ("r0", "r1", "r2")
@@ -536,20 +540,20 @@
         self.history = History()
         self.network = Network(FaultScript(packet_faults))
         self.known_leaving: set[str] = set()
-        #: What single engines take, where it is not all that comes.
+        #: Intake of engines that do not take everything.
         self.intake_by_engine: dict[str, Intake] = {}
         self.loads = EngineLoads(len(self.engines), self.total_granted)
         #: Whether all requests belong to one chat, and so to one home engine.
         self.same_chat = False
-        #: Engines that a request may be sent to at most; 0 sets no limit.
+        #: Largest number of engines that a request may be sent to; 0 for no limit.
         self.most_tries = 0
-        #: Walks of requests that have no answer yet, or got it a moment ago.
+        #: Dispatches of requests without an answer, or with one since PROPAGATION_SECONDS.
         self._dispatches: list[RecordingDispatch] = []
         script = FaultScript(upstream_faults)
         self.upstreams = FakeUpstreams(self.history, script, self.known_leaving, self.loads)
-        #: What single engines' answers say of them, and when that begins and ends.
+        #: Notices in engines' answers: (engine, notice, first time, end time).
         self.notices: list[tuple[str, Notice, float, float]] = []
-        #: Seconds that a connection to an engine takes.
+        #: Seconds that it takes to connect to an engine.
         self.connect_seconds = 0.0
         self.routers = {name: Router(name, self) for name in self.names}
         self.connections_by_router = {
@@ -560,7 +564,7 @@
         }
 
     def restart_engine(self, index: int, start: int) -> None:
-        """Have an engine start again under its id; no router knows of that yet."""
+        """Restart an engine under its id; no router knows of the new start yet."""
         before = self.engines[index]
         name = name_of_start(id_of(before), start)
         for router in self.routers.values():
@@ -569,17 +573,17 @@
         self.upstreams.restart(before, name)
 
     def learn_starts(self, router: str) -> None:
-        """Have a router learn which starts there are now."""
+        """Make a router learn the current starts of all engines."""
         self.routers[router].view.known_engines = self.engines
 
     def intake_of(self, engine: str) -> Intake:
-        """Return what an engine takes, as every router knows it."""
+        """Return an engine's intake as known to every router."""
         if engine in self.known_leaving:
             return CLOSING
         return self.intake_by_engine.get(engine, OPEN)
 
     def notice_of(self, engine: str) -> Notice:
-        """Return what an engine's answers say of it now; one that asks for rest runs nothing."""
+        """Return the notice in an engine's answers now; one that asks for rest refuses all."""
         now = asyncio.get_running_loop().time()
         in_force = [each for each in self.notices if each[0] == engine and each[2] <= now < each[3]]
         rest = max((notice.rest for _, notice, _, _ in in_force), default=0.0)
@@ -591,21 +595,21 @@
         return tuple(name for name in self.names if name not in self.network.silent)
 
     def total_granted(self) -> int:
-        """Return the grants that all routers together count."""
+        """Return the number of grants that all routers together count."""
         gates = [router.gate for router in self.routers.values()]
         return sum(count.granted for gate in gates for count in gate.by_engine.values())
 
     async def request_later(
         self, number: int, repeatable: bool, gives_up: bool, after: float
     ) -> None:
-        """Send one request after so many seconds; see ``request``."""
+        """Send one request after ``after`` seconds; see ``request``."""
         await asyncio.sleep(after)
         await self.request(number, repeatable, gives_up)
 
     async def request(
         self, number: int, repeatable: bool, gives_up: bool, after: float = 0.05
     ) -> None:
-        """Send one request through a router and record what came of it."""
+        """Send one request through a router and record its outcome."""
         name = f"q{number}"
         entry = self.names[number % len(self.names)]
         task = asyncio.ensure_future(self._serve(name, entry, repeatable))
@@ -648,7 +652,7 @@
             if not isinstance(reply, Placed):
                 self._record_free_slots(request, dispatch, reply.refusal)
         finally:
-            # Those behind it in a line are served a moment after it has left.
+            # Requests behind it in a queue are granted only some time after it has left.
             asyncio.get_running_loop().call_later(
                 PROPAGATION_SECONDS, self._dispatches.remove, dispatch
             )
@@ -665,7 +669,7 @@
     def _record_free_slots(
         self, request: str, dispatch: RecordingDispatch, refusal: NotRun | Unknown
     ) -> None:
-        """Note whether an engine that might run a request had a place as it was refused."""
+        """Record a violation if a request was refused while an engine had a free slot for it."""
         refusals = [self.history.refusals.get((request, engine)) for engine in self.engines]
         about_the_request = (
             EngineRefusal.BAD_REQUEST in refusals or refusals.count(EngineRefusal.UNKNOWN) > 1
@@ -674,24 +678,29 @@
             return
         for engine in self.engines:
             if self._may_be_sent(request, engine) and self._would_be_granted(engine, dispatch):
-                violation = f"{request} was refused as {refusal.code} while {engine} had a place"
+                violation = (
+                    f"{request} was refused as {refusal.code} while {engine} had a free slot"
+                )
                 self.history.refused_despite_free_slot.append(violation)
 
     def _may_be_sent(self, request: str, engine: str) -> bool:
-        """Return whether a request may go to an engine, and was not refused for its own sake."""
+        """Return whether a request may go to an engine, which has not refused it for good."""
         if self.history.refusals.get((request, engine)) in PERMANENT_REFUSALS:
             return False
         sent_to = {to for sent, to in self.history.sends if sent == request}
         return engine in sent_to or not 0 < self.most_tries <= len(sent_to)
 
     def _would_be_granted(self, engine: str, dispatch: RecordingDispatch) -> bool:
-        """Return whether an engine has a place that its owner would grant by what it was told."""
+        """Return whether an engine has a free slot that its owner would grant.
+
+        The owner decides by the load elsewhere that grant requests state.
+        """
         owner = self.routers[winner(engine, self.live) or ""]
         known = owner.health.health_by_upstream.get(engine)
         if not self.upstreams.has_free_slot(engine) or (known and known.is_taken_for_down):
             return False
-        # A line is served in order: one that knows of less work elsewhere, and so of a lower
-        # ceiling, holds up those behind it.
+        # A queue is served in order: a request that states less load elsewhere, and so gets a
+        # lower ceiling, blocks those behind it.
         reported = [
             each.seen_elsewhere_by_engine[engine]
             for each in self._dispatches
@@ -702,10 +711,10 @@
 
 
 def violations(fleet: Fleet, repeatable: dict[str, bool], owners: int = 1) -> list[str]:
-    """Return every promise that the history breaks.
+    """Return a description of every guarantee that the history violates.
 
-    ``owners`` says how many routers may believe at once that they own an engine:
-    each holds its own count against the ceiling.
+    ``owners`` is the number of routers that may believe at once that they own an engine, each of
+    which compares only its own count with the ceiling.
     """
     history = fleet.history
     found = []
--- a/pondhatch/requests/tests/test_caller_gone_histories.py
+++ b/pondhatch/requests/tests/test_caller_gone_histories.py
@@ -1,4 +1,7 @@
-"""Callers that leave at every stage, with packets between routers that are late."""
+"""Guards against work, grants and queue entries that outlive the caller of a request.
+
+Callers leave at every stage, while packets between routers are late or lost.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 from pondhatch.requests.tests.test_grants import GrantCase
 from pondhatch.requests.tests.test_histories import PROFILE
 
-#: Seconds after a caller's leaving in which all that is its must have ended.
+#: Seconds after a caller has left within which everything of its request must have ended.
 GONE_SECONDS = 0.5
-#: What delays packets, and loses none: a lost release counts until its lease ends.
+#: Packet faults without losses: after a lost release a grant counts until its lease ends.
 DELAYS = ("none", "none", "late", "twice")
-#: A request that may be repeated or not, when it comes, and after how long its caller leaves.
+#: A request: whether it may be repeated, when it arrives, and how long its caller stays.
 REQUEST = st.tuples(st.booleans(), st.floats(0, 0.3), st.floats(0, 1.5))
 
 
 def work_after_leaving(fleet: Fleet) -> list[str]:
-    """Return what reached an upstream, or was at work there, long after its caller left."""
+    """Return the requests that an upstream got or worked on too long after the caller left."""
     history, found = fleet.history, []
     for request, left in history.left_at.items():
         for what, at in (
@@ -35,12 +38,12 @@
 
 
 def remaining_counts(fleet: Fleet) -> list[str]:
-    """Return what owners still count, or have in their lines."""
+    """Return the grants that owners still count and the requests in their queues."""
     found = [f"{fleet.total_granted()} grants"] if fleet.total_granted() else []
     for name, router in fleet.routers.items():
         waiting = sum(router.owner._lines.waiting(engine) for engine in fleet.engines)
         if waiting:
-            found.append(f"{waiting} in the lines of {name}")
+            found.append(f"{waiting} in the queues of {name}")
     return found
 
 
@@ -48,7 +51,7 @@
     async def run_leaving_callers(
         self, fleet: Fleet, requests: list[tuple[bool, float, float]]
     ) -> None:
-        """Have requests come whose callers leave; return half a second after the last."""
+        """Send requests whose callers leave; return GONE_SECONDS after the last has left."""
 
         async def one(number: int, repeatable: bool, at: float, stays: float) -> None:
             await asyncio.sleep(at)
@@ -104,13 +107,13 @@
 
 
 class GoneWhileQueuedTest(GrantCase):
-    """A caller that leaves while its request waits in a line at another router."""
+    """A caller leaves while its request waits in a queue at another router."""
 
     def after_leaving(self, *packet_faults: str) -> list[str]:
-        """Return what is counted half a second later, beside the grant that fills the engine."""
+        """Return what is counted GONE_SECONDS later, except the grant that fills the engine."""
 
         async def main() -> list[str]:
-            # The first two packets ask and grant what fills the engine.
+            # The first two packets request and grant the slot that fills the engine.
             fleet = Fleet([], ["none", "none", *packet_faults], False)
             await self.ask(fleet)
             waiting = asyncio.ensure_future(self.ask(fleet, patience=5000))
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -1,4 +1,7 @@
-"""What a walk does with a request under which engines end."""
+"""Guards against a request that crashes one engine after the other.
+
+The crash guard counts the engines that end while they run it, and quarantines it.
+"""
 
 from __future__ import annotations
 
@@ -35,12 +38,12 @@
 
 
 class ScriptedWatch:
-    """Convicts a request after so many ends; see RequestWatch."""
+    """Quarantines a request after a number of cut runs; see RequestWatch."""
 
     def __init__(self, ends_left: int) -> None:
         self.ends_left = ends_left
         self.is_request_suspected = False
-        #: Engines that ended, in order.
+        #: Engines that ended while they ran the request, in order.
         self.cut_engines: list[str] = []
         self.was_whole = False
 
@@ -66,7 +69,7 @@
 
 
 class FakeCrashGuard:
-    """Gives the one watch out; see CrashGuard."""
+    """Returns the same watch for every request; see CrashGuard."""
 
     def __init__(self, watch: ScriptedWatch) -> None:
         self._watch = watch
@@ -83,7 +86,7 @@
         return Walk(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
 
     def run_with(self, watch: ScriptedWatch, *replies: Any, repeatable: bool = True) -> Any:
-        """Return how a walk ends whose sends end so, and to how many engines it was sent."""
+        """Return a dispatch's result if its sends get these replies, and its number of sends."""
 
         async def main() -> tuple[Placed | Refused, int]:
             fleet = Fleet([], [], False)
--- a/pondhatch/requests/tests/test_engine_queues.py
+++ b/pondhatch/requests/tests/test_engine_queues.py
@@ -1,4 +1,4 @@
-"""Waiting at a full engine: granted, out of patience, pushed out, refused at once."""
+"""Waiting for a slot of a full engine: granted, timed out, evicted, or refused at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FullEngine:
-    """A full engine whose slots the test frees."""
+    """A full engine, whose slots the test releases."""
 
     def __init__(self) -> None:
         self.free = 0
@@ -52,14 +52,15 @@
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), 0))
 
-    # An engine was granted to nobody any more: whoever left took out the place of another.
+    # A request that left removed the queue entry of another one, and the engine was granted to
+    # nobody any more.
     def test_a_request_that_joins_as_the_last_ones_leave_is_served(self) -> None:
         async def main() -> tuple[Verdict, Verdict, int]:
             engine = FullEngine()
             first, second = engine.wait(), engine.wait()
             await asyncio.sleep(0.1)
-            # In this order in one turn of the loop: the second leaves, the third joins, and the
-            # first, whose turn has come, is woken after both.
+            # In one iteration of the event loop, in this order: the second leaves, the third
+            # joins, and the first, which is granted, resumes after both.
             second.cancel()
             third = engine.wait()
             engine.release()
--- a/pondhatch/requests/tests/test_grant_packets.py
+++ b/pondhatch/requests/tests/test_grant_packets.py
@@ -1,4 +1,7 @@
-"""Guards the bytes between routers: a fleet that does not manage load sends what it always sent."""
+"""Guards against packets that routers without load management cannot read.
+
+Fields added for load management must cost no bytes while they are unset.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from pondhatch.requests._questions import Question
 
 GRANT_REQUEST = Question(7, 3, "i-1", "desk", 0, 5, 31)
-#: As routers without load management write it.
+#: The encoding of routers without load management.
 GRANT_REQUEST_BYTES = msgspec.msgpack.encode(
     [50, 7, 3, "i-1", "desk", 0, 5, 31, 1000, 0, False, False, None, False, False, False]
 )
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -1,4 +1,7 @@
-"""Grants between routers: packets that are lost, owners that change, routers that are gone."""
+"""Guards against grants that are counted twice, never, or forever.
+
+Causes are packets that are lost, late or repeated, owners that change, and routers that are gone.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 from pondhatch.requests.tests._history import Fleet
 
 ENGINE = "e0"
-#: Slots of an engine in the small fleet, and the ceiling of its first requests.
+#: Ceiling of an engine in the simulated fleet for its first requests.
 CEILING = 1
 
 
@@ -31,7 +34,7 @@
 
 
 class GrantCase(unittest.TestCase):
-    """A fleet of three; ``owner`` owns the engine, ``entry`` asks."""
+    """Three routers: ``owner`` owns the engine, ``entry`` requests grants from it."""
 
     def setUp(self) -> None:
         self.owner = winner(ENGINE, ("r0", "r1", "r2")) or ""
@@ -47,7 +50,7 @@
 
 
 class OwnerUnreachableTest(GrantCase):
-    """A router decides by what it knows where an engine's owner cannot be asked."""
+    """A router decides by itself if an engine's owner cannot be reached."""
 
     def decide_alone(self, fleet: Fleet, **changes: Any) -> OwnerReply:
         request = grant_request(fleet, self.entry, **changes)
@@ -88,7 +91,7 @@
         self.assertEqual(self.granted_at_entry_after_takeover(), 0)
 
     def granted_at_entry_after_takeover(self) -> int:
-        """Return what the entry router still counts as its own after the owner took over."""
+        """Return the grants that the entry router still counts after the owner took over."""
 
         async def main() -> int:
             fleet = Fleet([], [], False)
@@ -100,7 +103,7 @@
 
 
 class RestartTest(GrantCase):
-    """Routers that are killed and back before anybody misses them."""
+    """Routers that restart before the others detect that they were gone."""
 
     def test_an_owner_that_restarted_counts_what_runs_at_its_engines(self) -> None:
         async def main() -> tuple[int, int]:
@@ -127,7 +130,7 @@
             owner.restarted_router(short_id(self.entry))
             return at_once, self.granted_count(fleet)
 
-        # What was granted just now is the new process's own.
+        # A grant of a moment ago belongs to the new process.
         self.assertEqual(run_virtually(main()), (1, 0))
 
 
@@ -163,7 +166,7 @@
 
     def test_a_grant_whose_reply_came_too_late_is_given_back(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
-            # Of the packets after the late word, all questions and the first release are lost.
+            # After the late reply, all repeats of the request and the first release are lost.
             fleet = Fleet([], ["none", "very-late", *["lost"] * len(PARTS)], False)
             reply = await self.ask(fleet)
             await asyncio.sleep(3)
@@ -197,10 +200,10 @@
 
 
 class RepeatedRequestTest(GrantCase):
-    """A question whose word was lost is asked again, with the same number."""
+    """A grant request whose reply was lost is sent again, with the same number."""
 
     def replies(self, between: Callable[[Fleet], None]) -> tuple[list[type], int]:
-        """Return the owner's words to the same question twice, and what is granted then."""
+        """Return the owner's replies to a repeated request, and the number of grants after it."""
 
         async def main() -> tuple[list[type], int]:
             fleet = Fleet([], [], False)
@@ -290,7 +293,10 @@
         self.assertEqual(run_virtually(main()), Busy(CEILING, CEILING))
 
     def test_a_busy_reply_after_a_wait_tells_the_current_load(self) -> None:
-        """The next owner counts it, and one that ended meanwhile raised its ceiling to twice."""
+        """Guards against a stale load that includes a request which ended during the wait.
+
+        The next owner would count that load and double its ceiling.
+        """
 
         async def main() -> OwnerReply:
             fleet = Fleet([], [], False)
@@ -308,7 +314,7 @@
 
 
 class AilingTest(GrantCase):
-    """An engine that takes all requests and answers many with failures of its own."""
+    """An engine that accepts all requests and answers many of them with a failure status."""
 
     async def fail_until_passed_over(self, fleet: Fleet) -> None:
         entry = fleet.routers[self.entry].entry
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Drawn histories through the code that serves, checked against the promises."""
+"""Random histories of the serving code, checked against the guarantees to callers and engines."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     st.floats(0, 0.3),  # starts after, in seconds
 )
 
-#: What befalls tries where engines refuse; "full" is said by those that are, and no others.
+#: Faults of attempts where engines refuse; only engines that are full refuse as "full".
 REFUSAL_FAULTS = ("none", "slow", EngineRefusal.BAD_REQUEST, *PERMANENT_REFUSALS)
 
 
@@ -110,7 +110,7 @@
         most_tries: int,
         same_chat: bool,
     ) -> None:
-        """Engines refuse for drawn reasons, and have fewer places than their owners believe."""
+        """Engines refuse for random reasons, and have fewer slots than their owners believe."""
 
         async def history() -> list[str]:
             fleet = Fleet(refusals, [], False)
@@ -129,7 +129,7 @@
 
 
 class SingleFaultTest(unittest.TestCase):
-    """Single faults, whose outcome is known."""
+    """Single faults with a known outcome."""
 
     def outcome(
         self, upstream: list[str], repeatable: bool, resumes: bool = False
@@ -192,7 +192,8 @@
             await first
             return recorded
 
-        # The first asked is full, so the next is told of the work there; the stream breaks there.
+        # The first engine is full, so the request to the second states the load seen at the first;
+        # the stream is cut at the second.
         self.assertEqual(run_virtually(main()), [(False, 0), (False, 1), (True, 0)])
 
     def test_a_stream_is_resumed_three_times_at_most(self) -> None:
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -1,8 +1,8 @@
-"""Drawn histories in which halls are evacuated and engines turn cold, checked by what engines see.
+"""Random histories with evacuated halls and cold engines, checked by what engines receive.
 
-Seen at engines alone: none whose hall is evacuated gets anything, once every router knows, be
-it new, a repeat, the rest of a stream, one that waited in its line or one that was granted; and
-no cold one gets more in any second than it bears, however routers differ on who owns it.
+Once every router knows that a hall is evacuated, its engines must get nothing: no new request,
+retry or rest of a stream, and none that was queued or granted before. A cold engine must get no
+more in any second than its allowance, however routers disagree on its owner.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 )
 from pondhatch.requests.tests.test_histories import PROFILE, REQUEST
 
-#: Seconds from a grant to its send at the engine, in these histories.
+#: Seconds from a grant to the send to the engine, in these histories.
 SEND_DELAY = 0.011
 PACE = 6.0
 COLD = Intake(cold_pace=PACE)
@@ -34,7 +34,7 @@
 
 
 def sends_to(fleet: Fleet, engine: str) -> list[float]:
-    """Return when an engine was sent requests."""
+    """Return the times of all sends to an engine."""
     history = fleet.history
     return [at for (_, to), at in zip(history.sends, history.sent_at, strict=True) if to == engine]
 
@@ -79,7 +79,8 @@
             late = [at for at in sends_to(fleet, "e0") if at > known_at + SEND_DELAY]
             found = [f"an evacuated hall got a request at {at}" for at in late]
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
-            # An owner whose words are lost is decided for, and counts on by itself.
+            # If an owner's replies are lost, another router decides for it while it goes on
+            # counting alone.
             is_unheard = bool({"lost", "very-late"} & set(packet_faults))
             return found + violations(fleet, repeatable, 1 + len(disagreeing) + is_unheard)
 
@@ -120,7 +121,7 @@
         freezes: tuple[str, float] | None,
         cold: int,
     ) -> None:
-        """One router at most takes itself for the owner beside the others' owner."""
+        """At most one router besides the actual owner believes that it owns an engine."""
 
         async def history() -> list[str]:
             fleet = Fleet(upstream_faults, packet_faults, True)
--- a/pondhatch/requests/tests/test_keys.py
+++ b/pondhatch/requests/tests/test_keys.py
@@ -1,4 +1,7 @@
-"""Idempotency keys over changing views of who holds them."""
+"""Guards against running a request twice under one idempotency key.
+
+Routers may disagree on which routers hold a key, as some are lost or join.
+"""
 
 from __future__ import annotations
 
@@ -89,7 +92,7 @@
 
 
 class SlowHolder:
-    """A router's table behind calls that take time."""
+    """A key holder's table, behind calls that take ``pause`` seconds."""
 
     def __init__(self, pause: float) -> None:
         self.table = KeyTable()
@@ -109,7 +112,7 @@
 
 
 class HoldersView:
-    """An entry router's view of who holds a key."""
+    """An entry router's view of which routers hold a key."""
 
     def __init__(self, holders: dict[str, SlowHolder], ranked: list[str]) -> None:
         self._holders = holders
@@ -125,7 +128,7 @@
         self.ranked = [other for other in self.ranked if other != name]
 
 
-#: Views of the holders that differ by one router lost or joined.
+#: Rankings of the key holders that differ by one lost or joined router.
 VIEWS = st.sampled_from([["h0", "h1", "h2"], ["h1", "h2"], ["h0", "h2"], ["h0", "h1"]])
 
 
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -1,10 +1,10 @@
-"""Which engine a chat is sent to while engines are replaced or added.
+"""Guards against new engines that get no chats while engines are replaced or added.
 
-The pattern: a third of a service's engines are replaced or added within half a minute, as in
-rolling releases and when capacity is added. Grounds: on two days of 17 engines with 7
-newcomers, those left without chats had the others at their ceilings (1.7 times the mean and
-3), and contexts moved to and fro: moves and readings cost 0.064 and 0.058 of worth. With
-their chats from the start, which they take over, they cost 0.051 and 0.046.
+The pattern: a third of a service's engines are replaced or added within half a minute, as in a
+rolling release. If newcomers get no chats, the other engines reach their ceilings (1.7 times the
+mean plus 3) and contexts move back and forth. On two days of 17 engines with 7 newcomers, moving
+and recomputing contexts cost 0.064 and 0.058 of the value of requests, against 0.051 and 0.046 if
+newcomers fetch the contexts of their chats at once.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     def settled_and_order(
         self, takes_over: bool, newcomers: set[str]
     ) -> tuple[str | None, tuple[str, ...]]:
-        """Return where the home's owner is told that the chat was before, and its order."""
+        """Return the engine that the home's owner is told the chat was at, and the engine order."""
 
         async def main() -> tuple[str | None, tuple[str, ...]]:
             fleet = Fleet([], [], False)
--- a/pondhatch/requests/tests/test_notice_histories.py
+++ b/pondhatch/requests/tests/test_notice_histories.py
@@ -1,8 +1,8 @@
-"""Drawn histories in which engines say in their answers that they leave or want a rest.
+"""Random histories in which engines announce in their answers that they leave or want a rest.
 
-Checked by what each router sent after it had heard: nothing to one that leaves, nothing within a
-rest, by whatever way: granted and not yet sent, decided alone, a second try, a connection that
-was being opened, the rest of a stream.
+After a router received such a notice, it must send the engine nothing for good or during the rest.
+That includes requests granted but not yet sent, granted without the owner, retried, waiting for a
+connection, and the rests of streams.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
     Notice(rest=3.0),
     Notice(is_leaving=True, rest=0.3),
 )
-#: What may befall a try of an engine that is within reach.
+#: Faults of an attempt at an engine that can be reached.
 FAULTS_IN_REACH = [fault for fault in UPSTREAM_FAULTS if fault != "unreachable"]
 NOTICE_PERIOD = st.tuples(
     st.sampled_from(["e0", "e1", "e2"]),
     st.sampled_from(NOTICES),
-    st.floats(0, 0.3),  # from when, in seconds
-    st.floats(0.01, 0.6),  # for how long
+    st.floats(0, 0.3),  # start, in seconds
+    st.floats(0.01, 0.6),  # duration, in seconds
 )
 
 
 def sends_against_notices(fleet: Fleet) -> list[str]:
-    """Return every request that a router sent to an engine that had told it not to."""
+    """Return every send of a router that violates a notice which it had received."""
     found = []
     for name, connections in fleet.connections_by_router.items():
         for engine, notice, heard_at in connections.notices_received:
@@ -62,7 +62,7 @@
     @given(
         st.lists(REQUEST, min_size=1, max_size=16),
         st.lists(NOTICE_PERIOD, min_size=1, max_size=4),
-        # One that is out of reach was sent nothing, and still counts as asked.
+        # Only reachable engines: an unreachable one gets no request but counts as sent to.
         st.lists(st.sampled_from(FAULTS_IN_REACH), max_size=12),
         st.lists(st.sampled_from(PACKET_FAULTS), max_size=12),
         st.sampled_from([0.0, 0.05, 0.3]),
@@ -98,7 +98,7 @@
 
 
 class RestingTest(unittest.TestCase):
-    # A request was sent twice within two milliseconds to an engine that had asked for rest.
+    # A request was sent twice within two milliseconds to an engine that had asked for a rest.
     def test_if_all_engines_rest_the_refusal_names_the_end_of_the_first_rest(self) -> None:
         async def history() -> tuple[list[object], int, float]:
             fleet = Fleet([], [], False)
@@ -120,14 +120,15 @@
         self.assertLess(took, 0.3)
         self.assertAlmostEqual(second.retry_after, 3.0, delta=0.3)
 
-    # A rest of an hour at one engine sent callers away for an hour, though the others were down.
+    # While one engine rested for an hour and the others were only down, callers were told to retry
+    # after an hour.
     def test_if_the_others_are_down_the_retry_comes_before_the_rest_ends(self) -> None:
         async def history() -> object:
             fleet = Fleet([], [], False)
             began = asyncio.get_running_loop().time()
             fleet.notices = [("e0", Notice(rest=900.0), began, began + 9.0)]
             await fleet.request(0, True, False)
-            await asyncio.sleep(0.1)  # What the answer tells its owner is on its way.
+            await asyncio.sleep(0.1)  # The release that carries the notice reaches the owner.
             for router in fleet.routers.values():
                 for engine in ("e1", "e2"):
                     for _ in range(FAILURES):
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -1,4 +1,4 @@
-"""Guards against an owner whose grants leave slots idle, crowd slow engines, or are blocked."""
+"""Guards against owners that leave slots idle, overload slow engines, or block all grants."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class OneEngineView:
-    """A view of one engine that queues three requests beyond its slots; see OwnerView."""
+    """A view of one engine, which queues three requests beyond its slots; see OwnerView."""
 
     def __init__(self, pace: int = 100, memory: int | None = None) -> None:
         self._pace = pace
@@ -76,7 +76,7 @@
     """An engine at two fifths of its speed; its owner lowers the ceiling."""
 
     def test_only_a_request_with_its_context_there_gets_the_usual_ceiling(self) -> None:
-        """Guards against waiting chats that crowd an engine without their context."""
+        """Guards against queued chats that overload an engine which lacks their contexts."""
         rows: tuple[tuple[str, dict[str, Any], type], ...] = (
             ("at its home", {"home": True, "returning": True}, Granted),
             ("waits for its context", {"returning": True, "patience": 50}, Granted),
@@ -100,7 +100,7 @@
 
 class TooLargeTest(unittest.TestCase):
     def test_no_memory_is_reserved_for_a_request_larger_than_all_memory(self) -> None:
-        """Guards against one false header that stops all others at an engine."""
+        """Guards against a request with a wrong token count that blocks all others at an engine."""
 
         async def main() -> object:
             counts = TokenCounts()
--- a/pondhatch/requests/tests/test_owner_timeouts.py
+++ b/pondhatch/requests/tests/test_owner_timeouts.py
@@ -1,8 +1,8 @@
-"""How long owners are waited for, in the patterns in which they fall silent or slow.
+"""Guards against waiting too long for owners that are silent or slow.
 
-Grounds of the figures: routers of one region are 1.4 ms apart, so that an owner's word
-takes 3 to 6 ms; a plain call is to be answered in 100 ms and a stream's first event in 300
-to 600 ms, of which a request may spend a fifth on waiting.
+The figures: routers of one region are 1.4 ms apart, so an owner's reply takes 3 to 6 ms. A plain
+call is to be answered in 100 ms and a stream's first event in 300 to 600 ms, of which a request
+may spend a fifth on waiting.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from pondhatch.requests.tests._history import Fleet
 from pondhatch.requests.tests.test_grants import grant_request
 
-#: Seconds that a word takes between halls of a region, and to a router five times slower
-#: than it is loaded.
+#: Seconds until a reply between halls of a region, and until that of a router that runs five
+#: times slower than its load requires.
 USUAL_SECONDS = 0.004
 SLOW_SECONDS = 0.25
-#: What a plain call can bear, and what a long stream can.
+#: Seconds that a plain call and a long stream may wait for an owner.
 PLAIN_MAX_WAIT = 0.02
 STREAM_MAX_WAIT = 0.12
 
 
 def timeouts_after(seconds: float, replies: int = 20) -> OwnerWaits:
-    """Return what is known after some words of an owner that each took as long."""
+    """Return the timeouts after some replies of an owner that took ``seconds`` each."""
     timeouts = OwnerWaits()
     for _ in range(replies):
         timeouts.answered("r1", seconds, 0.0)
@@ -46,7 +46,7 @@
 
 
 class SilentOwnerTest(unittest.TestCase):
-    """The pattern: an owner falls silent (it is dead, frozen, cut off or starting)."""
+    """An owner is silent: it is dead, frozen, partitioned or starting."""
 
     def test_a_fast_owner_gets_the_shortest_wait_and_an_unknown_one_the_first_wait(
         self,
@@ -70,7 +70,7 @@
                 self.assertLessEqual(sum(OwnerWaits().pauses("r1", bearable, 0.0)), most + 1e-9)
 
     def test_a_link_that_loses_one_packet_in_forty_does_not_silence_an_owner(self) -> None:
-        """A question and its word come through with 0.95; three sends fail once in 8,000."""
+        """A request and its reply both arrive with probability 0.95; three fail once in 8,000."""
         self.assertEqual(
             len(timeouts_after(USUAL_SECONDS).pauses("r1", PLAIN_MAX_WAIT, 0.0)), len(PARTS)
         )
@@ -85,7 +85,7 @@
 
 
 class SlowOwnerTest(unittest.TestCase):
-    """The pattern: an owner runs five times slower, and answers after its askers gave up."""
+    """An owner runs five times slower and replies after entry routers have given up."""
 
     def record_late_reply(self, timeouts: OwnerWaits, at: float) -> None:
         timeouts.gave_up(1, "r1", at)
@@ -108,7 +108,7 @@
         self.assertTrue(timeouts.pauses("r1", PLAIN_MAX_WAIT, KNOWN_FOR + 0.1))
 
     def test_a_fast_owner_is_asked_again_after_one_late_reply(self) -> None:
-        """A pause of 60 ms, such as a change of the configuration, is no slowness."""
+        """A pause of 60 ms, as for a configuration change, does not make an owner slow."""
         timeouts = timeouts_after(USUAL_SECONDS)
         timeouts.gave_up(1, "r1", 0.0)
         self.assertEqual(timeouts.came_late(1, 0.06), "r1")
@@ -128,7 +128,7 @@
 
 
 class InsteadOfOwnerTest(unittest.TestCase):
-    """The pattern: an owner is silent for one entry router, and others still believe in it."""
+    """An owner is silent for one entry router, while others still take it to be the owner."""
 
     def setUp(self) -> None:
         self.owner = winner("e0", ("r0", "r1", "r2")) or ""
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -1,4 +1,7 @@
-"""What follows from an engine's refusal, by its reason: for the request, and for the engine."""
+"""Guards against drawing the wrong conclusions from an engine's reason to refuse a request.
+
+The reason decides where the request goes next, what its caller is told, and what the engine gets.
+"""
 
 from __future__ import annotations
 
@@ -33,25 +36,25 @@
 UNKNOWN = EngineRefusal.UNKNOWN
 DECLINED = EngineRefusal.DECLINED
 OVERLOADED = EngineRefusal.OVERLOADED
-#: Refusals or failures in a row from which an engine is ailing.
+#: Number of consecutive refusals or failures after which an engine is ailing.
 AILING_AFTER = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_SHARE)
 
 
 class RequestTest(unittest.TestCase):
-    """One request: where it goes after refusals, and what its caller is told."""
+    """Where a request goes after refusals, and what its caller is told."""
 
     def test_the_refusal_reasons_decide_where_a_request_goes(self) -> None:
         rows: tuple[tuple[list[EngineRefusal], int, str, int, int], ...] = (
-            # refusals in order, most tries, outcome, sends, engines that were sent it
+            # refusals in order, most tries, outcome, sends, engines sent to
             ([FULL], 2, "Whole", 2, 2),
-            # To no third engine, but once more to one that was full.
+            # Not to a third engine, but once more to one that was full.
             ([FULL, FULL], 2, "Whole", 3, 2),
             ([FULL], 1, "Whole", 2, 1),
             ([FULL, UNKNOWN], 2, "Whole", 3, 2),
-            # To each, and once more to one of them.
+            # To each engine, and once more to one of them.
             ([FULL, FULL, FULL], 0, "Whole", 4, 3),
             ([DECLINED], 2, "Whole", 2, 2),
-            # Once more to the only one that it may go to, and no more than that.
+            # Once more to the only engine that it may go to, and not a third time.
             ([DECLINED], 1, "Whole", 2, 1),
             ([DECLINED, DECLINED], 1, DECLINED, 2, 1),
             ([LEAVING], 2, "Whole", 2, 2),
@@ -61,7 +64,7 @@
             ([BAD_REQUEST], 3, BAD_REQUEST, 1, 1),
             ([UNKNOWN], 3, "Whole", 2, 2),
             ([UNKNOWN, UNKNOWN], 3, UNKNOWN, 2, 2),
-            # Nobody is full, so that is not what the caller is told.
+            # No engine is full, so the caller is not told that engines are full.
             ([LEAVING, LEAVING, LEAVING], 0, LEAVING, 3, 3),
         )
         for refusals, most_tries, expected, sends, engines in rows:
@@ -83,7 +86,7 @@
 
     def test_the_refusal_reason_decides_status_and_retry_after(self) -> None:
         rows = (
-            # reason, status, whether to come back, and then sooner than where load is why
+            # reason, status, whether to retry, whether sooner than after a refusal for load
             (LEAVING, UNAVAILABLE_STATUS, True, True),
             (OVERLOADED, UNAVAILABLE_STATUS, True, True),
             (NOT_THE_ONE, UNAVAILABLE_STATUS, True, True),
@@ -110,7 +113,7 @@
         await asyncio.sleep(0.1)
 
     async def ask_below_the_ceiling(self, fleet: Fleet) -> OwnerReply:
-        """Ask where the ceiling, by the work elsewhere, is well above what the engine holds."""
+        """Request a grant with a load elsewhere that keeps the ceiling above the engine's load."""
         request = grant_request(fleet, self.entry, seen_elsewhere=10, insist=True)
         return await fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
 
@@ -139,7 +142,7 @@
         for rest, insist, code in (
             (Rest(of_some=1.0), False, AILING),
             (Rest(of_some=1.0), True, ""),
-            # Its own rest binds the owner where it sends, not where it grants.
+            # A rest that the engine announced applies when a router sends, not when it grants.
             (Rest(own=1.0), False, ""),
             (Rest(own=1.0, of_all=1.0), True, Closed.RESTING),
         ):
@@ -160,7 +163,7 @@
         self.assertTrue(all(isinstance(each, Granted) for each in replies[:AILING_AFTER]), replies)
         self.assertEqual(getattr(replies[AILING_AFTER], "code", ""), AILING)
 
-    # Engines that turned requests away by chance were held to less each time, down to one.
+    # Each refusal lowered the ceiling of engines that refused at random, down to one request.
     def test_declines_do_not_lower_an_engines_ceiling(self) -> None:
         async def main(ended: Ended) -> OwnerReply:
             fleet = Fleet([], [], False)
@@ -180,7 +183,7 @@
 
     def test_an_engine_is_passed_over_after_enough_refusals(self) -> None:
         rows = (
-            # what its requests told, how often before it gets none, and what is said then
+            # how its requests ended, how often before it gets none, and the refusal's code then
             (Ended.LEAVING, 1, AILING),
             (Ended.FAILED, FAILURES, "upstream-down"),
             (Ended.ERRED, AILING_AFTER, AILING),
@@ -196,7 +199,7 @@
         self.assertTrue(all(isinstance(each, Granted) for each in replies), replies)
 
     def replies(self, ended: Ended, times: int) -> list[OwnerReply]:
-        """Return an owner's words to requests that end so, and to one after them."""
+        """Return an owner's replies to requests that end with ``ended``, and to one after them."""
 
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
--- a/pondhatch/requests/tests/test_restart_histories.py
+++ b/pondhatch/requests/tests/test_restart_histories.py
@@ -1,7 +1,7 @@
-"""Drawn histories in which engines start again under their id while requests run.
+"""Random histories in which engines restart under their ids while requests run.
 
-Each router hears of a start a little later, and reaches the new one under the old name until
-then: it answers to the same id at the same address.
+Each router learns of a restart with a delay, and until then reaches the new start under the old
+name, since the id and the address are the same.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from pondhatch.requests.tests._history import PACKET_FAULTS, UPSTREAM_FAULTS, Fleet, violations
 from pondhatch.requests.tests.test_histories import PROFILE, REQUEST
 
-#: Seconds until a router has heard of a start: a round and a pull, several times over.
+#: Seconds until a router learns of a start: several times a gossip round and a pull.
 LEARNING_DELAY = st.floats(0, 0.5)
 
 
@@ -60,14 +60,15 @@
             await asyncio.gather(*sent, *began)
             await asyncio.sleep(2 * LEASE_SECONDS)
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
-            # Until its owner hears of it, a start is asked by two names, each counted alone.
+            # Until its owner learns of a start, the engine is used under two names, each with a
+            # count of its own.
             return violations(fleet, repeatable, owners=1 + len(starts))
 
         self.assertEqual(run_virtually(history()), [])
 
 
 class OneRestartTest(unittest.TestCase):
-    """One engine starts again while it streams, where nobody else takes the request."""
+    """One engine restarts while it streams, and no other engine takes the request over."""
 
     def outcome(self, repeatable: bool, resumes: bool) -> tuple[str, int]:
         async def history() -> tuple[str, int]:
--- a/pondhatch/requests/tests/test_sending.py
+++ b/pondhatch/requests/tests/test_sending.py
@@ -1,4 +1,4 @@
-"""What a granted request's end tells of its engine."""
+"""Guards against a granted request whose end is reported twice, never, or as the wrong kind."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Answer:
-    """An answer that ends, or is lost, or never ends."""
+    """An answer that ends, is lost, or never ends."""
 
     headers: Headers = ()
 
@@ -31,7 +31,7 @@
 
 class Sink:
     async def ready(self) -> None:
-        """Be ready at once."""
+        """Return at once."""
 
     def write(self, part: bytes) -> bool:
         return True
@@ -47,7 +47,7 @@
             task.cancel()
         await asyncio.wait([task])
         if not task.cancelled():
-            # Read, since the loop complains of an exception that nobody saw.
+            # Retrieves the exception, as asyncio logs those that are never retrieved.
             task.exception()
         granted.cancel()
         return released
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place while load is managed, played through the serving code."""
+"""Requests that wait for a slot while load is managed, simulated through the serving code."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 from pondhatch.requests._wait_limits import MARGIN, UsualTimes, in_time, wait_limit
 from pondhatch.requests.tests._history import FakeStream, Fleet, RouterView, Sink
 
-#: Places of a plain upstream, and the seconds in which a request runs there.
+#: Slots of a plain upstream, and the range of seconds that a request runs there.
 SLOTS = 6
 RUN_SECONDS = (0.015, 0.022)
-#: Seconds for which callers wait, and within which an answer is in time.
+#: Seconds after which callers give up, and within which an answer is in time.
 CALLER_TIMEOUT = 1.05
 OBJECTIVE = 0.152
-#: As the service's routes say it while load is not managed.
+#: The wait limits of the service's routes while load is not managed.
 PATIENCE = Patience(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
 
 
@@ -61,13 +61,13 @@
 
 
 class PlainUpstreams:
-    """Upstreams that run each request for some milliseconds, and count what runs."""
+    """Upstreams that run each request for some milliseconds and count running requests."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.running: Counter[str] = Counter()
         self.most = 0
-        #: How often each request was sent.
+        #: Number of sends of each request.
         self.sends: Counter[str] = Counter()
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
@@ -82,7 +82,7 @@
 
 
 class Service:
-    """Three routers before some plain upstreams, and what became of requests."""
+    """Three routers in front of some plain upstreams, and the outcomes of requests."""
 
     def __init__(self, engines: tuple[str, ...]) -> None:
         self.rng = random.Random(7)
@@ -94,7 +94,7 @@
         self.outcomes: Counter[str] = Counter()
         self.seconds: list[float] = []
         self.retry_after: list[float] = []
-        #: Routers that requests come to.
+        #: Routers that requests arrive at.
         self.entries: tuple[str, ...] = self.fleet.names
 
     async def request(self, entry: str) -> None:
@@ -123,7 +123,7 @@
             self.retry_after.append(reply.refusal.retry_after)
 
     async def send_bursts(self, a_second: float, seconds: float, largest: int) -> None:
-        """Send so many requests a second in clumps of a few up to some, from all routers."""
+        """Send ``a_second`` requests per second to random routers, in bursts up to ``largest``."""
         tasks = []
         until = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < until:
@@ -134,21 +134,21 @@
             ]
             await asyncio.sleep(size / a_second)
         await asyncio.gather(*tasks)
-        # The last releases are under way.
+        # Waits until the last releases have arrived.
         await asyncio.sleep(0.1)
 
     def left_over(self) -> list[int]:
-        """Return the grants that are still counted or held after everything ended."""
+        """Return the numbers of grants that are still counted or held after everything ended."""
         routers = self.fleet.routers.values()
         counts = [count.granted for each in routers for count in each.gate.by_engine.values()]
         return [*counts, *(len(each.entry.held_by_number) for each in routers)]
 
 
 class OneUpstreamLeftTest(unittest.TestCase):
-    """One of three plain upstreams is left: 140 requests a second in clumps, 15 to 22 ms each."""
+    """One of three plain upstreams is left: 140 requests a second in bursts, 15 to 22 ms each."""
 
     def test_all_requests_of_bursts_are_served_before_callers_time_out(self) -> None:
-        """Guards against refusing requests for which a slot comes free before their deadline."""
+        """Guards against refusing requests for which a slot becomes free before their deadline."""
 
         async def main() -> Service:
             service = Service(("e0",))
@@ -163,7 +163,7 @@
     def test_a_long_overload_does_not_make_every_request_late(self) -> None:
         """Guards against a queue that is always full, in which every answer is late.
 
-        Three times as many requests as the upstream can run come.
+        Three times as many requests arrive as the upstream can run.
         """
 
         async def main() -> Service:
@@ -174,7 +174,7 @@
         service = run_virtually(main())
         in_time = sum(seconds <= OBJECTIVE for seconds in service.seconds)
         self.assertGreater(in_time, 0.75 * len(service.seconds))
-        # The upstream is kept busy, at a round trip of 20 ms for each request.
+        # The upstream stays busy, with a round trip of 20 ms for each request.
         self.assertGreater(len(service.seconds), 1600)
         self.assertLess(service.outcomes["in-vain"], 0.1 * service.outcomes["refused"])
         self.assertLess(service.outcomes["too late"], 0.01 * len(service.seconds))
@@ -185,7 +185,7 @@
 
 
 class SeveralQueuesTest(unittest.TestCase):
-    """Three plain upstreams with one owner each, in clumps beyond what all can run at once."""
+    """Three plain upstreams with one owner each, in bursts beyond what all can run at once."""
 
     def test_a_request_that_waits_at_all_of_them_is_sent_to_one(self) -> None:
         """Guards against a second grant being kept or used after the first."""
@@ -202,10 +202,10 @@
 
 
 class SameMomentTest(unittest.TestCase):
-    """Two owners grant one request in the same turn of the loop."""
+    """Two owners grant one request in the same iteration of the event loop."""
 
     def test_the_second_grant_is_given_back(self) -> None:
-        """A place that stays taken until its lease ends, as its grant came unseen."""
+        """Guards against a slot that stays taken until its lease ends, as its grant was missed."""
         grants = mock.Mock()
 
         async def ask(request: Question) -> Granted:
@@ -245,10 +245,10 @@
 
 
 class OwnerDiesTest(unittest.TestCase):
-    """One plain upstream is left, and its owner dies while a clump waits there."""
+    """One plain upstream is left, and its owner dies while a burst waits there."""
 
     def test_requests_that_wait_at_an_owner_that_dies_are_served_by_the_next_one(self) -> None:
-        """Requests that are lost with a dead router's queue, for the second that they have."""
+        """Guards against requests that are lost with a dead router's queue until they time out."""
 
         async def main() -> Service:
             service = Service(("e0",))
@@ -268,7 +268,7 @@
 
 
 class RisingLoadTest(unittest.TestCase):
-    """Load rises from zero: the totals that owners heard of are those of a second ago."""
+    """Load rises from zero, while the totals that owners know are a second old."""
 
     def test_the_least_loaded_engine_uses_the_mean_of_the_engines_seen(self) -> None:
         plan = Plan("c", [f"e{at}" for at in range(30)])
@@ -290,7 +290,7 @@
 
 
 class QueueRulesTest(unittest.TestCase):
-    """The rules by which a queue is ordered, bounded and left, each by itself."""
+    """The rules for the order, the bounds and the time limits of a queue, each by itself."""
 
     def test_late_requests_come_after_those_in_time_and_before_the_less_urgent(self) -> None:
         line = Line(10)
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -1,7 +1,7 @@
-"""Large requests among many small ones, at engines whose memory is short.
+"""Guards against engines that run out of memory and cut streams off.
 
-The pattern: long documents come now and then among short chats. By the count of requests alone an
-engine gets several long ones at once, runs out of memory, and breaks streams off.
+The pattern: occasional long documents among many short chats. With a limit on the number of
+requests alone, an engine gets several long ones at once.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
 #: Tokens and seconds of a short chat, and of a long document.
 SMALL, SMALL_SECONDS = 300, 0.3
 LARGE, LARGE_SECONDS = 4_000, 1.0
-#: Arrivals a second of both: together three quarters of the engines' memory on average.
+#: Arrivals per second of both kinds, which take three quarters of the engines' memory on average.
 SMALL_RATE, LARGE_RATE = 40.0, 4.0
 SECONDS = 30.0
 
 
 def run_managed(main: Coroutine[Any, Any, Result], managed: bool = True) -> Result:
-    """Run a test in virtual time at engines with a memory, whose owners may know of it."""
+    """Run a test in virtual time with engines of limited memory; ``managed`` is load management."""
 
     def target(view: RouterView, engine: str) -> Target:
         return Target(engine, "", OPEN, 1.5, len(ENGINES), 48, slack=40, memory_tokens=MEMORY)
@@ -67,13 +67,13 @@
 
 
 def head(tokens: int, **changes: Any) -> RequestHead:
-    """Return the head of a request with a prompt of its own."""
+    """Return the head of a request whose prompt shares no parts with others."""
     plain = RequestHead("q", "a", "s", 0, "POST", "/", (), True, 10.0, 5, prompt_tokens=tokens)
     return replace(plain, **changes)
 
 
 class Answer:
-    """An answer that takes a while, and holds memory until its end."""
+    """An answer that takes ``seconds`` and holds memory until its end."""
 
     status = 200
     headers: Headers = ()
@@ -90,7 +90,7 @@
 
 
 class Engines:
-    """See Upstreams; notes the most tokens that any engine held at once."""
+    """Records the largest number of tokens that any engine held at once; see Upstreams."""
 
     def __init__(self) -> None:
         self.used: Counter[str] = Counter()
@@ -105,7 +105,7 @@
 
 
 async def simulate() -> tuple[int, dict[int, float]]:
-    """Return the most tokens at one engine, and the share served of each size."""
+    """Return the peak of tokens at one engine, and the share of requests served by size."""
     fleet, engines, rng = Fleet([], [], False), Engines(), random.Random(1)
     arrived: Counter[int] = Counter()
     served: Counter[int] = Counter()
@@ -152,7 +152,7 @@
 
 
 class OwnerCase(unittest.TestCase):
-    """A fleet of three; ``owner`` owns the engine, ``entry`` asks."""
+    """Three routers: ``owner`` owns the engine, ``entry`` requests grants from it."""
 
     def setUp(self) -> None:
         self.owner = winner("e0", ("r0", "r1", "r2")) or ""
@@ -161,7 +161,7 @@
     async def ask(
         self, fleet: Fleet, tokens: int, owner: str = "", engine: str = "e0", **changes: Any
     ) -> tuple[OwnerReply, int]:
-        """Return an owner's reply, and the number of the question."""
+        """Return an owner's reply, and the number of the grant request."""
         entry = fleet.routers[self.entry].entry
         number, fields = entry.next_number(), {"chat": 0, "priority": 5, **changes}
         request = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
@@ -198,7 +198,7 @@
 
         reply, waited = run_managed(main())
         self.assertIsInstance(reply, Granted)
-        # As long as those take that ran when it came.
+        # The time that the requests take that were running when it arrived.
         self.assertLess(waited, 0.7)
 
     def test_a_cancelled_request_keeps_no_memory(self) -> None:
@@ -220,7 +220,7 @@
 
 
 class FailureTest(OwnerCase):
-    """Owners that change or start anew while requests run."""
+    """Owners that change or restart while requests run."""
 
     def test_a_new_owner_counts_adopted_grants_at_its_mean_size(self) -> None:
         async def main() -> tuple[int, OwnerReply, int]:
@@ -230,7 +230,7 @@
             successor = winner("e0", fleet.live) or ""
             for router in fleet.routers.values():
                 router.view.owner_override = successor
-            # What it granted at another engine, before it is told of those here.
+            # Granted by the successor at another engine, before it learns of the grants here.
             numbers.append((await self.ask(fleet, 4_000, successor, "e1"))[1])
             await asyncio.sleep(0.3)
             adopted = self.used(fleet, successor)
--- a/pondhatch/requests/tests/test_upstream_failures.py
+++ b/pondhatch/requests/tests/test_upstream_failures.py
@@ -1,7 +1,7 @@
-"""A service one in seven of whose answers is a failure of its upstream's own.
+"""Guards against passing on an upstream's failure that another upstream would have answered.
 
-Seen by callers: a fetch that may be repeated failed though another upstream would have answered
-it within its objective, and what callers repeated themselves came late or failed again.
+One in seven answers of a service was a failure status of its upstream. Requests that may be
+repeated failed, and what callers repeated themselves was late or failed again.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 class UpstreamFailureTest(unittest.TestCase):
     def run_request(self, faults: list[str], repeatable: bool, most_tries: int = 2) -> Fleet:
-        """Return what came of one request."""
+        """Send one request and return the fleet with its history."""
 
         async def main() -> Fleet:
             fleet = Fleet(faults, [], False)
             fleet.most_tries = most_tries
             await fleet.request(0, repeatable, gives_up=False)
-            await asyncio.sleep(1.0)  # The packets that give grants back are under way.
+            await asyncio.sleep(1.0)  # Waits until the releases of grants have arrived.
             return fleet
 
         return run_virtually(main())
@@ -38,12 +38,12 @@
         rows: tuple[tuple[list[str], bool, int, bytes, int], ...] = (
             # faults in order, may be repeated, most tries, what the caller gets, sends
             ([FAILED], True, 2, ANSWER, 2),
-            # The second failure is told, and nobody is asked a third time.
+            # The second failure is passed on, without a third attempt.
             ([FAILED, FAILED], True, 2, FAILED_ANSWER, 2),
             ([FAILED, FAILED], True, 0, FAILED_ANSWER, 2),
             ([FAILED], False, 2, FAILED_ANSWER, 1),
             ([FAILED], True, 1, FAILED_ANSWER, 1),
-            # What the first one said stands where nobody else has an answer.
+            # The first failure is passed on if no other upstream answers.
             ([FAILED, FULL, FULL], True, 2, FAILED_ANSWER, 3),
             ([FAILED, LOST, LOST, LOST], True, 2, FAILED_ANSWER, 2),
             ([FAILED, UNREACHABLE], True, 2, ANSWER, 3),
@@ -88,6 +88,6 @@
                 await fleet.request(at, True, gives_up=False)
             return fleet
 
-        # Each request here has a budget of its own, of five retries.
+        # Each request here has its own budget of five retries.
         fleet = run_virtually(main())
         self.assertLessEqual(len(fleet.history.sends), 200)
