--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -670,9 +670,9 @@
         self, request: str, dispatch: RecordingDispatch, refusal: NotRun | Unknown
     ) -> None:
         """Record a violation if a request was refused while an engine had a free slot for it."""
-        refusals = [self.history.refusals.get((request, engine)) for engine in self.engines]
+        reasons = [self.history.refusals.get((request, engine)) for engine in self.engines]
         about_the_request = (
-            EngineRefusal.BAD_REQUEST in refusals or refusals.count(EngineRefusal.UNKNOWN) > 1
+            EngineRefusal.BAD_REQUEST in reasons or reasons.count(EngineRefusal.UNKNOWN) > 1
         )
         if isinstance(refusal, Unknown) or about_the_request or dispatch._budget.saved < 1:
             return
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -208,7 +208,7 @@
         """Guards against a slot that stays taken until its lease ends, as its grant was missed."""
         grants = mock.Mock()
 
-        async def ask(request: Question) -> Granted:
+        async def ask(grant_request: Question) -> Granted:
             await asyncio.sleep(0.01)
             return Granted(1, 6)
 
@@ -319,10 +319,12 @@
         async def main() -> list[int]:
             queues = Lines(lambda _: None, is_managed=lambda: True)
             queues._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
-            request = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
-            waiting = asyncio.ensure_future(queues.wait(request, Full(1, 1), lambda: Granted(1, 1)))
+            grant_request = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
+            waiting = asyncio.ensure_future(
+                queues.wait(grant_request, Full(1, 1), lambda: Granted(1, 1))
+            )
             await asyncio.sleep(0)
-            refused = await queues.wait(request, Full(1, 1), lambda: Granted(1, 1))
+            refused = await queues.wait(grant_request, Full(1, 1), lambda: Granted(1, 1))
             counts = []
             for at in (0.1, 0.2, 0.3):
                 queues.gave_back("e", at)
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -164,8 +164,8 @@
         """Return an owner's reply, and the number of the grant request."""
         entry = fleet.routers[self.entry].entry
         number, fields = entry.next_number(), {"chat": 0, "priority": 5, **changes}
-        request = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
-        return await entry.ask(owner or self.owner, request, FIRST_WAIT), number
+        grant_request = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
+        return await entry.ask(owner or self.owner, grant_request, FIRST_WAIT), number
 
     def used(self, fleet: Fleet, owner: str = "") -> int:
         return fleet.routers[owner or self.owner].owner._engine_memory._counts.used("e0")
@@ -277,10 +277,10 @@
 
     def test_a_grant_request_states_the_largest_shared_parts_and_the_rest_as_own(self) -> None:
         parts = ((2**32 + 7, 100), (8, 50), (9, 60), (10, 70), (11, 80))
-        request = self.grant_request(True, answer_tokens=200, prompt_parts=parts)
+        grant_request = self.grant_request(True, answer_tokens=200, prompt_parts=parts)
         expected = ((7, 100), (11, 80), (10, 70), (9, 60), (0, 690))
-        self.assertEqual((request.tokens, request.parts), (200, expected))
+        self.assertEqual((grant_request.tokens, grant_request.parts), (200, expected))
 
     def test_a_grant_request_states_no_tokens_without_load_management(self) -> None:
-        request = self.grant_request(False, answer_tokens=200)
-        self.assertEqual((request.tokens, request.parts), (0, ()))
+        grant_request = self.grant_request(False, answer_tokens=200)
+        self.assertEqual((grant_request.tokens, grant_request.parts), (0, ()))
