--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -1,4 +1,8 @@
-"""A few routers and upstreams at the interfaces, and the history of what they did."""
+"""A simulated fleet of routers and upstreams, and a record of what upstreams ran and callers got.
+
+The code that serves runs unchanged; upstreams and the packets between routers are simulated, with
+faults from a script.
+"""
 
 from __future__ import annotations
 
@@ -70,16 +74,16 @@
 from pondhatch.requests._sending import FAILURE_STATUS
 
 EVENTS = 5
-#: The service's set multiple of the mean.
+#: The service's load bound: an engine's ceiling as a multiple of the mean load.
 BOUND = 1.5
 SAME_CHAT = 7
 STREAM: Headers = (("Content-Type", "text/event-stream"),)
-#: What a cold engine bears beside its pace.
+#: How much a cold engine tolerates beyond its pace.
 COLD_ALLOWANCE = ColdAllowance(overshoot=1.5, slack=5.0)
-#: An upstream answers with a failure of its own.
+#: The fault that an upstream answers with a failure status of its own.
 FAILED = "failed"
 FAILED_ANSWER = b"failed"
-#: What may befall one try at an upstream.
+#: Faults of one attempt at an upstream.
 UPSTREAM_FAULTS = (
     "none",
     *EngineRefusal,
@@ -92,82 +96,82 @@
     "slow",
     FAILED,
 )
-#: Refusals by which an engine says that it has nothing for a request, places or not.
-OWN_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
-#: Seconds for which a place must have been free for a walk to know of it: it asks engines one
-#: after the other, each question and its word take 0.01 s and a refused send as long.
-KNOWN_AFTER = 0.1
-#: What may befall one packet between routers.
+#: Refusals that do not depend on whether the engine has a free slot.
+PERMANENT_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
+#: Seconds for which a slot must have been free for a dispatch to know of it: it asks engines one
+#: after the other, and each grant request, its reply and a refused send take 0.01 s each.
+PROPAGATION_SECONDS = 0.1
+#: Faults of one packet between routers.
 PACKET_FAULTS = ("none", "lost", "late", "very-late", "twice")
-#: Seconds by which a late packet is behind; the last is longer than an owner is waited for.
-LATENESS = {"late": 0.15, "very-late": 2.0}
+#: Additional delay in seconds; the last is longer than the wait for an owner's reply.
+DELAY_BY_FAULT = {"late": 0.15, "very-late": 2.0}
 
 
 def answer_of(request: str) -> bytes:
-    """Return the whole answer to a request."""
+    """Return the complete answer to a request."""
     events = [f"data: {request} {at}\n\n" for at in range(EVENTS)]
     return ("".join(events) + "data: [DONE]\n\n").encode()
 
 
 @dataclass
 class History:
-    """What upstreams ran and what callers got."""
+    """Record of what upstreams ran and what callers got."""
 
     runs: Counter[str] = field(default_factory=Counter)
     sends_to_leaving: int = 0
-    #: Each time that a request was sent to an engine, in order.
+    #: (request, engine id) of each send, in order.
     sends: list[tuple[str, str]] = field(default_factory=list)
-    #: When each of these was, in the loop's seconds.
+    #: Time of each of these sends, in the loop's seconds.
     sent_at: list[float] = field(default_factory=list)
-    #: What each engine's refusal said, by request and engine.
+    #: Reason of each refusal, by request and engine.
     refusals: dict[tuple[str, str], EngineRefusal] = field(default_factory=dict)
-    #: Requests refused while an engine that might still run them had a place.
-    refused_beside_a_place: list[str] = field(default_factory=list)
+    #: Requests that were refused while an engine that could still run them had a free slot.
+    refused_despite_free_slot: list[str] = field(default_factory=list)
     outcome_by_request: dict[str, object] = field(default_factory=dict)
     text_by_request: dict[str, bytes] = field(default_factory=dict)
-    #: When each caller that gave up left, in the loop's seconds.
+    #: When the caller of each abandoned request left, in the loop's seconds.
     left_at: dict[str, float] = field(default_factory=dict)
-    #: When each last reached an upstream, and was last at work there.
+    #: When each request last reached an upstream, and when an upstream last worked on it.
     reached_at: dict[str, float] = field(default_factory=dict)
     worked_until: dict[str, float] = field(default_factory=dict)
 
 
-class Loads:
-    """What really runs at each engine, against the ceiling at the time of each start.
+class EngineLoads:
+    """Numbers of requests that actually run at engines, compared with the ceiling at each start.
 
-    A request counts into its service's total from its grant on, which is some
-    packets before it runs.
+    A request counts towards its service's total from its grant on, which is some packets before
+    it runs.
     """
 
-    #: Seconds for which a walk's knowledge of other engines may be behind.
-    KNOWN_FOR = 2.0
+    #: Seconds by which a dispatch's knowledge of other engines may be out of date.
+    TOTALS_WINDOW = 2.0
 
-    def __init__(self, engines: int, granted: Callable[[], int]) -> None:
-        self._granted = granted
+    def __init__(self, engines: int, count_granted: Callable[[], int]) -> None:
+        self._count_granted = count_granted
         self.running: Counter[str] = Counter()
-        #: Largest share of the ceiling that a start came to.
-        self.most = 0.0
+        #: Largest ratio of an engine's load to its ceiling at the start of a request.
+        self.peak_share = 0.0
         self._engines = engines
         self._total_by_time: list[tuple[float, int]] = []
 
     def start(self, engine: str) -> None:
         now = asyncio.get_running_loop().time()
         self.running[engine] += 1
-        totals = [total for at, total in self._total_by_time if at >= now - self.KNOWN_FOR]
-        # The newest total counts this request itself, which its ceiling must not.
+        totals = [total for at, total in self._total_by_time if at >= now - self.TOTALS_WINDOW]
+        # The newest total includes this request itself, which its ceiling must not count.
         ceiling = admission_ceiling(BOUND, max([*totals[:-1], totals[-1] - 1]), self._engines)
-        self.most = max(self.most, self.running[engine] / ceiling)
+        self.peak_share = max(self.peak_share, self.running[engine] / ceiling)
 
-    def granted(self) -> None:
-        """Note the total after each grant."""
-        self._total_by_time.append((asyncio.get_running_loop().time(), self._granted()))
+    def record_total(self) -> None:
+        """Record the total of grants; called after each grant."""
+        self._total_by_time.append((asyncio.get_running_loop().time(), self._count_granted()))
 
     def end(self, engine: str) -> None:
         self.running[engine] -= 1
 
 
-class Script:
-    """Faults in the order in which they strike; none once it is used up."""
+class FaultScript:
+    """Faults in the order in which they occur; "none" once all are used up."""
 
     def __init__(self, faults: list[str]) -> None:
         self._faults = list(faults)
@@ -176,26 +180,26 @@
         return self._faults.pop(0) if self._faults else "none"
 
 
-class Stream:
-    """An answer that may be cut."""
+class FakeStream:
+    """An answer that may be slow, or cut off at a byte position."""
 
     def __init__(
-        self, content: bytes, cut_at: int | None, slow: bool, ended: Callable[[], None]
+        self, content: bytes, cut_at: int | None, slow: bool, on_end: Callable[[], None]
     ) -> None:
-        self._ended: Callable[[], None] | None = ended
+        self._on_end: Callable[[], None] | None = on_end
         self.status = 200
         self.headers: Headers = STREAM
         self._content = content
         self._cut_at = cut_at
         self._slow = slow
-        self._at = 0
+        self._position = 0
 
     def break_off(self) -> None:
-        """End it here: its engine is gone."""
-        self._cut_at = self._at
+        """Cut the answer off at the current position, as its engine has ended."""
+        self._cut_at = self._position
 
     async def pour(self, sink: PartSink) -> None:
-        # Nobody but its reader cancels it, as with a connection to a real one.
+        # Only the reader cancels it, as with the connection to a real upstream.
         while part := await self._part():
             if not sink.write(part):
                 await sink.ready()
@@ -203,32 +207,34 @@
 
     async def _part(self) -> bytes:
         await asyncio.sleep(0.5 if self._slow else 0.01)
-        if self._cut_at is not None and self._at >= self._cut_at:
+        if self._cut_at is not None and self._position >= self._cut_at:
             self.cancel()
             raise Lost(Broken("answer-broken", "cut"))
-        end = min(self._at + 9, len(self._content), self._cut_at or len(self._content))
-        part, self._at = self._content[self._at : end], end
+        end = min(self._position + 9, len(self._content), self._cut_at or len(self._content))
+        part, self._position = self._content[self._position : end], end
         return part
 
     def cancel(self) -> None:
-        ended, self._ended = self._ended, None
-        if ended is not None:
-            ended()
+        on_end, self._on_end = self._on_end, None
+        if on_end is not None:
+            on_end()
 
 
 class FakeUpstreams:
-    """Upstreams that run, refuse, lose and cut as the script says."""
+    """Upstreams that run, refuse, lose and cut requests according to a script."""
 
-    def __init__(self, history: History, script: Script, leaving: set[str], loads: Loads) -> None:
+    def __init__(
+        self, history: History, script: FaultScript, leaving: set[str], loads: EngineLoads
+    ) -> None:
         self._loads = loads
-        #: Requests that an engine really runs at once, where that is less than its owner knows.
-        self.places: dict[str, int] = {}
-        #: The start that runs now of each engine that started again, by its id. Who asks for an
-        #: earlier one reaches this, for it answers to the same id at the same address.
+        #: Requests that an engine actually runs at once, if fewer than its owner believes.
+        self.slots: dict[str, int] = {}
+        #: Name of the current start of each restarted engine, by id. Sends to an earlier start
+        #: reach this one, since it has the same id and address.
         self.start_by_id: dict[str, str] = {}
-        #: Engines that turn away what comes now.
-        self.rests: set[str] = set()
-        self._streams_by_engine: dict[str, list[Stream]] = {}
+        #: Engines that currently refuse all requests.
+        self.resting: set[str] = set()
+        self._streams_by_engine: dict[str, list[FakeStream]] = {}
         self._history = history
         self._script = script
         self._leaving = leaving
@@ -244,9 +250,9 @@
         fault = self._script.next()
         await asyncio.sleep(0.01)
         engine = self.start_by_id.get(upstream_id_of(target.name), target.name)
-        if engine in self.rests:
+        if engine in self.resting:
             fault = EngineRefusal.OVERLOADED
-        elif not self.has_place(engine):
+        elif not self.has_free_slot(engine):
             fault = EngineRefusal.FULL
         if isinstance(fault, EngineRefusal):
             self._history.refusals[request, target.name] = fault
@@ -274,40 +280,40 @@
         self._loads.start(engine)
         self._history.worked_until[request] = math.inf
 
-        def ended() -> None:
+        def on_end() -> None:
             self._history.worked_until[request] = clock()
             self._loads.end(engine)
 
-        stream = Stream(content, cut, fault == "slow", ended)
+        stream = FakeStream(content, cut, fault == "slow", on_end)
         self._streams_by_engine.setdefault(engine, []).append(stream)
         return Opened(stream)
 
-    def _failure(self, engine: str) -> Stream:
-        """Return an answer that says that an upstream failed."""
+    def _failure(self, engine: str) -> FakeStream:
+        """Return an answer with the status of a failure of the upstream."""
         self._loads.start(engine)
-        failure = Stream(FAILED_ANSWER, None, False, lambda: self._loads.end(engine))
+        failure = FakeStream(FAILED_ANSWER, None, False, lambda: self._loads.end(engine))
         failure.status, failure.headers = FAILURE_STATUS, ()
         return failure
 
-    def start_again(self, engine: str, start: str) -> None:
-        """Break off what runs at an engine; from now on another start answers in its place."""
+    def restart(self, engine: str, start: str) -> None:
+        """Cut off everything that runs at an engine and replace it by another start."""
         for stream in self._streams_by_engine.pop(engine, []):
             stream.break_off()
         self.start_by_id[upstream_id_of(engine)] = start
 
-    def has_place(self, engine: str) -> bool:
+    def has_free_slot(self, engine: str) -> bool:
         """Return whether an engine can run one more request now."""
-        return self._loads.running[engine] < self.places.get(engine, math.inf)
+        return self._loads.running[engine] < self.slots.get(engine, math.inf)
 
 
 class Network:
-    """Carries packets between routers, as the script says."""
+    """Carries packets between routers, with faults from a script."""
 
-    def __init__(self, script: Script) -> None:
+    def __init__(self, script: FaultScript) -> None:
         self._script = script
         self.take_by_name: dict[str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]]
         self.take_by_name = {}
-        #: Routers that are frozen or gone.
+        #: Routers that neither send nor receive packets, as they are frozen or gone.
         self.silent: set[str] = set()
 
     def send(self, sender: str, to: str, packet: GrantPacket) -> None:
@@ -315,19 +321,19 @@
         copies = {"lost": 0, "twice": 2}.get(fault, 1)
         payload = encode_grant_packet(packet)
         for at in range(copies):
-            delay = 0.01 + 0.02 * at + LATENESS.get(fault, 0.0)
+            delay = 0.01 + 0.02 * at + DELAY_BY_FAULT.get(fault, 0.0)
             asyncio.get_running_loop().call_later(delay, self._deliver, sender, to, payload)
 
     def _deliver(self, sender: str, to: str, payload: bytes) -> None:
         packet = decode_grant_packet(payload)
         if packet is None:
-            raise AssertionError("a packet that does not parse")
+            raise AssertionError("a packet does not decode")
         if not {sender, to} & self.silent:
             self.take_by_name[to](packet, lambda reply: self.send(to, sender, reply))
 
 
 class Sink:
-    """What a caller got."""
+    """Records what a caller received; is ready for more after every other write."""
 
     def __init__(self, record: Callable[[bytes], None]) -> None:
         self._received = bytearray()
@@ -342,16 +348,16 @@
         await asyncio.sleep(0.001)
 
 
-class NotedGate(Gate):
-    """A gate whose grants are noted."""
+class RecordingGate(Gate):
+    """A gate that reports its grants and records its releases."""
 
-    note: Callable[[], None] = lambda: None
-    #: When a grant at an engine was last given back.
+    on_grant: Callable[[], None] = lambda: None
+    #: When a grant was last released, by engine.
     freed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
         verdict = super()._grant(engine, count, held, ceiling)
-        self.note()
+        self.on_grant()
         return verdict
 
     def release(self, engine: str) -> None:
@@ -359,33 +365,33 @@
         self.freed_at[engine] = asyncio.get_running_loop().time()
 
     def has_room(self, engine: str, others: int, engines: int) -> bool:
-        """Return whether it would grant one request more, and would have for a while."""
+        """Return whether it would grant another request, and could for PROPAGATION_SECONDS."""
         now = asyncio.get_running_loop().time()
-        if now - self.freed_at.get(engine, -math.inf) < KNOWN_AFTER:
+        if now - self.freed_at.get(engine, -math.inf) < PROPAGATION_SECONDS:
             return False
-        # A copy, since a gate counts what it grants.
+        # Asks a copy, since a gate counts its grants.
         verdict = Gate(dict(self.by_engine)).try_grant(engine, now, BOUND, others, engines, 8)
         return isinstance(verdict, Granted)
 
 
-class View:
-    """One router's view; routers may differ on who owns an engine."""
+class RouterView:
+    """One router's view of the fleet; routers may disagree on which router owns an engine."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self._fleet = fleet
         self._name = name
-        self.disagrees = False
-        #: What engines said to this router of themselves.
+        self.claims_all_engines = False
+        #: Notices that this router received from engines.
         self.notices = Notices()
-        #: The router that all engines moved to, where they did.
-        self.moved_to: str | None = None
-        #: The starts that this router knows of; None where it knows them all.
-        self.known: tuple[str, ...] | None = None
+        #: The router that owns all engines, if ownership was moved.
+        self.owner_override: str | None = None
+        #: Names of the engine starts that this router knows; None if it knows the current ones.
+        self.known_engines: tuple[str, ...] | None = None
 
     @property
     def engines(self) -> tuple[str, ...]:
-        """The engines that this router takes to be there."""
-        return self._fleet.engines if self.known is None else self.known
+        """The engines that this router takes to exist."""
+        return self._fleet.engines if self.known_engines is None else self.known_engines
 
     def target(self, engine: str) -> Target | None:
         if engine not in self.engines:
@@ -394,7 +400,7 @@
         return Target(engine, "", intake, BOUND, len(self._fleet.engines), 8)
 
     def note_served(self, chat: int, engine: str) -> None:
-        """Remember nothing."""
+        """Do nothing."""
 
     def last_served(self, chat: int) -> str | None:
         return None
@@ -403,9 +409,9 @@
         return None
 
     def owner_name(self, engine: str) -> str | None:
-        if self.disagrees:
+        if self.claims_all_engines:
             return self._name
-        return self.moved_to or winner(engine, self._fleet.live)
+        return self.owner_override or winner(engine, self._fleet.live)
 
     def elsewhere_in_flight(self, engine: str) -> int:
         return 0
@@ -423,14 +429,14 @@
         return name in self._fleet.live
 
     def unreachable(self, name: str) -> None:
-        """Do nothing: the walk goes on."""
+        """Do nothing; the dispatch goes on."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
         closed = {e: self._intake(e).closed_reason(regions) for e in self.engines}
         return tuple(e for e in self.engines if closed[e] in (None, ClosedReason.RESTING))
 
     def _intake(self, engine: str) -> Intake:
-        """Return what an engine takes, by what it said to this router as well."""
+        """Return an engine's intake, including the notices that this router received."""
         intake, now = self._fleet.intake_of(engine), asyncio.get_running_loop().time()
         if self.notices.is_leaving(engine, now):
             intake = msgspec.structs.replace(intake, is_live=False)
@@ -446,12 +452,12 @@
 
 
 class Router:
-    """One router's side of grants."""
+    """One router's grants, as an owner and as an entry router."""
 
     def __init__(self, name: str, fleet: Fleet) -> None:
         clock = asyncio.get_running_loop().time
-        self.view = View(fleet, name)
-        self.gate = NotedGate(note=fleet.loads.granted)
+        self.view = RouterView(fleet, name)
+        self.gate = RecordingGate(on_grant=fleet.loads.record_total)
         self.health = Health()
         self.cold_paces = ColdPacer(COLD_ALLOWANCE, fleet_share=1.0)
         self.owner = LocalOwner(
@@ -466,7 +472,7 @@
             NUMBERS - 3,
         )
         self.sides = GrantSides(self.entry, OwnerGrants(self.owner, self._tasks))
-        self._rounds = self._tasks.start(self._tick())
+        self._ticking = self._tasks.start(self._tick())
 
     async def _tick(self) -> None:
         while True:
@@ -474,19 +480,19 @@
             await asyncio.sleep(0.1)
 
     def stop(self) -> None:
-        self._rounds.cancel()
+        self._ticking.cancel()
 
 
-class ListeningUpstreams:
-    """One router's connections: they go by what engines say of themselves, and take it in."""
+class NoticeRecordingUpstreams:
+    """One router's connections, which obey and record the notices that engines send in answers."""
 
     def __init__(self, router: Router, fleet: Fleet) -> None:
         self._router = router
         self._fleet = fleet
-        #: Each time that a request was sent to an engine.
+        #: (engine, time) of each send.
         self.sends: list[tuple[str, float]] = []
-        #: Each notice that was heard of an engine, and when.
-        self.heard: list[tuple[str, Notice, float]] = []
+        #: (engine, notice, time of receipt) of each notice.
+        self.notices_received: list[tuple[str, Notice, float]] = []
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
@@ -500,110 +506,110 @@
         notice = self._fleet.notice_of(target.name)
         reply = await self._fleet.upstreams.send(target, head, body)
         if notice and not (isinstance(reply, Unknown) and reply.code != CROSSED):
-            self._hear(target.name, notice)
+            self._record_notice(target.name, notice)
         return reply
 
-    def _hear(self, engine: str, notice: Notice) -> None:
+    def _record_notice(self, engine: str, notice: Notice) -> None:
         now = asyncio.get_running_loop().time()
-        self.heard.append((engine, notice, now))
+        self.notices_received.append((engine, notice, now))
         if self._router.view.notices.record(engine, notice, now, is_start_known=True):
             self._router.gate.record_rest(engine, now, notice.rest)
 
 
-class NotedWalk(Walk):
-    """A walk whose questions are noted."""
+class RecordingDispatch(Walk):
+    """A dispatch that records the load elsewhere that its grant requests state."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        #: Work elsewhere that the last question about each engine told of.
-        self.told: dict[str, int] = {}
+        #: Load at other engines as stated in the last grant request, by engine.
+        self.seen_elsewhere_by_engine: dict[str, int] = {}
 
     def _question(self, engine: str, *args: Any, **kwargs: Any) -> Question:
-        question = super()._question(engine, *args, **kwargs)
-        self.told[engine] = question.seen_elsewhere
-        return question
+        grant_request = super()._question(engine, *args, **kwargs)
+        self.seen_elsewhere_by_engine[engine] = grant_request.seen_elsewhere
+        return grant_request
 
 
 class Fleet:
-    """Three routers before three engines."""
+    """Three routers in front of three engines."""
 
     def __init__(self, upstream_faults: list[str], packet_faults: list[str], resumes: bool) -> None:
         self.names = ("r0", "r1", "r2")
         self.engines: tuple[str, ...] = ("e0", "e1", "e2")
         self.resumes = resumes
         self.history = History()
-        self.network = Network(Script(packet_faults))
+        self.network = Network(FaultScript(packet_faults))
         self.known_leaving: set[str] = set()
-        #: What single engines take, where it is not all that comes.
+        #: Intake of engines that do not take everything.
         self.intake_by_engine: dict[str, Intake] = {}
-        self.loads = Loads(len(self.engines), self.granted)
+        self.loads = EngineLoads(len(self.engines), self.total_granted)
         #: Whether all requests belong to one chat, and so to one home engine.
         self.same_chat = False
-        #: Engines that a request may be sent to at most; 0 sets no limit.
+        #: Largest number of engines that a request may be sent to; 0 for no limit.
         self.most_tries = 0
-        #: Walks of requests that have no answer yet, or got it a moment ago.
-        self._walks: list[NotedWalk] = []
-        script = Script(upstream_faults)
+        #: Dispatches of requests without an answer, or with one since PROPAGATION_SECONDS.
+        self._dispatches: list[RecordingDispatch] = []
+        script = FaultScript(upstream_faults)
         self.upstreams = FakeUpstreams(self.history, script, self.known_leaving, self.loads)
-        #: What single engines' answers say of them, and when that begins and ends.
+        #: Notices in engines' answers: (engine, notice, first time, end time).
         self.notices: list[tuple[str, Notice, float, float]] = []
-        #: Seconds that a connection to an engine takes.
+        #: Seconds that it takes to connect to an engine.
         self.connect_seconds = 0.0
         self.routers = {name: Router(name, self) for name in self.names}
-        self.listening = {
-            name: ListeningUpstreams(router, self) for name, router in self.routers.items()
+        self.connections_by_router = {
+            name: NoticeRecordingUpstreams(router, self) for name, router in self.routers.items()
         }
         self.network.take_by_name = {
             name: each.sides.receive for name, each in self.routers.items()
         }
 
-    def start_again(self, at: int, start: int) -> None:
-        """Have an engine start again under its id; no router knows of that yet."""
-        before = self.engines[at]
+    def restart_engine(self, index: int, start: int) -> None:
+        """Restart an engine under its id; no router knows of the new start yet."""
+        before = self.engines[index]
         name = name_of_start(upstream_id_of(before), start)
         for router in self.routers.values():
-            router.view.known = router.view.engines
-        self.engines = (*self.engines[:at], name, *self.engines[at + 1 :])
-        self.upstreams.start_again(before, name)
+            router.view.known_engines = router.view.engines
+        self.engines = (*self.engines[:index], name, *self.engines[index + 1 :])
+        self.upstreams.restart(before, name)
 
-    def hears_of_starts(self, router: str) -> None:
-        """Have a router learn which starts there are now."""
-        self.routers[router].view.known = self.engines
+    def learn_starts(self, router: str) -> None:
+        """Make a router learn the current starts of all engines."""
+        self.routers[router].view.known_engines = self.engines
 
     def intake_of(self, engine: str) -> Intake:
-        """Return what an engine takes, as every router knows it."""
+        """Return an engine's intake as known to every router."""
         if engine in self.known_leaving:
             return CLOSING
         return self.intake_by_engine.get(engine, OPEN)
 
     def notice_of(self, engine: str) -> Notice:
-        """Return what an engine's answers say of it now; one that asks for rest runs nothing."""
+        """Return the notice in an engine's answers now; one that asks for rest refuses all."""
         now = asyncio.get_running_loop().time()
         in_force = [each for each in self.notices if each[0] == engine and each[2] <= now < each[3]]
         rest = max((notice.rest for _, notice, _, _ in in_force), default=0.0)
-        self.upstreams.rests = self.upstreams.rests - {engine} | ({engine} if rest else set())
+        self.upstreams.resting = self.upstreams.resting - {engine} | ({engine} if rest else set())
         return Notice(any(notice.is_leaving for _, notice, _, _ in in_force), rest)
 
     @property
     def live(self) -> tuple[str, ...]:
         return tuple(name for name in self.names if name not in self.network.silent)
 
-    def granted(self) -> int:
-        """Return the grants that all routers together count."""
+    def total_granted(self) -> int:
+        """Return the number of grants that all routers together count."""
         gates = [router.gate for router in self.routers.values()]
         return sum(count.granted for gate in gates for count in gate.by_engine.values())
 
     async def request_later(
         self, number: int, repeatable: bool, gives_up: bool, after: float
     ) -> None:
-        """Send one request after so many seconds; see ``request``."""
+        """Send one request after ``after`` seconds; see ``request``."""
         await asyncio.sleep(after)
         await self.request(number, repeatable, gives_up)
 
     async def request(
         self, number: int, repeatable: bool, gives_up: bool, after: float = 0.05
     ) -> None:
-        """Send one request through a router and record what came of it."""
+        """Send one request through a router and record its outcome."""
         name = f"q{number}"
         entry = self.names[number % len(self.names)]
         task = asyncio.ensure_future(self._serve(name, entry, repeatable))
@@ -631,69 +637,84 @@
         until = asyncio.get_running_loop().time() + 10.0
         remaining: Callable[[], float] = lambda: until - asyncio.get_running_loop().time()  # noqa: E731
         router = self.routers[entry]
-        walk = NotedWalk(
+        dispatch = RecordingDispatch(
             router.view,
-            Ways(router.entry, self.listening[entry]),
+            Ways(router.entry, self.connections_by_router[entry]),
             RetryBudget(),
             head,
             ReplayableBody(b"body"),
             remaining,
             Patience(0.2, 1.0),
         )
-        self._walks.append(walk)
+        self._dispatches.append(dispatch)
         try:
-            reply = await walk.run()
+            reply = await dispatch.run()
             if not isinstance(reply, Placed):
-                self._note_places(request, walk, reply.refusal)
+                self._record_free_slots(request, dispatch, reply.refusal)
         finally:
-            # Those behind it in a line are served a moment after it has left.
-            asyncio.get_running_loop().call_later(KNOWN_AFTER, self._walks.remove, walk)
+            # Requests behind it in a queue are granted only some time after it has left.
+            asyncio.get_running_loop().call_later(
+                PROPAGATION_SECONDS, self._dispatches.remove, dispatch
+            )
         if not isinstance(reply, Placed):
             self.history.outcome_by_request[request] = reply.refusal
             return
 
-        def record(text: bytes) -> None:
+        def record_text(text: bytes) -> None:
             self.history.text_by_request[request] = text
 
-        delivered = await Delivery(walk, reply, Sink(record)).run()
+        delivered = await Delivery(dispatch, reply, Sink(record_text)).run()
         self.history.outcome_by_request[request] = delivered.outcome
 
-    def _note_places(self, request: str, walk: NotedWalk, refusal: NotRun | Unknown) -> None:
-        """Note whether an engine that might run a request had a place as it was refused."""
-        own = [self.history.refusals.get((request, engine)) for engine in self.engines]
-        about_the_request = EngineRefusal.BAD_REQUEST in own or own.count(EngineRefusal.UNKNOWN) > 1
-        if isinstance(refusal, Unknown) or about_the_request or walk._budget.saved < 1:
+    def _record_free_slots(
+        self, request: str, dispatch: RecordingDispatch, refusal: NotRun | Unknown
+    ) -> None:
+        """Record a violation if a request was refused while an engine had a free slot for it."""
+        reasons = [self.history.refusals.get((request, engine)) for engine in self.engines]
+        about_the_request = (
+            EngineRefusal.BAD_REQUEST in reasons or reasons.count(EngineRefusal.UNKNOWN) > 1
+        )
+        if isinstance(refusal, Unknown) or about_the_request or dispatch._budget.saved < 1:
             return
         for engine in self.engines:
-            if self._might_run(request, engine) and self._has_place(engine, walk):
-                told = f"{request} was refused as {refusal.code} while {engine} had a place"
-                self.history.refused_beside_a_place.append(told)
-
-    def _might_run(self, request: str, engine: str) -> bool:
-        """Return whether a request may go to an engine, and was not refused for its own sake."""
-        if self.history.refusals.get((request, engine)) in OWN_REFUSALS:
+            if self._may_be_sent(request, engine) and self._would_be_granted(engine, dispatch):
+                violation = (
+                    f"{request} was refused as {refusal.code} while {engine} had a free slot"
+                )
+                self.history.refused_despite_free_slot.append(violation)
+
+    def _may_be_sent(self, request: str, engine: str) -> bool:
+        """Return whether a request may go to an engine, which has not refused it for good."""
+        if self.history.refusals.get((request, engine)) in PERMANENT_REFUSALS:
             return False
         sent_to = {to for sent, to in self.history.sends if sent == request}
         return engine in sent_to or not 0 < self.most_tries <= len(sent_to)
 
-    def _has_place(self, engine: str, walk: NotedWalk) -> bool:
-        """Return whether an engine has a place that its owner would grant by what it was told."""
+    def _would_be_granted(self, engine: str, dispatch: RecordingDispatch) -> bool:
+        """Return whether an engine has a free slot that its owner would grant.
+
+        The owner decides by the load elsewhere that grant requests state.
+        """
         owner = self.routers[winner(engine, self.live) or ""]
         known = owner.health.health_by_upstream.get(engine)
-        if not self.upstreams.has_place(engine) or (known and known.is_marked_down):
+        if not self.upstreams.has_free_slot(engine) or (known and known.is_marked_down):
             return False
-        # A line is served in order: one that knows of less work elsewhere, and so of a lower
-        # ceiling, holds up those behind it.
-        told = [each.told[engine] for each in self._walks if engine in each.told]
-        others = min(told, default=walk.plan.seen_in_flight_elsewhere(engine))
+        # A queue is served in order: a request that states less load elsewhere, and so gets a
+        # lower ceiling, blocks those behind it.
+        reported = [
+            each.seen_elsewhere_by_engine[engine]
+            for each in self._dispatches
+            if engine in each.seen_elsewhere_by_engine
+        ]
+        others = min(reported, default=dispatch.plan.seen_in_flight_elsewhere(engine))
         return owner.gate.has_room(engine, others, len(self.engines))
 
 
 def violations(fleet: Fleet, repeatable: dict[str, bool], owners: int = 1) -> list[str]:
-    """Return every promise that the history breaks.
+    """Return a description of every guarantee that the history violates.
 
-    ``owners`` says how many routers may believe at once that they own an engine:
-    each holds its own count against the ceiling.
+    ``owners`` is the number of routers that may believe at once that they own an engine, each of
+    which compares only its own count with the ceiling.
     """
     history = fleet.history
     found = []
@@ -710,8 +731,8 @@
     for request, may_repeat in repeatable.items():
         if not may_repeat and history.runs[request] > 1:
             found.append(f"{request} may not be repeated and ran {history.runs[request]} times")
-    if fleet.loads.most > owners:
-        found.append(f"a start came to {fleet.loads.most} times the ceiling of its engine")
+    if fleet.loads.peak_share > owners:
+        found.append(f"a start came to {fleet.loads.peak_share} times the ceiling of its engine")
     for request in history.outcome_by_request:
         sent_to = {engine for sent, engine in history.sends if sent == request}
         if 0 < fleet.most_tries < len(sent_to):
--- a/pondhatch/requests/tests/test_gone_histories.py
+++ b/pondhatch/requests/tests/test_caller_gone_histories.py
@@ -1,4 +1,7 @@
-"""Callers that leave at every stage, with packets between routers that are late."""
+"""Guards against work, grants and queue entries that outlive the caller of a request.
+
+Callers leave at every stage, while packets between routers are late or lost.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 from pondhatch.requests.tests.test_grants import GrantCase
 from pondhatch.requests.tests.test_histories import PROFILE
 
-#: Seconds after a caller's leaving in which all that is its must have ended.
+#: Seconds after a caller has left within which everything of its request must have ended.
 GONE_SECONDS = 0.5
-#: What delays packets, and loses none: a lost release counts until its lease ends.
+#: Packet faults without losses: after a lost release a grant counts until its lease ends.
 DELAYS = ("none", "none", "late", "twice")
-#: A request that may be repeated or not, when it comes, and after how long its caller leaves.
+#: A request: whether it may be repeated, when it arrives, and how long its caller stays.
 REQUEST = st.tuples(st.booleans(), st.floats(0, 0.3), st.floats(0, 1.5))
 
 
-def worked_on(fleet: Fleet) -> list[str]:
-    """Return what reached an upstream, or was at work there, long after its caller left."""
+def work_after_leaving(fleet: Fleet) -> list[str]:
+    """Return the requests that an upstream got or worked on too long after the caller left."""
     history, found = fleet.history, []
     for request, left in history.left_at.items():
         for what, at in (
@@ -34,19 +37,21 @@
     return found
 
 
-def counted(fleet: Fleet) -> list[str]:
-    """Return what owners still count, or have in their lines."""
-    found = [f"{fleet.granted()} grants"] if fleet.granted() else []
+def remaining_counts(fleet: Fleet) -> list[str]:
+    """Return the grants that owners still count and the requests in their queues."""
+    found = [f"{fleet.total_granted()} grants"] if fleet.total_granted() else []
     for name, router in fleet.routers.items():
         waiting = sum(router.owner._lines.waiting(engine) for engine in fleet.engines)
         if waiting:
-            found.append(f"{waiting} in the lines of {name}")
+            found.append(f"{waiting} in the queues of {name}")
     return found
 
 
-class GoneTest(unittest.TestCase):
-    async def leaving(self, fleet: Fleet, requests: list[tuple[bool, float, float]]) -> None:
-        """Have requests come whose callers leave; return half a second after the last."""
+class CallerGoneTest(unittest.TestCase):
+    async def run_leaving_callers(
+        self, fleet: Fleet, requests: list[tuple[bool, float, float]]
+    ) -> None:
+        """Send requests whose callers leave; return GONE_SECONDS after the last has left."""
 
         async def one(number: int, repeatable: bool, at: float, stays: float) -> None:
             await asyncio.sleep(at)
@@ -72,9 +77,9 @@
     ) -> None:
         async def history() -> list[str]:
             fleet = Fleet(upstream_faults, packet_faults, resumes)
-            await self.leaving(fleet, requests)
+            await self.run_leaving_callers(fleet, requests)
             await asyncio.sleep(10)
-            return worked_on(fleet)
+            return work_after_leaving(fleet)
 
         self.assertEqual(run_virtually(history()), [])
 
@@ -85,7 +90,7 @@
         st.lists(st.sampled_from(DELAYS), max_size=20),
         st.booleans(),
     )
-    def test_no_owner_counts_a_caller_that_left_or_has_it_wait(
+    def test_no_owner_counts_or_queues_a_caller_that_left(
         self,
         requests: list[tuple[bool, float, float]],
         upstream_faults: list[str],
@@ -95,37 +100,37 @@
         async def history() -> list[str]:
             fleet = Fleet(upstream_faults, delays, resumes=True)
             fleet.same_chat = same_chat
-            await self.leaving(fleet, requests)
-            return counted(fleet)
+            await self.run_leaving_callers(fleet, requests)
+            return remaining_counts(fleet)
 
         self.assertEqual(run_virtually(history()), [])
 
 
-class InLineTest(GrantCase):
-    """A caller that leaves while its request waits in a line at another router."""
+class GoneWhileQueuedTest(GrantCase):
+    """A caller leaves while its request waits in a queue at another router."""
 
     def after_leaving(self, *packet_faults: str) -> list[str]:
-        """Return what is counted half a second later, beside the grant that fills the engine."""
+        """Return what is counted GONE_SECONDS later, except the grant that fills the engine."""
 
         async def main() -> list[str]:
-            # The first two packets ask and grant what fills the engine.
+            # The first two packets request and grant the slot that fills the engine.
             fleet = Fleet([], ["none", "none", *packet_faults], False)
             await self.ask(fleet)
-            asked = asyncio.ensure_future(self.ask(fleet, patience=5000))
+            waiting = asyncio.ensure_future(self.ask(fleet, patience=5000))
             await asyncio.sleep(0.05)
-            asked.cancel()
+            waiting.cancel()
             await asyncio.sleep(GONE_SECONDS)
-            return counted(fleet)
+            return remaining_counts(fleet)
 
         found = run_virtually(main())
         self.assertEqual(found[0], "1 grants")
         return found[1:]
 
-    def test_its_place_is_given_up(self) -> None:
+    def test_its_place_in_the_queue_is_given_up(self) -> None:
         self.assertEqual(self.after_leaving(), [])
 
-    def test_however_late_the_release_is(self) -> None:
+    def test_its_place_is_given_up_after_a_late_release(self) -> None:
         self.assertEqual(self.after_leaving("none", "none", "late"), [])
 
-    def test_where_the_question_comes_after_its_release(self) -> None:
+    def test_its_place_is_given_up_if_the_release_overtakes_the_request(self) -> None:
         self.assertEqual(self.after_leaving("late"), [])
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Drawn histories through the code that serves, checked against the promises."""
+"""Random histories of the serving code, checked against the guarantees to callers and engines."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from pondhatch.requests import EngineRefusal, EntryGrants, OwnerReply, Question
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests.tests._history import (
-    OWN_REFUSALS,
     PACKET_FAULTS,
+    PERMANENT_REFUSALS,
     UPSTREAM_FAULTS,
     Fleet,
     violations,
@@ -40,8 +40,8 @@
     st.floats(0, 0.3),  # starts after, in seconds
 )
 
-#: What befalls tries where engines refuse; "full" is said by those that are, and no others.
-REFUSED = ("none", "slow", EngineRefusal.BAD_REQUEST, *OWN_REFUSALS)
+#: Faults of attempts where engines refuse; only engines that are full refuse as "full".
+REFUSAL_FAULTS = ("none", "slow", EngineRefusal.BAD_REQUEST, *PERMANENT_REFUSALS)
 
 
 class HistoryTest(unittest.TestCase):
@@ -56,7 +56,7 @@
         st.booleans(),
         st.one_of(st.none(), st.tuples(st.sampled_from(["r0", "r1", "r2"]), st.floats(0, 0.5))),
     )
-    def test_promises_hold(
+    def test_guarantees_hold(
         self,
         requests: list[tuple[bool, bool, float]],
         upstream_faults: list[str],
@@ -71,7 +71,7 @@
             fleet = Fleet(upstream_faults, packet_faults, resumes)
             fleet.same_chat = same_chat
             for name in disagreeing:
-                fleet.routers[name].view.disagrees = True
+                fleet.routers[name].view.claims_all_engines = True
 
             async def leave() -> None:
                 if leaves_at is not None:
@@ -97,25 +97,25 @@
     @settings(PROFILE)
     @given(
         st.lists(REQUEST, min_size=1, max_size=12),
-        st.lists(st.sampled_from(REFUSED), max_size=16),
+        st.lists(st.sampled_from(REFUSAL_FAULTS), max_size=16),
         st.lists(st.integers(1, 4), min_size=3, max_size=3),
         st.integers(0, 3),
         st.booleans(),
     )
-    def test_no_request_is_refused_while_a_place_is_free_for_it(
+    def test_no_request_is_refused_while_a_slot_is_free_for_it(
         self,
         requests: list[tuple[bool, bool, float]],
         refusals: list[str],
-        places: list[int],
+        slots: list[int],
         most_tries: int,
         same_chat: bool,
     ) -> None:
-        """Engines refuse for drawn reasons, and have fewer places than their owners believe."""
+        """Engines refuse for random reasons, and have fewer slots than their owners believe."""
 
         async def history() -> list[str]:
             fleet = Fleet(refusals, [], False)
             fleet.same_chat, fleet.most_tries = same_chat, most_tries
-            fleet.upstreams.places = dict(zip(fleet.engines, places, strict=True))
+            fleet.upstreams.slots = dict(zip(fleet.engines, slots, strict=True))
 
             await asyncio.gather(
                 *(fleet.request_later(at, *request) for at, request in enumerate(requests))
@@ -123,13 +123,13 @@
             await asyncio.sleep(2 * LEASE_SECONDS)
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
             found = violations(fleet, repeatable)
-            return found + fleet.history.refused_beside_a_place
+            return found + fleet.history.refused_despite_free_slot
 
         self.assertEqual(run_virtually(history()), [])
 
 
-class DirectedTest(unittest.TestCase):
-    """Single faults, whose outcome is known."""
+class SingleFaultTest(unittest.TestCase):
+    """Single faults with a known outcome."""
 
     def outcome(
         self, upstream: list[str], repeatable: bool, resumes: bool = False
@@ -143,7 +143,7 @@
 
         return run_virtually(history())
 
-    def test_outcomes(self) -> None:
+    def test_each_single_fault_has_its_outcome(self) -> None:
         cases: list[tuple[list[str], bool, str, int]] = [
             # faults, may be repeated, outcome, runs
             ([EngineRefusal.UNKNOWN], True, "Whole", 1),
@@ -170,29 +170,30 @@
 
         self.assertEqual(run_virtually(history()), "Whole")
 
-    def test_a_stream_that_goes_on_tells_of_no_load_that_its_walk_saw(self) -> None:
+    def test_a_resumed_stream_reports_no_load_seen_by_its_earlier_attempts(self) -> None:
         async def main() -> list[tuple[bool, int]]:
             fleet = Fleet(["slow", "cut"], [], resumes=True)
             fleet.same_chat = True
             entry = fleet.routers["r1"].entry
-            asked: list[tuple[bool, int]] = []
+            recorded: list[tuple[bool, int]] = []
             ask = EntryGrants.ask
 
-            async def noted(
-                side: EntryGrants, owner: str, question: Question, bearable: float
+            async def recording_ask(
+                side: EntryGrants, owner: str, grant_request: Question, max_wait: float
             ) -> OwnerReply:
                 if side is entry:
-                    asked.append((question.resuming, question.seen_elsewhere))
-                return await ask(side, owner, question, bearable)
+                    recorded.append((grant_request.resuming, grant_request.seen_elsewhere))
+                return await ask(side, owner, grant_request, max_wait)
 
-            with patch.object(EntryGrants, "ask", noted):
+            with patch.object(EntryGrants, "ask", recording_ask):
                 first = asyncio.ensure_future(fleet.request(0, True, gives_up=False))
                 await asyncio.sleep(0.1)
                 await fleet.request(1, True, gives_up=False)
             await first
-            return asked
+            return recorded
 
-        # The first asked is full, so the next is told of the work there; the stream breaks there.
+        # The first engine is full, so the request to the second states the load seen at the first;
+        # the stream is cut at the second.
         self.assertEqual(run_virtually(main()), [(False, 0), (False, 1), (True, 0)])
 
     def test_a_stream_is_resumed_three_times_at_most(self) -> None:
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -1,8 +1,8 @@
-"""Drawn histories in which halls are evacuated and engines turn cold, checked by what engines see.
+"""Random histories with evacuated halls and cold engines, checked by what engines receive.
 
-Seen at engines alone: none whose hall is evacuated gets anything, once every router knows, be
-it new, a repeat, the rest of a stream, one that waited in its line or one that was granted; and
-no cold one gets more in any second than it bears, however routers differ on who owns it.
+Once every router knows that a hall is evacuated, its engines must get nothing: no new request,
+retry or rest of a stream, and none that was queued or granted before. A cold engine must get no
+more in any second than its allowance, however routers disagree on its owner.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 )
 from pondhatch.requests.tests.test_histories import PROFILE, REQUEST
 
-#: Seconds from a grant to its send at the engine, in these histories.
-SENT_IN = 0.011
+#: Seconds from a grant to the send to the engine, in these histories.
+SEND_DELAY = 0.011
 PACE = 6.0
 COLD = Intake(cold_pace=PACE)
 EVACUATED = Intake(is_evacuated=True)
 
 
 def sends_to(fleet: Fleet, engine: str) -> list[float]:
-    """Return when an engine was sent requests."""
+    """Return the times of all sends to an engine."""
     history = fleet.history
     return [at for (_, to), at in zip(history.sends, history.sent_at, strict=True) if to == engine]
 
@@ -64,7 +64,7 @@
             fleet = Fleet(upstream_faults, packet_faults, resumes)
             fleet.same_chat = same_chat
             for name in disagreeing:
-                fleet.routers[name].view.disagrees = True
+                fleet.routers[name].view.claims_all_engines = True
 
             async def evacuate() -> float:
                 await asyncio.sleep(evacuated_at)
@@ -76,16 +76,17 @@
             await asyncio.gather(*sent)
             known_at = await evacuating
             await asyncio.sleep(2 * LEASE_SECONDS)
-            late = [at for at in sends_to(fleet, "e0") if at > known_at + SENT_IN]
+            late = [at for at in sends_to(fleet, "e0") if at > known_at + SEND_DELAY]
             found = [f"an evacuated hall got a request at {at}" for at in late]
             repeatable = {f"q{at}": each[0] for at, each in enumerate(requests)}
-            # An owner whose words are lost is decided for, and counts on by itself.
+            # If an owner's replies are lost, another router decides for it while it goes on
+            # counting alone.
             is_unheard = bool({"lost", "very-late"} & set(packet_faults))
             return found + violations(fleet, repeatable, 1 + len(disagreeing) + is_unheard)
 
         self.assertEqual(run_virtually(history()), [])
 
-    def test_where_nothing_is_open_requests_are_refused_at_once(self) -> None:
+    def test_requests_are_refused_at_once_if_all_halls_are_evacuated(self) -> None:
         async def history() -> tuple[float, list[object], int]:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine = dict.fromkeys(fleet.engines, EVACUATED)
@@ -110,7 +111,7 @@
         st.one_of(st.none(), st.tuples(st.sampled_from(["r0", "r1", "r2"]), st.floats(0, 1.0))),
         st.integers(1, 3),
     )
-    def test_a_cold_engine_gets_no_more_than_it_bears(
+    def test_a_cold_engine_gets_no_more_than_its_allowance(
         self,
         starts: list[float],
         upstream_faults: list[str],
@@ -120,14 +121,14 @@
         freezes: tuple[str, float] | None,
         cold: int,
     ) -> None:
-        """One router at most takes itself for the owner beside the others' owner."""
+        """At most one router besides the actual owner believes that it owns an engine."""
 
         async def history() -> list[str]:
             fleet = Fleet(upstream_faults, packet_faults, True)
             fleet.same_chat = same_chat
             fleet.intake_by_engine = dict.fromkeys(fleet.engines[:cold], COLD)
             if disagreeing is not None:
-                fleet.routers[disagreeing].view.disagrees = True
+                fleet.routers[disagreeing].view.claims_all_engines = True
 
             async def freeze() -> None:
                 if freezes is not None and disagreeing is None:
@@ -142,7 +143,7 @@
 
         self.assertEqual(run_virtually(history()), [])
 
-    def test_it_is_used_beside_warm_ones_and_alone(self) -> None:
+    def test_cold_engines_are_used_beside_warm_ones_and_alone(self) -> None:
         async def history(cold: int) -> int:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine = dict.fromkeys(fleet.engines[:cold], COLD)
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -1,10 +1,10 @@
-"""Which engine a chat is sent to while engines are replaced or added.
+"""Guards against new engines that get no chats while engines are replaced or added.
 
-The pattern: a third of a service's engines are replaced or added within half a minute, as in
-rolling releases and when capacity is added. Grounds: on two days of 17 engines with 7
-newcomers, those left without chats had the others at their ceilings (1.7 times the mean and
-3), and contexts moved to and fro: moves and readings cost 0.064 and 0.058 of worth. With
-their chats from the start, which they take over, they cost 0.051 and 0.046.
+The pattern: a third of a service's engines are replaced or added within half a minute, as in a
+rolling release. If newcomers get no chats, the other engines reach their ceilings (1.7 times the
+mean plus 3) and contexts move back and forth. On two days of 17 engines with 7 newcomers, moving
+and recomputing contexts cost 0.064 and 0.058 of the value of requests, against 0.051 and 0.046 if
+newcomers fetch the contexts of their chats at once.
 """
 
 from __future__ import annotations
@@ -26,8 +26,10 @@
 
 
 class NewcomerTest(unittest.TestCase):
-    def told(self, takes_over: bool, newcomers: set[str]) -> tuple[str | None, tuple[str, ...]]:
-        """Return where the home's owner is told that the chat was before, and its order."""
+    def settled_and_order(
+        self, takes_over: bool, newcomers: set[str]
+    ) -> tuple[str | None, tuple[str, ...]]:
+        """Return the engine that the home's owner is told the chat was at, and the engine order."""
 
         async def main() -> tuple[str | None, tuple[str, ...]]:
             fleet = Fleet([], [], False)
@@ -46,21 +48,21 @@
             ):
                 ways = Ways(router.entry, fleet.upstreams)
                 body = ReplayableBody(b"")
-                walk = Walk(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_PATIENCE)
-                home = walk.plan.home or ""
-                settled = walk._question(home, insist=False).settled
+                dispatch = Walk(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_PATIENCE)
+                home = dispatch.plan.home or ""
+                settled = dispatch._question(home, insist=False).settled
             await asyncio.sleep(0)
-            return settled, walk.plan.order
+            return settled, dispatch.plan.order
 
         return run_virtually(main())
 
-    def test_one_that_takes_contexts_over_gets_its_chats_at_once(self) -> None:
+    def test_a_newcomer_that_fetches_contexts_gets_its_chats_at_once(self) -> None:
         home = ranked(str(CHAT), ("e0", "e1", "e2"))[0]
-        self.assertIsNone(self.told(True, {home})[0])
+        self.assertIsNone(self.settled_and_order(True, {home})[0])
 
-    def test_one_that_cannot_leaves_them_where_they_were_before(self) -> None:
+    def test_a_newcomer_that_fetches_no_contexts_leaves_chats_at_their_former_home(self) -> None:
         order = ranked(str(CHAT), ("e0", "e1", "e2"))
-        self.assertEqual(self.told(False, {order[0]})[0], order[1])
-        self.assertEqual(self.told(False, set(order[:2]))[0], order[2])
-        self.assertIsNone(self.told(False, set(order))[0])
-        self.assertIsNone(self.told(False, set())[0])
+        self.assertEqual(self.settled_and_order(False, {order[0]})[0], order[1])
+        self.assertEqual(self.settled_and_order(False, set(order[:2]))[0], order[2])
+        self.assertIsNone(self.settled_and_order(False, set(order))[0])
+        self.assertIsNone(self.settled_and_order(False, set())[0])
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -1,4 +1,4 @@
-"""Guards against an owner whose grants leave slots idle, crowd slow engines, or are blocked."""
+"""Guards against owners that leave slots idle, overload slow engines, or block all grants."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 SLOTS = 6
 
 
-class OneEngine:
-    """A view of one engine that queues three requests beyond its slots; see OwnerView."""
+class OneEngineView:
+    """A view of one engine, which queues three requests beyond its slots; see OwnerView."""
 
     def __init__(self, pace: int = 100, memory: int | None = None) -> None:
         self._pace = pace
@@ -56,15 +56,15 @@
 class GrantedAheadTest(unittest.TestCase):
     def setUp(self) -> None:
         memory, health = ContextLocations(), Health()
-        self.owner = LocalOwner("r0", OneEngine(), Gate(), memory, lambda: 1.0, health)
+        self.owner = LocalOwner("r0", OneEngineView(), Gate(), memory, lambda: 1.0, health)
         self.owner._lines._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
 
     def ask(self, in_time: int = 0, patience: int = 0) -> object:
-        question = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
-        return self.owner.decide(replace(question, in_time=in_time))
+        grant_request = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
+        return self.owner.decide(replace(grant_request, in_time=in_time))
 
-    def test_only_those_that_wait_are_sent_ahead_of_a_free_slot(self) -> None:
+    def test_only_waiting_requests_are_granted_before_a_slot_is_free(self) -> None:
         granted = [self.ask() for _ in range(SLOTS)]
         self.assertTrue(all(isinstance(each, Granted) for each in granted))
         self.assertIsInstance(self.ask(), Busy)
@@ -75,8 +75,8 @@
 class SlowEngineTest(unittest.TestCase):
     """An engine at two fifths of its speed; its owner lowers the ceiling."""
 
-    def test_only_a_request_whose_context_is_there_goes_by_the_usual_ceiling(self) -> None:
-        """Guards against waiting chats that crowd an engine without their context."""
+    def test_only_a_request_with_its_context_there_gets_the_usual_ceiling(self) -> None:
+        """Guards against queued chats that overload an engine which lacks their contexts."""
         rows: tuple[tuple[str, dict[str, Any], type], ...] = (
             ("at its home", {"home": True, "returning": True}, Granted),
             ("waits for its context", {"returning": True, "patience": 50}, Granted),
@@ -87,30 +87,30 @@
             ),
             ("without a context", {}, Busy),
         )
-        for name, said, expected in rows:
+        for name, fields, expected in rows:
             with self.subTest(name):
                 gate = Gate()
-                view = OneEngine(pace=250)
+                view = OneEngineView(pace=250)
                 owner = LocalOwner("r0", view, gate, ContextLocations(), lambda: 1.0, Health())
                 for _ in range(3):
                     gate.adopt(ENGINE)
-                question = replace(Question(1, 1, ENGINE, "a", 0, 5), **said)
-                self.assertIsInstance(owner.decide(question), expected)
+                grant_request = replace(Question(1, 1, ENGINE, "a", 0, 5), **fields)
+                self.assertIsInstance(owner.decide(grant_request), expected)
 
 
 class TooLargeTest(unittest.TestCase):
-    def test_no_memory_is_kept_for_a_request_that_states_more_than_there_is(self) -> None:
-        """Guards against one false header that stops all others at an engine."""
+    def test_no_memory_is_reserved_for_a_request_larger_than_all_memory(self) -> None:
+        """Guards against a request with a wrong token count that blocks all others at an engine."""
 
         async def main() -> object:
             counts = TokenCounts()
-            view = OneEngine(memory=10_000)
+            view = OneEngineView(memory=10_000)
             owner = LocalOwner(
                 "r0", view, Gate(), ContextLocations(), lambda: 1.0, Health(), tokens=counts
             )
             owner.decide(Question(1, 1, ENGINE, "a", 0, 5, tokens=100))
-            false = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
-            waiting = asyncio.ensure_future(owner.ask(false))
+            too_large = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
+            waiting = asyncio.ensure_future(owner.ask(too_large))
             await asyncio.sleep(0.05)
             owner.tick()
             reply = owner.decide(Question(3, 1, ENGINE, "c", 0, 5, tokens=100))
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place while load is managed, played through the serving code."""
+"""Requests that wait for a slot while load is managed, simulated through the serving code."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
 from pondhatch.requests._lines import Lines
 from pondhatch.requests._queues import FirstGrant, NotGranted, Queues
 from pondhatch.requests._wait_limits import MARGIN, UsualTimes, in_time, wait_limit
-from pondhatch.requests.tests._history import Fleet, Sink, Stream, View
+from pondhatch.requests.tests._history import FakeStream, Fleet, RouterView, Sink
 
-#: Places of a plain upstream, and the seconds in which a request runs there.
-PLACES = 6
-RUN = (0.015, 0.022)
-#: Seconds for which callers wait, and within which an answer is in time.
-BEARABLE = 1.05
+#: Slots of a plain upstream, and the range of seconds that a request runs there.
+SLOTS = 6
+RUN_SECONDS = (0.015, 0.022)
+#: Seconds after which callers give up, and within which an answer is in time.
+CALLER_TIMEOUT = 1.05
 OBJECTIVE = 0.152
-#: As the service's routes say it while load is not managed.
+#: The wait limits of the service's routes while load is not managed.
 PATIENCE = Patience(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
 
 
-class ManagedView(View):
+class ManagedView(RouterView):
     """A view of plain upstreams; load is managed."""
 
     def load_managed(self) -> bool:
@@ -57,17 +57,17 @@
 
     def target(self, engine: str) -> Target | None:
         known = super().target(engine)
-        return replace(known, bound=1.7, slack=3, slots=PLACES) if known else None
+        return replace(known, bound=1.7, slack=3, slots=SLOTS) if known else None
 
 
 class PlainUpstreams:
-    """Upstreams that run each request for some milliseconds, and count what runs."""
+    """Upstreams that run each request for some milliseconds and count running requests."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.running: Counter[str] = Counter()
         self.most = 0
-        #: How often each request was sent.
+        #: Number of sends of each request.
         self.sends: Counter[str] = Counter()
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
@@ -75,18 +75,18 @@
         self.running[target.name] += 1
         self.most = max(self.most, self.running[target.name])
         try:
-            await asyncio.sleep(self._rng.uniform(*RUN))
+            await asyncio.sleep(self._rng.uniform(*RUN_SECONDS))
         finally:
             self.running[target.name] -= 1
-        return Opened(Stream(b"", None, False, lambda: None))
+        return Opened(FakeStream(b"", None, False, lambda: None))
 
 
 class Service:
-    """Three routers before some plain upstreams, and what became of requests."""
+    """Three routers in front of some plain upstreams, and the outcomes of requests."""
 
     def __init__(self, engines: tuple[str, ...]) -> None:
         self.rng = random.Random(7)
-        with mock.patch("pondhatch.requests.tests._history.View", ManagedView):
+        with mock.patch("pondhatch.requests.tests._history.RouterView", ManagedView):
             self.fleet = Fleet([], [], False)
         self.fleet.engines = engines
         self.upstreams = PlainUpstreams(self.rng)
@@ -94,7 +94,7 @@
         self.outcomes: Counter[str] = Counter()
         self.seconds: list[float] = []
         self.retry_after: list[float] = []
-        #: Routers that requests come to.
+        #: Routers that requests arrive at.
         self.entries: tuple[str, ...] = self.fleet.names
 
     async def request(self, entry: str) -> None:
@@ -103,27 +103,27 @@
         began = clock()
         number = self.rng.getrandbits(32)
         head = RequestHead(
-            f"q{number}", "a", "s", 0, "POST", "/", (), False, BEARABLE, 5, most_tries=1
+            f"q{number}", "a", "s", 0, "POST", "/", (), False, CALLER_TIMEOUT, 5, most_tries=1
         )
         router = self.fleet.routers[entry]
         ways = Ways(router.entry, self.upstreams, run_times=self.run_times)
-        remaining: Callable[[], float] = lambda: began + BEARABLE - clock()  # noqa: E731
+        remaining: Callable[[], float] = lambda: began + CALLER_TIMEOUT - clock()  # noqa: E731
         body = ReplayableBody(b"")
-        walk = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
-        reply = await walk.run()
+        dispatch = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
+        reply = await dispatch.run()
         if isinstance(reply, Placed):
             await reply.reply.answer.pour(Sink(lambda _: None))
             self.outcomes["whole" if remaining() > 0 else "too late"] += 1
             self.seconds.append(clock() - began)
             return
         self.outcomes[reply.refusal.code] += 1
-        if walk.queued.end is not QueueEnd.NONE:
-            self.outcomes[walk.queued.end.value] += 1
+        if dispatch.queued.end is not QueueEnd.NONE:
+            self.outcomes[dispatch.queued.end.value] += 1
         if isinstance(reply.refusal, NotRun):
             self.retry_after.append(reply.refusal.retry_after)
 
-    async def clumps(self, a_second: float, seconds: float, largest: int) -> None:
-        """Send so many requests a second in clumps of a few up to some, from all routers."""
+    async def send_bursts(self, a_second: float, seconds: float, largest: int) -> None:
+        """Send ``a_second`` requests per second to random routers, in bursts up to ``largest``."""
         tasks = []
         until = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < until:
@@ -134,65 +134,65 @@
             ]
             await asyncio.sleep(size / a_second)
         await asyncio.gather(*tasks)
-        # The last releases are under way.
+        # Waits until the last releases have arrived.
         await asyncio.sleep(0.1)
 
     def left_over(self) -> list[int]:
-        """Return the grants that are still counted or held after everything ended."""
+        """Return the numbers of grants that are still counted or held after everything ended."""
         routers = self.fleet.routers.values()
         counts = [count.granted for each in routers for count in each.gate.by_engine.values()]
         return [*counts, *(len(each.entry.held_by_number) for each in routers)]
 
 
 class OneUpstreamLeftTest(unittest.TestCase):
-    """One of three plain upstreams is left: 140 requests a second in clumps, 15 to 22 ms each."""
+    """One of three plain upstreams is left: 140 requests a second in bursts, 15 to 22 ms each."""
 
-    def test_all_requests_of_clumps_are_served_in_the_time_that_callers_wait(self) -> None:
-        """Guards against refusing requests for which a slot comes free before their deadline."""
+    def test_all_requests_of_bursts_are_served_before_callers_time_out(self) -> None:
+        """Guards against refusing requests for which a slot becomes free before their deadline."""
 
         async def main() -> Service:
             service = Service(("e0",))
-            await service.clumps(140.0, 20.0, 40)
+            await service.send_bursts(140.0, 20.0, 40)
             return service
 
         service = run_virtually(main())
         self.assertEqual(set(service.outcomes), {"whole"}, service.outcomes)
-        self.assertLessEqual(service.upstreams.most, PLACES)
+        self.assertLessEqual(service.upstreams.most, SLOTS)
         self.assertFalse(any(service.left_over()))
 
     def test_a_long_overload_does_not_make_every_request_late(self) -> None:
         """Guards against a queue that is always full, in which every answer is late.
 
-        Three times as many requests as the upstream can run come.
+        Three times as many requests arrive as the upstream can run.
         """
 
         async def main() -> Service:
             service = Service(("e0",))
-            await service.clumps(500.0, 10.0, 40)
+            await service.send_bursts(500.0, 10.0, 40)
             return service
 
         service = run_virtually(main())
         in_time = sum(seconds <= OBJECTIVE for seconds in service.seconds)
         self.assertGreater(in_time, 0.75 * len(service.seconds))
-        # The upstream is kept busy, at a round trip of 20 ms for each request.
+        # The upstream stays busy, with a round trip of 20 ms for each request.
         self.assertGreater(len(service.seconds), 1600)
         self.assertLess(service.outcomes["in-vain"], 0.1 * service.outcomes["refused"])
         self.assertLess(service.outcomes["too late"], 0.01 * len(service.seconds))
-        self.assertLessEqual(service.upstreams.most, PLACES)
-        told = [after for after in service.retry_after if after != FULL_RETRY_AFTER]
-        self.assertGreater(len(set(told)), 0.3 * len(told))
-        self.assertLessEqual(max(told), LONGEST_RETRY_AFTER)
+        self.assertLessEqual(service.upstreams.most, SLOTS)
+        predicted = [after for after in service.retry_after if after != FULL_RETRY_AFTER]
+        self.assertGreater(len(set(predicted)), 0.3 * len(predicted))
+        self.assertLessEqual(max(predicted), LONGEST_RETRY_AFTER)
 
 
 class SeveralQueuesTest(unittest.TestCase):
-    """Three plain upstreams with one owner each, in clumps beyond what all can run at once."""
+    """Three plain upstreams with one owner each, in bursts beyond what all can run at once."""
 
     def test_a_request_that_waits_at_all_of_them_is_sent_to_one(self) -> None:
         """Guards against a second grant being kept or used after the first."""
 
         async def main() -> Service:
             service = Service(("e0", "e1", "e2"))
-            await service.clumps(420.0, 5.0, 90)
+            await service.send_bursts(420.0, 5.0, 90)
             return service
 
         service = run_virtually(main())
@@ -202,27 +202,27 @@
 
 
 class SameMomentTest(unittest.TestCase):
-    """Two owners grant one request in the same turn of the loop."""
+    """Two owners grant one request in the same iteration of the event loop."""
 
     def test_the_second_grant_is_given_back(self) -> None:
-        """A place that stays taken until its lease ends, as its grant came unseen."""
+        """Guards against a slot that stays taken until its lease ends, as its grant was missed."""
         grants = mock.Mock()
 
-        async def ask(question: Question) -> Granted:
+        async def ask(grant_request: Question) -> Granted:
             await asyncio.sleep(0.01)
             return Granted(1, 6)
 
-        def question(engine: str, _: float) -> Question:
+        def grant_request(engine: str, _: float) -> Question:
             return Question(int(engine[1:]), 1, engine, "a", 0, 5)
 
         async def main() -> FirstGrant | NotGranted:
-            queues = Queues(grants, lambda _: "r0", ask, question)
+            queues = Queues(grants, lambda _: "r0", ask, grant_request)
             return await queues.first(("e0", "e1", "e2"), 1.0)
 
-        won = run_virtually(main())
-        assert isinstance(won, FirstGrant)
+        first_grant = run_virtually(main())
+        assert isinstance(first_grant, FirstGrant)
         released = [call.args[0] for call in grants.release.mock_calls]
-        self.assertEqual(sorted([won.question.number, *released]), [0, 1, 2])
+        self.assertEqual(sorted([first_grant.question.number, *released]), [0, 1, 2])
 
 
 class RefusedAfterWaitTest(unittest.TestCase):
@@ -232,31 +232,31 @@
         """Guards against refusing a granted request for good while another engine has a slot."""
 
         async def main() -> list[str]:
-            with mock.patch("pondhatch.requests.tests._history.View", ManagedView):
+            with mock.patch("pondhatch.requests.tests._history.RouterView", ManagedView):
                 fleet = Fleet([EngineRefusal.LEAVING], [], False)
-            fleet.upstreams.places = dict.fromkeys(fleet.engines, 1)
+            fleet.upstreams.slots = dict.fromkeys(fleet.engines, 1)
             after = (0.0, 0.25, 0.25, 0.25)
             await asyncio.gather(
                 *(fleet.request_later(at, False, False, each) for at, each in enumerate(after))
             )
-            return fleet.history.refused_beside_a_place
+            return fleet.history.refused_despite_free_slot
 
         self.assertEqual(run_virtually(main()), [])
 
 
 class OwnerDiesTest(unittest.TestCase):
-    """One plain upstream is left, and its owner dies while a clump waits there."""
+    """One plain upstream is left, and its owner dies while a burst waits there."""
 
     def test_requests_that_wait_at_an_owner_that_dies_are_served_by_the_next_one(self) -> None:
-        """Requests that are lost with a dead router's queue, for the second that they have."""
+        """Guards against requests that are lost with a dead router's queue until they time out."""
 
         async def main() -> Service:
             service = Service(("e0",))
             fleet = service.fleet
             dying = fleet.routers["r0"].view.owner_name("e0") or ""
             service.entries = tuple(name for name in fleet.names if name != dying)
-            sending = asyncio.ensure_future(service.clumps(100.0, 4.0, 40))
-            while fleet.routers[dying].owner._lines.waiting("e0") < 2 * PLACES:
+            sending = asyncio.ensure_future(service.send_bursts(100.0, 4.0, 40))
+            while fleet.routers[dying].owner._lines.waiting("e0") < 2 * SLOTS:
                 await asyncio.sleep(0.01)
             fleet.network.silent.add(dying)
             await sending
@@ -268,9 +268,9 @@
 
 
 class RisingLoadTest(unittest.TestCase):
-    """Load rises from zero: the totals that owners heard of are those of a second ago."""
+    """Load rises from zero, while the totals that owners know are a second old."""
 
-    def test_the_least_loaded_engine_goes_by_the_mean_of_those_seen(self) -> None:
+    def test_the_least_loaded_engine_uses_the_mean_of_the_engines_seen(self) -> None:
         plan = Plan("c", [f"e{at}" for at in range(30)])
         for held in (9, 10, 11, 9, 10, 11, 9, 10, 11, 8, 10, 12):
             self.assertIsInstance(plan.next_step(), Ask)
@@ -280,7 +280,7 @@
         self.assertEqual(plan.estimate_elsewhere(least, 30), 120 * 30 // 12 - 8)
         self.assertEqual(plan.estimate_elsewhere(plan.queue_engines(4)[1], 30), 0)
 
-    def test_a_cold_engine_or_too_few_say_nothing_of_the_mean(self) -> None:
+    def test_a_cold_engine_or_too_few_engines_give_no_mean(self) -> None:
         for engines, is_cold in ((7, False), (9, True)):
             with self.subTest(engines=engines):
                 plan = Plan("c", [f"e{at}" for at in range(engines)])
@@ -289,8 +289,8 @@
                 self.assertEqual(plan.estimate_elsewhere(plan.queue_engines(1)[0], 30), 0)
 
 
-class RuleTest(unittest.TestCase):
-    """The rules by which a queue is ordered, bounded and left, each by itself."""
+class QueueRulesTest(unittest.TestCase):
+    """The rules for the order, the bounds and the time limits of a queue, each by itself."""
 
     def test_late_requests_come_after_those_in_time_and_before_the_less_urgent(self) -> None:
         line = FairQueue(10)
@@ -303,31 +303,33 @@
             line.mark_served(ticket)
         self.assertEqual(order, ["in time", "late", "less"])
 
-    def test_refused_callers_are_told_times_that_lie_one_free_place_apart(self) -> None:
-        returns = RetrySchedule()
-        told = [returns.next_delay(0.0, 30.0, 0.1, 1) for _ in range(3)]
-        self.assertEqual([round(each, 3) for each in told], [3.0, 3.1, 3.2])
-        self.assertEqual(returns.next_delay(0.0, 900.0, 0.1, 1), LONGEST_RETRY_AFTER)
+    def test_retry_delays_are_one_release_interval_apart(self) -> None:
+        schedule = RetrySchedule()
+        delays = [schedule.next_delay(0.0, 30.0, 0.1, 1) for _ in range(3)]
+        self.assertEqual([round(each, 3) for each in delays], [3.0, 3.1, 3.2])
+        self.assertEqual(schedule.next_delay(0.0, 900.0, 0.1, 1), LONGEST_RETRY_AFTER)
 
-    def test_the_wait_leaves_the_usual_run_time_and_the_first_event_its_time(self) -> None:
+    def test_the_wait_limit_leaves_time_for_the_run_and_the_first_event(self) -> None:
         plain, stream = answer_deadlines(0.152, False, 0.0), answer_deadlines(0.6, True, 0.1)
         self.assertAlmostEqual(wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - MARGIN)
         self.assertAlmostEqual(wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - MARGIN)
         self.assertAlmostEqual(in_time(stream, 0.2, UsualTimes(0.3, 9.0)), 0.1)
 
-    def test_a_place_that_nobody_waits_for_after_a_refusal_counts_against_it(self) -> None:
+    def test_a_slot_that_stays_free_after_a_refusal_counts_as_wrongly_refused(self) -> None:
         async def main() -> list[int]:
-            lines = Lines(lambda _: None, is_managed=lambda: True)
-            lines._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
-            asked = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
-            waiting = asyncio.ensure_future(lines.wait(asked, Full(1, 1), lambda: Granted(1, 1)))
+            queues = Lines(lambda _: None, is_managed=lambda: True)
+            queues._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
+            grant_request = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
+            waiting = asyncio.ensure_future(
+                queues.wait(grant_request, Full(1, 1), lambda: Granted(1, 1))
+            )
             await asyncio.sleep(0)
-            refused = await lines.wait(asked, Full(1, 1), lambda: Granted(1, 1))
+            refused = await queues.wait(grant_request, Full(1, 1), lambda: Granted(1, 1))
             counts = []
             for at in (0.1, 0.2, 0.3):
-                lines.gave_back("e", at)
+                queues.gave_back("e", at)
                 await waiting
-                counts.append(lines.refused_in_vain)
+                counts.append(queues.refused_in_vain)
             assert isinstance(refused, Full)
             return [*counts, refused.predicted_ms]
 
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -1,7 +1,7 @@
-"""Large requests among many small ones, at engines whose memory is short.
+"""Guards against engines that run out of memory and cut streams off.
 
-The pattern: long documents come now and then among short chats. By the count of requests alone an
-engine gets several long ones at once, runs out of memory, and breaks streams off.
+The pattern: occasional long documents among many short chats. With a limit on the number of
+requests alone, an engine gets several long ones at once.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     Ways,
 )
 from pondhatch.requests._owner_waits import FIRST_WAIT
-from pondhatch.requests.tests._history import Fleet, View
+from pondhatch.requests.tests._history import Fleet, RouterView
 
 Result = TypeVar("Result")
 
@@ -48,32 +48,32 @@
 #: Tokens and seconds of a short chat, and of a long document.
 SMALL, SMALL_SECONDS = 300, 0.3
 LARGE, LARGE_SECONDS = 4_000, 1.0
-#: Arrivals a second of both: together three quarters of the engines' memory on average.
+#: Arrivals per second of both kinds, which take three quarters of the engines' memory on average.
 SMALL_RATE, LARGE_RATE = 40.0, 4.0
 SECONDS = 30.0
 
 
-def run(main: Coroutine[Any, Any, Result], managed: bool = True) -> Result:
-    """Run a test in virtual time at engines with a memory, whose owners may know of it."""
+def run_managed(main: Coroutine[Any, Any, Result], managed: bool = True) -> Result:
+    """Run a test in virtual time with engines of limited memory; ``managed`` is load management."""
 
-    def target(view: View, engine: str) -> Target:
+    def target(view: RouterView, engine: str) -> Target:
         return Target(engine, "", OPEN, 1.5, len(ENGINES), 48, slack=40, memory_tokens=MEMORY)
 
     with (
-        patch.object(View, "load_managed", lambda view: managed),
-        patch.object(View, "target", target),
+        patch.object(RouterView, "load_managed", lambda view: managed),
+        patch.object(RouterView, "target", target),
     ):
         return run_virtually(main)
 
 
 def head(tokens: int, **changes: Any) -> RequestHead:
-    """Return the head of a request with a prompt of its own."""
+    """Return the head of a request whose prompt shares no parts with others."""
     plain = RequestHead("q", "a", "s", 0, "POST", "/", (), True, 10.0, 5, prompt_tokens=tokens)
     return replace(plain, **changes)
 
 
 class Answer:
-    """An answer that takes a while, and holds memory until its end."""
+    """An answer that takes ``seconds`` and holds memory until its end."""
 
     status = 200
     headers: Headers = ()
@@ -90,7 +90,7 @@
 
 
 class Engines:
-    """See Upstreams; notes the most tokens that any engine held at once."""
+    """Records the largest number of tokens that any engine held at once; see Upstreams."""
 
     def __init__(self) -> None:
         self.used: Counter[str] = Counter()
@@ -104,19 +104,21 @@
         return Opened(Answer(seconds, lambda: self.used.subtract({target.name: tokens})))
 
 
-async def play() -> tuple[int, dict[int, float]]:
-    """Return the most tokens at one engine, and the share served of each size."""
+async def simulate() -> tuple[int, dict[int, float]]:
+    """Return the peak of tokens at one engine, and the share of requests served by size."""
     fleet, engines, rng = Fleet([], [], False), Engines(), random.Random(1)
-    came: Counter[int] = Counter()
+    arrived: Counter[int] = Counter()
     served: Counter[int] = Counter()
 
     async def request(number: int, tokens: int) -> None:
         router = fleet.routers[fleet.names[number % 3]]
-        asked = head(tokens, request_id=f"q{number}")
+        request_head = head(tokens, request_id=f"q{number}")
         ways, body = Ways(router.entry, engines), ReplayableBody(b"")
-        walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0, Patience(0.0, 2.0))
-        came[tokens] += 1
-        placed = await walk.run()
+        dispatch = Walk(
+            router.view, ways, RetryBudget(), request_head, body, lambda: 10.0, Patience(0.0, 2.0)
+        )
+        arrived[tokens] += 1
+        placed = await dispatch.run()
         if isinstance(placed, Placed):
             served[tokens] += 1
             await placed.reply.answer.pour(None)  # type: ignore[arg-type]
@@ -133,24 +135,24 @@
     assert not any(
         router.owner._engine_memory._counts.by_engine for router in fleet.routers.values()
     )
-    return engines.most, {tokens: served[tokens] / came[tokens] for tokens in came}
+    return engines.most, {tokens: served[tokens] / arrived[tokens] for tokens in arrived}
 
 
 class LargeAmongSmallTest(unittest.TestCase):
     def test_no_engine_runs_out_of_memory_and_both_sizes_are_served(self) -> None:
-        most, share_by_tokens = run(play())
+        most, share_by_tokens = run_managed(simulate())
         self.assertLessEqual(most, MEMORY)
         for tokens, share in share_by_tokens.items():
             self.assertGreater(share, 0.95, tokens)
 
-    def test_where_load_is_not_managed_nothing_is_held_back(self) -> None:
-        most, share_by_tokens = run(play(), managed=False)
+    def test_without_load_management_nothing_is_held_back(self) -> None:
+        most, share_by_tokens = run_managed(simulate(), managed=False)
         self.assertGreater(most, MEMORY)
         self.assertEqual(set(share_by_tokens.values()), {1.0})
 
 
 class OwnerCase(unittest.TestCase):
-    """A fleet of three; ``owner`` owns the engine, ``entry`` asks."""
+    """Three routers: ``owner`` owns the engine, ``entry`` requests grants from it."""
 
     def setUp(self) -> None:
         self.owner = winner("e0", ("r0", "r1", "r2")) or ""
@@ -159,18 +161,18 @@
     async def ask(
         self, fleet: Fleet, tokens: int, owner: str = "", engine: str = "e0", **changes: Any
     ) -> tuple[OwnerReply, int]:
-        """Return an owner's reply, and the number of the question."""
+        """Return an owner's reply, and the number of the grant request."""
         entry = fleet.routers[self.entry].entry
         number, fields = entry.next_number(), {"chat": 0, "priority": 5, **changes}
-        asked = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
-        return await entry.ask(owner or self.owner, asked, FIRST_WAIT), number
+        grant_request = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
+        return await entry.ask(owner or self.owner, grant_request, FIRST_WAIT), number
 
     def used(self, fleet: Fleet, owner: str = "") -> int:
         return fleet.routers[owner or self.owner].owner._engine_memory._counts.used("e0")
 
 
 class WaitingTest(OwnerCase):
-    def test_a_large_request_gets_its_memory_though_small_ones_go_on_coming(self) -> None:
+    def test_a_large_request_gets_its_memory_while_small_ones_keep_arriving(self) -> None:
         async def main() -> tuple[OwnerReply, float]:
             fleet = Fleet([], [], False)
             release = fleet.routers[self.entry].entry.release
@@ -194,12 +196,12 @@
                 task.cancel()
             return reply, asyncio.get_running_loop().time() - began
 
-        reply, waited = run(main())
+        reply, waited = run_managed(main())
         self.assertIsInstance(reply, Granted)
-        # As long as those take that ran when it came.
+        # The time that the requests take that were running when it arrived.
         self.assertLess(waited, 0.7)
 
-    def test_one_that_stops_waiting_keeps_no_memory(self) -> None:
+    def test_a_cancelled_request_keeps_no_memory(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet, 5_000)
@@ -211,38 +213,38 @@
             after, _ = await self.ask(fleet, 1_000)
             return during, after, self.used(fleet)
 
-        during, after, used = run(main())
+        during, after, used = run_managed(main())
         self.assertIsInstance(during, Busy)
         self.assertIsInstance(after, Granted)
         self.assertEqual(used, 6_000)
 
 
 class FailureTest(OwnerCase):
-    """Owners that change or start anew while requests run."""
+    """Owners that change or restart while requests run."""
 
-    def test_a_new_owner_counts_what_it_is_told_as_the_mean_of_what_it_knows(self) -> None:
+    def test_a_new_owner_counts_adopted_grants_at_its_mean_size(self) -> None:
         async def main() -> tuple[int, OwnerReply, int]:
             fleet = Fleet([], [], False)
             numbers = [(await self.ask(fleet, 3_000))[1] for _ in range(2)]
             fleet.network.silent.add(self.owner)
-            heir = winner("e0", fleet.live) or ""
+            successor = winner("e0", fleet.live) or ""
             for router in fleet.routers.values():
-                router.view.moved_to = heir
-            # What it granted at another engine, before it is told of those here.
-            numbers.append((await self.ask(fleet, 4_000, heir, "e1"))[1])
+                router.view.owner_override = successor
+            # Granted by the successor at another engine, before it learns of the grants here.
+            numbers.append((await self.ask(fleet, 4_000, successor, "e1"))[1])
             await asyncio.sleep(0.3)
-            adopted = self.used(fleet, heir)
-            reply, _ = await self.ask(fleet, 2_000, heir)
+            adopted = self.used(fleet, successor)
+            reply, _ = await self.ask(fleet, 2_000, successor)
             for number in numbers:
                 fleet.routers[self.entry].entry.release(number, Ended.ANSWERED)
             await asyncio.sleep(0.3)
-            return adopted, reply, self.used(fleet, heir)
+            return adopted, reply, self.used(fleet, successor)
 
-        adopted, reply, left = run(main())
+        adopted, reply, left = run_managed(main())
         self.assertEqual((adopted, left), (8_000, 0))
         self.assertIsInstance(reply, Busy)
 
-    def test_an_owner_that_starts_anew_ends_with_a_count_of_nothing(self) -> None:
+    def test_a_restarted_owner_ends_with_a_count_of_zero(self) -> None:
         async def main() -> tuple[int, int]:
             fleet = Fleet([], [], False)
             _, before = await self.ask(fleet, 3_000)
@@ -259,26 +261,26 @@
             await asyncio.sleep(0.3)
             return used, self.used(fleet)
 
-        self.assertEqual(run(main()), (2_000, 0))
+        self.assertEqual(run_managed(main()), (2_000, 0))
 
 
-class QuestionTest(unittest.TestCase):
-    def asked(self, managed: bool, **stated: Any) -> Question:
+class GrantRequestTest(unittest.TestCase):
+    def grant_request(self, managed: bool, **stated: Any) -> Question:
         async def main() -> Question:
             router = Fleet([], [], False).routers["r0"]
             ways, body = Ways(router.entry, Engines()), ReplayableBody(b"")
-            asked = head(1_000, **stated)
-            walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
-            return walk._question("e0", insist=False)
+            request_head = head(1_000, **stated)
+            dispatch = Walk(router.view, ways, RetryBudget(), request_head, body, lambda: 10.0)
+            return dispatch._question("e0", insist=False)
 
-        return run(main(), managed)
+        return run_managed(main(), managed)
 
-    def test_it_states_the_largest_shared_parts_in_few_bytes_and_the_rest_as_own(self) -> None:
+    def test_a_grant_request_states_the_largest_shared_parts_and_the_rest_as_own(self) -> None:
         parts = ((2**32 + 7, 100), (8, 50), (9, 60), (10, 70), (11, 80))
-        question = self.asked(True, answer_tokens=200, prompt_parts=parts)
+        grant_request = self.grant_request(True, answer_tokens=200, prompt_parts=parts)
         expected = ((7, 100), (11, 80), (10, 70), (9, 60), (0, 690))
-        self.assertEqual((question.tokens, question.parts), (200, expected))
+        self.assertEqual((grant_request.tokens, grant_request.parts), (200, expected))
 
-    def test_it_states_nothing_where_load_is_not_managed(self) -> None:
-        question = self.asked(False, answer_tokens=200)
-        self.assertEqual((question.tokens, question.parts), (0, ()))
+    def test_a_grant_request_states_no_tokens_without_load_management(self) -> None:
+        grant_request = self.grant_request(False, answer_tokens=200)
+        self.assertEqual((grant_request.tokens, grant_request.parts), (0, ()))
--- a/pondhatch/requests/tests/test_own_failures.py
+++ b/pondhatch/requests/tests/test_upstream_failures.py
@@ -1,7 +1,7 @@
-"""A service one in seven of whose answers is a failure of its upstream's own.
+"""Guards against passing on an upstream's failure that another upstream would have answered.
 
-Seen by callers: a fetch that may be repeated failed though another upstream would have answered
-it within its objective, and what callers repeated themselves came late or failed again.
+One in seven answers of a service was a failure status of its upstream. Requests that may be
+repeated failed, and what callers repeated themselves was late or failed again.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 UNREACHABLE = "unreachable"
 
 
-class OwnFailuresTest(unittest.TestCase):
-    def ended(self, faults: list[str], repeatable: bool, most_tries: int = 2) -> Fleet:
-        """Return what came of one request."""
+class UpstreamFailureTest(unittest.TestCase):
+    def run_request(self, faults: list[str], repeatable: bool, most_tries: int = 2) -> Fleet:
+        """Send one request and return the fleet with its history."""
 
         async def main() -> Fleet:
             fleet = Fleet(faults, [], False)
             fleet.most_tries = most_tries
             await fleet.request(0, repeatable, gives_up=False)
-            await asyncio.sleep(1.0)  # The packets that give grants back are under way.
+            await asyncio.sleep(1.0)  # Waits until the releases of grants have arrived.
             return fleet
 
         return run_virtually(main())
 
-    def test_what_the_caller_gets(self) -> None:
+    def test_a_failure_is_retried_elsewhere_within_the_limits(self) -> None:
         rows: tuple[tuple[list[str], bool, int, bytes, int], ...] = (
             # faults in order, may be repeated, most tries, what the caller gets, sends
             ([FAILED], True, 2, ANSWER, 2),
-            # The second failure is told, and nobody is asked a third time.
+            # The second failure is passed on, without a third attempt.
             ([FAILED, FAILED], True, 2, FAILED_ANSWER, 2),
             ([FAILED, FAILED], True, 0, FAILED_ANSWER, 2),
             ([FAILED], False, 2, FAILED_ANSWER, 1),
             ([FAILED], True, 1, FAILED_ANSWER, 1),
-            # What the first one said stands where nobody else has an answer.
+            # The first failure is passed on if no other upstream answers.
             ([FAILED, FULL, FULL], True, 2, FAILED_ANSWER, 3),
             ([FAILED, LOST, LOST, LOST], True, 2, FAILED_ANSWER, 2),
             ([FAILED, UNREACHABLE], True, 2, ANSWER, 3),
@@ -51,18 +51,18 @@
         )
         for faults, repeatable, most_tries, expected, sends in rows:
             with self.subTest(faults=faults, repeatable=repeatable, most_tries=most_tries):
-                fleet = self.ended(list(faults), repeatable, most_tries)
+                fleet = self.run_request(list(faults), repeatable, most_tries)
                 self.assertIsInstance(fleet.history.outcome_by_request["q0"], Whole)
                 found = fleet.history.text_by_request["q0"], len(fleet.history.sends)
                 self.assertEqual(found, (expected, sends))
                 self.assertEqual([each for each in violations(fleet, {}) if "still" in each], [])
 
-    def test_the_upstream_that_failed_is_not_asked_again(self) -> None:
-        fleet = self.ended([FAILED], True)
+    def test_the_retry_goes_to_another_upstream(self) -> None:
+        fleet = self.run_request([FAILED], True)
         (_, first), (_, second) = fleet.history.sends
         self.assertNotEqual(first, second)
 
-    def test_an_answer_that_was_given_up_for_another_still_speaks_against_its_upstream(
+    def test_a_retried_failure_still_counts_against_its_upstream(
         self,
     ) -> None:
         enough = next(n for n in range(1, 99) if 1 - (1 - ERROR_WEIGHT) ** n >= AILING_ERROR_RATE)
@@ -79,7 +79,7 @@
         states = [router.health.states(0.0).get(home) for router in fleet.routers.values()]
         self.assertIn("ailing", states)
 
-    def test_each_costs_a_retry_so_that_a_service_that_fails_is_not_asked_twice_as_much(
+    def test_each_retry_spends_budget_so_that_a_failing_service_gets_at_most_double_load(
         self,
     ) -> None:
         async def main() -> Fleet:
@@ -88,6 +88,6 @@
                 await fleet.request(at, True, gives_up=False)
             return fleet
 
-        # Each request here has a budget of its own, of five retries.
+        # Each request here has its own budget of five retries.
         fleet = run_virtually(main())
         self.assertLessEqual(len(fleet.history.sends), 200)
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -39,17 +39,17 @@
     def apply_listing(self, listed: Listed, now: float) -> bool:
         """Apply the platform's list of evacuations; return whether anything changed."""
         before = self.evacuations.halls
-        return self._note_reopened(before, self.evacuations.take_listing(listed, now), now)
+        return self._note_reopened(before, self.evacuations.apply_listing(listed, now), now)
 
     def apply_event(self, event: WatchEvent, now: float) -> bool:
         """Apply one event of the watch on evacuations; return whether it changed anything."""
         before = self.evacuations.halls
-        return self._note_reopened(before, self.evacuations.take_event(event), now)
+        return self._note_reopened(before, self.evacuations.apply_event(event), now)
 
     def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
         """Apply the evacuations that a peer knows; return whether anything changed."""
         before = self.evacuations.halls
-        return self._note_reopened(before, self.evacuations.take(update, now), now)
+        return self._note_reopened(before, self.evacuations.apply_update(update, now), now)
 
     def settle(self, now: float) -> bool:
         """Settle the evacuations once their era has settled; return whether that changed any."""
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -57,7 +57,7 @@
 
     def begin_request(self, account: str, now: float) -> LimitVerdict:
         """Check a request against the account's limits, and count it if it is allowed."""
-        self.share_user.came(account, self.gate.running(account), now)
+        self.share_user.record_arrival(account, self.gate.running(account), now)
         fleet_limits = self._limits_of(account)
         own_limits = self.share_user.limits(account, fleet_limits, len(self._live_members), now)
         return self.gate.begin(account, own_limits, now)
@@ -72,10 +72,10 @@
         policy_by_account = self._fleet().policy_by_account
         limits = {
             name: self._limits_of(name)
-            for name in self.share_user.use_by_account
+            for name in self.share_user.own_demand_by_account
             if name in policy_by_account
         }
-        due_demands = self.share_user.demands(now, len(self._live_members), limits)
+        due_demands = self.share_user.due_demands(now, len(self._live_members), limits)
         if not due_demands:
             return []
         self.gate.forget_idle(now, ACCOUNT_IDLE_SECONDS)
@@ -91,8 +91,10 @@
             if home is not None:
                 demands_by_home.setdefault(home, []).append(demand)
         for demand in demands_by_home.pop(self._name, []):
-            share = self.share_home.asked(self._name, demand, self._limits_of(demand.account), now)
-            self.share_user.given(share, now)
+            share = self.share_home.allocate_share(
+                self._name, demand, self._limits_of(demand.account), now
+            )
+            self.share_user.record_share(share, now)
         return [
             self._gossip.limit_datagram(message, by_name[home].address)
             for home, demands in demands_by_home.items()
@@ -105,7 +107,7 @@
                 share = Share(
                     limit_share.account, limit_share.requests_per_second, limit_share.concurrency
                 )
-                self.share_user.given(share, self._now)
+                self.share_user.record_share(share, self._now)
             return []
         policy_by_account = self._fleet().policy_by_account
         shares = [
@@ -118,7 +120,7 @@
     def _allocate_share(self, router: str, limit_demand: LimitDemand) -> LimitShare:
         demand = Demand(limit_demand.account, limit_demand.rate, limit_demand.running)
         fleet_limits = self._limits_of(limit_demand.account)
-        share = self.share_home.asked(router, demand, fleet_limits, self._now)
+        share = self.share_home.allocate_share(router, demand, fleet_limits, self._now)
         return LimitShare(limit_demand.account, share.requests_per_second, share.concurrency)
 
     def _limits_of(self, account: str) -> AccountLimits:
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -57,7 +57,7 @@
     Upstream,
     UpstreamList,
     UpstreamUpdate,
-    Vanished,
+    VanishedUpstreams,
     WatchEvent,
 )
 
@@ -89,7 +89,7 @@
     fleet: FleetConfiguration = field(default_factory=FleetConfiguration)
     upstreams: UpstreamList = field(default_factory=UpstreamList)
     #: Upstreams whose entries vanished from the list a short while ago.
-    vanished: Vanished = field(default_factory=Vanished)
+    vanished: VanishedUpstreams = field(default_factory=VanishedUpstreams)
     #: Regions of data halls, and which halls are evacuated.
     halls: HallStates = field(default_factory=HallStates)
     gate: Gate = field(default_factory=Gate)
@@ -530,7 +530,9 @@
         self.refresh_members()
         self.retry_budgets.set_routers(len(self.live_routers()), self.clock())
         is_alone = self.clock() - self._started_at < NO_COLD_GRANTS_SECONDS
-        self.cold_pacer.fleet_share = 0.0 if is_alone else self.retry_budgets.routers.share
+        self.cold_pacer.fleet_share = (
+            0.0 if is_alone else self.retry_budgets.peak_routers.live_share
+        )
         self.publish()
         self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
 
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -121,7 +121,7 @@
                 "hall",
                 hall,
                 "evacuated" if hall in self._evacuated_hall_names else "open",
-                evacuations.word_by_hall[hall].version,
+                evacuations.evacuation_by_hall[hall].version,
             )
             for hall in sorted(before ^ self._evacuated_hall_names)
         ]
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -17,14 +17,14 @@
     LIVE,
     REMOVED,
     SETTLE_SECONDS,
-    ColdClocks,
+    ColdPeriods,
     Listed,
     Position,
     Upstream,
     UpstreamList,
     UpstreamReader,
     UpstreamUpdate,
-    Vanished,
+    VanishedUpstreams,
     WatchEvent,
     era_of,
 )
@@ -117,17 +117,17 @@
     """Applies changes to a list of upstreams and records which joined and which vanished."""
 
     upstreams: UpstreamList
-    vanished: Vanished
+    vanished: VanishedUpstreams
     #: What upstreams reported of themselves in their answers.
     notices: Notices = msgspec.field(default_factory=Notices)
     join_times: JoinTimes = msgspec.field(default_factory=JoinTimes)
     reader: UpstreamReader = msgspec.field(default_factory=UpstreamReader)
     era_settling: EraSettling = msgspec.field(default_factory=EraSettling)
-    cold_periods: ColdClocks = msgspec.field(default_factory=ColdClocks)
+    cold_periods: ColdPeriods = msgspec.field(default_factory=ColdPeriods)
 
     def apply_listing(self, listed: Listed, now: float) -> bool:
         """Apply the platform's list; return whether anything changed."""
-        return self.apply_update(self.reader.listing(listed), now)
+        return self.apply_update(self.reader.read_listing(listed), now)
 
     def apply_update(self, update: UpstreamUpdate, now: float) -> bool:
         """Apply the entries of a listing or a peer; return whether anything changed."""
@@ -136,7 +136,9 @@
             self._in_state(LIVE),
             self._leaving_by_list_and_notice(),
         )
-        changed = self.upstreams.take(update, self.era_settling.is_settling(update.version, now))
+        changed = self.upstreams.apply_update(
+            update, self.era_settling.is_settling(update.version, now)
+        )
         self.era_settling.note(self.upstreams.version, now)
         self._record_changes(names, live, now)
         self._reopen_staying(leaving)
@@ -145,10 +147,12 @@
 
     def since(self, version: int, now: float) -> UpstreamUpdate:
         """Return the entries that a peer at a version lacks, and the recent join times."""
-        update = self.upstreams.since(version)
+        update = self.upstreams.update_since(version)
         return replace(
             update,
-            entries=tuple(self.cold_periods.as_of(entry, now) for entry in update.entries),
+            entries=tuple(
+                self.cold_periods.with_seconds_left(entry, now) for entry in update.entries
+            ),
             known_for=self.join_times.known_for(now),
             age_by_name=self.join_times.age_by_name(now),
         )
@@ -173,11 +177,11 @@
 
     def _apply_to_list(self, event: WatchEvent) -> bool:
         if event.type == "set":
-            upstream = self.reader.upstream(event.name, event.version, event.value)
+            upstream = self.reader.read_upstream(event.name, event.version, event.value)
             if upstream is not None:
                 return self.upstreams.set(upstream, event.version)
         if event.type in ("set", "unreadable"):
-            return self.upstreams.hold_back(event.name, event.version)
+            return self.upstreams.mark_unreadable(event.name, event.version)
         if event.type == "removed":
             return self.upstreams.remove(event.name, event.version)
         return False
@@ -186,16 +190,16 @@
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
         self.join_times.note(names_before, self._names(), now)
-        self.cold_periods.note(self.upstreams.entry_by_name.values(), now)
+        self.cold_periods.update(self.upstreams.entry_by_name.values(), now)
         self._record_vanished(live_before, now)
 
     def _record_vanished(self, live_before: dict[str, Upstream], now: float) -> None:
         """Record which live upstreams vanished without a report, and which are back."""
         for name, entry in self.upstreams.entry_by_name.items():
             if entry.upstream.state != REMOVED:
-                self.vanished.returned(entry.upstream.id)
+                self.vanished.discard(entry.upstream.id)
             elif name in live_before and not self._has_restarted(entry.upstream):
-                self.vanished.note(live_before[name], now)
+                self.vanished.add(live_before[name], now)
 
     def _leaving_by_list_and_notice(self) -> frozenset[str]:
         """Return the upstreams that are leaving both by the list and by a notice."""
@@ -215,7 +219,7 @@
                 self.notices.cancel_leaving(name)
 
     def _has_restarted(self, removed: Upstream) -> bool:
-        newest = self.upstreams.newest(removed.id)
+        newest = self.upstreams.newest_start(removed.id)
         return newest is not None and newest.upstream.name != removed.name
 
     def _names(self) -> frozenset[str]:
--- a/pondhatch/router/tests/test_platform_restorer.py
+++ b/pondhatch/router/tests/test_platform_restorer.py
@@ -16,7 +16,7 @@
 
 
 def enter_era(state: RouterState, era: int) -> None:
-    state.upstreams.seen(position_of(era, 10))
+    state.upstreams.advance_to(position_of(era, 10))
 
 
 class PlatformRestorerTest(unittest.TestCase):
@@ -63,7 +63,7 @@
             platform, state = PlatformInMemory(), router("r0")
             restorer = self.new_restorer(platform, state)
             for revision in (5, 900):
-                state.upstreams.seen(revision)
+                state.upstreams.advance_to(revision)
                 await restorer.check_era()
             listed = await platform.list(VM_KIND)
             assert isinstance(listed, Listed)
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -1,12 +1,13 @@
-"""Which data halls are evacuated: as the platform says, relayed between routers.
+"""Which data halls are evacuated, as read from the platform and relayed between routers.
 
-Each hall's newest word bears the platform's position. Whoever takes words in keeps the newest of
-each hall, so they may come in any order, twice, or by way of peers that were cut off.
+Each hall's state carries the platform's position of its last change. A router keeps the state
+with the highest position, so states may arrive in any order, repeatedly, or from peers that were
+partitioned.
 
-What a listing does not show is over as of that listing, also where a peer tells of it later. But
-a platform that has just come back from an older copy may not show it yet: its writer writes it
-again. So what only does not stand there is over once the era has settled, and until then the
-hall gets nothing.
+An evacuation that is missing from a listing has ended as of that listing, even if a peer reports
+it later. But a platform that was just restored from an older copy may not list it yet, until its
+writer writes it again. So after a restore a missing evacuation ends only once the era has settled;
+until then the hall gets no work.
 """
 
 from __future__ import annotations
@@ -21,124 +22,138 @@
 
 #: Field of the platform's object that ends an evacuation while the object stays.
 IN_FORCE = "in_force"
-#: What is told of routers that know that no hall ever was evacuated.
-NONE_EVER: Position = 1
+#: Version of a router that knows that no hall was ever evacuated; 0 means that nothing is known.
+NO_EVACUATIONS: Position = 1
 
 
-class HallWord(msgspec.Struct, frozen=True):
-    """The newest word on one hall."""
+class HallEvacuation(msgspec.Struct, frozen=True):
+    """The newest known state of one hall's evacuation."""
 
     in_force: bool
     version: Position
 
 
 class EvacuationUpdate(msgspec.Struct, frozen=True):
-    """All that a router knows, for one that is behind; few halls, so always the whole."""
+    """All evacuations that a router knows, for a peer that is behind.
 
-    word_by_hall: dict[str, HallWord]
+    Always complete, since there are few halls.
+    """
+
+    word_by_hall: dict[str, HallEvacuation]
 
 
 class Evacuations(msgspec.Struct):
-    """The halls that are to be sent nothing more, as one router knows them."""
+    """The evacuated halls, which get no work, as one router knows them."""
 
-    #: Whether the platform or a peer that knew it has told of them.
+    #: Whether the platform, or a peer to which they were known, has reported them.
     is_known: bool = False
-    word_by_hall: dict[str, HallWord] = msgspec.field(default_factory=dict)
-    #: Position of the newest listing that was read here.
+    evacuation_by_hall: dict[str, HallEvacuation] = msgspec.field(default_factory=dict)
+    #: Position of the newest listing that this router read.
     _listed_at: Position = 0
-    #: When words of an older era that no listing shows are over, in the clock's seconds.
+    #: When evacuations of an older era that are not listed end, in the clock's seconds.
     _settles_at: float = float("inf")
 
     @property
     def version(self) -> Position:
-        """Position of the newest word; 0 where nothing is known."""
+        """Position of the newest change; 0 if nothing is known."""
         if not self.is_known:
             return 0
-        return max((word.version for word in self.word_by_hall.values()), default=NONE_EVER)
+        return max(
+            (evacuation.version for evacuation in self.evacuation_by_hall.values()),
+            default=NO_EVACUATIONS,
+        )
 
     @property
     def halls(self) -> frozenset[str]:
-        """The halls that are evacuated."""
-        return frozenset(hall for hall, word in self.word_by_hall.items() if word.in_force)
+        """The evacuated halls."""
+        return frozenset(
+            hall for hall, evacuation in self.evacuation_by_hall.items() if evacuation.in_force
+        )
 
     def is_evacuated(self, hall: str) -> bool:
-        """Return whether a hall's upstreams are to be sent nothing."""
-        word = self.word_by_hall.get(hall)
-        return word is not None and word.in_force
+        """Return whether a hall is evacuated, so that its upstreams get nothing."""
+        evacuation = self.evacuation_by_hall.get(hall)
+        return evacuation is not None and evacuation.in_force
 
-    def take_listing(self, listed: Listed, now: float) -> bool:
-        """Take in what the platform lists; return whether any of it was news."""
+    def apply_listing(self, listed: Listed, now: float) -> bool:
+        """Apply a listing of the platform; return whether it changed anything."""
         was_known, self.is_known = self.is_known, True
         self._listed_at = max(self._listed_at, listed.version)
         shown = {
-            each.name: HallWord(_says_in_force(each.value), each.version) for each in listed.objects
+            each.name: HallEvacuation(_is_in_force(each.value), each.version)
+            for each in listed.objects
         }
-        # Nobody can read what it says, so what it is there for holds.
-        shown |= {hall: HallWord(True, listed.version) for hall in listed.left_out}
-        news = [self._set(hall, word) for hall, word in shown.items()]
+        # An unreadable object counts as an evacuation in force, which its existence means.
+        shown |= {hall: HallEvacuation(True, listed.version) for hall in listed.left_out}
+        changes = [self._set(hall, evacuation) for hall, evacuation in shown.items()]
         if listed.is_whole:
-            news += self._end_unlisted(shown, listed.version, now)
-        return any(news) or not was_known
+            changes += self._end_unlisted(shown, listed.version, now)
+        return any(changes) or not was_known
 
-    def take_event(self, event: WatchEvent) -> bool:
-        """Take in one event of a watch; return whether it was news."""
+    def apply_event(self, event: WatchEvent) -> bool:
+        """Apply one event of a watch; return whether it changed anything."""
         if event.type == "removed":
-            return self._set(event.name, HallWord(False, event.version))
+            return self._set(event.name, HallEvacuation(False, event.version))
         if event.type in ("set", "unreadable"):
-            in_force = event.type == "unreadable" or _says_in_force(event.value)
-            return self._set(event.name, HallWord(in_force, event.version))
+            in_force = event.type == "unreadable" or _is_in_force(event.value)
+            return self._set(event.name, HallEvacuation(in_force, event.version))
         return False
 
-    def take(self, update: EvacuationUpdate, now: float) -> bool:
-        """Take in what a peer knows; return whether any of it was news."""
+    def apply_update(self, update: EvacuationUpdate, now: float) -> bool:
+        """Apply a peer's update; return whether it changed anything."""
         was_known, self.is_known = self.is_known, True
-        news = [self._take_word(*each, now) for each in update.word_by_hall.items()]
-        return any(news) or not was_known
-
-    def _take_word(self, hall: str, word: HallWord, now: float) -> bool:
-        is_older = word.version <= self._listed_at and hall not in self.word_by_hall
-        if is_older and era_of(word.version) == era_of(self._listed_at):
-            # The listing would have shown it: it was over by then.
-            return self._set(hall, HallWord(False, self._listed_at))
+        changes = [self._apply_from_peer(*each, now) for each in update.word_by_hall.items()]
+        return any(changes) or not was_known
+
+    def _apply_from_peer(self, hall: str, evacuation: HallEvacuation, now: float) -> bool:
+        is_older = evacuation.version <= self._listed_at and hall not in self.evacuation_by_hall
+        if is_older and era_of(evacuation.version) == era_of(self._listed_at):
+            # The listing would have shown it, so it had ended by then.
+            return self._set(hall, HallEvacuation(False, self._listed_at))
         if is_older:
             self._settles_at = min(self._settles_at, now + SETTLE_SECONDS)
-        return self._set(hall, word)
+        return self._set(hall, evacuation)
 
-    def told(self) -> EvacuationUpdate | None:
-        """Return what a peer is told; None where nothing is known here."""
-        return EvacuationUpdate(dict(self.word_by_hall)) if self.is_known else None
+    def as_update(self) -> EvacuationUpdate | None:
+        """Return all evacuations as an update for a peer; None if nothing is known here."""
+        return EvacuationUpdate(dict(self.evacuation_by_hall)) if self.is_known else None
 
     def settle(self, now: float) -> bool:
-        """End what an older era said and nobody has said again; return whether there was any."""
+        """End evacuations of an older era that were not written again since.
+
+        Does nothing before the era has settled. Returns whether any ended.
+        """
         if now < self._settles_at:
             return False
         self._settles_at = float("inf")
         era = era_of(self._listed_at)
-        left = [hall for hall in self.halls if era_of(self.word_by_hall[hall].version) < era]
-        changes = [self._set(hall, HallWord(False, self._listed_at)) for hall in left]
+        unconfirmed = [
+            hall for hall in self.halls if era_of(self.evacuation_by_hall[hall].version) < era
+        ]
+        changes = [self._set(hall, HallEvacuation(False, self._listed_at)) for hall in unconfirmed]
         return any(changes)
 
     def _end_unlisted(
-        self, shown: Mapping[str, HallWord], listed_at: Position, now: float
+        self, shown: Mapping[str, HallEvacuation], listed_at: Position, now: float
     ) -> list[bool]:
-        """End what a whole listing no longer shows, at once within an era."""
+        """End evacuations missing from a complete listing: at once within an era, else later."""
         ended = []
         for hall in self.halls - shown.keys():
-            if era_of(self.word_by_hall[hall].version) < era_of(listed_at):
+            if era_of(self.evacuation_by_hall[hall].version) < era_of(listed_at):
                 self._settles_at = min(self._settles_at, now + SETTLE_SECONDS)
             else:
-                ended.append(self._set(hall, HallWord(False, listed_at)))
+                ended.append(self._set(hall, HallEvacuation(False, listed_at)))
         return ended
 
-    def _set(self, hall: str, word: HallWord) -> bool:
-        """Take in a word unless a newer one is known; return whether it changes what holds."""
-        known = self.word_by_hall.get(hall)
-        if known is not None and known.version >= word.version:
+    def _set(self, hall: str, evacuation: HallEvacuation) -> bool:
+        """Store a hall's state unless a newer one is known; return whether in_force changed."""
+        known = self.evacuation_by_hall.get(hall)
+        if known is not None and known.version >= evacuation.version:
             return False
-        self.word_by_hall[hall] = word
-        return known is None or known.in_force != word.in_force
+        self.evacuation_by_hall[hall] = evacuation
+        return known is None or known.in_force != evacuation.in_force
 
 
-def _says_in_force(value: Any) -> bool:
-    """Return whether an object asks for an evacuation, as it does by being there."""
+def _is_in_force(value: Any) -> bool:
+    """Return whether an object's evacuation is in force, as it is unless it says otherwise."""
     return not (isinstance(value, Mapping) and value.get(IN_FORCE) is False)
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -191,7 +191,7 @@
         walk = Walk(
             self._state,
             self._ways,
-            self._state.retry_budgets.of(work.head.service),
+            self._state.retry_budgets.for_service(work.head.service),
             work.head,
             work.body,
             lambda: deadline - time.monotonic(),
