--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -14,25 +14,25 @@
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
 from pondhatch.placement import Full
 from pondhatch.requests import (
+    AnswerStarted,
     BodySource,
     Busy,
     Claim,
-    Ended,
+    Collaborators,
+    Dispatch,
+    EndReason,
+    GrantRequest,
     KeyRecord,
     LocalOwner,
     NotOwner,
     NotRun,
-    Opened,
     OwnerReply,
     PartSink,
     Placed,
-    Question,
     ReplayableBody,
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
 )
 from pondhatch.router import RouterState
 from pondhatch.store import Upstream
@@ -60,8 +60,8 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
-        return Opened(InstantAnswer())
+    ) -> AnswerStarted | NotRun | Unknown:
+        return AnswerStarted(InstantAnswer())
 
 
 class NoHolder:
@@ -93,7 +93,7 @@
         self._number += 1
         return self._number
 
-    async def ask(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
         target = self._state.target(question.engine)
         if target is None:
             return NotOwner()
@@ -103,13 +103,13 @@
         self._engine_by_number[question.number] = question.engine
         return verdict
 
-    def ask_nobody(self, question: Question) -> OwnerReply:
+    def decide_without_owner(self, question: GrantRequest) -> OwnerReply:
         return NotOwner()
 
-    def release(self, number: int, ended: Ended) -> None:
+    def release(self, number: int, ended: EndReason) -> None:
         self._state.gate.release(self._engine_by_number.pop(number))
 
-    def remember(self, owner: str, chat: int, engine: str) -> None:
+    def report_spill(self, owner: str, chat: int, engine: str) -> None:
         """Do nothing."""
 
 
@@ -135,7 +135,7 @@
 async def _decide(state: RouterState) -> float:
     rng = random.Random(2)
     budget = RetryBudget()
-    ways = Ways(GrantsInPlace(state), Instant())
+    ways = Collaborators(GrantsInPlace(state), Instant())
     started = time.perf_counter()
     for at in range(DECISIONS):
         head = RequestHead(
@@ -150,7 +150,7 @@
             deadline=10.0,
             priority=5,
         )
-        placed = await Walk(state, ways, budget, head, ReplayableBody(b""), lambda: 10.0).run()
+        placed = await Dispatch(state, ways, budget, head, ReplayableBody(b""), lambda: 10.0).run()
         if isinstance(placed, Placed):
             placed.reply.answer.cancel()
     return (time.perf_counter() - started) / DECISIONS
--- a/bench/_retries.py
+++ b/bench/_retries.py
@@ -10,16 +10,16 @@
 from bench._measures import Measure
 from pondhatch.limits import RetryBudget
 from pondhatch.requests import (
+    AnswerStarted,
     BodySource,
+    Collaborators,
+    Dispatch,
     NotRun,
-    Opened,
     Placed,
     ReplayableBody,
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
 )
 
 REQUESTS = 5000
@@ -33,10 +33,10 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         self.sent += 1
         if int(target.name.rsplit("-", 1)[1]) % 2:
-            return Opened(InstantAnswer())
+            return AnswerStarted(InstantAnswer())
         if self.sent % 2:
             return NotRun("upstream-unreachable", "down")
         return Unknown("upstream-lost", "down")
@@ -45,7 +45,7 @@
 async def _send_all() -> tuple[int, int]:
     upstreams = _HalfFailed()
     state = new_state(1)
-    ways = Ways(GrantsInPlace(state), upstreams)
+    ways = Collaborators(GrantsInPlace(state), upstreams)
     budget = RetryBudget()
     rng = random.Random(3)
     whole = 0
@@ -53,7 +53,7 @@
         head = RequestHead(
             str(at), "a", "lang", rng.getrandbits(64), "POST", "/", (), True, 10.0, 5
         )
-        walk = Walk(state, ways, budget, head, ReplayableBody(b""), lambda: 10.0)
+        walk = Dispatch(state, ways, budget, head, ReplayableBody(b""), lambda: 10.0)
         ended = await walk.run()
         if isinstance(ended, Placed):
             ended.reply.answer.cancel()
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -17,21 +17,21 @@
 from pondhatch.membership import short_id
 from pondhatch.placement import OPEN, Gate, Health, Regions, SpillMemory
 from pondhatch.requests import (
+    AnswerStarted,
     BodySource,
+    Collaborators,
     Delivery,
+    Dispatch,
     EntryGrants,
     LocalOwner,
     NotRun,
-    Opened,
     PartSink,
-    Patience,
     Placed,
     ReplayableBody,
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
+    WaitLimits,
 )
 
 ENGINES = ("e0", "e1", "e2", "e3")
@@ -44,7 +44,7 @@
 RATE = 0.75 * len(ENGINES) * SLOTS / MEAN_SECONDS / ACCOUNTS
 SURGE = 10
 SECONDS = 120.0
-PATIENCE = Patience(0.2, 2.0)
+PATIENCE = WaitLimits(0.2, 2.0)
 DEADLINE = 30.0
 
 
@@ -72,8 +72,8 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
-        return Opened(_Timed(self._rng.expovariate(1 / MEAN_SECONDS)))
+    ) -> AnswerStarted | NotRun | Unknown:
+        return AnswerStarted(_Timed(self._rng.expovariate(1 / MEAN_SECONDS)))
 
 
 class _NoSink:
@@ -114,16 +114,16 @@
     def is_young(self, engine: str) -> bool:
         return False
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         return False
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return False
 
     def is_reachable(self, name: str) -> bool:
         return True
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Do nothing."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
@@ -132,7 +132,7 @@
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
         return None
 
-    def resumes(self, engine: str) -> bool:
+    def can_resume(self, engine: str) -> bool:
         return False
 
 
@@ -143,7 +143,9 @@
     gate = Gate()
     view = _View(gate)
     owner = LocalOwner("r0", view, gate, SpillMemory(), clock, Health())
-    ways = Ways(EntryGrants("r0", short_id("r0"), owner, lambda *_: None, 0), _Engines(rng))
+    ways = Collaborators(
+        EntryGrants("r0", short_id("r0"), owner, lambda *_: None, 0), _Engines(rng)
+    )
     budget = RetryBudget()
     answered: Counter[str] = Counter()
 
@@ -153,7 +155,7 @@
             f"{account}-{number}", account, "s", 0, "POST", "/", (), True, DEADLINE, 5
         )
         body = ReplayableBody(b"")
-        walk = Walk(view, ways, budget, head, body, lambda: until - clock(), PATIENCE)
+        walk = Dispatch(view, ways, budget, head, body, lambda: until - clock(), PATIENCE)
         placed = await walk.run()
         if isinstance(placed, Placed):
             await Delivery(walk, placed, _NoSink()).run()
--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -84,7 +84,7 @@
 
     def _is_ready(self, callers_port: Any, spare: SpareDescriptors) -> bool:
         """Return whether the balancer should send callers here."""
-        serves = self.state.fleet.version > 0 and not self.state.stopping()
+        serves = self.state.fleet.version > 0 and not self.state.is_draining()
         return serves and bool(callers_port.connected) and spare.are_there()
 
     def _open_for_metrics(self, endpoint: MetricsEndpoint) -> None:
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -44,7 +44,7 @@
             "requests.suspected": len(self.state.suspects.suspect_by_digest),
             "requests.quarantined": len(list(self.state.suspects.quarantined(self.state.clock()))),
             "chats.spilled": len(self.state.memory.engine_by_chat),
-            "queue.refused-in-vain": self.granting.owner.refused_in_vain,
+            "queue.refused-in-vain": self.granting.owner.wrongly_refused,
             "control.bytes_sent": self.gossip_port.bytes_sent,
             "control.bytes_received": self.gossip_port.bytes_received,
         }
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -31,7 +31,7 @@
     Records,
     ServedMetrics,
 )
-from pondhatch.requests import Ways
+from pondhatch.requests import Collaborators
 from pondhatch.router import (
     CRASH_MARK,
     GRANT_MARK,
@@ -97,7 +97,7 @@
         served = ServedMetrics(settings.name)
         self._metrics = metrics_of(settings, served)
         self._records = _records_of(settings)
-        parts.client.configure(self.state.load_managed, self._metrics)
+        parts.client.configure(self.state.is_load_managed, self._metrics)
         self._beliefs = Beliefs(self.state, self._records)
         self._notice_keeping = NoticeKeeping(self.state, self._gossip_port.send)
         upstreams = HttpUpstreams(
@@ -180,7 +180,7 @@
         return self._interface.callers(
             CallerParts(
                 state=self.state,
-                ways=Ways(
+                ways=Collaborators(
                     self._granting.entry,
                     upstreams,
                     self._crash_guarding,
@@ -229,7 +229,7 @@
         peer = self._connections.to(member)
         reply = await peer.pull(configuration, upstreams, takes_difference)
         if reply is None:
-            self.state.unreachable(member.name)
+            self.state.note_unreachable(member.name)
         return reply
 
     def _answer_pull(self, asked: PullRequest) -> PullReply:
--- a/pondhatch/cli/_stopping.py
+++ b/pondhatch/cli/_stopping.py
@@ -11,7 +11,7 @@
 from pondhatch.cli._spreading import Spreading
 from pondhatch.configuration import Settings
 from pondhatch.membership import Phase
-from pondhatch.requests import HOLDERS
+from pondhatch.requests import HOLDERS_PER_KEY
 from pondhatch.router import Authority, Beliefs, Granting, RouterState
 from pondhatch.transport import Callers
 
@@ -69,7 +69,7 @@
     async def _hand_over_keys(self) -> None:
         """Give the keys held here to those who hold them from now on."""
         for key, record in tuple(self.state.keys.record_by_key.items()):
-            for name in self.state.key_holders(key)[:HOLDERS]:
+            for name in self.state.key_holders(key)[:HOLDERS_PER_KEY]:
                 holder = self.state.key_holder(name)
                 if holder is not None:
                     await holder.settle(key, record)
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -15,7 +15,7 @@
 from pondhatch.platform._engine_load import read_load
 from pondhatch.platform._entries import plain
 from pondhatch.platform._header_owners import OWNERS
-from pondhatch.requests import EngineRefusal, Headers, Judged, RequestHead, Target
+from pondhatch.requests import AnswerKind, EngineRefusal, Headers, RequestHead, Target
 from pondhatch.store import IN_FORCE, LEAVING, LIVE
 from pondhatch.transport import NoteDropped, seconds_to_wait, utf8_value
 
@@ -142,25 +142,25 @@
         ]
         if head.account:
             own.append((names.ACCOUNT, utf8_value(head.account)))
-        if head.context_from:
-            own.append((names.CONTEXT_FROM, head.context_from))
+        if head.context_address:
+            own.append((names.CONTEXT_FROM, head.context_address))
         passed_on = head.headers
-        if head.after_event:
-            own.append((names.LAST_EVENT_ID, head.after_event))
+        if head.last_event_id:
+            own.append((names.LAST_EVENT_ID, head.last_event_id))
             passed_on = _without_last_event(passed_on)
         return (*passed_on, *own)
 
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
-    ) -> Judged | EngineRefusal:
+    ) -> AnswerKind | EngineRefusal:
         """Say what an answer's head means."""
         if status == names.OTHER_ENGINE_STATUS:
-            return EngineRefusal.NOT_THE_ONE
+            return EngineRefusal.WRONG_INSTANCE
         if names.NOT_RUN.lower() in value_by_name:
             return _refusal(status, value_by_name, self.notice(status, value_by_name))
         if value_by_name.get(names.ATTEMPT_ID.lower(), "") != head.caller_id:
-            return Judged.CROSSED
-        return Judged.ANSWERED
+            return AnswerKind.CROSSED
+        return AnswerKind.ANSWERED
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
         """Return what an answer's head says of the engine itself."""
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -10,9 +10,9 @@
 from pondhatch.platform._engines import EngineDialect, decode_engine, decode_evacuation
 from pondhatch.platform.tests._wire import ENGINE
 from pondhatch.requests import (
+    AnswerKind,
     EngineRefusal,
     Headers,
-    Judged,
     NotRun,
     Refusal,
     RequestHead,
@@ -97,7 +97,7 @@
         self.assertNotIn("Tenant", sent)
 
     def test_a_stream_that_goes_on_says_after_which_event(self) -> None:
-        asked = head(headers=(*HEADERS, ("Last-Event-Id", "2")), after_event="7")
+        asked = head(headers=(*HEADERS, ("Last-Event-Id", "2")), last_event_id="7")
         sent = self.dialect.request_headers(asked, TARGET)
         self.assertEqual([value for name, value in sent if name == "Last-Event-Id"], ["7"])
         kept = self.dialect.request_headers(head(headers=(("Last-Event-Id", "2"),)), TARGET)
@@ -106,16 +106,16 @@
     def test_a_context_is_taken_over_from_where_the_router_says_alone(self) -> None:
         forged = head(headers=(*HEADERS, ("Kv-Fetch", "10.9.9.9:1")))
         self.assertNotIn("Kv-Fetch", dict(self.dialect.request_headers(forged, TARGET)))
-        moved = head(context_from="10.0.0.7:80")
+        moved = head(context_address="10.0.0.7:80")
         sent = dict(self.dialect.request_headers(moved, TARGET))
         self.assertEqual(sent["Kv-Fetch"], "10.0.0.7:80")
 
     def test_what_an_answers_head_says(self) -> None:
-        rows: tuple[tuple[int, dict[str, str], Judged | EngineRefusal], ...] = (
-            (200, {"attempt-id": "9c41"}, Judged.ANSWERED),
-            (500, {"attempt-id": "9c41"}, Judged.ANSWERED),
-            (200, {"attempt-id": "other"}, Judged.CROSSED),
-            (200, {}, Judged.CROSSED),
+        rows: tuple[tuple[int, dict[str, str], AnswerKind | EngineRefusal], ...] = (
+            (200, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
+            (500, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
+            (200, {"attempt-id": "other"}, AnswerKind.CROSSED),
+            (200, {}, AnswerKind.CROSSED),
             (503, {"not-executed": "1"}, EngineRefusal.FULL),
             (503, {"not-executed": "1", "attempt-id": "9c41"}, EngineRefusal.FULL),
             (503, {"not-executed": "1", "connection": "close"}, EngineRefusal.LEAVING),
@@ -131,10 +131,10 @@
             (503, {"not-executed": "1", "retry-after": "soon"}, EngineRefusal.FULL),
             (503, {"not-executed": "1", "server-leaving": "1"}, EngineRefusal.LEAVING),
             (400, {"not-executed": "1"}, EngineRefusal.BAD_REQUEST),
-            (400, {"attempt-id": "9c41"}, Judged.ANSWERED),
+            (400, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
             (500, {"not-executed": "1"}, EngineRefusal.UNKNOWN),
-            (503, {"attempt-id": "9c41"}, Judged.ANSWERED),
-            (421, {"instance-id": "i-2"}, EngineRefusal.NOT_THE_ONE),
+            (503, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
+            (421, {"instance-id": "i-2"}, EngineRefusal.WRONG_INSTANCE),
         )
         for status, headers, judged in rows:
             with self.subTest(status=status, headers=headers):
--- a/pondhatch/requests/__init__.py
+++ b/pondhatch/requests/__init__.py
@@ -9,44 +9,67 @@
 )
 from pondhatch.requests._delivery import Delivered, Delivery, is_event_stream
 from pondhatch.requests._digest import digest_of
-from pondhatch.requests._entry import Walk
-from pondhatch.requests._entry_grants import NUMBERS, EntryGrants
-from pondhatch.requests._entry_view import EntryView, Ways
-from pondhatch.requests._events import LAST_EVENT, EventCutter
+from pondhatch.requests._dispatch import Dispatch
+from pondhatch.requests._dispatch_results import (
+    Placed,
+    QueueOutcome,
+    QueueResult,
+    Refused,
+    WaitLimits,
+)
+from pondhatch.requests._entry_grants import NUMBER_LIMIT, EntryGrants
+from pondhatch.requests._entry_view import Collaborators, EntryView
+from pondhatch.requests._events import LAST_EVENT, EventSplitter
 from pondhatch.requests._grant_packets import (
     GrantPacket,
+    GrantUpdate,
     Hold,
     Release,
+    ReplyPacket,
     Spilled,
-    Telling,
-    Word,
     decode_grant_packet,
     encode_grant_packet,
 )
+from pondhatch.requests._grant_requests import (
+    Busy,
+    ContextElsewhere,
+    EndReason,
+    GrantRequest,
+    Grants,
+    Holder,
+    NotOwner,
+    OwnerReply,
+)
 from pondhatch.requests._grant_sides import GrantSides
+from pondhatch.requests._keyed_runs import (
+    HOLDERS_PER_KEY,
+    KeyedRun,
+    KeyHolder,
+    LocalKeyHolder,
+    used_key_refusal,
+)
 from pondhatch.requests._keys import (
-    KEPT_BODY,
+    MAX_KEPT_BODY,
     Claim,
-    Fresh,
     KeptAnswer,
     KeyRecord,
     KeyTable,
-    Known,
-    kept,
+    NewKey,
+    UsedKey,
+    kept_answer,
 )
 from pondhatch.requests._messages import (
+    AnswerLost,
+    AnswerStarted,
     AnswerStream,
     BodySource,
     CallerGone,
-    DecisionNote,
     Headers,
-    Lost,
-    Opened,
     PartSink,
     ReplayableBody,
     RequestHead,
+    RoutingDecision,
 )
-from pondhatch.requests._once import HOLDERS, KeyedRun, KeyHolder, LocalKeyHolder, refusal_of
 from pondhatch.requests._outcomes import (
     CROSSED,
     Broken,
@@ -56,20 +79,10 @@
     Refusal,
     Unknown,
     Whole,
-    out_of_time,
+    deadline_passed,
 )
 from pondhatch.requests._owner import LocalOwner, OwnerView
 from pondhatch.requests._owner_grants import OwnerGrants
-from pondhatch.requests._questions import (
-    Busy,
-    Elsewhere,
-    Ended,
-    Grants,
-    Holder,
-    NotOwner,
-    OwnerReply,
-    Question,
-)
 from pondhatch.requests._sending import (
     GrantedAnswer,
     NoUpstreamView,
@@ -79,22 +92,21 @@
     open_target,
 )
 from pondhatch.requests._try import Try, new_try
-from pondhatch.requests._upstream_dialect import Judged, UpstreamDialect
+from pondhatch.requests._upstream_dialect import AnswerKind, UpstreamDialect
 from pondhatch.requests._wait_limits import AnswerDeadlines, RunTimes, answer_deadlines
-from pondhatch.requests._walk_results import Patience, Placed, Queued, QueueEnd, Refused
 
 __all__ = [
-    "Judged",
+    "AnswerKind",
     "NoUpstreamView",
     "open_target",
     "UpstreamDialect",
     "UpstreamView",
     "CROSSED",
     "NO_WATCH",
-    "NUMBERS",
+    "NUMBER_LIMIT",
     "QUARANTINED",
-    "HOLDERS",
-    "KEPT_BODY",
+    "HOLDERS_PER_KEY",
+    "MAX_KEPT_BODY",
     "LAST_EVENT",
     "AnswerStream",
     "AnswerDeadlines",
@@ -105,16 +117,16 @@
     "ChatRequest",
     "Claim",
     "CrashGuard",
-    "DecisionNote",
+    "RoutingDecision",
     "Delivered",
     "Delivery",
-    "Elsewhere",
-    "Ended",
+    "ContextElsewhere",
+    "EndReason",
     "EngineRefusal",
     "EntryGrants",
     "EntryView",
-    "EventCutter",
-    "Fresh",
+    "EventSplitter",
+    "NewKey",
     "GrantPacket",
     "GrantSides",
     "GrantedAnswer",
@@ -127,24 +139,24 @@
     "KeyRecord",
     "KeyTable",
     "KeyedRun",
-    "Known",
+    "UsedKey",
     "LocalKeyHolder",
     "LocalOwner",
-    "Lost",
+    "AnswerLost",
     "MalformedChat",
     "NotOwner",
     "NotRun",
-    "Opened",
+    "AnswerStarted",
     "Outcome",
     "OwnerGrants",
     "OwnerReply",
     "OwnerView",
     "PartSink",
-    "Patience",
+    "WaitLimits",
     "Placed",
-    "Question",
-    "QueueEnd",
-    "Queued",
+    "GrantRequest",
+    "QueueOutcome",
+    "QueueResult",
     "Refusal",
     "Refused",
     "Release",
@@ -154,22 +166,22 @@
     "RunTimes",
     "Spilled",
     "Target",
-    "Telling",
+    "GrantUpdate",
     "Try",
     "Unknown",
     "Upstreams",
-    "Walk",
-    "Ways",
+    "Dispatch",
+    "Collaborators",
     "Whole",
-    "Word",
+    "ReplyPacket",
     "answer_deadlines",
     "decode_grant_packet",
     "digest_of",
     "encode_grant_packet",
     "is_event_stream",
-    "kept",
+    "kept_answer",
     "new_try",
-    "out_of_time",
+    "deadline_passed",
     "read_chat",
-    "refusal_of",
+    "used_key_refusal",
 ]
--- a/pondhatch/requests/_chat.py
+++ b/pondhatch/requests/_chat.py
@@ -30,7 +30,7 @@
     chat: int
     stream: bool
     #: Whether an earlier turn was answered, so that its context lies somewhere.
-    returning: bool
+    is_followup: bool
 
 
 class MalformedChat(Exception):
--- a/pondhatch/requests/_crash_guard.py
+++ b/pondhatch/requests/_crash_guard.py
@@ -30,10 +30,10 @@
     def is_suspected(self) -> bool:
         """Return whether an engine ended under it, and nothing has cleared it of that."""
 
-    async def run_was_cut(self, target: Target) -> bool:
+    async def note_connection_lost(self, target: Target) -> bool:
         """Note that a run lost its connection; return whether its engine has ended."""
 
-    def run_was_whole(self) -> None:
+    def note_completed(self) -> None:
         """Note that an engine bore it."""
 
     def close(self) -> None:
@@ -62,11 +62,11 @@
         """Return False."""
         return False
 
-    async def run_was_cut(self, target: Target) -> bool:
+    async def note_connection_lost(self, target: Target) -> bool:
         """Return False."""
         return False
 
-    def run_was_whole(self) -> None:
+    def note_completed(self) -> None:
         """Do nothing."""
 
     def close(self) -> None:
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from pondhatch.requests._entry import Walk
-from pondhatch.requests._events import EventCutter
-from pondhatch.requests._messages import AnswerStream, Headers, Lost, PartSink
+from pondhatch.requests._dispatch import Dispatch
+from pondhatch.requests._dispatch_results import Placed, StreamPosition
+from pondhatch.requests._events import EventSplitter
+from pondhatch.requests._messages import AnswerLost, AnswerStream, Headers, PartSink
 from pondhatch.requests._outcomes import Broken, Unknown, Whole
-from pondhatch.requests._walk_results import Placed, Position
 
 #: Times that one answer is taken up again at most.
-MOST_RESUMES = 3
+MAX_RESUMES = 3
 #: Seconds in which a broken answer must be taken up again; an engine that restarts
 #: its listener, or an owner that is replaced, is back in that time.
-RESUME_SECONDS = 8.0
+RESUME_TIME_LIMIT = 8.0
 #: Seconds between two tries to take it up.
 RESUME_PAUSE = 0.25
 
@@ -42,22 +42,22 @@
     """Passes whole events on to a sink; see PartSink."""
 
     def __init__(self, sink: PartSink) -> None:
-        self.cutter = EventCutter()
+        self.splitter = EventSplitter()
         self._sink = sink
         self.ready = sink.ready
 
     def write(self, part: bytes) -> bool:
-        whole = self.cutter.feed(part)
+        whole = self.splitter.feed(part)
         return self._sink.write(whole) if whole else True
 
     def end(self) -> None:
         """Pass on what stands behind the last whole event of an answer that ended."""
-        rest = self.cutter.rest()
+        rest = self.splitter.take_rest()
         if rest:
             self._sink.write(rest)
 
 
-class _Opening:
+class _AnswerStart:
     """Begins the caller's answer with its first part; see PartSink."""
 
     def __init__(self, sink: PartSink, begin: Callable[[], None]) -> None:
@@ -97,36 +97,36 @@
 
     def __init__(
         self,
-        walk: Walk,
+        dispatch: Dispatch,
         placed: Placed,
         sink: PartSink,
         begin: Callable[[AnswerStream], None] = _nothing,
     ) -> None:
-        self._walk = walk
-        self._opening = _Opening(sink, lambda: begin(self._answer))
+        self._dispatch = dispatch
+        self._start = _AnswerStart(sink, lambda: begin(self._answer))
         self._resumes = 0
-        self._take(placed)
+        self._start_delivering(placed)
 
-    def _take(self, placed: Placed) -> None:
+    def _start_delivering(self, placed: Placed) -> None:
         """Go on with an answer of which nothing was passed on."""
         self._engine = placed.engine
         self._answer: AnswerStream = placed.reply.answer
         streamed = is_event_stream(self._answer.headers)
-        self._events = _WholeEvents(self._opening) if streamed else None
-        self._sink: PartSink = self._events or self._opening
+        self._events = _WholeEvents(self._start) if streamed else None
+        self._sink: PartSink = self._events or self._start
 
     @property
     def longest_pause(self) -> float:
         """The longest time between two parts that were passed on, in seconds."""
-        return self._opening.longest_pause
+        return self._start.longest_pause
 
     async def run(self) -> Delivered:
         """Pass everything on; raises what the caller's sink raises."""
         try:
             while (lost := await self._pour()) is not None:
-                await self._walk.note_cut(self._engine, lost)
-                if not await self._goes_on():
-                    return Delivered(self._lost(lost), self._resumes)
+                await self._dispatch.note_connection_lost(self._engine, lost)
+                if not await self._recover():
+                    return Delivered(self._final_outcome(lost), self._resumes)
             return Delivered(Whole(), self._resumes)
         finally:
             self._answer.cancel()
@@ -135,43 +135,43 @@
         """Pass on what comes; return how the answer broke off, or None where it is whole."""
         try:
             await self._answer.pour(self._sink)
-        except Lost as lost:
+        except AnswerLost as lost:
             return lost.outcome
         if self._events is not None:
             self._events.end()
-        self._opening.begin()
+        self._start.begin()
         return None
 
-    def _lost(self, outcome: Broken) -> Broken | Unknown:
-        if self._opening.has_begun:
+    def _final_outcome(self, outcome: Broken) -> Broken | Unknown:
+        if self._start.has_begun:
             return outcome
-        return self._walk.final_word(Unknown(outcome.code, outcome.reason))
+        return self._dispatch.final_outcome(Unknown(outcome.code, outcome.reason))
 
-    async def _goes_on(self) -> bool:
+    async def _recover(self) -> bool:
         """Return whether a broken answer is taken up, from where it was or from its start."""
-        if self._opening.has_begun or not self._walk.may_run_again():
-            return await self._resumed()
+        if self._start.has_begun or not self._dispatch.can_rerun():
+            return await self._resume()
         self._answer.cancel()
-        placed = await self._walk.run_again(self._engine)
+        placed = await self._dispatch.rerun(self._engine)
         if placed is None:
             return False
-        self._take(placed)
+        self._start_delivering(placed)
         return True
 
-    async def _resumed(self) -> bool:
+    async def _resume(self) -> bool:
         """Take the answer up where the caller's copy ends; return whether that worked."""
-        if self._events is None or not self._walk.can_resume(self._engine):
+        if self._events is None or not self._dispatch.can_resume(self._engine):
             return False
-        cutter = self._events.cutter
-        if cutter.ended:
+        splitter = self._events.splitter
+        if splitter.is_complete:
             return False
-        cutter.broke()
+        splitter.discard_partial()
         self._answer.cancel()
         loop = asyncio.get_running_loop()
-        until = loop.time() + RESUME_SECONDS
-        while self._resumes < MOST_RESUMES and loop.time() < until:
-            position = Position(cutter.events, cutter.last_id)
-            reply = await self._walk.resume(self._engine, position)
+        until = loop.time() + RESUME_TIME_LIMIT
+        while self._resumes < MAX_RESUMES and loop.time() < until:
+            position = StreamPosition(splitter.events, splitter.last_id)
+            reply = await self._dispatch.resume(self._engine, position)
             if isinstance(reply, Placed):
                 self._resumes += 1
                 self._engine = reply.engine
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from pondhatch.placement import Reservation, TokenCounts, usable_tokens
-from pondhatch.requests._questions import Holder, Question
+from pondhatch.requests._grant_requests import GrantRequest, Holder
 from pondhatch.requests._sending import Target
 from pondhatch.requests._token_needs import asked_need
 
@@ -18,26 +18,26 @@
         #: Returns whether load is managed; without that nothing is held against memory.
         self._load_managed = load_managed
 
-    def shortage(self, target: Target, question: Question, held: int, now: float) -> int:
+    def shortage(self, target: Target, grant_request: GrantRequest, held: int, now: float) -> int:
         """Return the tokens that an engine lacks for a request; 0 where that is not gone by.
 
         One that holds nothing takes any request, which could run nowhere else either. The rest
         of a stream runs in memory that the engine holds already.
         """
-        if target.memory_tokens is None or question.resuming or held == 0:
+        if target.memory_tokens is None or grant_request.resuming or held == 0:
             return 0
         if not self._load_managed():
             return 0
-        limit, need = usable_tokens(target.memory_tokens), asked_need(question)
+        limit, need = usable_tokens(target.memory_tokens), asked_need(grant_request)
         return self._counts.shortage(
-            target.name, question.holder, need, limit, now, question.priority
+            target.name, grant_request.holder, need, limit, now, grant_request.priority
         )
 
-    def granted(self, question: Question, now: float) -> None:
+    def granted(self, grant_request: GrantRequest, now: float) -> None:
         """Count a request that was granted."""
-        need = asked_need(question)
+        need = asked_need(grant_request)
         if need.is_stated:
-            self._counts.add(question.engine, question.holder, need, now)
+            self._counts.add(grant_request.engine, grant_request.holder, need, now)
 
     def adopted(self, target: Target | None, holder: Holder) -> None:
         """Count a request that another owner granted, and of which nothing is known."""
@@ -48,15 +48,15 @@
         """Note that a question was answered with a lack of memory."""
         self._counts.refused += 1
 
-    def keep_for(self, target: Target, question: Question) -> None:
+    def keep_for(self, target: Target, grant_request: GrantRequest) -> None:
         """Keep memory for a request that waits for it.
 
         Smaller requests that come later would take each piece that comes free. One that states
         more than there is runs alone or nowhere: memory kept for it would stop all others.
         """
-        memory, need = target.memory_tokens, asked_need(question)
+        memory, need = target.memory_tokens, asked_need(grant_request)
         if memory is not None and need.total <= usable_tokens(memory):
-            kept = Reservation(question.holder, need, question.priority)
+            kept = Reservation(grant_request.holder, need, grant_request.priority)
             self._counts.reserve(target.name, kept)
 
     def ended(self, engine: str, holder: Holder) -> bool:
--- a/pondhatch/requests/_lines.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -21,18 +21,18 @@
     Verdict,
     granted_ahead,
 )
-from pondhatch.requests._questions import MILLISECONDS, THOUSANDTHS, Question
+from pondhatch.requests._grant_requests import MS_PER_SECOND, WEIGHT_SCALE, GrantRequest
 
 #: Requests that may wait before one engine.
-LINE_LIMIT = 64
+QUEUE_LIMIT = 64
 #: The same while load is managed, where a request waits for as long as its caller can: an
 #: engine that frees a slot every 3 ms serves some 300 in the second that a caller waits.
-MANAGED_LINE_LIMIT = 512
+MANAGED_QUEUE_LIMIT = 512
 #: Requests short of memory that are passed over each time that a line is served, so that smaller
 #: ones behind them go on: each costs a question to the gate.
-MOST_PASSED_OVER = 4
+MAX_PASSED_OVER = 4
 #: Refused requests of one engine that are remembered until their time is over.
-MOST_REFUSED = 512
+MAX_REMEMBERED_REFUSALS = 512
 
 
 class Waiter(msgspec.Struct, frozen=True):
@@ -64,13 +64,13 @@
     return False
 
 
-def _drop_past(heap: list[float], now: float) -> None:
+def _drop_expired(heap: list[float], now: float) -> None:
     """Remove the times that are over from a heap of times."""
     while heap and heap[0] <= now:
         heapq.heappop(heap)
 
 
-class Lines:
+class EngineQueues:
     """The lines before the engines that this router owns."""
 
     def __init__(
@@ -90,32 +90,34 @@
         #: Until when requests that were refused at arrival could have waited, the first on top.
         self._refused_until_by_engine: dict[str, list[float]] = {}
         #: Requests that were refused at arrival, and that a place came free for in time.
-        self.refused_in_vain = 0
+        self.wrongly_refused = 0
 
-    def waiting(self, engine: str) -> int:
+    def waiting_count(self, engine: str) -> int:
         """Return how many requests wait for an engine."""
         queue = self._queue_by_engine.get(engine)
         return len(queue.line) if queue is not None else 0
 
-    async def wait(self, question: Question, full: Full, ask: Callable[[], Verdict]) -> Verdict:
+    async def wait(
+        self, grant_request: GrantRequest, full: Full, ask: Callable[[], Verdict]
+    ) -> Verdict:
         """Wait until granted; ``full`` is the answer when patience ends or the line is full."""
-        is_predicted = self._is_managed() and question.in_time > 0
-        if not is_predicted and self._hopeless(question):
+        is_predicted = self._is_managed() and grant_request.in_time > 0
+        if not is_predicted and self._exceeds_max_wait(grant_request):
             return full
-        predicted = self._predicted(question) if is_predicted else 0.0
-        if predicted > question.patience / MILLISECONDS:
-            return self._refused(question, full, predicted)
-        engine = question.engine
+        predicted = self._predicted_wait(grant_request) if is_predicted else 0.0
+        if predicted > grant_request.max_wait_ms / MS_PER_SECOND:
+            return self._refused(grant_request, full, predicted)
+        engine = grant_request.engine
         queue = self._queue(engine)
-        ticket = self._join(queue, question)
+        ticket = self._join(queue, grant_request)
         if ticket is None:
-            return self._with_retry_time(question, full) if is_predicted else full
+            return self._with_retry_time(grant_request, full) if is_predicted else full
         turn: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
         queue.waiter_by_number[ticket.number] = Waiter(ticket, ask, turn)
-        _push_out(queue, full)
+        _evict_last(queue, full)
         verdict: Verdict | None = None
         try:
-            async with asyncio.timeout(question.patience / MILLISECONDS):
+            async with asyncio.timeout(grant_request.max_wait_ms / MS_PER_SECOND):
                 verdict = await turn
         except TimeoutError:
             verdict = full
@@ -124,7 +126,7 @@
             if verdict is None or verdict is full:
                 self._return_late_grant(engine, turn)
         if is_predicted and isinstance(verdict, Full):
-            return self._with_retry_time(question, verdict)
+            return self._with_retry_time(grant_request, verdict)
         return verdict
 
     def forget(self, is_gone: Callable[[str], bool]) -> None:
@@ -134,18 +136,20 @@
             self._schedule_by_engine,
             self._refused_until_by_engine,
         ):
-            gone = [engine for engine in known if is_gone(engine) and not self.waiting(engine)]
+            gone = [
+                engine for engine in known if is_gone(engine) and not self.waiting_count(engine)
+            ]
             for engine in gone:
                 del known[engine]
 
-    def gave_back(self, engine: str, now: float, was_used: bool = True) -> None:
+    def note_released(self, engine: str, now: float, was_used: bool = True) -> None:
         """Note that a grant was given back, and serve the line.
 
         One that was not used, as when its request had another one, tells nothing of how long
         the engine takes.
         """
         known = self._interval_by_engine.get(engine, ReleaseInterval(now))
-        busy = self.waiting(engine) > 0
+        busy = self.waiting_count(engine) > 0
         if not self._is_managed():
             # Only the gaps of an engine that is wanted tell how fast it frees slots.
             self._interval_by_engine[engine] = (
@@ -155,7 +159,7 @@
             steady = known.after(now, STEADY_GAP_WEIGHT)
             self._interval_by_engine[engine] = steady if busy else replace(known, last=now)
         if not busy:
-            self._note_free(engine, now)
+            self._note_unused_slot(engine, now)
         self.serve(engine)
 
     def _queue(self, engine: str) -> _Queue:
@@ -163,9 +167,9 @@
         queue = self._queue_by_engine.get(engine)
         if queue is not None:
             return queue
-        limit = LINE_LIMIT
+        limit = QUEUE_LIMIT
         if self._is_managed():
-            limit = MANAGED_LINE_LIMIT
+            limit = MANAGED_QUEUE_LIMIT
             now = self._clock()
             known = self._interval_by_engine.get(engine, ReleaseInterval(now))
             # The time before, in which nobody wanted a slot, is no part of a gap.
@@ -173,86 +177,99 @@
         queue = self._queue_by_engine[engine] = _Queue(Line(limit))
         return queue
 
-    def _join(self, queue: _Queue, question: Question) -> Ticket | None:
+    def _join(self, queue: _Queue, grant_request: GrantRequest) -> Ticket | None:
         in_time_until = math.inf
-        if self._is_managed() and question.in_time > 0:
-            in_time_until = self._clock() + question.in_time / MILLISECONDS
-        weight = question.weight / THOUSANDTHS
+        if self._is_managed() and grant_request.in_time > 0:
+            in_time_until = self._clock() + grant_request.in_time / MS_PER_SECOND
+        weight = grant_request.weight / WEIGHT_SCALE
         return queue.line.join(
-            question.account, question.priority, weight, in_time_until, question.queues
+            grant_request.account,
+            grant_request.priority,
+            weight,
+            in_time_until,
+            grant_request.queue_count,
         )
 
-    def _hopeless(self, question: Question) -> bool:
+    def _exceeds_max_wait(self, grant_request: GrantRequest) -> bool:
         """Return whether those before a request alone will take longer than it may wait.
 
         Such a request is refused at once: waiting would end in the same refusal.
         """
-        queue = self._queue_by_engine.get(question.engine)
+        queue = self._queue_by_engine.get(grant_request.engine)
         if queue is None:
             return False
-        gap = self._gap(question.engine)
-        wait = queue.line.before(question.account, question.priority) * gap
-        return wait > question.patience / MILLISECONDS
+        gap = self._release_gap(grant_request.engine)
+        wait = queue.line.before(grant_request.account, grant_request.priority) * gap
+        return wait > grant_request.max_wait_ms / MS_PER_SECOND
 
-    def _predicted(self, question: Question) -> float:
+    def _predicted_wait(self, grant_request: GrantRequest) -> float:
         """Return the seconds that a request will wait; 0 where nothing is known.
 
         One whose time for an answer within the objective ends before its turn comes is behind
         those that are late already.
         """
-        queue, gap = self._queue_by_engine.get(question.engine), self._gap(question.engine)
+        queue, gap = (
+            self._queue_by_engine.get(grant_request.engine),
+            self._release_gap(grant_request.engine),
+        )
         if queue is None:
             return 0.0
         queue.line.pass_time(self._clock())
-        share = queue.line.share_before(question.account, question.priority)
+        share = queue.line.share_before(grant_request.account, grant_request.priority)
         wait = share * gap
-        if wait <= question.in_time / MILLISECONDS:
+        if wait <= grant_request.in_time / MS_PER_SECOND:
             return wait
-        late = queue.line.share_before(question.account, question.priority, is_late=True) - share
+        late = (
+            queue.line.share_before(grant_request.account, grant_request.priority, is_late=True)
+            - share
+        )
         # While those in time take all places, none comes free for the late ones.
         return wait + late * max(gap, queue.line.late_gap())
 
-    def _refused(self, question: Question, full: Full, predicted: float) -> Full:
+    def _refused(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
         """Return the answer to a request that is refused at arrival, and remember it."""
         now = self._clock()
-        refused_until = self._refused_until_by_engine.setdefault(question.engine, [])
-        _drop_past(refused_until, now)
-        if len(refused_until) < MOST_REFUSED:
-            heapq.heappush(refused_until, now + question.patience / MILLISECONDS)
-        predicted_ms = max(1, round(predicted * MILLISECONDS))
-        return self._with_retry_time(question, replace(full, predicted_ms=predicted_ms))
+        refused_until = self._refused_until_by_engine.setdefault(grant_request.engine, [])
+        _drop_expired(refused_until, now)
+        if len(refused_until) < MAX_REMEMBERED_REFUSALS:
+            heapq.heappush(refused_until, now + grant_request.max_wait_ms / MS_PER_SECOND)
+        predicted_ms = max(1, round(predicted * MS_PER_SECOND))
+        return self._with_retry_time(grant_request, replace(full, predicted_ms=predicted_ms))
 
-    def _with_retry_time(self, question: Question, full: Full) -> Full:
-        return replace(full, retry_after_ms=self._retry_after_ms(question))
+    def _with_retry_time(self, grant_request: GrantRequest, full: Full) -> Full:
+        return replace(full, retry_after_ms=self._retry_after_ms(grant_request))
 
-    def _retry_after_ms(self, question: Question) -> int:
+    def _retry_after_ms(self, grant_request: GrantRequest) -> int:
         """Return after how many milliseconds a refused caller is to retry; 0 if unknown."""
-        queue, gap = self._queue_by_engine.get(question.engine), self._gap(question.engine)
+        queue, gap = (
+            self._queue_by_engine.get(grant_request.engine),
+            self._release_gap(grant_request.engine),
+        )
         if gap == 0:
             return 0
         share = queue.line.share() if queue is not None else 0.0
-        schedule = self._schedule_by_engine.setdefault(question.engine, RetrySchedule())
-        seconds = schedule.next_delay(self._clock(), share, gap, question.queues)
-        return max(1, round(seconds * MILLISECONDS))
+        schedule = self._schedule_by_engine.setdefault(grant_request.engine, RetrySchedule())
+        seconds = schedule.next_delay(self._clock(), share, gap, grant_request.queue_count)
+        return max(1, round(seconds * MS_PER_SECOND))
 
     def granted_ahead(self, engine: str, most: int) -> int:
         """Return how many requests to grant beyond an engine's slots while others wait."""
-        return granted_ahead(self._gap(engine), most)
+        return granted_ahead(self._release_gap(engine), most)
 
-    def _gap(self, engine: str) -> float:
+    def _release_gap(self, engine: str) -> float:
         """Return the mean seconds between two places that come free; 0 if unknown."""
-        pace = self._interval_by_engine.get(engine)
-        return pace.gap if pace is not None and pace.gap is not None else 0.0
+        interval = self._interval_by_engine.get(engine)
+        return interval.gap if interval is not None and interval.gap is not None else 0.0
 
-    def _note_free(self, engine: str, now: float) -> None:
+    def _note_unused_slot(self, engine: str, now: float) -> None:
         """Count a refusal as wrong for a place that nobody waits for."""
         refused_until = self._refused_until_by_engine.get(engine)
         if refused_until is None:
             return
-        _drop_past(refused_until, now)
+        _drop_expired(refused_until, now)
         if refused_until:
             heapq.heappop(refused_until)
-            self.refused_in_vain += 1
+            self.wrongly_refused += 1
         if not refused_until:
             del self._refused_until_by_engine[engine]
 
@@ -271,7 +288,7 @@
                 continue
             verdict = waiter.ask()
             if isinstance(verdict, Full):
-                if verdict.short_tokens == 0 or passed_over == MOST_PASSED_OVER:
+                if verdict.short_tokens == 0 or passed_over == MAX_PASSED_OVER:
                     return
                 passed_over += 1
                 continue
@@ -296,7 +313,7 @@
             self._give_back(engine)
 
 
-def _push_out(queue: _Queue, full: Full) -> None:
+def _evict_last(queue: _Queue, full: Full) -> None:
     """Have the last one leave where the line is longer than it may be."""
     last = queue.line.overflow()
     if last is None:
--- a/pondhatch/requests/_entry_grants.py
+++ b/pondhatch/requests/_entry_grants.py
@@ -10,31 +10,31 @@
 
 from pondhatch.placement import Granted
 from pondhatch.requests._grant_packets import (
-    GrantedWord,
+    GrantedReply,
     GrantPacket,
     Hold,
+    ReplyPacket,
     Spilled,
     Waiting,
-    Word,
     release_of,
     reply_of,
 )
+from pondhatch.requests._grant_requests import EndReason, GrantRequest, Holder, OwnerReply
 from pondhatch.requests._outcomes import NotRun
 from pondhatch.requests._owner import LocalOwner
-from pondhatch.requests._owner_waits import OwnerWaits
-from pondhatch.requests._questions import Ended, Holder, OwnerReply, Question
+from pondhatch.requests._owner_timeouts import OwnerTimeouts
 
 #: Seconds to wait for an owner that said that the question waits, try by try: it is asked
 #: now and then, in case its word was lost or it was.
-WAITING_PAUSES = (0.5, 0.3, 0.3)
+QUEUED_PAUSES = (0.5, 0.3, 0.3)
 #: The same for a question about one of several queues in which its request waits: a lost reply
 #: costs it less, and each of the questions is sent as often.
-SEVERAL_WAITING_PAUSES = (1.0, 0.5, 0.5)
+PARALLEL_QUEUED_PAUSES = (1.0, 0.5, 0.5)
 #: Seconds between two tellings of what is held; two fit into a lease, so one may be lost.
 RENEW_SECONDS = 12.0
 
 #: Numbers start over after so many questions.
-NUMBERS = 2**32
+NUMBER_LIMIT = 2**32
 
 Send = Callable[[str, GrantPacket], None]
 
@@ -43,7 +43,7 @@
     return None
 
 
-class _Asked(msgspec.Struct):
+class _PendingRequest(msgspec.Struct):
     """A question that waits for its owner's word."""
 
     owner: str
@@ -53,10 +53,10 @@
     #: How often it was sent.
     sends: int = 0
     #: Whether the owner said that it waits, since the question was last sent.
-    waiting: bool = False
+    is_queued: bool = False
 
 
-class Held(msgspec.Struct, frozen=True):
+class HeldGrant(msgspec.Struct, frozen=True):
     """A grant that a request of this router holds."""
 
     engine: str
@@ -76,71 +76,71 @@
     #: none repeats one that an earlier process of this name used a short while ago.
     number: int
     #: Takes in the name of a router that was passed over, and is heard from again.
-    on_heard: Callable[[str], None] = _ignore
-    waits: OwnerWaits = msgspec.field(default_factory=OwnerWaits)
-    held_by_number: dict[int, Held] = msgspec.field(default_factory=dict)
-    _asked_by_number: dict[int, _Asked] = msgspec.field(default_factory=dict)
+    on_late_reply: Callable[[str], None] = _ignore
+    timeouts: OwnerTimeouts = msgspec.field(default_factory=OwnerTimeouts)
+    held_by_number: dict[int, HeldGrant] = msgspec.field(default_factory=dict)
+    _pending_by_number: dict[int, _PendingRequest] = msgspec.field(default_factory=dict)
     _renewed_at: float = float("-inf")
 
     def next_number(self) -> int:
         """Return a number that no question of this router had."""
-        self.number = (self.number + 1) % NUMBERS
+        self.number = (self.number + 1) % NUMBER_LIMIT
         return self.number
 
-    async def ask(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
         """Ask an owner; see Grants."""
         if owner == self.name:
-            reply = await self.local.ask(question)
+            reply = await self.local.ask(grant_request)
         else:
-            reply = await self._ask_peer(owner, question, bearable)
+            reply = await self._ask_peer(owner, grant_request, max_wait)
         if isinstance(reply, Granted):
-            self.held_by_number[question.number] = Held(question.engine, owner)
+            self.held_by_number[grant_request.number] = HeldGrant(grant_request.engine, owner)
         return reply
 
-    def ask_nobody(self, question: Question) -> OwnerReply:
+    def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
         """Decide by what is known here; see Grants."""
-        reply = self.local.decide_alone(question)
+        reply = self.local.decide_without_owner(grant_request)
         if isinstance(reply, Granted):
-            self.held_by_number[question.number] = Held(question.engine, self.name)
+            self.held_by_number[grant_request.number] = HeldGrant(grant_request.engine, self.name)
         return reply
 
-    def release(self, number: int, ended: Ended) -> None:
+    def release(self, number: int, end_reason: EndReason) -> None:
         """Give a grant back; see Grants."""
         held = self.held_by_number.pop(number, None)
         if held is not None:
-            self._release_at(held.owner, number, ended)
+            self._release_at(held.owner, number, end_reason)
 
-    def remember(self, owner: str, chat: int, engine: str) -> None:
+    def report_spill(self, owner: str, chat: int, engine: str) -> None:
         """Tell the owner of a chat's home engine where the chat was served."""
         if owner == self.name:
-            self.local.remember(chat, engine)
+            self.local.note_spill(chat, engine)
         else:
             self.send(owner, Spilled(chat, engine))
 
-    def receive(self, word: Word, source: Callable[[GrantPacket], None]) -> None:
+    def receive(self, packet: ReplyPacket, send_back: Callable[[GrantPacket], None]) -> None:
         """Take in an owner's word; ``source`` sends a packet back to where it came from."""
-        asked = self._asked_by_number.get(word.number)
-        reply = reply_of(word)
-        if asked is None:
-            self._came_late(word, source)
+        pending = self._pending_by_number.get(packet.number)
+        reply = reply_of(packet)
+        if pending is None:
+            self._handle_late_reply(packet, send_back)
             return
-        self._note_time(asked)
+        self._note_reply_time(pending)
         if reply is None:
-            asked.waiting = True
-        elif not asked.reply.done():
-            asked.reply.set_result(reply)
+            pending.is_queued = True
+        elif not pending.reply.done():
+            pending.reply.set_result(reply)
 
-    def follow_owners(self, owner_name: Callable[[str], str | None]) -> None:
+    def move_to_new_owners(self, owner_name: Callable[[str], str | None]) -> None:
         """Hold at its new owner what is held at an engine whose owner changed."""
         for number, held in tuple(self.held_by_number.items()):
             owner = owner_name(held.engine)
             if owner is None or owner == held.owner:
                 continue
-            self._release_at(held.owner, number, Ended.NOTHING)
+            self._release_at(held.owner, number, EndReason.NEUTRAL)
             self.held_by_number[number] = replace(held, owner=owner)
             self._hold_at(owner, held.engine, (number,))
 
-    def hold_again(self, owner: str) -> None:
+    def report_held_grants(self, owner: str) -> None:
         """Tell an owner that restarted, and counts from nothing, what is held there."""
         numbers_by_engine: dict[str, list[int]] = {}
         for number, held in self.held_by_number.items():
@@ -151,83 +151,89 @@
 
     def tick(self, now: float) -> None:
         """Renew the leases of what is held, when it is time."""
-        self.waits.forget_old(now)
+        self.timeouts.forget_old(now)
         if now - self._renewed_at < RENEW_SECONDS:
             return
         self._renewed_at = now
-        numbers_by_held: dict[Held, list[int]] = {}
+        numbers_by_held: dict[HeldGrant, list[int]] = {}
         for number, held in self.held_by_number.items():
             numbers_by_held.setdefault(held, []).append(number)
         for held, numbers in numbers_by_held.items():
             self._hold_at(held.owner, held.engine, tuple(numbers))
 
-    def _came_late(self, word: Word, source: Callable[[GrantPacket], None]) -> None:
+    def _handle_late_reply(
+        self, packet: ReplyPacket, send_back: Callable[[GrantPacket], None]
+    ) -> None:
         """Give back a grant, or a place in line, whose request ended or went elsewhere.
 
         A question may come after its own release, which the owner then knew nothing of.
         """
         now = asyncio.get_running_loop().time()
-        owner = self.waits.came_late(word.number, now)
-        if owner is not None and not self.waits.is_too_slow(owner, now):
-            self.on_heard(owner)
+        owner = self.timeouts.note_late_reply(packet.number, now)
+        if owner is not None and not self.timeouts.is_too_slow(owner, now):
+            self.on_late_reply(owner)
         # Granted by another owner since, it holds nothing at this one.
-        is_held_here = word.number in self.held_by_number and owner is None
-        if isinstance(word, GrantedWord | Waiting) and not is_held_here:
-            source(release_of(self.router, word.number, Ended.NOTHING))
+        is_held_here = packet.number in self.held_by_number and owner is None
+        if isinstance(packet, GrantedReply | Waiting) and not is_held_here:
+            send_back(release_of(self.router, packet.number, EndReason.NEUTRAL))
 
-    def _note_time(self, asked: _Asked) -> None:
+    def _note_reply_time(self, pending: _PendingRequest) -> None:
         """Note how long an owner took, where it is clear which send it answers."""
-        if asked.sends == 1 and not asked.waiting and not asked.reply.done():
+        if pending.sends == 1 and not pending.is_queued and not pending.reply.done():
             now = asyncio.get_running_loop().time()
-            self.waits.answered(asked.owner, now - asked.sent_at, now)
+            self.timeouts.note_reply(pending.owner, now - pending.sent_at, now)
 
-    async def _ask_peer(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def _ask_peer(
+        self, owner: str, grant_request: GrantRequest, max_wait: float
+    ) -> OwnerReply:
         loop = asyncio.get_running_loop()
-        pauses = self.waits.pauses(owner, bearable, loop.time())
+        pauses = self.timeouts.send_pauses(owner, max_wait, loop.time())
         if not pauses:
             return NotRun("router-unreachable", f"router {owner} takes too long for a word")
-        asked = _Asked(owner, loop.create_future(), loop.time())
-        self._asked_by_number[question.number] = asked
+        pending = _PendingRequest(owner, loop.create_future(), loop.time())
+        self._pending_by_number[grant_request.number] = pending
         reply: OwnerReply | None = None
         was_withdrawn = False
         try:
-            reply = await self._await_reply(question, asked, pauses)
+            reply = await self._await_reply(grant_request, pending, pauses)
         except asyncio.CancelledError:
             # A late reply to a request that was granted elsewhere says nothing of its owner.
-            was_withdrawn = question.in_time > 0
+            was_withdrawn = grant_request.in_time > 0
             raise
         finally:
-            del self._asked_by_number[question.number]
+            del self._pending_by_number[grant_request.number]
             if reply is None:
                 # A grant may be under way, or the question may wait in the engine's line.
                 if not was_withdrawn:
-                    self.waits.gave_up(question.number, owner, asked.sent_at)
-                self._release_at(owner, question.number, Ended.NOTHING)
+                    self.timeouts.note_timeout(grant_request.number, owner, pending.sent_at)
+                self._release_at(owner, grant_request.number, EndReason.NEUTRAL)
         if reply is None:
             return NotRun("router-unreachable", f"router {owner} gave no word")
         return reply
 
     async def _await_reply(
-        self, question: Question, asked: _Asked, first_pauses: tuple[float, ...]
+        self, grant_request: GrantRequest, pending: _PendingRequest, first_pauses: tuple[float, ...]
     ) -> OwnerReply | None:
         """Return the owner's reply, or None where it gives no word."""
         pauses = iter(first_pauses)
         while (pause := next(pauses, None)) is not None:
-            asked.waiting = False
-            asked.sends += 1
-            self.send(asked.owner, question)
-            await asyncio.wait([asked.reply], timeout=pause)
-            if asked.reply.done():
-                return asked.reply.result()
-            if asked.waiting:
-                pauses = iter(WAITING_PAUSES if question.queues == 1 else SEVERAL_WAITING_PAUSES)
+            pending.is_queued = False
+            pending.sends += 1
+            self.send(pending.owner, grant_request)
+            await asyncio.wait([pending.reply], timeout=pause)
+            if pending.reply.done():
+                return pending.reply.result()
+            if pending.is_queued:
+                pauses = iter(
+                    QUEUED_PAUSES if grant_request.queue_count == 1 else PARALLEL_QUEUED_PAUSES
+                )
         return None
 
-    def _release_at(self, owner: str, number: int, ended: Ended) -> None:
+    def _release_at(self, owner: str, number: int, end_reason: EndReason) -> None:
         if owner == self.name:
-            self.local.release(Holder(self.router, number), ended)
+            self.local.release(Holder(self.router, number), end_reason)
         else:
-            self.send(owner, release_of(self.router, number, ended))
+            self.send(owner, release_of(self.router, number, end_reason))
 
     def _hold_at(self, owner: str, engine: str, numbers: tuple[int, ...]) -> None:
         if owner == self.name:
--- a/pondhatch/requests/_entry_view.py
+++ b/pondhatch/requests/_entry_view.py
@@ -9,7 +9,7 @@
 
 from pondhatch.placement import Regions
 from pondhatch.requests._crash_guard import CrashGuard, NoCrashGuard
-from pondhatch.requests._questions import Grants, OwnerReply
+from pondhatch.requests._grant_requests import Grants, OwnerReply
 from pondhatch.requests._sending import Target, Upstreams
 from pondhatch.requests._wait_limits import RunTimes
 
@@ -20,7 +20,7 @@
     def owner_name(self, engine: str) -> str | None:
         """Return the router that owns an engine, or None without live routers."""
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
 
     def is_reachable(self, name: str) -> bool:
@@ -32,7 +32,7 @@
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
         """Return a chat's home engine were its hall not closed to it, and why it is closed."""
 
-    def resumes(self, engine: str) -> bool:
+    def can_resume(self, engine: str) -> bool:
         """Return whether an engine can resume a broken stream."""
 
     def is_young(self, engine: str) -> bool:
@@ -50,14 +50,14 @@
     def last_served(self, chat: int) -> str | None:
         """Return the engine that answered a chat last, as far as this router saw."""
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         """Return whether the parts of load management are in force."""
 
 
 class EnginePreference(Protocol):
     """Which engines are asked first for a request that no context binds to one."""
 
-    def first_of(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
+    def preferred(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
         """Return the engines of an order to ask before the others; empty where none are."""
 
     def note_reply(self, engine: str, reply: OwnerReply) -> None:
@@ -67,7 +67,7 @@
 class NoPreference:
     """Keeps to the order; see EnginePreference."""
 
-    def first_of(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
+    def preferred(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
         """Prefer none."""
         return ()
 
@@ -75,12 +75,12 @@
         """Do nothing."""
 
 
-class Ways(msgspec.Struct, frozen=True):
+class Collaborators(msgspec.Struct, frozen=True):
     """What a walk goes through to others."""
 
     grants: Grants
     upstreams: Upstreams
-    crashes: CrashGuard = NoCrashGuard()
+    crash_guard: CrashGuard = NoCrashGuard()
     preference: EnginePreference = NoPreference()
     #: How long upstreams usually take, as seen by all walks that go this way.
     run_times: RunTimes = msgspec.field(default_factory=RunTimes)
--- a/pondhatch/requests/_events.py
+++ b/pondhatch/requests/_events.py
@@ -14,14 +14,14 @@
 ID_FIELD = b"id:"
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts the bytes of a stream into whole events."""
 
     def __init__(self) -> None:
         #: Whole events passed on so far.
         self.events = 0
         #: Whether the last event was passed on.
-        self.ended = False
+        self.is_complete = False
         self._rest = b""
         #: What was passed on last; holds the newest event's id.
         self._newest = b""
@@ -49,14 +49,14 @@
     def _count(self, whole: bytes) -> bytes:
         self.events += whole.count(SEPARATOR)
         self._newest = whole
-        self.ended = self.ended or whole.rstrip().endswith(LAST_EVENT)
+        self.is_complete = self.is_complete or whole.rstrip().endswith(LAST_EVENT)
         return whole
 
-    def rest(self) -> bytes:
+    def take_rest(self) -> bytes:
         """Return what came after the last whole event, when the answer has ended."""
         rest, self._rest = self._rest, b""
         return rest
 
-    def broke(self) -> None:
+    def discard_partial(self) -> None:
         """Drop the piece of an event that came last; the next stream sends it whole."""
         self._rest = b""
--- a/pondhatch/requests/_grant_packets.py
+++ b/pondhatch/requests/_grant_packets.py
@@ -12,16 +12,16 @@
 
 from pondhatch.kernel import without_defaults
 from pondhatch.placement import Granted
-from pondhatch.requests._outcomes import NotRun
-from pondhatch.requests._questions import (
-    MILLISECONDS,
+from pondhatch.requests._grant_requests import (
+    MS_PER_SECOND,
     Busy,
-    Elsewhere,
-    Ended,
+    ContextElsewhere,
+    EndReason,
+    GrantRequest,
     NotOwner,
     OwnerReply,
-    Question,
 )
+from pondhatch.requests._outcomes import NotRun
 
 
 class _Packet(msgspec.Struct, frozen=True, array_like=True):
@@ -34,7 +34,7 @@
     number: int
 
 
-class GrantedWord(_Packet, frozen=True, tag=52):
+class GrantedReply(_Packet, frozen=True, tag=52):
     """The question is granted."""
 
     number: int
@@ -42,7 +42,7 @@
     ceiling: int
 
 
-class BusyWord(_Packet, frozen=True, tag=53):
+class BusyReply(_Packet, frozen=True, tag=53):
     """The engine is at its ceiling."""
 
     number: int
@@ -55,21 +55,21 @@
     short_tokens: int = 0
 
 
-class ElsewhereWord(_Packet, frozen=True, tag=54):
+class ContextElsewhereReply(_Packet, frozen=True, tag=54):
     """The chat's context lies at another engine."""
 
     number: int
     engine: str
 
 
-class NotOwnerWord(_Packet, frozen=True, tag=55):
+class NotOwnerReply(_Packet, frozen=True, tag=55):
     """The router asked does not own the engine."""
 
     number: int
     owner: str | None
 
 
-class DeclinedWord(_Packet, frozen=True, tag=56):
+class NotRunReply(_Packet, frozen=True, tag=56):
     """The request may not run at this engine; see NotRun."""
 
     number: int
@@ -86,9 +86,9 @@
     router: int
     number: int
     #: An Ended that every router of the fleet knows, so that each takes the grant back.
-    ended: int
+    basic_end_reason: int
     #: The Ended meant, where one that runs an older program would not know it; else 0.
-    ended_as: int = 0
+    exact_end_reason: int = 0
 
 
 class Hold(_Packet, frozen=True, tag=58):
@@ -107,29 +107,33 @@
 
 
 #: What a release told from the first version of these packets on.
-_KNOWN_TO_ALL = frozenset({Ended.ANSWERED, Ended.NOTHING, Ended.FAILED, Ended.ERRED})
+_BASIC_END_REASONS = frozenset(
+    {EndReason.ANSWERED, EndReason.NEUTRAL, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
+)
 
 
-def release_of(router: int, number: int, ended: Ended) -> Release:
+def release_of(router: int, number: int, end_reason: EndReason) -> Release:
     """Return the packet that gives a grant back."""
-    if ended in _KNOWN_TO_ALL:
-        return Release(router, number, ended)
-    return Release(router, number, Ended.NOTHING, ended)
+    if end_reason in _BASIC_END_REASONS:
+        return Release(router, number, end_reason)
+    return Release(router, number, EndReason.NEUTRAL, end_reason)
 
 
-def ended_of(release: Release) -> Ended:
+def end_reason_of(release: Release) -> EndReason:
     """Return what a release tells of the engine."""
-    return Ended(release.ended_as or release.ended)
+    return EndReason(release.exact_end_reason or release.basic_end_reason)
 
 
-Word = Waiting | GrantedWord | BusyWord | ElsewhereWord | NotOwnerWord | DeclinedWord
-Telling = Release | Hold | Spilled
-GrantPacket = Question | Word | Telling
+ReplyPacket = (
+    Waiting | GrantedReply | BusyReply | ContextElsewhereReply | NotOwnerReply | NotRunReply
+)
+GrantUpdate = Release | Hold | Spilled
+GrantPacket = GrantRequest | ReplyPacket | GrantUpdate
 
 #: The first of the fields, standing last, that tell of managed load only.
 _FIRST_LOAD_FIELD_BY_TYPE: dict[type[GrantPacket], str] = {
-    Question: "in_time",
-    BusyWord: "predicted_ms",
+    GrantRequest: "in_time",
+    BusyReply: "predicted_ms",
 }
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -150,32 +154,32 @@
         return None
 
 
-def word_of(number: int, reply: OwnerReply) -> Word:
+def packet_of(number: int, reply: OwnerReply) -> ReplyPacket:
     """Return the packet that carries an owner's reply."""
     if isinstance(reply, Granted):
-        return GrantedWord(number, reply.in_flight, reply.ceiling)
+        return GrantedReply(number, reply.in_flight, reply.ceiling)
     if isinstance(reply, Busy):
-        return BusyWord(number, *astuple(reply))
-    if isinstance(reply, Elsewhere):
-        return ElsewhereWord(number, reply.engine)
+        return BusyReply(number, *astuple(reply))
+    if isinstance(reply, ContextElsewhere):
+        return ContextElsewhereReply(number, reply.engine)
     if isinstance(reply, NotOwner):
-        return NotOwnerWord(number, reply.owner)
-    after = round(reply.retry_after * MILLISECONDS)
-    return DeclinedWord(number, reply.code, reply.reason, after)
+        return NotOwnerReply(number, reply.owner)
+    after = round(reply.retry_after * MS_PER_SECOND)
+    return NotRunReply(number, reply.code, reply.reason, after)
 
 
-def reply_of(word: Word) -> OwnerReply | None:
+def reply_of(packet: ReplyPacket) -> OwnerReply | None:
     """Return the reply that a packet carries; None where it only says that it waits."""
-    if isinstance(word, GrantedWord):
-        return Granted(word.in_flight, word.ceiling)
-    if isinstance(word, BusyWord):
-        return Busy(*astuple(word)[1:])
-    if isinstance(word, ElsewhereWord):
-        return Elsewhere(word.engine)
-    if isinstance(word, NotOwnerWord):
-        return NotOwner(word.owner)
-    if isinstance(word, DeclinedWord):
-        declined = NotRun(word.code, word.reason)
-        after = word.retry_after_ms / MILLISECONDS
+    if isinstance(packet, GrantedReply):
+        return Granted(packet.in_flight, packet.ceiling)
+    if isinstance(packet, BusyReply):
+        return Busy(*astuple(packet)[1:])
+    if isinstance(packet, ContextElsewhereReply):
+        return ContextElsewhere(packet.engine)
+    if isinstance(packet, NotOwnerReply):
+        return NotOwner(packet.owner)
+    if isinstance(packet, NotRunReply):
+        declined = NotRun(packet.code, packet.reason)
+        after = packet.retry_after_ms / MS_PER_SECOND
         return replace(declined, retry_after=after) if after else declined
     return None
--- a/pondhatch/requests/_questions.py
+++ b/pondhatch/requests/_grant_requests.py
@@ -11,14 +11,14 @@
 from pondhatch.requests._outcomes import NotRun
 
 #: A question's patience in a second, and its weight in a whole share.
-MILLISECONDS = 1000
-THOUSANDTHS = 1000
+MS_PER_SECOND = 1000
+WEIGHT_SCALE = 1000
 #: Seconds for which the work that a walk saw at other engines may raise a ceiling, at its entry
 #: router and then again in a line: it may have ended since.
-SEEN_SECONDS = 0.8
+SEEN_LOAD_SECONDS = 0.8
 
 
-class Question(msgspec.Struct, frozen=True, array_like=True, tag=50):
+class GrantRequest(msgspec.Struct, frozen=True, array_like=True, tag=50):
     """May this request run at this engine? Travels between routers, so each byte counts."""
 
     #: 32 bits, unique among the questions of its router in the time of a lease.
@@ -31,17 +31,17 @@
     chat: int
     priority: int
     #: Milliseconds that the request may wait in the engine's line if it is full.
-    patience: int = 0
+    max_wait_ms: int = 0
     #: Thousandths of the account's share against others that wait.
     weight: int = 1000
     #: Work that the walk has seen at other engines of the service.
-    seen_elsewhere: int = 0
+    seen_in_flight_elsewhere: int = 0
     #: Whether an earlier turn of the chat was answered, so that its context lies somewhere.
-    returning: bool = False
+    is_followup: bool = False
     #: Whether the engine is the chat's home engine.
-    home: bool = False
+    is_home: bool = False
     #: The chat's first engine that did not join lately; told to a home engine that did.
-    settled: str | None = None
+    settled_engine: str | None = None
     #: Whether the engine is asked although the context is elsewhere, or it is ailing.
     insist: bool = False
     #: Whether a broken stream is to go on: no new work, welcome at a leaving engine too.
@@ -53,7 +53,7 @@
     #: 0 where that is not said. This and what follows is said where load is managed.
     in_time: int = 0
     #: Engines in whose queues the request waits at once, this one included.
-    queues: int = 1
+    queue_count: int = 1
     #: Tokens that it takes of an engine's memory beside the parts of its prompt: those of its
     #: answer; 0 where not said.
     tokens: int = 0
@@ -90,7 +90,7 @@
     short_tokens: int = 0
 
 
-class Elsewhere(msgspec.Struct, frozen=True):
+class ContextElsewhere(msgspec.Struct, frozen=True):
     """The chat's context lies at another engine."""
 
     engine: str
@@ -104,20 +104,20 @@
 
 
 #: Nothing is sent to the engine before it is granted, so each of the others is sure not to run.
-OwnerReply = Granted | Busy | Elsewhere | NotOwner | NotRun
+OwnerReply = Granted | Busy | ContextElsewhere | NotOwner | NotRun
 
 
-class Ended(enum.IntEnum):
+class EndReason(enum.IntEnum):
     """What a request that gives its grant back tells of the engine."""
 
     #: The engine answered.
     ANSWERED = 0
     #: Nothing is to be learned: refused, given up, never sent.
-    NOTHING = 1
+    NEUTRAL = 1
     #: The engine could not be reached, or lost the request or its answer.
-    FAILED = 2
+    CONNECTION_FAILED = 2
     #: The engine answered with a failure of its own, or refused without a reason.
-    ERRED = 3
+    ENGINE_ERROR = 3
     #: The engine refused the request as it has no place.
     FULL = 4
     #: The engine refused the request as it is about to end.
@@ -130,20 +130,20 @@
     #: Short id of this router.
     router: int
 
-    async def ask(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
         """Ask an owner; a grant is held until it is released.
 
         ``bearable`` is for how many seconds the request can wait for an owner's word.
         """
 
-    def ask_nobody(self, question: Question) -> OwnerReply:
+    def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
         """Decide by what this router knows, where an engine's owner cannot be asked."""
 
-    def release(self, number: int, ended: Ended) -> None:
+    def release(self, number: int, end_reason: EndReason) -> None:
         """Give the grant of a question back; safe to call twice."""
 
     def next_number(self) -> int:
         """Return a number that no question of this router had."""
 
-    def remember(self, owner: str, chat: int, engine: str) -> None:
+    def report_spill(self, owner: str, chat: int, engine: str) -> None:
         """Tell the owner of a chat's home engine where the chat was served."""
--- a/pondhatch/requests/_grant_sides.py
+++ b/pondhatch/requests/_grant_sides.py
@@ -8,8 +8,8 @@
 
 from pondhatch.requests._entry_grants import EntryGrants
 from pondhatch.requests._grant_packets import GrantPacket, Hold, Release, Spilled
-from pondhatch.requests._owner_grants import Answer, OwnerGrants
-from pondhatch.requests._questions import Question
+from pondhatch.requests._grant_requests import GrantRequest
+from pondhatch.requests._owner_grants import OwnerGrants, SendBack
 
 
 class GrantSides(msgspec.Struct, frozen=True):
@@ -18,17 +18,17 @@
     entry: EntryGrants
     owner: OwnerGrants
 
-    def receive(self, packet: GrantPacket, answer: Answer) -> None:
+    def receive(self, packet: GrantPacket, send_back: SendBack) -> None:
         """Take in a packet; ``answer`` sends one back to where it came from."""
-        if isinstance(packet, Question):
-            self.owner.asked(packet, answer)
+        if isinstance(packet, GrantRequest):
+            self.owner.receive_request(packet, send_back)
         elif isinstance(packet, Release | Hold | Spilled):
-            self.owner.told(packet)
+            self.owner.receive_update(packet)
         else:
-            self.entry.receive(packet, answer)
+            self.entry.receive(packet, send_back)
 
     def tick(self, now: float, owner_name: Callable[[str], str | None]) -> None:
         """Do what is due each round; ``owner_name`` says who owns an engine now."""
-        self.entry.follow_owners(owner_name)
+        self.entry.move_to_new_owners(owner_name)
         self.entry.tick(now)
         self.owner.local.tick()
--- a/pondhatch/requests/_once.py
+++ b/pondhatch/requests/_keyed_runs.py
@@ -8,11 +8,19 @@
 import msgspec
 
 from pondhatch.placement import Regions
-from pondhatch.requests._keys import Claim, Fresh, KeptAnswer, KeyRecord, KeyTable, Known, settled
+from pondhatch.requests._keys import (
+    Claim,
+    KeptAnswer,
+    KeyRecord,
+    KeyTable,
+    NewKey,
+    UsedKey,
+    settled_record,
+)
 from pondhatch.requests._outcomes import NotRun, Unknown
 
 #: Routers that hold a key's record.
-HOLDERS = 2
+HOLDERS_PER_KEY = 2
 CONFLICT = 409
 UNPROCESSABLE = 422
 
@@ -59,7 +67,7 @@
     def key_holder(self, name: str) -> KeyHolder | None:
         """Return the way to a router, or None where it is not known."""
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
 
 
@@ -76,57 +84,57 @@
         self._record = record
         self._held_at: list[str] = []
 
-    async def begin(self) -> Fresh | Known | NotRun:
+    async def begin(self) -> NewKey | UsedKey | NotRun:
         """Claim the key at its holders; anything but Fresh means that it must not run."""
-        for _ in range(HOLDERS + 2):
-            wanted = self._wanted()
+        for _ in range(HOLDERS_PER_KEY + 2):
+            wanted = self._current_holders()
             missing = [name for name in wanted if name not in self._held_at]
             if wanted and not missing:
-                return Fresh()
+                return NewKey()
             if not wanted:
                 break
             claim = await self._claim_at(missing[0])
-            if isinstance(claim, Known):
-                await self.not_run()
+            if isinstance(claim, UsedKey):
+                await self.release_claims()
                 return claim
-        await self.not_run()
+        await self.release_claims()
         return NotRun("keys-unreachable", "the routers that hold this key cannot be reached")
 
-    async def ran(self, answer: KeptAnswer | None) -> None:
+    async def record_completed(self, answer: KeptAnswer | None) -> None:
         """Record that the request ran to its end."""
-        await self._settle(settled(self._record, answer))
+        await self._settle(settled_record(self._record, answer))
 
-    async def outcome_unknown(self) -> None:
+    async def record_unknown(self) -> None:
         """Record that nobody knows whether the request ran."""
         await self._settle(msgspec.structs.replace(self._record, state="unknown"))
 
-    async def not_run(self) -> None:
+    async def release_claims(self) -> None:
         """Forget the claim: the request certainly did not run."""
         for name in self._held_at:
             holder = self._view.key_holder(name)
             if holder is not None:
                 await holder.release(self._key, self._record.request_id)
 
-    def _wanted(self) -> Sequence[str]:
-        return self._view.key_holders(self._key, self._regions)[:HOLDERS]
+    def _current_holders(self) -> Sequence[str]:
+        return self._view.key_holders(self._key, self._regions)[:HOLDERS_PER_KEY]
 
     async def _claim_at(self, name: str) -> Claim | None:
         holder = self._view.key_holder(name)
         claim = await holder.claim(self._key, self._record) if holder is not None else None
         if claim is None:
-            self._view.unreachable(name)
-        if isinstance(claim, Fresh):
+            self._view.note_unreachable(name)
+        if isinstance(claim, NewKey):
             self._held_at.append(name)
         return claim
 
     async def _settle(self, record: KeyRecord) -> None:
-        for name in dict.fromkeys([*self._held_at, *self._wanted()]):
+        for name in dict.fromkeys([*self._held_at, *self._current_holders()]):
             holder = self._view.key_holder(name)
             if holder is not None:
                 await holder.settle(self._key, record)
 
 
-def refusal_of(known: Known, record: KeyRecord) -> NotRun | Unknown:
+def used_key_refusal(known: UsedKey, record: KeyRecord) -> NotRun | Unknown:
     """Return what a caller is told whose key was used before and has no kept answer."""
     if known.record.digest != record.digest:
         wrong = "the idempotency key was used for another request"
--- a/pondhatch/requests/_keys.py
+++ b/pondhatch/requests/_keys.py
@@ -13,11 +13,11 @@
 #: Seconds for which a settled key is remembered.
 KEEP_SECONDS = 600.0
 #: Bytes of an answer's body that are kept for a repeat.
-KEPT_BODY = 64 * 1024
+MAX_KEPT_BODY = 64 * 1024
 #: Keys remembered at most by one router.
-MOST_KEYS = 10_000
+MAX_KEYS = 10_000
 #: Bytes of answers kept at most by one router; beyond it the oldest keys are forgotten.
-MOST_KEPT_BYTES = 8 * 1024 * 1024
+MAX_KEPT_BYTES = 8 * 1024 * 1024
 
 
 class KeptAnswer(msgspec.Struct, frozen=True):
@@ -41,17 +41,17 @@
     answer: KeptAnswer | None = None
 
 
-class Fresh(msgspec.Struct, frozen=True):
+class NewKey(msgspec.Struct, frozen=True):
     """The key is new; the request may run."""
 
 
-class Known(msgspec.Struct, frozen=True):
+class UsedKey(msgspec.Struct, frozen=True):
     """The key was used before; the request must not run again."""
 
     record: KeyRecord
 
 
-Claim = Fresh | Known
+Claim = NewKey | UsedKey
 
 
 class KeyTable(msgspec.Struct):
@@ -70,10 +70,10 @@
         self._forget_old(now)
         known = self.record_by_key.get(key)
         if known is not None and known.request_id != record.request_id:
-            return Known(known)
+            return UsedKey(known)
         if known is None:
             self._set(key, record, now)
-        return Fresh()
+        return NewKey()
 
     def settle(self, key: str, record: KeyRecord, now: float) -> None:
         """Record what became of a request; a settled record is never running again."""
@@ -90,7 +90,7 @@
         if known is not None and known.request_id == request_id:
             self._drop(key)
 
-    def lost_router(self, router: str) -> None:
+    def router_gone(self, router: str) -> None:
         """Note that an entry router is gone: what it ran may or may not have run."""
         for key, record in self.record_by_key.items():
             if record.router == router and record.state == "running":
@@ -102,7 +102,7 @@
         self.record_by_key[key] = record
         self._touched_by_key[key] = now
         self.kept_bytes += _size(record)
-        while self.kept_bytes > MOST_KEPT_BYTES:
+        while self.kept_bytes > MAX_KEPT_BYTES:
             self._drop(next(iter(self.record_by_key)))
 
     def _drop(self, key: str) -> None:
@@ -113,7 +113,7 @@
         while self.record_by_key:
             key = next(iter(self.record_by_key))
             old = now - self._touched_by_key[key] > KEEP_SECONDS
-            if not old and len(self.record_by_key) <= MOST_KEYS:
+            if not old and len(self.record_by_key) <= MAX_KEYS:
                 return
             self._drop(key)
 
@@ -122,11 +122,13 @@
     return len(record.answer.body) if record.answer is not None else 0
 
 
-def kept(status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> KeptAnswer | None:
+def kept_answer(
+    status: int, headers: tuple[tuple[str, str], ...], body: bytes
+) -> KeptAnswer | None:
     """Return an answer to be kept, or None where it is too large."""
-    return KeptAnswer(status, headers, body) if len(body) <= KEPT_BODY else None
+    return KeptAnswer(status, headers, body) if len(body) <= MAX_KEPT_BODY else None
 
 
-def settled(record: KeyRecord, answer: KeptAnswer | None) -> KeyRecord:
+def settled_record(record: KeyRecord, answer: KeptAnswer | None) -> KeyRecord:
     """Return a record of a request that ran."""
     return msgspec.structs.replace(record, state="done", answer=answer)
--- a/pondhatch/requests/_leases.py
+++ b/pondhatch/requests/_leases.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pondhatch.requests._questions import Holder
+from pondhatch.requests._grant_requests import Holder
 
 #: Seconds for which a grant that is not renewed counts: a lost release, or a lost
 #: entry router, keeps a place at an engine no longer than this.
--- a/pondhatch/requests/_messages.py
+++ b/pondhatch/requests/_messages.py
@@ -33,9 +33,9 @@
     #: The account's share against others that wait.
     weight: float = 1.0
     #: Whether an earlier turn of the chat was answered, so that its context lies somewhere.
-    returning: bool = False
+    is_followup: bool = False
     #: Whether a connection must be used that no earlier request came on.
-    fresh: bool = False
+    needs_new_connection: bool = False
     #: Id that the caller gave its request; empty where it gave none.
     caller_id: str = ""
     #: Engines that it may be sent to at most; 0 sets no limit.
@@ -43,9 +43,9 @@
     #: Whether a broken stream may go on at another engine than the one it began on.
     resumes_anywhere: bool = False
     #: "IP:port" of the engine that is believed to hold its context, where another runs it.
-    context_from: str = ""
+    context_address: str = ""
     #: Id of the last event that was received, where a stream is to go on after it.
-    after_event: str = ""
+    last_event_id: str = ""
     #: Regions whose engines may run it; None where any may.
     regions: Regions = None
     #: Whether it is the rest of a stream that its upstream began.
@@ -59,7 +59,7 @@
     prompt_parts: tuple[tuple[int, int], ...] = ()
 
 
-class Lost(Exception):
+class AnswerLost(Exception):
     """An answer ended before it was whole; carries what that means."""
 
     def __init__(self, outcome: Broken) -> None:
@@ -96,7 +96,7 @@
         self._read = True
         return self.content
 
-    def again(self) -> ReplayableBody:
+    def unread_copy(self) -> ReplayableBody:
         """Return an unread copy."""
         return ReplayableBody(self.content)
 
@@ -127,13 +127,13 @@
         """Give the answer up; the upstream's work is cancelled. Safe to call twice."""
 
 
-class Opened(msgspec.Struct, frozen=True):
+class AnswerStarted(msgspec.Struct, frozen=True):
     """The upstream took the request and answers."""
 
     answer: AnswerStream
 
 
-class DecisionNote(msgspec.Struct, frozen=True):
+class RoutingDecision(msgspec.Struct, frozen=True):
     """Why a request went where it went; kept for the state dump."""
 
     request_id: str
--- a/pondhatch/requests/_outcomes.py
+++ b/pondhatch/requests/_outcomes.py
@@ -36,7 +36,7 @@
     #: It takes no more work, since it is about to end.
     LEAVING = "upstream-draining"
     #: Another upstream answers at its address: the list of upstreams is behind.
-    NOT_THE_ONE = "upstream-not-the-one"
+    WRONG_INSTANCE = "upstream-not-the-one"
     #: It takes the request itself for wrong; any other would as well.
     BAD_REQUEST = "upstream-bad-request"
     #: It does not say why.
@@ -68,7 +68,7 @@
     reason: str
     status: int = 502
     #: Whether the connection to the upstream ended, rather than that this router gave up.
-    was_cut: bool = False
+    connection_lost: bool = False
 
 
 class Broken(msgspec.Struct, frozen=True):
@@ -77,14 +77,14 @@
     code: str
     reason: str
     #: Whether the connection to the upstream ended, rather than that this router gave up.
-    was_cut: bool = False
+    connection_lost: bool = False
 
 
 Refusal = NotRun | Unknown
 Outcome = Whole | NotRun | Unknown | Broken
 
 
-def out_of_time() -> NotRun:
+def deadline_passed() -> NotRun:
     """Return the refusal of a request whose time ran out before it was sent."""
     return NotRun("deadline", "the deadline passed before an engine was free")
 
@@ -95,7 +95,7 @@
         EngineRefusal.DECLINED,
         EngineRefusal.OVERLOADED,
         EngineRefusal.LEAVING,
-        EngineRefusal.NOT_THE_ONE,
+        EngineRefusal.WRONG_INSTANCE,
     }
 )
 
--- a/pondhatch/requests/_owner_grants.py
+++ b/pondhatch/requests/_owner_grants.py
@@ -10,17 +10,17 @@
 from pondhatch.kernel import Tasks
 from pondhatch.requests._grant_packets import (
     GrantPacket,
+    GrantUpdate,
     Hold,
     Release,
-    Telling,
     Waiting,
-    ended_of,
-    word_of,
+    end_reason_of,
+    packet_of,
 )
+from pondhatch.requests._grant_requests import EndReason, GrantRequest, Holder
 from pondhatch.requests._owner import LocalOwner, MustWait
-from pondhatch.requests._questions import Ended, Holder, Question
 
-Answer = Callable[[GrantPacket], None]
+SendBack = Callable[[GrantPacket], None]
 
 
 class OwnerGrants(msgspec.Struct):
@@ -30,36 +30,38 @@
     tasks: Tasks
     _waiting_by_holder: dict[Holder, asyncio.Task[None]] = msgspec.field(default_factory=dict)
 
-    def asked(self, question: Question, answer: Answer) -> None:
+    def receive_request(self, grant_request: GrantRequest, send_back: SendBack) -> None:
         """Take in a question, also one that was asked before; ``answer`` sends back."""
-        if question.holder in self._waiting_by_holder:
-            answer(Waiting(question.number))
+        if grant_request.holder in self._waiting_by_holder:
+            send_back(Waiting(grant_request.number))
             return
-        reply = self.local.decide(question)
+        reply = self.local.decide(grant_request)
         if not isinstance(reply, MustWait):
-            answer(word_of(question.number, reply))
+            send_back(packet_of(grant_request.number, reply))
             return
-        answer(Waiting(question.number))
-        task = self.tasks.start(self._wait(question, reply, answer))
-        self._waiting_by_holder[question.holder] = task
+        send_back(Waiting(grant_request.number))
+        task = self.tasks.start(self._wait(grant_request, reply, send_back))
+        self._waiting_by_holder[grant_request.holder] = task
         # Not within the task, which may be cancelled before its first step.
-        task.add_done_callback(lambda _: self._waiting_by_holder.pop(question.holder))
+        task.add_done_callback(lambda _: self._waiting_by_holder.pop(grant_request.holder))
 
-    def told(self, telling: Telling) -> None:
+    def receive_update(self, update: GrantUpdate) -> None:
         """Take in what an entry router says of its requests."""
-        if isinstance(telling, Release):
-            self._released(Holder(telling.router, telling.number), ended_of(telling))
-        elif isinstance(telling, Hold):
-            self.local.hold(telling.router, telling.engine, telling.numbers)
+        if isinstance(update, Release):
+            self._release(Holder(update.router, update.number), end_reason_of(update))
+        elif isinstance(update, Hold):
+            self.local.hold(update.router, update.engine, update.numbers)
         else:
-            self.local.remember(telling.chat, telling.engine)
+            self.local.note_spill(update.chat, update.engine)
 
-    def _released(self, holder: Holder, ended: Ended) -> None:
+    def _release(self, holder: Holder, end_reason: EndReason) -> None:
         waiting = self._waiting_by_holder.get(holder)
         if waiting is not None:
             waiting.cancel()
-        self.local.release(holder, ended)
+        self.local.release(holder, end_reason)
 
-    async def _wait(self, question: Question, must: MustWait, answer: Answer) -> None:
-        reply = await self.local.wait(question, must)
-        answer(word_of(question.number, reply))
+    async def _wait(
+        self, grant_request: GrantRequest, must_wait: MustWait, send_back: SendBack
+    ) -> None:
+        reply = await self.local.wait(grant_request, must_wait)
+        send_back(packet_of(grant_request.number, reply))
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -9,22 +9,22 @@
 from msgspec.structs import replace
 
 from pondhatch.placement import USUAL_PACE, Closed, Intake, Notice, Regions
+from pondhatch.requests._grant_requests import EndReason
 from pondhatch.requests._messages import (
+    AnswerLost,
+    AnswerStarted,
     AnswerStream,
     BodySource,
     Headers,
-    Lost,
-    Opened,
     PartSink,
     RequestHead,
 )
 from pondhatch.requests._outcomes import NotRun, Unknown
-from pondhatch.requests._questions import Ended
 
 #: The least status that says that an upstream failed by itself.
 FAILURE_STATUS = 500
 #: Above it, but no failure of an upstream's own: the request's time was over.
-OUT_OF_TIME_STATUS = 504
+TIMEOUT_STATUS = 504
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -53,11 +53,11 @@
     #: Tokens that its memory holds; None where that is not known.
     memory_tokens: int | None = None
     #: Idle connections that this router may keep to it; None where nothing says how many.
-    most_idle: int | None = None
+    max_idle_connections: int | None = None
 
 
 #: What is told of an upstream that may not be sent a request.
-_TOLD = {
+_TEXT_BY_CLOSED = {
     Closed.LEAVING: "takes no new work",
     Closed.EVACUATED: "stands in a data hall that is evacuated",
     Closed.OUTSIDE_REGIONS: "stands outside the regions that the request may run in",
@@ -72,7 +72,7 @@
     if target is None:
         return NotRun(Closed.LEAVING, f"{upstream} is gone")
     closed = target.intake.closed_to(regions, resuming)
-    return target if closed is None else _closed(target, closed, target.intake.rest.own)
+    return target if closed is None else _closed_refusal(target, closed, target.intake.rest.own)
 
 
 def grantable_target(target: Target | None, upstream: str, resuming: bool) -> Target | NotRun:
@@ -80,12 +80,12 @@
     if target is None:
         return NotRun(Closed.LEAVING, f"{upstream} is gone")
     closed = target.intake.closed_to_all(resuming)
-    return target if closed is None else _closed(target, closed, target.intake.rest.of_all)
+    return target if closed is None else _closed_refusal(target, closed, target.intake.rest.of_all)
 
 
-def _closed(target: Target, why: Closed, rest: float) -> NotRun:
-    told = NotRun(why, f"{target.name} {_TOLD[why]}")
-    return replace(told, retry_after=rest) if why is Closed.RESTING else told
+def _closed_refusal(target: Target, why: Closed, rest: float) -> NotRun:
+    refusal = NotRun(why, f"{target.name} {_TEXT_BY_CLOSED[why]}")
+    return replace(refusal, retry_after=rest) if why is Closed.RESTING else refusal
 
 
 class Upstreams(Protocol):
@@ -93,7 +93,7 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         """Send a request once; never repeat it."""
 
 
@@ -106,7 +106,7 @@
         Asked last of all, right before its first byte goes out.
         """
 
-    def heard(self, upstream: str, notice: Notice) -> None:
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
         """Take in what an upstream said of itself in the head of an answer."""
 
 
@@ -117,37 +117,37 @@
         """Say that it may be sent."""
         return None
 
-    def heard(self, upstream: str, notice: Notice) -> None:
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
         """Do nothing."""
 
 
 def is_own_failure(status: int) -> bool:
     """Return whether an upstream's answer is a failure of its own."""
-    return status >= FAILURE_STATUS and status != OUT_OF_TIME_STATUS
+    return status >= FAILURE_STATUS and status != TIMEOUT_STATUS
 
 
-def _ended_with(status: int) -> Ended:
+def _end_reason_of(status: int) -> EndReason:
     """Return what a whole answer tells of its engine."""
-    return Ended.ERRED if is_own_failure(status) else Ended.ANSWERED
+    return EndReason.ENGINE_ERROR if is_own_failure(status) else EndReason.ANSWERED
 
 
 class GrantedAnswer:
     """An answer that gives its grant back when it ends, once, in whatever way."""
 
-    def __init__(self, answer: AnswerStream, release: Callable[[Ended], None]) -> None:
+    def __init__(self, answer: AnswerStream, release: Callable[[EndReason], None]) -> None:
         self._answer = answer
-        self._release: Callable[[Ended], None] | None = release
+        self._release: Callable[[EndReason], None] | None = release
         self.status: int = answer.status
         self.headers: Headers = answer.headers
 
     async def pour(self, sink: PartSink) -> None:
         """Hand every part to a sink; see AnswerStream."""
-        ended = Ended.NOTHING
+        ended = EndReason.NEUTRAL
         try:
             await self._answer.pour(sink)
-            ended = _ended_with(self.status)
-        except Lost:
-            ended = Ended.FAILED
+            ended = _end_reason_of(self.status)
+        except AnswerLost:
+            ended = EndReason.CONNECTION_FAILED
             raise
         finally:
             self._end(ended)
@@ -155,9 +155,9 @@
     def cancel(self) -> None:
         """Give the answer up and the grant back; that it is a failure its head has told."""
         self._answer.cancel()
-        self._end(Ended.ERRED if is_own_failure(self.status) else Ended.NOTHING)
+        self._end(EndReason.ENGINE_ERROR if is_own_failure(self.status) else EndReason.NEUTRAL)
 
-    def _end(self, ended: Ended) -> None:
+    def _end(self, end_reason: EndReason) -> None:
         release, self._release = self._release, None
         if release is not None:
-            release(ended)
+            release(end_reason)
--- a/pondhatch/requests/_token_needs.py
+++ b/pondhatch/requests/_token_needs.py
@@ -5,11 +5,11 @@
 from heapq import nlargest
 
 from pondhatch.placement import OWN_PART, TokenNeed
+from pondhatch.requests._grant_requests import GrantRequest
 from pondhatch.requests._messages import RequestHead
-from pondhatch.requests._questions import Question
 
 #: Shared parts of a prompt that a question states: each takes up to 10 bytes of a packet.
-MOST_PARTS = 4
+MAX_PARTS = 4
 #: Bits of a part's key: two of some hundred parts at one engine hardly ever share one.
 KEY_BITS = 32
 
@@ -19,7 +19,7 @@
 
     The largest shared parts are told apart; the rest of the prompt counts as the request's own.
     """
-    shared = nlargest(MOST_PARTS, head.prompt_parts, key=lambda part: part[1])
+    shared = nlargest(MAX_PARTS, head.prompt_parts, key=lambda part: part[1])
     parts = [(_key(part_id), tokens) for part_id, tokens in shared if tokens > 0]
     own = head.prompt_tokens - sum(tokens for _, tokens in parts)
     if own > 0:
@@ -27,9 +27,9 @@
     return TokenNeed(head.answer_tokens, tuple(parts))
 
 
-def asked_need(question: Question) -> TokenNeed:
+def asked_need(grant_request: GrantRequest) -> TokenNeed:
     """Return what the request of a question takes."""
-    return TokenNeed(question.tokens, question.parts)
+    return TokenNeed(grant_request.tokens, grant_request.parts)
 
 
 def _key(part_id: int) -> int:
--- a/pondhatch/requests/_upstream_dialect.py
+++ b/pondhatch/requests/_upstream_dialect.py
@@ -12,7 +12,7 @@
 from pondhatch.requests._sending import Target
 
 
-class Judged(enum.Enum):
+class AnswerKind(enum.Enum):
     """What an answer's head says of the request, unless it is a refusal."""
 
     #: The upstream ran the request, and this is its answer.
@@ -29,7 +29,7 @@
 
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
-    ) -> Judged | EngineRefusal:
+    ) -> AnswerKind | EngineRefusal:
         """Say what an answer's head means, a refusal by its reason; names are in lower case."""
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
--- a/pondhatch/requests/_wait_limits.py
+++ b/pondhatch/requests/_wait_limits.py
@@ -6,12 +6,12 @@
 
 #: Seconds before the latest useful grant at which waiting ends: a refusal still has to be
 #: written, and a grant has to come over from the engine's owner.
-MARGIN = 0.02
+GRANT_MARGIN = 0.02
 #: Least seconds in which a stream's caller waits for the first event, and multiples of the
 #: objective and of the longest pause for which it waits, if they are more.
-LEAST_FIRST_EVENT = 2.0
-FIRST_EVENT_OBJECTIVES = 4.0
-FIRST_EVENT_PAUSES = 8.0
+MIN_FIRST_EVENT = 2.0
+FIRST_EVENT_OBJECTIVE_FACTOR = 4.0
+FIRST_EVENT_PAUSE_FACTOR = 8.0
 #: Weight of the newest run in the usual time of a service: some ten runs tell it.
 NEWEST_WEIGHT = 0.1
 #: Multiple of the usual time beyond which a run counts for no more: the end of an answer is
@@ -33,7 +33,9 @@
     if not streams:
         return AnswerDeadlines(objective)
     first_event = max(
-        LEAST_FIRST_EVENT, FIRST_EVENT_OBJECTIVES * objective, FIRST_EVENT_PAUSES * longest_pause
+        MIN_FIRST_EVENT,
+        FIRST_EVENT_OBJECTIVE_FACTOR * objective,
+        FIRST_EVENT_PAUSE_FACTOR * longest_pause,
     )
     return AnswerDeadlines(objective, first_event)
 
@@ -56,7 +58,7 @@
         """Return a service's usual times; 0 before its first answer."""
         return self._usual_by_service.get(service, UsualTimes())
 
-    def answered(self, service: str, begun: float, ended: float) -> None:
+    def record(self, service: str, begun: float, ended: float) -> None:
         """Note after how many seconds an answer began and ended."""
         known = self._usual_by_service.get(service)
         newest = UsualTimes(begun, ended)
@@ -64,29 +66,29 @@
 
 
 def _mean(known: UsualTimes, newest: UsualTimes) -> UsualTimes:
-    return UsualTimes(_toward(known.begins, newest.begins), _toward(known.ends, newest.ends))
+    return UsualTimes(_smoothed(known.begins, newest.begins), _smoothed(known.ends, newest.ends))
 
 
-def _toward(known: float, newest: float) -> float:
+def _smoothed(known: float, newest: float) -> float:
     if known <= 0:
         return newest
     return known + NEWEST_WEIGHT * (min(newest, OUTLIER_FACTOR * known) - known)
 
 
 def wait_limit(
-    asked: AnswerDeadlines, remaining: float, elapsed: float, usual: UsualTimes
+    deadlines: AnswerDeadlines, remaining: float, elapsed: float, usual: UsualTimes
 ) -> float:
     """Return the seconds that a request may wait for a grant.
 
     ``remaining`` is the time to its caller's deadline, ``elapsed`` that since it came.
     """
     limit = remaining - usual.ends
-    if asked.first_event is not None:
-        limit = min(limit, asked.first_event - elapsed - usual.begins)
-    return max(0.0, limit - MARGIN)
+    if deadlines.first_event is not None:
+        limit = min(limit, deadlines.first_event - elapsed - usual.begins)
+    return max(0.0, limit - GRANT_MARGIN)
 
 
-def in_time(asked: AnswerDeadlines, elapsed: float, usual: UsualTimes) -> float:
+def in_time(deadlines: AnswerDeadlines, elapsed: float, usual: UsualTimes) -> float:
     """Return the seconds within which a grant leaves time for an answer within the objective."""
-    run = usual.ends if asked.first_event is None else usual.begins
-    return max(0.0, asked.objective - elapsed - run)
+    run = usual.ends if deadlines.first_event is None else usual.begins
+    return max(0.0, deadlines.objective - elapsed - run)
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -37,30 +37,30 @@
 from pondhatch.placement._gate import EngineCount
 from pondhatch.requests import (
     CROSSED,
-    NUMBERS,
+    NUMBER_LIMIT,
+    AnswerLost,
+    AnswerStarted,
     BodySource,
     Broken,
+    Collaborators,
     Delivery,
+    Dispatch,
     EngineRefusal,
     EntryGrants,
     GrantPacket,
+    GrantRequest,
     GrantSides,
     Headers,
     LocalOwner,
-    Lost,
     NotRun,
-    Opened,
     OwnerGrants,
     PartSink,
-    Patience,
     Placed,
-    Question,
     ReplayableBody,
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
+    WaitLimits,
     Whole,
     decode_grant_packet,
     encode_grant_packet,
@@ -93,7 +93,7 @@
     FAILED,
 )
 #: Refusals by which an engine says that it has nothing for a request, places or not.
-OWN_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
+OWN_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.WRONG_INSTANCE, EngineRefusal.UNKNOWN)
 #: Seconds for which a place must have been free for a walk to know of it: it asks engines one
 #: after the other, each question and its word take 0.01 s and a refused send as long.
 KNOWN_AFTER = 0.1
@@ -205,7 +205,7 @@
         await asyncio.sleep(0.5 if self._slow else 0.01)
         if self._cut_at is not None and self._at >= self._cut_at:
             self.cancel()
-            raise Lost(Broken("answer-broken", "cut"))
+            raise AnswerLost(Broken("answer-broken", "cut"))
         end = min(self._at + 9, len(self._content), self._cut_at or len(self._content))
         part, self._at = self._content[self._at : end], end
         return part
@@ -235,7 +235,7 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         resuming = "X-Resume" in dict(head.headers)
         self._history.sends_to_leaving += target.name in self._leaving and not resuming
         request = head.request_id.split(".")[0]
@@ -266,7 +266,7 @@
         if fault == "crossed":
             return Unknown(CROSSED, "another's answer")
         if fault == FAILED:
-            return Opened(self._failure(engine))
+            return AnswerStarted(self._failure(engine))
         whole = answer_of(request)
         events = whole.split(b"\n\n")
         content = b"\n\n".join(events[max(0, resumed_from) :])
@@ -280,7 +280,7 @@
 
         stream = Stream(content, cut, fault == "slow", ended)
         self._streams_by_engine.setdefault(engine, []).append(stream)
-        return Opened(stream)
+        return AnswerStarted(stream)
 
     def _failure(self, engine: str) -> Stream:
         """Return an answer that says that an upstream failed."""
@@ -413,16 +413,16 @@
     def is_young(self, engine: str) -> bool:
         return False
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         return False
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return False
 
     def is_reachable(self, name: str) -> bool:
         return name in self._fleet.live
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Do nothing: the walk goes on."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
@@ -441,7 +441,7 @@
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
         return None
 
-    def resumes(self, engine: str) -> bool:
+    def can_resume(self, engine: str) -> bool:
         return self._fleet.resumes
 
 
@@ -463,7 +463,7 @@
             short_id(name),
             self.owner,
             lambda to, packet: fleet.network.send(name, to, packet),
-            NUMBERS - 3,
+            NUMBER_LIMIT - 3,
         )
         self.sides = GrantSides(self.entry, OwnerGrants(self.owner, self._tasks))
         self._rounds = self._tasks.start(self._tick())
@@ -490,7 +490,7 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         await asyncio.sleep(self._fleet.connect_seconds)
         known = self._router.view.target(target.name)
         found = open_target(known, target.name, head.resuming, head.regions)
@@ -510,7 +510,7 @@
             self._router.gate.rests(engine, now, notice.rest)
 
 
-class NotedWalk(Walk):
+class NotedWalk(Dispatch):
     """A walk whose questions are noted."""
 
     def __init__(self, *args: Any) -> None:
@@ -518,9 +518,9 @@
         #: Work elsewhere that the last question about each engine told of.
         self.told: dict[str, int] = {}
 
-    def _question(self, engine: str, *args: Any, **kwargs: Any) -> Question:
-        question = super()._question(engine, *args, **kwargs)
-        self.told[engine] = question.seen_elsewhere
+    def _question(self, engine: str, *args: Any, **kwargs: Any) -> GrantRequest:
+        question = super()._grant_request(engine, *args, **kwargs)
+        self.told[engine] = question.seen_in_flight_elsewhere
         return question
 
 
@@ -633,12 +633,12 @@
         router = self.routers[entry]
         walk = NotedWalk(
             router.view,
-            Ways(router.entry, self.listening[entry]),
+            Collaborators(router.entry, self.listening[entry]),
             RetryBudget(),
             head,
             ReplayableBody(b"body"),
             remaining,
-            Patience(0.2, 1.0),
+            WaitLimits(0.2, 1.0),
         )
         self._walks.append(walk)
         try:
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -15,10 +15,12 @@
 from pondhatch.placement import OPEN
 from pondhatch.requests import (
     QUARANTINED,
+    AnswerStarted,
     Broken,
+    Collaborators,
     Delivery,
+    Dispatch,
     NotRun,
-    Opened,
     Placed,
     Refusal,
     Refused,
@@ -26,12 +28,10 @@
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
 )
 from pondhatch.requests.tests._history import Fleet, Sink, Stream, answer_of
 
-CUT = Unknown("upstream-lost", "reset", was_cut=True)
+CUT = Unknown("upstream-lost", "reset", connection_lost=True)
 
 
 class ScriptedWatch:
@@ -53,12 +53,12 @@
     def is_suspected(self) -> bool:
         return self.suspected
 
-    async def run_was_cut(self, target: Target) -> bool:
+    async def note_connection_lost(self, target: Target) -> bool:
         self.cut.append(target.name)
         self.ends_left -= 1
         return True
 
-    def run_was_whole(self) -> None:
+    def note_completed(self) -> None:
         self.whole = True
 
     def close(self) -> None:
@@ -76,11 +76,11 @@
 
 
 class WalkCase(unittest.TestCase):
-    def walk(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Walk:
+    def walk(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Dispatch:
         router = fleet.routers["r0"]
         head = RequestHead("q0", "a", "s", 7, "POST", "/", (), repeatable, 10.0, 5, digest=1)
-        ways = Ways(router.entry, fleet.upstreams, Guard(watch))
-        return Walk(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
+        ways = Collaborators(router.entry, fleet.upstreams, Guard(watch))
+        return Dispatch(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
 
     def run_with(self, watch: ScriptedWatch, *replies: Any, repeatable: bool = True) -> Any:
         """Return how a walk ends whose sends end so, and to how many engines it was sent."""
@@ -136,22 +136,22 @@
             placed.reply.answer.cancel()
             broken = Stream(answer_of("q0"), 0, False, lambda: None)
             with patch.object(broken, "_part", self.lose):
-                placed = replace(placed, reply=Opened(broken))
+                placed = replace(placed, reply=AnswerStarted(broken))
                 ended = await Delivery(walk, placed, Sink(lambda _: None)).run()
             self.assertEqual(ended.outcome, QUARANTINED)
 
         run_virtually(main())
 
     async def lose(self) -> bytes:
-        from pondhatch.requests import Lost
+        from pondhatch.requests import AnswerLost
 
-        raise Lost(Broken("answer-broken", "reset", was_cut=True))
+        raise AnswerLost(Broken("answer-broken", "reset", connection_lost=True))
 
 
 class EvidenceTest(WalkCase):
     def test_what_this_router_gave_up_is_no_evidence(self) -> None:
         watch = ScriptedWatch(3)
-        self.run_with(watch, replace(CUT, was_cut=False), repeatable=False)
+        self.run_with(watch, replace(CUT, connection_lost=False), repeatable=False)
         self.assertEqual(watch.cut, [])
 
     def test_an_engine_that_leaves_ends_as_planned(self) -> None:
@@ -160,10 +160,10 @@
             watch = ScriptedWatch(3)
             walk = self.walk(fleet, watch)
             fleet.known_leaving.add("e0")
-            await walk.note_cut("e0", CUT)
-            await walk.note_cut("e9", CUT)
+            await walk.note_connection_lost("e0", CUT)
+            await walk.note_connection_lost("e9", CUT)
             self.assertEqual(watch.cut, [])
-            await walk.note_cut("e1", CUT)
+            await walk.note_connection_lost("e1", CUT)
             self.assertEqual(watch.cut, ["e1"])
 
         run_virtually(main())
@@ -172,7 +172,7 @@
         async def main() -> None:
             for status, clears in ((200, True), (404, True), (500, False), (504, False)):
                 watch = ScriptedWatch(3)
-                self.walk(Fleet([], [], False), watch).note_whole(status)
+                self.walk(Fleet([], [], False), watch).note_completed(status)
                 self.assertEqual(watch.whole, clears, status)
 
         run_virtually(main())
@@ -182,13 +182,13 @@
             fleet = Fleet([], [], False)
             watch = ScriptedWatch(3)
             tries = self.walk(fleet, watch)._tries
-            tries.context_at = "e1"
+            tries.context_engine = "e1"
             target = Target("e0", "", OPEN, 1.5, 3, 8, shares_context=True)
-            head = RequestHead("q", "a", "s", 7, "POST", "/", (), True, 9.0, 5, returning=True)
+            head = RequestHead("q", "a", "s", 7, "POST", "/", (), True, 9.0, 5, is_followup=True)
             holder = replace(target, name="e1", url="http://10.0.0.2:80")
             with patch.object(tries._view, "target", lambda _: holder):
-                self.assertEqual(tries._context_source(target, head), "10.0.0.2:80")
+                self.assertEqual(tries._context_address(target, head), "10.0.0.2:80")
                 watch.suspected = True
-                self.assertEqual(tries._context_source(target, head), "")
+                self.assertEqual(tries._context_address(target, head), "")
 
         run_virtually(main())
--- a/pondhatch/requests/tests/test_gone_histories.py
+++ b/pondhatch/requests/tests/test_gone_histories.py
@@ -38,7 +38,7 @@
     """Return what owners still count, or have in their lines."""
     found = [f"{fleet.granted()} grants"] if fleet.granted() else []
     for name, router in fleet.routers.items():
-        waiting = sum(router.owner._lines.waiting(engine) for engine in fleet.engines)
+        waiting = sum(router.owner._queues.waiting_count(engine) for engine in fleet.engines)
         if waiting:
             found.append(f"{waiting} in the lines of {name}")
     return found
@@ -111,7 +111,7 @@
             # The first two packets ask and grant what fills the engine.
             fleet = Fleet([], ["none", "none", *packet_faults], False)
             await self.ask(fleet)
-            asked = asyncio.ensure_future(self.ask(fleet, patience=5000))
+            asked = asyncio.ensure_future(self.ask(fleet, max_wait_ms=5000))
             await asyncio.sleep(0.05)
             asked.cancel()
             await asyncio.sleep(GONE_SECONDS)
--- a/pondhatch/requests/tests/test_grant_packets.py
+++ b/pondhatch/requests/tests/test_grant_packets.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from pondhatch.requests._grant_packets import (
-    BusyWord,
+    BusyReply,
     decode_grant_packet,
     encode_grant_packet,
 )
-from pondhatch.requests._questions import Question
+from pondhatch.requests._grant_requests import GrantRequest
 
-QUESTION = Question(7, 3, "i-1", "desk", 0, 5, 31)
+QUESTION = GrantRequest(7, 3, "i-1", "desk", 0, 5, 31)
 #: As routers without load management write it.
 QUESTION_BYTES = msgspec.msgpack.encode(
     [50, 7, 3, "i-1", "desk", 0, 5, 31, 1000, 0, False, False, None, False, False, False]
@@ -24,16 +24,16 @@
 class LoadFieldsTest(unittest.TestCase):
     def test_what_says_nothing_of_load_has_the_bytes_that_it_always_had(self) -> None:
         self.assertEqual(encode_grant_packet(QUESTION), QUESTION_BYTES)
-        self.assertEqual(encode_grant_packet(BusyWord(7, 6, 6)), BUSY_BYTES)
+        self.assertEqual(encode_grant_packet(BusyReply(7, 6, 6)), BUSY_BYTES)
 
     def test_packets_of_routers_without_load_management_are_read(self) -> None:
         self.assertEqual(decode_grant_packet(QUESTION_BYTES), QUESTION)
-        self.assertEqual(decode_grant_packet(BUSY_BYTES), BusyWord(7, 6, 6))
+        self.assertEqual(decode_grant_packet(BUSY_BYTES), BusyReply(7, 6, 6))
 
     def test_what_is_said_of_load_arrives(self) -> None:
         question = msgspec.structs.replace(
-            QUESTION, in_time=90, queues=3, tokens=1300, parts=((17, 512),)
+            QUESTION, in_time=90, queue_count=3, tokens=1300, parts=((17, 512),)
         )
-        busy = BusyWord(7, 6, 6, False, 120, 400)
+        busy = BusyReply(7, 6, 6, False, 120, 400)
         self.assertEqual(decode_grant_packet(encode_grant_packet(question)), question)
         self.assertEqual(decode_grant_packet(encode_grant_packet(busy)), busy)
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -11,12 +11,12 @@
 from pondhatch.membership import short_id
 from pondhatch.placement import Granted, winner
 from pondhatch.placement._health import FAILURES, FIRST_PASSED_OVER, FIRST_PAUSE
-from pondhatch.requests import Busy, Ended, NotOwner, NotRun, OwnerReply, Question, Release
-from pondhatch.requests._grant_packets import DeclinedWord, GrantedWord, GrantPacket
+from pondhatch.requests import Busy, EndReason, GrantRequest, NotOwner, NotRun, OwnerReply, Release
+from pondhatch.requests._grant_packets import GrantedReply, GrantPacket, NotRunReply
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests._outcomes import AILING
-from pondhatch.requests._owner import START_SECONDS
-from pondhatch.requests._owner_waits import FIRST_WAIT, PARTS
+from pondhatch.requests._owner import MIN_START_SECONDS
+from pondhatch.requests._owner_timeouts import INITIAL_WAIT, WAIT_FRACTIONS
 from pondhatch.requests.tests._history import Fleet
 
 ENGINE = "e0"
@@ -24,10 +24,10 @@
 CEILING = 1
 
 
-def question(fleet: Fleet, entry: str, **changes: Any) -> Question:
+def question(fleet: Fleet, entry: str, **changes: Any) -> GrantRequest:
     number = fleet.routers[entry].entry.next_number()
     fields: dict[str, Any] = {"chat": 0, "priority": 5, **changes}
-    return Question(number, short_id(entry), ENGINE, "a", **fields)
+    return GrantRequest(number, short_id(entry), ENGINE, "a", **fields)
 
 
 class GrantCase(unittest.TestCase):
@@ -43,7 +43,7 @@
 
     def ask(self, fleet: Fleet, **changes: Any) -> Coroutine[Any, Any, OwnerReply]:
         asked = question(fleet, self.entry, **changes)
-        return fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
+        return fleet.routers[self.entry].entry.ask(self.owner, asked, INITIAL_WAIT)
 
 
 class AloneTest(GrantCase):
@@ -51,7 +51,7 @@
 
     def alone(self, fleet: Fleet, **changes: Any) -> OwnerReply:
         asked = question(fleet, self.entry, **changes)
-        return fleet.routers[self.entry].entry.ask_nobody(asked)
+        return fleet.routers[self.entry].entry.decide_without_owner(asked)
 
     def test_it_grants_up_to_the_ceiling_that_it_knows(self) -> None:
         async def main() -> list[OwnerReply]:
@@ -80,7 +80,7 @@
             fleet = Fleet([], [], False)
             self.alone(fleet)
             before = self.granted(fleet)
-            fleet.routers[self.entry].entry.follow_owners(lambda _: self.owner)
+            fleet.routers[self.entry].entry.move_to_new_owners(lambda _: self.owner)
             await asyncio.sleep(1)
             return before, self.granted(fleet)
 
@@ -93,7 +93,7 @@
         async def main() -> int:
             fleet = Fleet([], [], False)
             self.alone(fleet)
-            fleet.routers[self.entry].entry.follow_owners(lambda _: self.owner)
+            fleet.routers[self.entry].entry.move_to_new_owners(lambda _: self.owner)
             return self.granted(fleet, self.entry)
 
         return run_virtually(main())
@@ -110,7 +110,7 @@
             owner.gate.by_engine.clear()
             owner.entry.local.leases.by_holder.clear()
             before = self.granted(fleet)
-            fleet.routers[self.entry].entry.hold_again(self.owner)
+            fleet.routers[self.entry].entry.report_held_grants(self.owner)
             await asyncio.sleep(1)
             return before, self.granted(fleet)
 
@@ -121,10 +121,10 @@
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             owner = fleet.routers[self.owner].entry.local
-            owner.restarted_router(short_id(self.entry))
+            owner.router_restarted(short_id(self.entry))
             at_once = self.granted(fleet)
-            await asyncio.sleep(START_SECONDS + 0.1)
-            owner.restarted_router(short_id(self.entry))
+            await asyncio.sleep(MIN_START_SECONDS + 0.1)
+            owner.router_restarted(short_id(self.entry))
             return at_once, self.granted(fleet)
 
         # What was granted just now is the new process's own.
@@ -143,7 +143,7 @@
                     await asyncio.sleep(1)
                     counted = self.granted(fleet)
                     for number in held:
-                        fleet.routers[self.entry].entry.release(number, Ended.ANSWERED)
+                        fleet.routers[self.entry].entry.release(number, EndReason.ANSWERED)
                     await asyncio.sleep(1)
                     return reply, counted, self.granted(fleet)
 
@@ -159,12 +159,12 @@
 
         reply, at = run_virtually(main())
         self.assertIsInstance(reply, NotRun)
-        self.assertAlmostEqual(at, FIRST_WAIT, places=2)
+        self.assertAlmostEqual(at, INITIAL_WAIT, places=2)
 
     def test_a_grant_whose_word_came_too_late_is_given_back(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
             # Of the packets after the late word, all questions and the first release are lost.
-            fleet = Fleet([], ["none", "very-late", *["lost"] * len(PARTS)], False)
+            fleet = Fleet([], ["none", "very-late", *["lost"] * len(WAIT_FRACTIONS)], False)
             reply = await self.ask(fleet)
             await asyncio.sleep(3)
             return reply, self.granted(fleet)
@@ -178,7 +178,7 @@
             fleet = Fleet([], ["none", "none", "lost"], False)
             await self.ask(fleet)
             entry = fleet.routers[self.entry].entry
-            entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ANSWERED)
             await asyncio.sleep(1)
             before = self.granted(fleet)
             await asyncio.sleep(LEASE_SECONDS)
@@ -218,11 +218,11 @@
         return run_virtually(main())
 
     def test_one_that_was_let_through_to_try_the_engine_keeps_its_grant(self) -> None:
-        expected = ([GrantedWord, GrantedWord], 1)
+        expected = ([GrantedReply, GrantedReply], 1)
         self.assertEqual(self.replies(lambda fleet: None), expected)
 
     def test_one_whose_engine_leaves_meanwhile_holds_nothing(self) -> None:
-        expected = ([GrantedWord, DeclinedWord], 0)
+        expected = ([GrantedReply, NotRunReply], 0)
         self.assertEqual(self.replies(lambda fleet: fleet.known_leaving.add(ENGINE)), expected)
 
 
@@ -233,8 +233,8 @@
             first = await self.ask(fleet)
             entry = fleet.routers[self.entry].entry
             number = next(iter(entry.held_by_number))
-            asyncio.get_running_loop().call_later(0.7, entry.release, number, Ended.ANSWERED)
-            second = await self.ask(fleet, patience=5000)
+            asyncio.get_running_loop().call_later(0.7, entry.release, number, EndReason.ANSWERED)
+            second = await self.ask(fleet, max_wait_ms=5000)
             return first, second, self.granted(fleet)
 
         first, second, counted = run_virtually(main())
@@ -246,12 +246,12 @@
         async def main() -> tuple[OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
-            waiting = asyncio.ensure_future(self.ask(fleet, patience=50_000))
+            waiting = asyncio.ensure_future(self.ask(fleet, max_wait_ms=50_000))
             await asyncio.sleep(0.2)
             waiting.cancel()
             await asyncio.sleep(0.2)
             entry = fleet.routers[self.entry].entry
-            entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ANSWERED)
             await asyncio.sleep(0.2)
             return await self.ask(fleet), self.granted(fleet)
 
@@ -264,15 +264,17 @@
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             side = fleet.routers[self.owner]
-            asked = question(fleet, self.entry, patience=50_000)
+            asked = question(fleet, self.entry, max_wait_ms=50_000)
             side.sides.receive(asked, lambda _: None)
-            side.sides.receive(Release(asked.router, asked.number, Ended.NOTHING), lambda _: None)
+            side.sides.receive(
+                Release(asked.router, asked.number, EndReason.NEUTRAL), lambda _: None
+            )
             await asyncio.sleep(0.2)
             entry = fleet.routers[self.entry].entry
-            entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ANSWERED)
             await asyncio.sleep(0.2)
             return self.granted(fleet), await asyncio.wait_for(
-                entry.ask(self.owner, asked, FIRST_WAIT), 10
+                entry.ask(self.owner, asked, INITIAL_WAIT), 10
             )
 
         counted, reply = run_virtually(main())
@@ -283,7 +285,7 @@
         async def main() -> OwnerReply:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
-            return await self.ask(fleet, patience=300)
+            return await self.ask(fleet, max_wait_ms=300)
 
         self.assertEqual(run_virtually(main()), Busy(CEILING, CEILING))
 
@@ -295,7 +297,7 @@
             await self.ask(fleet)
             gate = fleet.routers[self.owner].gate
             gate.adopt(ENGINE)
-            waiting = asyncio.ensure_future(self.ask(fleet, patience=300))
+            waiting = asyncio.ensure_future(self.ask(fleet, max_wait_ms=300))
             await asyncio.sleep(0.1)
             gate.release(ENGINE)
             return await waiting
@@ -311,7 +313,7 @@
     async def fail_much(self, fleet: Fleet) -> None:
         entry = fleet.routers[self.entry].entry
         while isinstance(await self.ask(fleet), Granted):
-            entry.release(next(iter(entry.held_by_number)), Ended.ERRED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ENGINE_ERROR)
             await asyncio.sleep(0.1)
 
     def test_it_gets_only_what_insists(self) -> None:
@@ -345,7 +347,7 @@
             heir = winner(ENGINE, fleet.live) or ""
             counted = self.granted(fleet, heir)
             asked = question(fleet, self.entry)
-            return counted, await fleet.routers[self.entry].entry.ask(heir, asked, FIRST_WAIT)
+            return counted, await fleet.routers[self.entry].entry.ask(heir, asked, INITIAL_WAIT)
 
         counted, reply = run_virtually(main())
         self.assertEqual((counted, reply), (1, Busy(CEILING, CEILING)))
@@ -365,7 +367,7 @@
         async def main() -> int:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
-            fleet.routers[self.owner].owner.lost_router(short_id(self.entry))
+            fleet.routers[self.owner].owner.router_gone(short_id(self.entry))
             return self.granted(fleet)
 
         self.assertEqual(run_virtually(main()), 0)
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.requests import EngineRefusal, EntryGrants, OwnerReply, Question
+from pondhatch.requests import EngineRefusal, EntryGrants, GrantRequest, OwnerReply
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests.tests._history import (
     OWN_REFUSALS,
@@ -179,10 +179,10 @@
             ask = EntryGrants.ask
 
             async def noted(
-                side: EntryGrants, owner: str, question: Question, bearable: float
+                side: EntryGrants, owner: str, question: GrantRequest, bearable: float
             ) -> OwnerReply:
                 if side is entry:
-                    asked.append((question.resuming, question.seen_elsewhere))
+                    asked.append((question.resuming, question.seen_in_flight_elsewhere))
                 return await ask(side, owner, question, bearable)
 
             with patch.object(EntryGrants, "ask", noted):
--- a/pondhatch/requests/tests/test_keys.py
+++ b/pondhatch/requests/tests/test_keys.py
@@ -12,16 +12,16 @@
 from pondhatch.placement import Regions
 from pondhatch.requests import (
     Claim,
-    Fresh,
     KeptAnswer,
     KeyedRun,
     KeyHolder,
     KeyRecord,
     KeyTable,
-    Known,
+    NewKey,
     NotRun,
-    kept,
-    refusal_of,
+    UsedKey,
+    kept_answer,
+    used_key_refusal,
 )
 
 ANSWER = KeptAnswer(200, (), b"logged")
@@ -36,33 +36,33 @@
         self.table = KeyTable()
 
     def test_a_key_is_fresh_once(self) -> None:
-        self.assertEqual(self.table.claim("k", record("q1"), 0.0), Fresh())
-        self.assertEqual(self.table.claim("k", record("q1"), 0.0), Fresh())
-        self.assertEqual(self.table.claim("k", record("q2"), 0.0), Known(record("q1")))
+        self.assertEqual(self.table.claim("k", record("q1"), 0.0), NewKey())
+        self.assertEqual(self.table.claim("k", record("q1"), 0.0), NewKey())
+        self.assertEqual(self.table.claim("k", record("q2"), 0.0), UsedKey(record("q1")))
 
     def test_a_released_key_is_fresh_again_but_only_for_its_own_request(self) -> None:
         self.table.claim("k", record("q1"), 0.0)
         self.table.release("k", "q2")
-        self.assertIsInstance(self.table.claim("k", record("q2"), 0.0), Known)
+        self.assertIsInstance(self.table.claim("k", record("q2"), 0.0), UsedKey)
         self.table.release("k", "q1")
-        self.assertEqual(self.table.claim("k", record("q2"), 0.0), Fresh())
+        self.assertEqual(self.table.claim("k", record("q2"), 0.0), NewKey())
 
     def test_a_lost_entry_router_makes_its_running_keys_unknown(self) -> None:
         self.table.claim("k", record("q1", "r7"), 0.0)
-        self.table.lost_router("r7")
+        self.table.router_gone("r7")
         known = self.table.claim("k", record("q2"), 0.0)
-        self.assertEqual(known.record.state if isinstance(known, Known) else "", "unknown")
+        self.assertEqual(known.record.state if isinstance(known, UsedKey) else "", "unknown")
 
     def test_what_is_done_stays_done(self) -> None:
         self.table.claim("k", record("q1"), 0.0)
         done = KeyRecord("POST /log 1", "r0", "q1", "done", ANSWER)
         self.table.settle("k", done, 1.0)
         self.table.settle("k", KeyRecord("POST /log 1", "r0", "q1", "unknown"), 2.0)
-        self.assertEqual(self.table.claim("k", record("q2"), 3.0), Known(done))
+        self.assertEqual(self.table.claim("k", record("q2"), 3.0), UsedKey(done))
 
     def test_keys_are_forgotten_after_ten_minutes(self) -> None:
         self.table.claim("k", record("q1"), 0.0)
-        self.assertEqual(self.table.claim("k", record("q2"), 601.0), Fresh())
+        self.assertEqual(self.table.claim("k", record("q2"), 601.0), NewKey())
 
     def test_kept_answers_are_bounded_in_bytes(self) -> None:
         large = KeptAnswer(200, (), b"x" * 65536)
@@ -74,8 +74,8 @@
         self.assertEqual(len(self.table.record_by_key), 128)
 
     def test_large_answers_are_not_kept(self) -> None:
-        self.assertIsNotNone(kept(200, (), b"x" * 65536))
-        self.assertIsNone(kept(200, (), b"x" * 65537))
+        self.assertIsNotNone(kept_answer(200, (), b"x" * 65536))
+        self.assertIsNone(kept_answer(200, (), b"x" * 65537))
 
     def test_refusals(self) -> None:
         cases = [
@@ -85,7 +85,7 @@
             (KeyRecord("POST /other 1", "r0", "q1", "done"), "key-reused"),
         ]
         for known, code in cases:
-            self.assertEqual(refusal_of(Known(known), record("q2")).code, code)
+            self.assertEqual(used_key_refusal(UsedKey(known), record("q2")).code, code)
 
 
 class Holder:
@@ -121,7 +121,7 @@
     def key_holder(self, name: str) -> KeyHolder | None:
         return self._holders.get(name)
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         self.ranked = [other for other in self.ranked if other != name]
 
 
@@ -147,14 +147,14 @@
                 await asyncio.sleep(after)
                 keyed = KeyedRun(View(holders, list(ranked)), "k", record(f"q{number}"))
                 begun = await keyed.begin()
-                if not isinstance(begun, Fresh):
+                if not isinstance(begun, NewKey):
                     return
                 runs += 1
                 await asyncio.sleep(0.05)
                 if finishes:
-                    await keyed.ran(ANSWER)
+                    await keyed.record_completed(ANSWER)
                 else:
-                    await keyed.outcome_unknown()
+                    await keyed.record_unknown()
 
             await asyncio.gather(*(one(number, *each) for number, each in enumerate(tries)))
             return runs
--- a/pondhatch/requests/tests/test_lines.py
+++ b/pondhatch/requests/tests/test_lines.py
@@ -9,11 +9,11 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import Full, Granted, Verdict
-from pondhatch.requests import Question
-from pondhatch.requests._lines import LINE_LIMIT, Lines
+from pondhatch.requests import GrantRequest
+from pondhatch.requests._engine_queues import QUEUE_LIMIT, EngineQueues
 
 FULL = Full(2, 2)
-ASKED = Question(1, 1, "e", "a", chat=0, priority=5, patience=1000)
+ASKED = GrantRequest(1, 1, "e", "a", chat=0, priority=5, max_wait_ms=1000)
 
 
 class Engine:
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.free = 0
         self.returned = 0
-        self.lines = Lines(self.give_back)
+        self.lines = EngineQueues(self.give_back)
 
     def give_back(self, engine: str) -> None:
         self.returned += 1
@@ -33,12 +33,12 @@
         self.free -= 1
         return Granted(2, 2)
 
-    def wait(self, asked: Question = ASKED) -> asyncio.Task[Verdict]:
+    def wait(self, asked: GrantRequest = ASKED) -> asyncio.Task[Verdict]:
         return asyncio.ensure_future(self.lines.wait(asked, FULL, self.ask))
 
     def release(self) -> None:
         self.free += 1
-        self.lines.gave_back("e", asyncio.get_running_loop().time())
+        self.lines.note_released("e", asyncio.get_running_loop().time())
 
 
 class LinesTest(unittest.TestCase):
@@ -48,7 +48,7 @@
             waiting = engine.wait()
             await asyncio.sleep(0.1)
             engine.release()
-            return await waiting, engine.lines.waiting("e")
+            return await waiting, engine.lines.waiting_count("e")
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), 0))
 
@@ -65,7 +65,7 @@
             engine.release()
             granted = await first
             engine.release()
-            return granted, await third, engine.lines.waiting("e")
+            return granted, await third, engine.lines.waiting_count("e")
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), Granted(2, 2), 0))
 
@@ -93,7 +93,7 @@
     def test_a_full_line_refuses_its_own_kind_and_makes_room_for_the_urgent(self) -> None:
         async def main() -> tuple[list[Verdict], Verdict]:
             engine = Engine()
-            waiting = [engine.wait() for _ in range(LINE_LIMIT)]
+            waiting = [engine.wait() for _ in range(QUEUE_LIMIT)]
             await asyncio.sleep(0.01)
             refused = await engine.wait()
             urgent = engine.wait(msgspec.structs.replace(ASKED, priority=0))
@@ -108,7 +108,7 @@
     def test_who_cannot_be_served_in_time_is_refused_at_once(self) -> None:
         async def main() -> tuple[Verdict, float]:
             engine = Engine()
-            patient = msgspec.structs.replace(ASKED, patience=9000)
+            patient = msgspec.structs.replace(ASKED, max_wait_ms=9000)
             waiting = [engine.wait(patient) for _ in range(6)]
             for _ in range(4):
                 engine.release()
@@ -126,8 +126,8 @@
     def test_a_quiet_account_is_not_refused_for_the_line_of_a_loud_one(self) -> None:
         async def main() -> tuple[Verdict, float]:
             engine = Engine()
-            loud = msgspec.structs.replace(ASKED, patience=60_000)
-            waiting = [engine.wait(loud) for _ in range(LINE_LIMIT)]
+            loud = msgspec.structs.replace(ASKED, max_wait_ms=60_000)
+            waiting = [engine.wait(loud) for _ in range(QUEUE_LIMIT)]
             for _ in range(4):
                 engine.release()
                 await asyncio.sleep(0.5)
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -18,8 +18,8 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.limits import RetryBudget
 from pondhatch.placement import ranked
-from pondhatch.requests import ReplayableBody, RequestHead, Walk, Ways
-from pondhatch.requests._walk_results import NO_PATIENCE
+from pondhatch.requests import Collaborators, Dispatch, ReplayableBody, RequestHead
+from pondhatch.requests._dispatch_results import NO_WAIT
 from pondhatch.requests.tests._history import Fleet
 
 CHAT = 7
@@ -39,16 +39,18 @@
                 found = target(engine)
                 return replace(found, shares_context=takes_over) if found else None
 
-            head = RequestHead("q0", "a", "s", CHAT, "POST", "/", (), True, 10.0, 5, returning=True)
+            head = RequestHead(
+                "q0", "a", "s", CHAT, "POST", "/", (), True, 10.0, 5, is_followup=True
+            )
             with (
                 patch.object(view, "target", known),
                 patch.object(view, "is_young", newcomers.__contains__),
             ):
-                ways = Ways(router.entry, fleet.upstreams)
+                ways = Collaborators(router.entry, fleet.upstreams)
                 body = ReplayableBody(b"")
-                walk = Walk(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_PATIENCE)
+                walk = Dispatch(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_WAIT)
                 home = walk.plan.home or ""
-                settled = walk._question(home, insist=False).settled
+                settled = walk._grant_request(home, insist=False).settled_engine
             await asyncio.sleep(0)
             return settled, walk.plan.order
 
--- a/pondhatch/requests/tests/test_notice_histories.py
+++ b/pondhatch/requests/tests/test_notice_histories.py
@@ -17,7 +17,7 @@
 from pondhatch.placement import Notice
 from pondhatch.placement._health import FAILURES
 from pondhatch.requests import NotRun
-from pondhatch.requests._entry import FULL_RETRY_AFTER
+from pondhatch.requests._dispatch import FULL_RETRY_AFTER
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests.tests._history import (
     PACKET_FAULTS,
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -18,9 +18,9 @@
     SpillMemory,
     TokenCounts,
 )
-from pondhatch.requests import LocalOwner, Question, Target
+from pondhatch.requests import GrantRequest, LocalOwner, Target
+from pondhatch.requests._grant_requests import Busy
 from pondhatch.requests._owner import MustWait
-from pondhatch.requests._questions import Busy
 
 ENGINE = "e0"
 SLOTS = 6
@@ -46,10 +46,10 @@
     def is_young(self, engine: str) -> bool:
         return False
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         return False
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return True
 
 
@@ -57,11 +57,11 @@
     def setUp(self) -> None:
         memory, health = SpillMemory(), Health()
         self.owner = LocalOwner("r0", OneEngine(), Gate(), memory, lambda: 1.0, health)
-        self.owner._lines._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
+        self.owner._queues._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
 
     def ask(self, in_time: int = 0, patience: int = 0) -> object:
-        question = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
+        question = GrantRequest(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
         return self.owner.decide(replace(question, in_time=in_time))
 
     def test_only_those_that_wait_are_sent_ahead_of_a_free_slot(self) -> None:
@@ -78,11 +78,11 @@
     def test_only_a_request_whose_context_is_there_goes_by_the_usual_ceiling(self) -> None:
         """Guards against waiting chats that crowd an engine without their context."""
         rows: tuple[tuple[str, dict[str, Any], type], ...] = (
-            ("at its home", {"home": True, "returning": True}, Granted),
-            ("waits for its context", {"returning": True, "patience": 50}, Granted),
+            ("at its home", {"is_home": True, "is_followup": True}, Granted),
+            ("waits for its context", {"is_followup": True, "max_wait_ms": 50}, Granted),
             (
                 "waits at several engines",
-                {"returning": True, "patience": 50, "in_time": 100},
+                {"is_followup": True, "max_wait_ms": 50, "in_time": 100},
                 MustWait,
             ),
             ("without a context", {}, Busy),
@@ -94,7 +94,7 @@
                 owner = LocalOwner("r0", view, gate, SpillMemory(), lambda: 1.0, Health())
                 for _ in range(3):
                     gate.adopt(ENGINE)
-                question = replace(Question(1, 1, ENGINE, "a", 0, 5), **said)
+                question = replace(GrantRequest(1, 1, ENGINE, "a", 0, 5), **said)
                 self.assertIsInstance(owner.decide(question), expected)
 
 
@@ -108,12 +108,12 @@
             owner = LocalOwner(
                 "r0", view, Gate(), SpillMemory(), lambda: 1.0, Health(), tokens=counts
             )
-            owner.decide(Question(1, 1, ENGINE, "a", 0, 5, tokens=100))
-            false = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
+            owner.decide(GrantRequest(1, 1, ENGINE, "a", 0, 5, tokens=100))
+            false = GrantRequest(2, 1, ENGINE, "b", 0, 5, max_wait_ms=100, tokens=999_999_999)
             waiting = asyncio.ensure_future(owner.ask(false))
             await asyncio.sleep(0.05)
             owner.tick()
-            reply = owner.decide(Question(3, 1, ENGINE, "c", 0, 5, tokens=100))
+            reply = owner.decide(GrantRequest(3, 1, ENGINE, "c", 0, 5, tokens=100))
             await waiting
             return reply
 
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -11,7 +11,7 @@
 from pondhatch.placement._health import AILING_SHARE, ERROR_WEIGHT, FAILURES
 from pondhatch.requests import (
     Busy,
-    Ended,
+    EndReason,
     EngineRefusal,
     NotRun,
     OwnerReply,
@@ -19,16 +19,16 @@
     decode_grant_packet,
     encode_grant_packet,
 )
-from pondhatch.requests._grant_packets import ended_of, release_of
+from pondhatch.requests._grant_packets import end_reason_of, release_of
 from pondhatch.requests._outcomes import AILING, BAD_REQUEST_STATUS, UNAVAILABLE_STATUS
-from pondhatch.requests._owner_waits import FIRST_WAIT
-from pondhatch.requests._tries import ENDED_BY_REFUSAL
+from pondhatch.requests._owner_timeouts import INITIAL_WAIT
+from pondhatch.requests._tries import END_REASON_BY_REFUSAL
 from pondhatch.requests.tests._history import Fleet
 from pondhatch.requests.tests.test_grants import GrantCase, question
 
 FULL = EngineRefusal.FULL
 LEAVING = EngineRefusal.LEAVING
-NOT_THE_ONE = EngineRefusal.NOT_THE_ONE
+NOT_THE_ONE = EngineRefusal.WRONG_INSTANCE
 BAD_REQUEST = EngineRefusal.BAD_REQUEST
 UNKNOWN = EngineRefusal.UNKNOWN
 DECLINED = EngineRefusal.DECLINED
@@ -103,7 +103,7 @@
 class OwnerTest(GrantCase):
     """What an engine's owner learns from requests that the engine refused."""
 
-    async def end_one(self, fleet: Fleet, ended: Ended) -> None:
+    async def end_one(self, fleet: Fleet, ended: EndReason) -> None:
         """End the newest request that holds a grant."""
         entry = fleet.routers[self.entry].entry
         entry.release(max(entry.held_by_number), ended)
@@ -111,17 +111,17 @@
 
     async def ask_among_many(self, fleet: Fleet) -> OwnerReply:
         """Ask where the ceiling, by the work elsewhere, is well above what the engine holds."""
-        asked = question(fleet, self.entry, seen_elsewhere=10, insist=True)
-        return await fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
+        asked = question(fleet, self.entry, seen_in_flight_elsewhere=10, insist=True)
+        return await fleet.routers[self.entry].entry.ask(self.owner, asked, INITIAL_WAIT)
 
     def test_a_full_engine_gets_no_more_than_it_holds_for_a_while(self) -> None:
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
             for _ in range(3):
                 await self.ask_among_many(fleet)
-            await self.end_one(fleet, Ended.FULL)
+            await self.end_one(fleet, EndReason.FULL)
             at_once = await self.ask_among_many(fleet)
-            await self.end_one(fleet, Ended.ANSWERED)
+            await self.end_one(fleet, EndReason.ANSWERED)
             in_its_place = await self.ask_among_many(fleet)
             await asyncio.sleep(FULL_SECONDS)
             return [at_once, in_its_place, await self.ask_among_many(fleet)]
@@ -134,7 +134,7 @@
             fleet = Fleet([], [], False)
             fleet.intake_by_engine["e0"] = Intake(rest=rest)
             asked = question(fleet, self.entry, insist=insist)
-            return await fleet.routers[self.entry].entry.ask(self.owner, asked, FIRST_WAIT)
+            return await fleet.routers[self.entry].entry.ask(self.owner, asked, INITIAL_WAIT)
 
         for rest, insist, code in (
             (Rest(of_some=1.0), False, AILING),
@@ -153,7 +153,7 @@
             replies = []
             for _ in range(ENOUGH + 1):
                 replies.append(await self.ask(fleet))
-                await self.end_one_if_held(fleet, Ended.FULL)
+                await self.end_one_if_held(fleet, EndReason.FULL)
             return replies
 
         replies = run_virtually(main())
@@ -162,7 +162,7 @@
 
     # Engines that turned requests away by chance were held to less each time, down to one.
     def test_an_engine_that_declines_with_places_is_held_to_no_less(self) -> None:
-        async def main(ended: Ended) -> OwnerReply:
+        async def main(ended: EndReason) -> OwnerReply:
             fleet = Fleet([], [], False)
             for _ in range(6):
                 await self.ask_among_many(fleet)
@@ -170,20 +170,20 @@
                 await self.end_one(fleet, ended)
             return await self.ask_among_many(fleet)
 
-        self.assertEqual(run_virtually(main(Ended.FULL)), Busy(3, 3))
-        reply = run_virtually(main(ENDED_BY_REFUSAL[DECLINED]))
+        self.assertEqual(run_virtually(main(EndReason.FULL)), Busy(3, 3))
+        reply = run_virtually(main(END_REASON_BY_REFUSAL[DECLINED]))
         self.assertIsInstance(reply, Granted)
 
-    async def end_one_if_held(self, fleet: Fleet, ended: Ended) -> None:
+    async def end_one_if_held(self, fleet: Fleet, ended: EndReason) -> None:
         if fleet.routers[self.entry].entry.held_by_number:
             await self.end_one(fleet, ended)
 
     def test_how_many_refusals_speak_against_an_engine(self) -> None:
         rows = (
             # what its requests told, how often before it gets none, and what is said then
-            (Ended.LEAVING, 1, AILING),
-            (Ended.FAILED, FAILURES, "upstream-down"),
-            (Ended.ERRED, ENOUGH, AILING),
+            (EndReason.LEAVING, 1, AILING),
+            (EndReason.CONNECTION_FAILED, FAILURES, "upstream-down"),
+            (EndReason.ENGINE_ERROR, ENOUGH, AILING),
         )
         for ended, times, code in rows:
             with self.subTest(ended=ended):
@@ -192,10 +192,10 @@
                 self.assertEqual(getattr(replies[-1], "code", ""), code)
 
     def test_a_request_that_is_wrong_says_nothing_of_the_engine(self) -> None:
-        replies = self.replies(Ended.NOTHING, 2 * ENOUGH)
+        replies = self.replies(EndReason.NEUTRAL, 2 * ENOUGH)
         self.assertTrue(all(isinstance(each, Granted) for each in replies), replies)
 
-    def replies(self, ended: Ended, times: int) -> list[OwnerReply]:
+    def replies(self, ended: EndReason, times: int) -> list[OwnerReply]:
         """Return an owner's words to requests that end so, and to one after them."""
 
         async def main() -> list[OwnerReply]:
@@ -222,14 +222,14 @@
 
 class PacketTest(unittest.TestCase):
     def test_what_a_release_tells_survives_the_way(self) -> None:
-        for ended in Ended:
+        for ended in EndReason:
             with self.subTest(ended=ended):
                 packet = decode_grant_packet(encode_grant_packet(release_of(1, 2, ended)))
                 if not isinstance(packet, Release):
                     self.fail(f"no release: {packet}")
-                self.assertEqual(ended_of(packet), ended)
+                self.assertEqual(end_reason_of(packet), ended)
 
     def test_a_router_that_does_not_know_a_reason_takes_the_grant_back(self) -> None:
-        for ended in (Ended.FULL, Ended.LEAVING):
+        for ended in (EndReason.FULL, EndReason.LEAVING):
             with self.subTest(ended=ended):
-                self.assertEqual(release_of(1, 2, ended).ended, Ended.NOTHING)
+                self.assertEqual(release_of(1, 2, ended).basic_end_reason, EndReason.NEUTRAL)
--- a/pondhatch/requests/tests/test_sending.py
+++ b/pondhatch/requests/tests/test_sending.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from pondhatch.requests import Broken, Ended, Headers, Lost, PartSink
+from pondhatch.requests import AnswerLost, Broken, EndReason, Headers, PartSink
 from pondhatch.requests._sending import GrantedAnswer
 
 
@@ -23,7 +23,7 @@
         if not self._ends:
             await asyncio.Event().wait()
         if self._lost:
-            raise Lost(Broken("answer-broken", "cut"))
+            raise AnswerLost(Broken("answer-broken", "cut"))
 
     def cancel(self) -> None:
         """Do nothing."""
@@ -38,8 +38,8 @@
 
 
 class GrantedAnswerTest(unittest.IsolatedAsyncioTestCase):
-    async def ended(self, answer: Answer) -> list[Ended]:
-        released: list[Ended] = []
+    async def ended(self, answer: Answer) -> list[EndReason]:
+        released: list[EndReason] = []
         granted = GrantedAnswer(answer, released.append)
         task = asyncio.ensure_future(granted.pour(Sink()))
         await asyncio.sleep(0)
@@ -54,14 +54,14 @@
 
     async def test_each_end_is_told_once_and_as_what_it_was(self) -> None:
         cases = (
-            (Answer(200), Ended.ANSWERED),
-            (Answer(404), Ended.ANSWERED),
-            (Answer(500), Ended.ERRED),
-            (Answer(502), Ended.ERRED),
-            (Answer(504), Ended.ANSWERED),
-            (Answer(200, lost=True), Ended.FAILED),
-            (Answer(500, lost=True), Ended.FAILED),
-            (Answer(200, ends=False), Ended.NOTHING),
+            (Answer(200), EndReason.ANSWERED),
+            (Answer(404), EndReason.ANSWERED),
+            (Answer(500), EndReason.ENGINE_ERROR),
+            (Answer(502), EndReason.ENGINE_ERROR),
+            (Answer(504), EndReason.ANSWERED),
+            (Answer(200, lost=True), EndReason.CONNECTION_FAILED),
+            (Answer(500, lost=True), EndReason.CONNECTION_FAILED),
+            (Answer(200, ends=False), EndReason.NEUTRAL),
         )
         for answer, expected in cases:
             with self.subTest(status=answer.status, expected=expected):
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -17,26 +17,26 @@
 from pondhatch.placement._forecast import LONGEST_RETRY_AFTER
 from pondhatch.requests import (
     AnswerDeadlines,
+    AnswerStarted,
     BodySource,
+    Collaborators,
+    Dispatch,
     EngineRefusal,
+    GrantRequest,
     NotRun,
-    Opened,
-    Patience,
     Placed,
-    Question,
-    QueueEnd,
+    QueueOutcome,
     ReplayableBody,
     RequestHead,
     RunTimes,
     Target,
-    Walk,
-    Ways,
+    WaitLimits,
     answer_deadlines,
 )
-from pondhatch.requests._entry import FULL_RETRY_AFTER
-from pondhatch.requests._lines import Lines
-from pondhatch.requests._queues import FirstGrant, NotGranted, Queues
-from pondhatch.requests._wait_limits import MARGIN, UsualTimes, in_time, wait_limit
+from pondhatch.requests._dispatch import FULL_RETRY_AFTER
+from pondhatch.requests._engine_queues import EngineQueues
+from pondhatch.requests._parallel_waits import FirstGrant, NotGranted, ParallelWait
+from pondhatch.requests._wait_limits import GRANT_MARGIN, UsualTimes, in_time, wait_limit
 from pondhatch.requests.tests._history import Fleet, Sink, Stream, View
 
 #: Places of a plain upstream, and the seconds in which a request runs there.
@@ -46,13 +46,13 @@
 BEARABLE = 1.05
 OBJECTIVE = 0.152
 #: As the service's routes say it while load is not managed.
-PATIENCE = Patience(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
+PATIENCE = WaitLimits(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
 
 
 class ManagedView(View):
     """A view of plain upstreams; load is managed."""
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return True
 
     def target(self, engine: str) -> Target | None:
@@ -70,7 +70,7 @@
         #: How often each request was sent.
         self.sends: Counter[str] = Counter()
 
-    async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
+    async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         self.sends[head.request_id.split(".")[0]] += 1
         self.running[target.name] += 1
         self.most = max(self.most, self.running[target.name])
@@ -78,7 +78,7 @@
             await asyncio.sleep(self._rng.uniform(*RUN))
         finally:
             self.running[target.name] -= 1
-        return Opened(Stream(b"", None, False, lambda: None))
+        return AnswerStarted(Stream(b"", None, False, lambda: None))
 
 
 class Service:
@@ -106,10 +106,10 @@
             f"q{number}", "a", "s", 0, "POST", "/", (), False, BEARABLE, 5, most_tries=1
         )
         router = self.fleet.routers[entry]
-        ways = Ways(router.entry, self.upstreams, run_times=self.run_times)
+        ways = Collaborators(router.entry, self.upstreams, run_times=self.run_times)
         remaining: Callable[[], float] = lambda: began + BEARABLE - clock()  # noqa: E731
         body = ReplayableBody(b"")
-        walk = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
+        walk = Dispatch(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
         reply = await walk.run()
         if isinstance(reply, Placed):
             await reply.reply.answer.pour(Sink(lambda _: None))
@@ -117,8 +117,8 @@
             self.seconds.append(clock() - began)
             return
         self.outcomes[reply.refusal.code] += 1
-        if walk.queued.end is not QueueEnd.NONE:
-            self.outcomes[walk.queued.end.value] += 1
+        if walk.queue_result.outcome is not QueueOutcome.NONE:
+            self.outcomes[walk.queue_result.outcome.value] += 1
         if isinstance(reply.refusal, NotRun):
             self.retry_after.append(reply.refusal.retry_after)
 
@@ -208,16 +208,16 @@
         """A place that stays taken until its lease ends, as its grant came unseen."""
         grants = mock.Mock()
 
-        async def ask(question: Question) -> Granted:
+        async def ask(question: GrantRequest) -> Granted:
             await asyncio.sleep(0.01)
             return Granted(1, 6)
 
-        def question(engine: str, _: float) -> Question:
-            return Question(int(engine[1:]), 1, engine, "a", 0, 5)
+        def question(engine: str, _: float) -> GrantRequest:
+            return GrantRequest(int(engine[1:]), 1, engine, "a", 0, 5)
 
         async def main() -> FirstGrant | NotGranted:
-            queues = Queues(grants, lambda _: "r0", ask, question)
-            return await queues.first(("e0", "e1", "e2"), 1.0)
+            queues = ParallelWait(grants, lambda _: "r0", ask, question)
+            return await queues.first_grant(("e0", "e1", "e2"), 1.0)
 
         won = run_virtually(main())
         assert isinstance(won, FirstGrant)
@@ -256,7 +256,7 @@
             dying = fleet.routers["r0"].view.owner_name("e0") or ""
             service.entries = tuple(name for name in fleet.names if name != dying)
             sending = asyncio.ensure_future(service.clumps(100.0, 4.0, 40))
-            while fleet.routers[dying].owner._lines.waiting("e0") < 2 * PLACES:
+            while fleet.routers[dying].owner._queues.waiting_count("e0") < 2 * PLACES:
                 await asyncio.sleep(0.01)
             fleet.network.silent.add(dying)
             await sending
@@ -311,23 +311,27 @@
 
     def test_the_wait_leaves_the_usual_run_time_and_the_first_event_its_time(self) -> None:
         plain, stream = answer_deadlines(0.152, False, 0.0), answer_deadlines(0.6, True, 0.1)
-        self.assertAlmostEqual(wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - MARGIN)
-        self.assertAlmostEqual(wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - MARGIN)
+        self.assertAlmostEqual(
+            wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - GRANT_MARGIN
+        )
+        self.assertAlmostEqual(
+            wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - GRANT_MARGIN
+        )
         self.assertAlmostEqual(in_time(stream, 0.2, UsualTimes(0.3, 9.0)), 0.1)
 
     def test_a_place_that_nobody_waits_for_after_a_refusal_counts_against_it(self) -> None:
         async def main() -> list[int]:
-            lines = Lines(lambda _: None, is_managed=lambda: True)
+            lines = EngineQueues(lambda _: None, is_managed=lambda: True)
             lines._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
-            asked = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
+            asked = GrantRequest(1, 1, "e", "a", 0, 5, max_wait_ms=900, in_time=100)
             waiting = asyncio.ensure_future(lines.wait(asked, Full(1, 1), lambda: Granted(1, 1)))
             await asyncio.sleep(0)
             refused = await lines.wait(asked, Full(1, 1), lambda: Granted(1, 1))
             counts = []
             for at in (0.1, 0.2, 0.3):
-                lines.gave_back("e", at)
+                lines.note_released("e", at)
                 await waiting
-                counts.append(lines.refused_in_vain)
+                counts.append(lines.wrongly_refused)
             assert isinstance(refused, Full)
             return [*counts, refused.predicted_ms]
 
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -21,23 +21,23 @@
 from pondhatch.membership import short_id
 from pondhatch.placement import OPEN, Granted, winner
 from pondhatch.requests import (
+    AnswerStarted,
     BodySource,
     Busy,
-    Ended,
+    Collaborators,
+    Dispatch,
+    EndReason,
+    GrantRequest,
     Headers,
-    Opened,
     OwnerReply,
     PartSink,
-    Patience,
     Placed,
-    Question,
     ReplayableBody,
     RequestHead,
     Target,
-    Walk,
-    Ways,
+    WaitLimits,
 )
-from pondhatch.requests._owner_waits import FIRST_WAIT
+from pondhatch.requests._owner_timeouts import INITIAL_WAIT
 from pondhatch.requests.tests._history import Fleet, View
 
 Result = TypeVar("Result")
@@ -60,7 +60,7 @@
         return Target(engine, "", OPEN, 1.5, len(ENGINES), 48, slack=40, memory_tokens=MEMORY)
 
     with (
-        patch.object(View, "load_managed", lambda view: managed),
+        patch.object(View, "is_load_managed", lambda view: managed),
         patch.object(View, "target", target),
     ):
         return run_virtually(main)
@@ -96,12 +96,12 @@
         self.used: Counter[str] = Counter()
         self.most = 0
 
-    async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
+    async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         tokens = head.prompt_tokens
         self.used[target.name] += tokens
         self.most = max(self.most, self.used[target.name])
         seconds = LARGE_SECONDS if tokens == LARGE else SMALL_SECONDS
-        return Opened(Answer(seconds, lambda: self.used.subtract({target.name: tokens})))
+        return AnswerStarted(Answer(seconds, lambda: self.used.subtract({target.name: tokens})))
 
 
 async def play() -> tuple[int, dict[int, float]]:
@@ -113,8 +113,10 @@
     async def request(number: int, tokens: int) -> None:
         router = fleet.routers[fleet.names[number % 3]]
         asked = head(tokens, request_id=f"q{number}")
-        ways, body = Ways(router.entry, engines), ReplayableBody(b"")
-        walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0, Patience(0.0, 2.0))
+        ways, body = Collaborators(router.entry, engines), ReplayableBody(b"")
+        walk = Dispatch(
+            router.view, ways, RetryBudget(), asked, body, lambda: 10.0, WaitLimits(0.0, 2.0)
+        )
         came[tokens] += 1
         placed = await walk.run()
         if isinstance(placed, Placed):
@@ -162,8 +164,8 @@
         """Return an owner's reply, and the number of the question."""
         entry = fleet.routers[self.entry].entry
         number, fields = entry.next_number(), {"chat": 0, "priority": 5, **changes}
-        asked = Question(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
-        return await entry.ask(owner or self.owner, asked, FIRST_WAIT), number
+        asked = GrantRequest(number, short_id(self.entry), engine, "a", tokens=tokens, **fields)
+        return await entry.ask(owner or self.owner, asked, INITIAL_WAIT), number
 
     def used(self, fleet: Fleet, owner: str = "") -> int:
         return fleet.routers[owner or self.owner].owner._engine_memory._counts.used("e0")
@@ -179,7 +181,7 @@
                 reply, number = await self.ask(fleet, 1_000)
                 await asyncio.sleep(0.5)
                 if isinstance(reply, Granted):
-                    release(number, Ended.ANSWERED)
+                    release(number, EndReason.ANSWERED)
 
             async def arrive() -> None:
                 while True:
@@ -189,7 +191,7 @@
             tasks: list[asyncio.Task[None]] = [asyncio.create_task(arrive())]
             await asyncio.sleep(1.0)
             began = asyncio.get_running_loop().time()
-            reply, _ = await self.ask(fleet, 8_000, patience=5_000)
+            reply, _ = await self.ask(fleet, 8_000, max_wait_ms=5_000)
             for task in tasks:
                 task.cancel()
             return reply, asyncio.get_running_loop().time() - began
@@ -203,7 +205,7 @@
         async def main() -> tuple[OwnerReply, OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet, 5_000)
-            waiting = asyncio.ensure_future(self.ask(fleet, 8_000, patience=5_000))
+            waiting = asyncio.ensure_future(self.ask(fleet, 8_000, max_wait_ms=5_000))
             await asyncio.sleep(0.2)
             during, _ = await self.ask(fleet, 1_000)
             waiting.cancel()
@@ -234,7 +236,7 @@
             adopted = self.used(fleet, heir)
             reply, _ = await self.ask(fleet, 2_000, heir)
             for number in numbers:
-                fleet.routers[self.entry].entry.release(number, Ended.ANSWERED)
+                fleet.routers[self.entry].entry.release(number, EndReason.ANSWERED)
             await asyncio.sleep(0.3)
             return adopted, reply, self.used(fleet, heir)
 
@@ -250,12 +252,12 @@
             owner.gate.by_engine.clear()
             owner.owner.leases.by_holder.clear()
             owner.owner._engine_memory._counts.by_engine.clear()
-            entry.hold_again(self.owner)
+            entry.report_held_grants(self.owner)
             await asyncio.sleep(0.3)
             _, after = await self.ask(fleet, 2_000)
             used = self.used(fleet)
             for number in (before, after):
-                entry.release(number, Ended.ANSWERED)
+                entry.release(number, EndReason.ANSWERED)
             await asyncio.sleep(0.3)
             return used, self.used(fleet)
 
@@ -263,13 +265,13 @@
 
 
 class QuestionTest(unittest.TestCase):
-    def asked(self, managed: bool, **stated: Any) -> Question:
-        async def main() -> Question:
+    def asked(self, managed: bool, **stated: Any) -> GrantRequest:
+        async def main() -> GrantRequest:
             router = Fleet([], [], False).routers["r0"]
-            ways, body = Ways(router.entry, Engines()), ReplayableBody(b"")
+            ways, body = Collaborators(router.entry, Engines()), ReplayableBody(b"")
             asked = head(1_000, **stated)
-            walk = Walk(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
-            return walk._question("e0", insist=False)
+            walk = Dispatch(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
+            return walk._grant_request("e0", insist=False)
 
         return run(main(), managed)
 
--- a/pondhatch/router/_admission.py
+++ b/pondhatch/router/_admission.py
@@ -127,7 +127,7 @@
 
 def admit(state: RouterState, account: Account, service: str | None) -> Admitted | NotRun:
     """Count a request in, or say why it may not run."""
-    if state.stopping():
+    if state.is_draining():
         return NotRun("stopping", "this router is stopping; ask again", 0.0)
     spec = state.fleet.service_by_name.get(service) if service is not None else None
     if service is None or spec is None:
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from pondhatch.quarantine import Suspects, Trial
-from pondhatch.requests import QUARANTINED, Refusal, Target, out_of_time
+from pondhatch.requests import QUARANTINED, Refusal, Target, deadline_passed
 
 #: Seconds for which a router listens for what others see in the same moment, before it runs a
 #: request anew under which an engine has just ended: packets take less, between regions too.
@@ -63,7 +63,7 @@
             if await self._has_turn():
                 return None
             if remaining() <= 0:
-                return out_of_time()
+                return deadline_passed()
             await asyncio.sleep(TURN_CHECK_SECONDS)
         return QUARANTINED
 
@@ -83,11 +83,11 @@
         """Return whether an engine's end is held against it; see RequestWatch."""
         return self._guard.suspects.is_suspected(self._digest)
 
-    async def run_was_cut(self, target: Target) -> bool:
+    async def note_connection_lost(self, target: Target) -> bool:
         """Note that a run lost its connection; see RequestWatch."""
         return await self._guard.run_was_cut(self._digest, target)
 
-    def run_was_whole(self) -> None:
+    def note_completed(self) -> None:
         """Note that an engine bore it; see RequestWatch."""
         self._guard.run_was_whole(self._digest)
 
--- a/pondhatch/router/_granting.py
+++ b/pondhatch/router/_granting.py
@@ -7,7 +7,7 @@
 from pondhatch.kernel import Tasks
 from pondhatch.membership import Address, Datagram, Member, short_id
 from pondhatch.requests import (
-    NUMBERS,
+    NUMBER_LIMIT,
     EntryGrants,
     GrantPacket,
     GrantSides,
@@ -45,7 +45,7 @@
             state.cold_paces,
             state.tokens,
         )
-        first = started_ns // NANOSECONDS_A_NUMBER % NUMBERS
+        first = started_ns // NANOSECONDS_A_NUMBER % NUMBER_LIMIT
         router = short_id(state.name)
         self.entry = EntryGrants(
             state.name, router, self.owner, self._send_to, first, state.heard_from
@@ -82,16 +82,16 @@
         members = self._state.members()
         if members is not self._followed:
             self._followed = members
-            self.entry.follow_owners(self._state.owner_name)
+            self.entry.move_to_new_owners(self._state.owner_name)
 
     def tick(self) -> None:
         """Do what is due each round."""
         for name in self._restarted():
-            self.owner.restarted_router(short_id(name))
-            self.entry.hold_again(name)
+            self.owner.router_restarted(short_id(name))
+            self.entry.report_held_grants(name)
         for router in self.owner.holding_routers():
             if self._state.gossip.is_gone_by_id(router):
-                self.owner.lost_router(router)
+                self.owner.router_gone(router)
         self._sides.tick(self._state.clock(), self._state.owner_name)
 
     def _restarted(self) -> list[str]:
--- a/pondhatch/router/_notice_keeping.py
+++ b/pondhatch/router/_notice_keeping.py
@@ -79,10 +79,10 @@
         found = open_target(self._state.target(upstream), upstream, head.resuming, head.regions)
         return found if isinstance(found, NotRun) else None
 
-    def heard(self, upstream: str, notice: Notice) -> None:
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
         """Take in what an upstream said in the head of an answer, and tell who should know."""
         is_news = self._state.hear(upstream, notice)
-        if notice.pace > 0 and self._state.load_managed():
+        if notice.pace > 0 and self._state.is_load_managed():
             self._report_pace(upstream, notice.pace)
         if is_news:
             self._fresh.add(upstream)
--- a/pondhatch/router/_order_duties.py
+++ b/pondhatch/router/_order_duties.py
@@ -22,7 +22,7 @@
 
     def wants_to_order(self, service: str) -> bool:
         """Return whether this router is the one that should give a service's orders."""
-        if self.orders_of(service) is None or self.state.stopping():
+        if self.orders_of(service) is None or self.state.is_draining():
             return False
         return winner(f"orders:{service}", self.state.live_routers()) == self.state.name
 
--- a/pondhatch/router/_pooled_engines.py
+++ b/pondhatch/router/_pooled_engines.py
@@ -18,9 +18,9 @@
         self._is_pooled = is_pooled
         self._loads = RecentLoads()
 
-    def first_of(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
+    def preferred(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
         """Return the engines of an order to ask first; see EnginePreference."""
-        if not self._state.load_managed():
+        if not self._state.is_load_managed():
             return ()
         engines = order[:CONSIDERED]
         pooled = {name for name in engines if self._has_connection(name)}
@@ -34,7 +34,7 @@
 
     def note_reply(self, engine: str, reply: OwnerReply) -> None:
         """Take in the load that an owner spoke of; see EnginePreference."""
-        if not isinstance(reply, Granted | Busy) or not self._state.load_managed():
+        if not isinstance(reply, Granted | Busy) or not self._state.is_load_managed():
             return
         # A grant counts the request that it was given to.
         others = reply.in_flight - isinstance(reply, Granted)
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -43,7 +43,7 @@
     winner,
 )
 from pondhatch.quarantine import Suspects
-from pondhatch.requests import DecisionNote, KeyHolder, KeyTable, LocalKeyHolder, Target
+from pondhatch.requests import KeyHolder, KeyTable, LocalKeyHolder, RoutingDecision, Target
 from pondhatch.router._hall_states import HallStates
 from pondhatch.router._intakes import Intakes
 from pondhatch.router._lag import Lag
@@ -111,7 +111,7 @@
     notices: Notices = field(default_factory=Notices)
     #: How fast engines work now, as they report it.
     paces: EnginePaces = field(default_factory=EnginePaces)
-    #: When load is managed; see ``load_managed``.
+    #: When load is managed; see ``is_load_managed``.
     load_management: LoadManagement = "off"
     #: When this router last read an engine's pace, in the clock's seconds.
     pace_read_at: float = float("-inf")
@@ -131,7 +131,7 @@
     wants_whole: bool = False
     #: For how long this router has known of a newer one.
     lag: Lag = field(default_factory=Lag)
-    decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=KEPT_DECISIONS))
+    decisions: deque[RoutingDecision] = field(default_factory=lambda: deque(maxlen=KEPT_DECISIONS))
     #: This router's own side as a holder of keys.
     local: KeyHolder = field(init=False)
     _members: tuple[Member, ...] = ()
@@ -172,7 +172,7 @@
             return
         member_by_name = {member.name: member for member in members}
         for gone in self._member_by_name.keys() - member_by_name.keys():
-            self.keys.lost_router(gone)
+            self.keys.router_gone(gone)
         self._members = members
         self._member_by_name = member_by_name
         live = tuple(member for member in members if member.phase == Phase.LIVE)
@@ -203,7 +203,7 @@
         """Return the names of the routers that are neither draining nor gone."""
         return self._live_routers
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
         self.gossip.unreachable(name, self.clock())
         self.refresh()
@@ -253,7 +253,7 @@
         """Return whether an upstream joined after this router knew the list, and lately."""
         return self._upstream_changes.joins.is_young(engine, self.clock())
 
-    def resumes(self, engine: str) -> bool:
+    def can_resume(self, engine: str) -> bool:
         """Return whether an engine can resume a broken stream."""
         upstream = self.upstreams.upstream(engine)
         return upstream is not None and upstream.resumes
@@ -333,12 +333,12 @@
             instance=upstream.instance,
             pace=self.paces.pace(engine, self.clock()),
             memory_tokens=service.engine_tokens,
-            most_idle=self._connections_share(service.max_connections),
+            max_idle_connections=self._connections_share(service.max_connections),
         )
 
     def _connections_share(self, most: int | None) -> int | None:
         """Return how many idle connections of an engine's are this router's, None for no bound."""
-        if most is None or not self.load_managed():
+        if most is None or not self.is_load_managed():
             return None
         return max(LEAST_IDLE_CONNECTIONS, most // max(1, len(self._live_routers)))
 
@@ -470,7 +470,7 @@
 
     # -- load ---------------------------------------------------------------
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         """Return whether the parts of load management are in force at this router now."""
         if self.load_management == "as-needed":
             return self.clock() - self.pace_read_at < PACED_SECONDS
@@ -487,7 +487,7 @@
         is_listed = self.upstreams.version > 0 and self.halls.evacuations.is_known
         return self.fleet.version > 0 and is_listed
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether this router is draining."""
         return self.phase != Phase.LIVE
 
--- a/pondhatch/router/tests/test_beliefs.py
+++ b/pondhatch/router/tests/test_beliefs.py
@@ -113,7 +113,7 @@
         peer = router("r1")
         meet(self.state, peer)
         self.assertEqual(self.looked(), [("router", "r1", "live", 0)])
-        self.state.unreachable("r1")
+        self.state.note_unreachable("r1")
         self.assertEqual(self.looked(), [("router", "r1", "out of reach", 0)])
 
     def test_the_platform_lost_and_answering_again(self) -> None:
--- a/pondhatch/router/tests/test_crash_guarding.py
+++ b/pondhatch/router/tests/test_crash_guarding.py
@@ -133,9 +133,9 @@
             async with asyncio.timeout(RUN):
                 await gone.wait()
         except TimeoutError:
-            watch.run_was_whole()
+            watch.note_completed()
             return True
-        ended = await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8))
+        ended = await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8))
         if not ended and self.lingers < FIRST_PROBES[-1]:
             raise AssertionError("an end that the first probes can see was not seen")
         return False
@@ -255,7 +255,7 @@
             world = World(1, 1, random.Random(1))
             (engine,) = world.live
             watch, began = world.guards[0].watch(CAUSE), world.loop.time()
-            self.assertFalse(await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8)))
+            self.assertFalse(await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8)))
             self.assertLess(world.loop.time() - began, 0.03)
             await asyncio.sleep(1.0)
             self.assertFalse(watch.is_suspected())
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -10,7 +10,7 @@
 from pondhatch.configuration.tests.test_fleet import account, change
 from pondhatch.kernel import REGISTRY, Plugin
 from pondhatch.placement import TokenNeed
-from pondhatch.requests import DecisionNote
+from pondhatch.requests import RoutingDecision
 from pondhatch.router import Authority, RouterState, dump_state
 from pondhatch.router._dump import SECTION_KIND
 from pondhatch.router.tests.test_sync import FIRST, router
@@ -31,7 +31,7 @@
 
     def test_it_shows_what_is_in_force_and_the_last_decision_first(self) -> None:
         for number in (1, 2):
-            note = DecisionNote(
+            note = RoutingDecision(
                 f"q{number}", "atelier", "lang", "e0", (("e1", "full"),), "whole", 1.0
             )
             self.state.decisions.append(note)
--- a/pondhatch/router/tests/test_granting.py
+++ b/pondhatch/router/tests/test_granting.py
@@ -18,7 +18,7 @@
     short_id,
 )
 from pondhatch.requests import Release, decode_grant_packet
-from pondhatch.requests._entry_grants import Held
+from pondhatch.requests._entry_grants import HeldGrant
 from pondhatch.router import GRANT_MARK, Granting, RouterState
 from pondhatch.router._granting import RESTART_STEP
 from pondhatch.router.tests.test_sync import FIRST, meet, router
@@ -78,7 +78,7 @@
         self.sent: list[Datagram] = []
         self.granting = Granting(self.state, self.sent.extend, Tasks(), 1)
         self.granting.follow_members()
-        self.granting.entry.held_by_number[7] = Held(self.engine, "r1")
+        self.granting.entry.held_by_number[7] = HeldGrant(self.engine, "r1")
 
     def told(self) -> list[object]:
         packets = [each.payload[len(GRANT_MARK) :] for each in self.sent]
@@ -91,7 +91,7 @@
         self.state.refresh()
         self.assertEqual(self.state.owner_name(self.engine), "r0")
         self.granting.follow_members()
-        self.assertEqual(self.granting.entry.held_by_number[7], Held(self.engine, "r0"))
+        self.assertEqual(self.granting.entry.held_by_number[7], HeldGrant(self.engine, "r0"))
         self.assertEqual(self.state.gate.in_flight(self.engine, 0.0), 1)
         self.assertEqual([type(each) for each in self.told()], [Release])
 
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -156,7 +156,7 @@
             meet(self.state, router(f"r{at}"))
         self.state.tick()
         for at in range(1, 4):
-            self.state.unreachable(f"r{at}")
+            self.state.note_unreachable(f"r{at}")
         self.state.tick()
         self.assertEqual(self.state.cold_paces.share, 0.25)
 
--- a/pondhatch/router/tests/test_load_switch.py
+++ b/pondhatch/router/tests/test_load_switch.py
@@ -28,16 +28,16 @@
     def test_it_is_off_unless_the_settings_say_so(self) -> None:
         state = _state("off")
         state.pace_read_at = 100.0
-        self.assertFalse(state.load_managed())
-        self.assertTrue(_state("on").load_managed())
+        self.assertFalse(state.is_load_managed())
+        self.assertTrue(_state("on").is_load_managed())
 
     def test_it_follows_the_paces_that_engines_state(self) -> None:
         state = _state("as-needed")
-        self.assertFalse(state.load_managed())
+        self.assertFalse(state.is_load_managed())
         state.pace_read_at = 100.0
-        self.assertTrue(state.load_managed())
+        self.assertTrue(state.is_load_managed())
         state.pace_read_at = 100.0 - PACED_SECONDS
-        self.assertFalse(state.load_managed())
+        self.assertFalse(state.is_load_managed())
 
     def test_the_prepared_machines_ask_for_it_where_callers_compete(self) -> None:
         machines = PreparedMachines({})
--- a/pondhatch/router/tests/test_notice_keeping.py
+++ b/pondhatch/router/tests/test_notice_keeping.py
@@ -93,7 +93,7 @@
 class LeavingTest(FleetCase):
     def test_all_routers_know_what_one_heard(self) -> None:
         engine = self.start(0)
-        self.keepings["r0"].heard(engine, LEAVES)
+        self.keepings["r0"].receive_notice(engine, LEAVES)
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
         for name in self.names[:3]:
             self.assertIs(self.closed(name, engine), Closed.LEAVING)
@@ -101,20 +101,20 @@
 
     def test_it_is_told_once_more_for_a_packet_may_be_lost_and_then_no_more(self) -> None:
         engine, self.is_lost = self.start(0), True
-        self.keepings["r0"].heard(engine, LEAVES)
+        self.keepings["r0"].receive_notice(engine, LEAVES)
         self.deliver()
         self.is_lost = False
         self.keepings["r0"].tick()
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
         self.assertIs(self.closed("r2", engine), Closed.LEAVING)
         for name in self.names:
-            self.keepings[name].heard(engine, LEAVES)
+            self.keepings[name].receive_notice(engine, LEAVES)
             self.keepings[name].tick()
         self.assertEqual([to for to in self.deliver() if to != "r3"], [])
 
     def test_a_router_that_is_new_is_told(self) -> None:
         engine = self.start(0)
-        self.keepings["r0"].heard(engine, LEAVES)
+        self.keepings["r0"].receive_notice(engine, LEAVES)
         self.deliver()
         self.meet_all(self.names)
         for name in self.names[:3]:
@@ -125,7 +125,7 @@
     def test_the_platforms_list_does_not_open_it_and_a_new_start_is_open(self) -> None:
         engine = self.start(0)
         state = self.states["r0"]
-        self.keepings["r0"].heard(engine, LEAVES)
+        self.keepings["r0"].receive_notice(engine, LEAVES)
         self.write(state, "e0", 20, slots=9)
         self.assertIs(self.closed("r0", engine), Closed.LEAVING)
         self.write(state, "e0", 21, start=8)
@@ -134,14 +134,14 @@
     def test_one_that_says_in_the_list_that_it_stays_after_all_is_open(self) -> None:
         engine = self.start(0)
         state = self.states["r0"]
-        self.keepings["r0"].heard(engine, LEAVES)
+        self.keepings["r0"].receive_notice(engine, LEAVES)
         self.write(state, "e0", 20, state="leaving")
         self.write(state, "e0", 21)
         self.assertIsNone(self.closed("r0", engine))
 
     def test_the_rest_of_its_streams_may_still_be_sent_there(self) -> None:
         engine = self.start(0)
-        self.keepings["r0"].heard(engine, LEAVES)
+        self.keepings["r0"].receive_notice(engine, LEAVES)
         closed = self.keepings["r0"].closed(engine, HEAD)
         assert closed is not None
         self.assertEqual(closed.code, Closed.LEAVING)
@@ -153,7 +153,7 @@
         engine = self.start(0)
         state = self.states["r0"]
         owners = state.owners_beside(engine) - {"r0"}
-        self.keepings["r0"].heard(engine, Notice(rest=3.0))
+        self.keepings["r0"].receive_notice(engine, Notice(rest=3.0))
         self.assertEqual(set(self.deliver()), owners)
         for name in owners:
             self.assertIs(self.closed(name, engine), Closed.RESTING)
@@ -170,7 +170,7 @@
         owner = self.states["r0"].owner_name(engine)
         assert owner is not None
         told = next(name for name in self.names[:3] if name != owner)
-        self.keepings[told].heard(engine, Notice(rest=3.0, has_places=True))
+        self.keepings[told].receive_notice(engine, Notice(rest=3.0, has_places=True))
         self.assertEqual(self.deliver(), [owner])
         self.assertIs(self.closed(told, engine), Closed.RESTING)
         for name in set(self.names[:3]) - {told}:
@@ -205,7 +205,7 @@
         engine, state = self.start(0), self.states["r0"]
         owner = state.owner_name(engine)
         teller = next(name for name in self.names[:3] if name != owner)
-        self.keepings[teller].heard(engine, Notice(rest=3.0))
+        self.keepings[teller].receive_notice(engine, Notice(rest=3.0))
         self.keepings[teller].tick()
         self.sent.clear()
         self.keepings[teller]._owner_by_upstream[engine] = "r9"
@@ -214,7 +214,7 @@
 
     def test_what_many_rests_cost_is_bounded(self) -> None:
         for at in range(2000):
-            self.keepings["r0"].heard(self.start(at % 3), Notice(rest=3.0 + at))
+            self.keepings["r0"].receive_notice(self.start(at % 3), Notice(rest=3.0 + at))
         without_owners = len(self.sent) - 2000
         self.assertLess(without_owners, 10 * REST_PACKETS_A_ROUND + 1)
 
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -31,7 +31,7 @@
     def test_its_owner_alone_is_told_once_a_second(self) -> None:
         for at in range(25):
             self.now = at / 10
-            self.keepings[self.entry].heard(self.engine, SLOW)
+            self.keepings[self.entry].receive_notice(self.engine, SLOW)
             self.keepings[self.entry].tick()
         self.assertEqual(self.deliver(), [self.owner] * 3)
         self.assertEqual(self.pace_at(self.owner), 250)
@@ -39,12 +39,12 @@
         self.assertEqual(self.pace_at(self.owner), USUAL_PACE)
 
     def test_what_is_near_the_usual_pace_and_an_owners_own_reading_are_not_told(self) -> None:
-        self.keepings[self.entry].heard(self.engine, Notice(pace=149))
-        self.keepings[self.owner].heard(self.engine, SLOW)
+        self.keepings[self.entry].receive_notice(self.engine, Notice(pace=149))
+        self.keepings[self.owner].receive_notice(self.engine, SLOW)
         self.assertEqual(self.deliver(), [])
 
     def test_it_closes_nothing(self) -> None:
-        self.keepings[self.entry].heard(self.engine, SLOW)
+        self.keepings[self.entry].receive_notice(self.engine, SLOW)
         self.deliver()
         for name in (self.entry, self.owner):
             self.assertIsNone(self.closed(name, self.engine))
@@ -63,9 +63,11 @@
     def test_while_load_is_not_managed_nothing_is_told_and_no_byte_differs(self) -> None:
         for state in self.states.values():
             state.load_management = "off"
-        self.keepings[self.entry].heard(self.engine, SLOW)
+        self.keepings[self.entry].receive_notice(self.engine, SLOW)
         self.assertEqual(self.sent, [])
-        self.keepings[self.entry].heard(self.engine, Notice(rest=3.0, has_places=True, pace=250))
+        self.keepings[self.entry].receive_notice(
+            self.engine, Notice(rest=3.0, has_places=True, pace=250)
+        )
         payload = msgspec.msgpack.encode([70, [[self.engine, False, 3.0, True]]])
         self.assertEqual([each.payload for _, each in self.sent], [NOTICE_MARK + payload])
         self.assertEqual(self.states[self.entry].pace_read_at, self.now)
@@ -73,10 +75,10 @@
     def test_only_who_reads_a_pace_itself_manages_load_where_it_is_as_needed(self) -> None:
         for state in self.states.values():
             state.load_management = "as-needed"
-        self.keepings[self.entry].heard(self.engine, SLOW)
+        self.keepings[self.entry].receive_notice(self.engine, SLOW)
         self.deliver()
-        self.assertTrue(self.states[self.entry].load_managed())
-        self.assertFalse(self.states[self.owner].load_managed())
+        self.assertTrue(self.states[self.entry].is_load_managed())
+        self.assertFalse(self.states[self.owner].is_load_managed())
 
     def test_packets_of_and_for_routers_that_know_no_pace(self) -> None:
         old = msgspec.msgpack.encode([70, [["e", True, 0.0, False]]])
--- a/pondhatch/router/tests/test_pooled_engines.py
+++ b/pondhatch/router/tests/test_pooled_engines.py
@@ -8,8 +8,8 @@
 from pondhatch.limits import RetryBudget
 from pondhatch.placement import Granted, ranked
 from pondhatch.platform.tests._wire import CONFIGURATION
-from pondhatch.requests import Busy, ReplayableBody, RequestHead, Ways
-from pondhatch.requests._entry import Walk
+from pondhatch.requests import Busy, Collaborators, ReplayableBody, RequestHead
+from pondhatch.requests._dispatch import Dispatch
 from pondhatch.router import PooledEngines
 from pondhatch.transport.tests.test_routed_callers import state_of
 
@@ -25,9 +25,9 @@
     def order(self, chat: int) -> tuple[str, ...]:
         nobody: Any = None
         head = RequestHead("r", "a", "lang", chat, "POST", "/", (), False, 5.0, 5)
-        ways = Ways(nobody, nobody, preference=self.preference)
+        ways = Collaborators(nobody, nobody, preference=self.preference)
         budget = RetryBudget()
-        return Walk(self.state, ways, budget, head, ReplayableBody(b""), lambda: 5.0).plan.order
+        return Dispatch(self.state, ways, budget, head, ReplayableBody(b""), lambda: 5.0).plan.order
 
     def test_it_moves_no_request_with_a_context(self) -> None:
         self.assertEqual(self.order(0), ("i-1", "i-0"))
@@ -36,16 +36,16 @@
 
     def test_while_load_is_not_managed_there_is_none(self) -> None:
         self.state.load_management = "off"
-        self.assertEqual(self.preference.first_of("lang", ENGINES), ())
+        self.assertEqual(self.preference.preferred("lang", ENGINES), ())
 
     def test_it_goes_by_counts_here_and_by_words_of_other_owners(self) -> None:
         self.state.gate.adopt("i-1")
         self.state.gate.adopt("i-1")
-        self.assertEqual(self.preference.first_of("lang", ENGINES), ())
+        self.assertEqual(self.preference.preferred("lang", ENGINES), ())
         other: Any = "r1"
         self.state.owner_name = lambda engine: other  # type: ignore[method-assign]
-        self.assertEqual(self.preference.first_of("lang", ENGINES), ("i-1",))
+        self.assertEqual(self.preference.preferred("lang", ENGINES), ("i-1",))
         self.preference.note_reply("i-1", Granted(2, 9))
-        self.assertEqual(self.preference.first_of("lang", ENGINES), ("i-1",))
+        self.assertEqual(self.preference.preferred("lang", ENGINES), ("i-1",))
         self.preference.note_reply("i-1", Busy(2, 2))
-        self.assertEqual(self.preference.first_of("lang", ENGINES), ())
+        self.assertEqual(self.preference.preferred("lang", ENGINES), ())
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -29,17 +29,17 @@
 from pondhatch.placement import USUAL_PACE
 from pondhatch.platform._engines import EngineDialect
 from pondhatch.requests import (
+    AnswerStarted,
     BodySource,
+    Collaborators,
     Delivery,
-    Opened,
+    Dispatch,
     PartSink,
-    Patience,
     Placed,
     ReplayableBody,
     RequestHead,
     Target,
-    Walk,
-    Ways,
+    WaitLimits,
     Whole,
 )
 from pondhatch.router import GRANT_MARK, NOTICE_MARK, Granting, NoticeKeeping, RouterState
@@ -102,13 +102,13 @@
         self.running: Counter[str] = Counter()
         self._dialect = EngineDialect()
 
-    async def answer(self, engine: str, keeping: NoticeKeeping) -> Opened:
+    async def answer(self, engine: str, keeping: NoticeKeeping) -> AnswerStarted:
         self.running[engine] += 1
         pace = SLOW_PACE if engine == self.slow else 100
         await asyncio.sleep(FIRST_SECONDS * pace / 100)
         load = f"{self.running[engine]},0,{SLOTS},{pace}"
-        keeping.heard(engine, self._dialect.notice(200, {"instance-load": load}))
-        return Opened(Answer(self, engine, (USUAL_SECONDS - FIRST_SECONDS) * pace / 100))
+        keeping.receive_notice(engine, self._dialect.notice(200, {"instance-load": load}))
+        return AnswerStarted(Answer(self, engine, (USUAL_SECONDS - FIRST_SECONDS) * pace / 100))
 
 
 class Sink:
@@ -127,7 +127,7 @@
     def __init__(self, engines: Engines, keeping: NoticeKeeping) -> None:
         self._engines, self._keeping = engines, keeping
 
-    async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
+    async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         return await self._engines.answer(target.name, self._keeping)
 
 
@@ -151,7 +151,7 @@
         self.keeping = NoticeKeeping(self.state, self.send)
         self.granting = Granting(self.state, self.send, Tasks(), 1)
         connections = Connections(fleet.engines, self.keeping)
-        self._ways = Ways(self.granting.entry, connections)
+        self._ways = Collaborators(self.granting.entry, connections)
 
     def receive(self, payload: bytes, source: Address) -> None:
         if payload.startswith(GRANT_MARK):
@@ -173,14 +173,14 @@
         """Send one request through this router; return whether its caller got all of it."""
         until = self.state.clock() + 10.0
         head = RequestHead(f"q{number}", "a", "lang", 0, "POST", "/", (), True, 10.0, 5)
-        walk = Walk(
+        walk = Dispatch(
             self.state,
             self._ways,
             RetryBudget(),
             head,
             ReplayableBody(b""),
             lambda: until - self.state.clock(),
-            Patience(0.2, 1.0),
+            WaitLimits(0.2, 1.0),
         )
         placed = await walk.run()
         if not isinstance(placed, Placed):
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -22,9 +22,9 @@
     Headers,
     MalformedChat,
     NotRun,
-    Patience,
     ReplayableBody,
     RequestHead,
+    WaitLimits,
     digest_of,
     read_chat,
 )
@@ -101,8 +101,8 @@
 
         @self.app.route("/healthz", methods=["GET"])
         def health(request: Any) -> bytes:
-            request.setResponseCode(503 if self._state.stopping() else 200)
-            return b"stopping\n" if self._state.stopping() else b"ok\n"
+            request.setResponseCode(503 if self._state.is_draining() else 200)
+            return b"stopping\n" if self._state.is_draining() else b"ok\n"
 
         @self.app.route("/", branch=True)
         def plain(request: IRequest) -> Deferred[None]:
@@ -174,10 +174,10 @@
         head = self._head(request, account, admitted, CHAT_PATH)
         digest = digest_of(account.name, head.method, head.path, body)
         head = msgspec.structs.replace(
-            head, chat=chat.chat, repeatable=True, returning=chat.returning, digest=digest
+            head, chat=chat.chat, repeatable=True, is_followup=chat.is_followup, digest=digest
         )
-        context_wait = admitted.context_wait if chat.returning else 0.0
-        patience = Patience(context_wait, admitted.queue_wait)
+        context_wait = admitted.context_wait if chat.is_followup else 0.0
+        patience = WaitLimits(context_wait, admitted.queue_wait)
         return Work(account, admitted, head, ReplayableBody(body), patience, hold=hold)
 
     async def _prepare_plain(
@@ -196,7 +196,7 @@
         head = msgspec.structs.replace(head, repeatable=head.method in spec.repeatable_methods)
         body = request.body()
         replayable = ReplayableBody(b"") if body.length == 0 else body
-        patience = Patience(0.0, admitted.queue_wait)
+        patience = WaitLimits(0.0, admitted.queue_wait)
         # Its body is passed on as it comes: what waits of it, waits in the request's pipe.
         request.pipe.count_by(hold)
         return Work(account, admitted, head, replayable, patience, _key(request, head), hold)
--- a/pondhatch/standard/_upstreams.py
+++ b/pondhatch/standard/_upstreams.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from pondhatch.placement import NOTHING_SAID, Notice
-from pondhatch.requests import LAST_EVENT, EngineRefusal, Headers, Judged, RequestHead, Target
+from pondhatch.requests import LAST_EVENT, AnswerKind, EngineRefusal, Headers, RequestHead, Target
 from pondhatch.standard._header_owners import OWNERS
 from pondhatch.transport import NoteDropped, seconds_to_wait
 
@@ -27,12 +27,12 @@
 REFUSAL_BY_WORD = {
     "full": EngineRefusal.FULL,
     "leaving": EngineRefusal.LEAVING,
-    "not-the-one": EngineRefusal.NOT_THE_ONE,
+    "not-the-one": EngineRefusal.WRONG_INSTANCE,
     "bad-request": EngineRefusal.BAD_REQUEST,
 }
 REFUSAL_BY_STATUS = {
     400: EngineRefusal.BAD_REQUEST,
-    NOT_THE_ONE_STATUS: EngineRefusal.NOT_THE_ONE,
+    NOT_THE_ONE_STATUS: EngineRefusal.WRONG_INSTANCE,
     429: EngineRefusal.FULL,
     503: EngineRefusal.FULL,
 }
@@ -64,15 +64,15 @@
 
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
-    ) -> Judged | EngineRefusal:
+    ) -> AnswerKind | EngineRefusal:
         """Say what an answer's head means; plain services need not echo the id."""
         if NOT_RUN_HEADER in value_by_name:
             notice = self.notice(status, value_by_name)
             return _refusal(status, value_by_name[NOT_RUN_HEADER], notice)
         answered = value_by_name.get(REQUEST_ID_HEADER.lower())
         if answered != head.request_id and (answered is not None or head.chat):
-            return Judged.CROSSED
-        return Judged.ANSWERED
+            return AnswerKind.CROSSED
+        return AnswerKind.ANSWERED
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
         """Return what an answer's head says of the upstream itself."""
