--- a/pondhatch/standard/tests/test_upstreams.py
+++ b/pondhatch/standard/tests/test_upstreams.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pondhatch.placement import NOTHING_SAID, Notice
-from pondhatch.requests import EngineRefusal, Judged, RequestHead
+from pondhatch.requests import AnswerKind, EngineRefusal, RequestHead
 from pondhatch.standard._upstreams import OpenAiUpstreams
 
 HEAD = RequestHead("r.1", "a", "s", 7, "POST", "/", (), True, 10.0, 5)
@@ -11,19 +11,19 @@
 
 class JudgeTest(unittest.TestCase):
     def test_what_an_answers_head_says(self) -> None:
-        rows: tuple[tuple[int, dict[str, str], Judged | EngineRefusal], ...] = (
-            (200, {"x-request-id": "r.1"}, Judged.ANSWERED),
-            (503, {"x-request-id": "r.1"}, Judged.ANSWERED),
-            (200, {"x-request-id": "r.2"}, Judged.CROSSED),
+        rows: tuple[tuple[int, dict[str, str], AnswerKind | EngineRefusal], ...] = (
+            (200, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
+            (503, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
+            (200, {"x-request-id": "r.2"}, AnswerKind.CROSSED),
             # By the reason that is told, whatever the status.
             (503, {"x-not-run": "full"}, EngineRefusal.FULL),
             (503, {"x-not-run": "Leaving"}, EngineRefusal.LEAVING),
-            (503, {"x-not-run": "not-the-one"}, EngineRefusal.NOT_THE_ONE),
+            (503, {"x-not-run": "not-the-one"}, EngineRefusal.WRONG_INSTANCE),
             (422, {"x-not-run": "bad-request"}, EngineRefusal.BAD_REQUEST),
             # By the status where none is told.
             (503, {"x-not-run": "1"}, EngineRefusal.FULL),
             (429, {"x-not-run": "1"}, EngineRefusal.FULL),
-            (421, {"x-not-run": "1"}, EngineRefusal.NOT_THE_ONE),
+            (421, {"x-not-run": "1"}, EngineRefusal.WRONG_INSTANCE),
             (400, {"x-not-run": "1"}, EngineRefusal.BAD_REQUEST),
             (409, {"x-not-run": "1"}, EngineRefusal.UNKNOWN),
             (503, {"x-not-run": "1", "retry-after": "3"}, EngineRefusal.OVERLOADED),
--- a/pondhatch/transport/_interface.py
+++ b/pondhatch/transport/_interface.py
@@ -17,7 +17,7 @@
 from pondhatch.configuration import CallerLimits, ConfigurationSource
 from pondhatch.kernel import Tasks
 from pondhatch.observing import Metrics, Records
-from pondhatch.requests import UpstreamDialect, Ways
+from pondhatch.requests import Collaborators, UpstreamDialect
 from pondhatch.router import RouterState, Starting
 from pondhatch.store import Platform
 
@@ -29,7 +29,7 @@
     """What serving callers takes."""
 
     state: RouterState
-    ways: Ways
+    ways: Collaborators
     #: What callers may send, by the settings in force.
     limits: Callable[[], CallerLimits]
     metrics: Metrics
--- a/pondhatch/transport/_peer_service.py
+++ b/pondhatch/transport/_peer_service.py
@@ -13,7 +13,7 @@
 from grpclib.server import Server
 from grpclib.server import Stream as ServerStream
 
-from pondhatch.requests import KeyHolder, Known
+from pondhatch.requests import KeyHolder, UsedKey
 from pondhatch.transport import _wire as wire
 
 
@@ -57,7 +57,7 @@
         note = await stream.recv_message()
         claim = await self._keys.claim(note.key, note.record) if note is not None else None
         if claim is not None:
-            known = claim.record if isinstance(claim, Known) else None
+            known = claim.record if isinstance(claim, UsedKey) else None
             await stream.send_message(wire.ClaimReply(known))
 
     async def _settle(self, stream: ServerStream[wire.KeyNote, wire.Empty]) -> None:
--- a/pondhatch/transport/_remote_peer.py
+++ b/pondhatch/transport/_remote_peer.py
@@ -10,7 +10,7 @@
 from grpclib.protocol import H2Protocol
 
 from pondhatch.membership import Address
-from pondhatch.requests import Claim, Fresh, KeyRecord, Known
+from pondhatch.requests import Claim, KeyRecord, NewKey, UsedKey
 from pondhatch.transport import _wire as wire
 from pondhatch.transport._silence import show_silence
 
@@ -82,7 +82,7 @@
         reply = await self._call("claim", wire.KeyNote(key, record))
         if reply is None:
             return None
-        return Fresh() if reply.known is None else Known(reply.known)
+        return NewKey() if reply.known is None else UsedKey(reply.known)
 
     async def settle(self, key: str, record: KeyRecord) -> None:
         """Record at the peer what became of a request; see KeyHolder."""
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -18,9 +18,9 @@
     CallerGone,
     Headers,
     NotRun,
-    Patience,
     ReplayableBody,
     RequestHead,
+    WaitLimits,
     answer_deadlines,
     digest_of,
 )
@@ -77,7 +77,7 @@
         self._rng = parts.rng
         self._tasks = parts.tasks
         self._starting = parts.starting
-        self._answers = RoutedAnswers(dialect, parts.metrics, parts.state.stopping)
+        self._answers = RoutedAnswers(dialect, parts.metrics, parts.state.is_draining)
         self._serving = Serving(parts, self._answers)
 
     def resource(self) -> Resource:
@@ -240,10 +240,10 @@
         # On the way in, so that nothing behind this can pass on what the caller may not say.
         passed_on = self._dialect.passed_on(headers, self._note_dropped)
         head = _head(request, route.spec, account, admitted, facts, passed_on, body)
-        context_wait = admitted.context_wait if head.returning else 0.0
+        context_wait = admitted.context_wait if head.is_followup else 0.0
         spec = route.spec
         deadlines = answer_deadlines(spec.objective, spec.streams, spec.longest_pause)
-        patience = Patience(context_wait, admitted.queue_wait, deadlines)
+        patience = WaitLimits(context_wait, admitted.queue_wait, deadlines)
         return Work(account, admitted, head, body, patience)
 
     def _most_body_bytes(self) -> int:
@@ -303,7 +303,7 @@
         deadline=admitted.deadline,
         priority=admitted.priority,
         weight=admitted.weight,
-        returning=context != 0,
+        is_followup=context != 0,
         caller_id=facts.caller_id,
         most_tries=route.most_tries,
         resumes_anywhere=route.repeats == "resumed",
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -10,30 +10,30 @@
 from pondhatch.limits import UNCOUNTED, HeldCounter
 from pondhatch.observing import RequestEnded, log_for
 from pondhatch.requests import (
-    KEPT_BODY,
+    MAX_KEPT_BODY,
     QUARANTINED,
     AnswerStream,
     BodySource,
     Broken,
-    DecisionNote,
     Delivery,
-    Fresh,
+    Dispatch,
     Headers,
     KeyedRun,
     KeyRecord,
-    Known,
+    NewKey,
     NotRun,
-    Patience,
     Placed,
-    QueueEnd,
+    QueueOutcome,
     Refusal,
     RequestHead,
+    RoutingDecision,
     Unknown,
-    Walk,
+    UsedKey,
+    WaitLimits,
     Whole,
     is_event_stream,
-    kept,
-    refusal_of,
+    kept_answer,
+    used_key_refusal,
 )
 from pondhatch.router import ANYBODY, Account, Admitted
 from pondhatch.transport._answers import Answers, replay
@@ -56,7 +56,7 @@
     admitted: Admitted
     head: RequestHead
     body: BodySource
-    patience: Patience
+    patience: WaitLimits
     #: Idempotency key of a request that must not run twice, made the account's own.
     key: str | None = None
     #: Counts its body until it has ended.
@@ -74,12 +74,12 @@
     def add(self, part: bytes) -> None:
         """Take in a part; what is too large to keep is only counted."""
         self.size += len(part)
-        if self.size <= KEPT_BODY:
+        if self.size <= MAX_KEPT_BODY:
             self.parts.append(part)
 
     def body(self) -> bytes | None:
         """Return the whole body, or None where it was too large."""
-        return b"".join(self.parts) if self.size <= KEPT_BODY else None
+        return b"".join(self.parts) if self.size <= MAX_KEPT_BODY else None
 
 
 class _Spans(msgspec.Struct):
@@ -170,11 +170,11 @@
         record = KeyRecord(digest, self._state.name, head.request_id)
         keyed = KeyedRun(self._state, key, record, work.head.regions)
         begun = await keyed.begin()
-        if isinstance(begun, Known) and begun.record.digest == digest and begun.record.answer:
+        if isinstance(begun, UsedKey) and begun.record.digest == digest and begun.record.answer:
             replay(request, self._answers, begun.record.answer, head.request_id)
             return
-        if not isinstance(begun, Fresh):
-            refusal = begun if isinstance(begun, NotRun) else refusal_of(begun, record)
+        if not isinstance(begun, NewKey):
+            refusal = begun if isinstance(begun, NotRun) else used_key_refusal(begun, record)
             self._answers.refuse(request, refusal)
             return
         copy = AnswerCopy()
@@ -188,7 +188,7 @@
         self, request: CallerRequest, work: Work, started: float, copy: AnswerCopy
     ) -> Ended:
         deadline = started + work.admitted.deadline
-        walk = Walk(
+        walk = Dispatch(
             self._state,
             self._ways,
             self._state.retries.of(work.head.service),
@@ -209,7 +209,7 @@
                 ended = reply.refusal
                 self._answers.refuse(request, reply.refusal)
             if isinstance(ended, Whole):
-                walk.note_whole(copy.status)
+                walk.note_completed(copy.status)
         finally:
             walk.close()
             spans.whole = time.monotonic() - started
@@ -220,7 +220,7 @@
         self,
         request: CallerRequest,
         work: Work,
-        walk: Walk,
+        walk: Dispatch,
         placed: Placed,
         copy: AnswerCopy,
         spans: _Spans,
@@ -248,7 +248,7 @@
             self._answers.end_broken(request, delivered.outcome, is_event_stream(copy.headers))
         return delivered.outcome
 
-    def _note(self, work: Work, walk: Walk, ended: Ended, spans: _Spans) -> None:
+    def _note(self, work: Work, walk: Dispatch, ended: Ended, spans: _Spans) -> None:
         outcome = "whole" if isinstance(ended, Whole) else ended.code
         self._metrics.count(f"requests.{outcome}")
         self._metrics.timing("requests.whole", spans.whole)
@@ -256,20 +256,20 @@
         self._note_decision(work, walk, outcome, spans.whole)
         self._note_record(work, walk, outcome, spans)
 
-    def _count_queued(self, walk: Walk) -> None:
+    def _count_queued(self, walk: Dispatch) -> None:
         """Count what came of a wait at full engines."""
-        if walk.queued.end is QueueEnd.NONE:
+        if walk.queue_result.outcome is QueueOutcome.NONE:
             return
-        self._metrics.timing("queue.waited", walk.queued_seconds)
-        if walk.queued.end is QueueEnd.REFUSED:
+        self._metrics.timing("queue.waited", walk.queue_wait_seconds)
+        if walk.queue_result.outcome is QueueOutcome.REFUSED:
             self._metrics.count("queue.refused-at-arrival")
-        if walk.queued.end is QueueEnd.IN_VAIN:
+        if walk.queue_result.outcome is QueueOutcome.TIMED_OUT:
             self._metrics.count("queue.kept-in-vain")
 
-    def _note_decision(self, work: Work, walk: Walk, outcome: str, seconds: float) -> None:
+    def _note_decision(self, work: Work, walk: Dispatch, outcome: str, seconds: float) -> None:
         """Keep the decision for the state dump."""
         self._state.decisions.append(
-            DecisionNote(
+            RoutingDecision(
                 request_id=work.head.request_id,
                 account=work.account.name,
                 service=work.head.service,
@@ -281,7 +281,7 @@
             )
         )
 
-    def _note_record(self, work: Work, walk: Walk, outcome: str, spans: _Spans) -> None:
+    def _note_record(self, work: Work, walk: Dispatch, outcome: str, spans: _Spans) -> None:
         """Leave the decision's line."""
         self._records.note(
             RequestEnded(
@@ -290,30 +290,30 @@
                 service=work.head.service,
                 outcome=outcome,
                 ms=_milliseconds(spans.whole),
-                asking_ms=_milliseconds(walk.asking_seconds),
+                asking_ms=_milliseconds(walk.grant_wait_seconds),
                 placed_ms=_milliseconds(spans.placed),
                 pause_ms=_milliseconds(spans.pause),
                 context=f"{work.head.chat:x}" if work.head.chat else "",
                 configuration=self._state.fleet.version,
                 upstream=walk.engine or "",
-                in_flight=walk.granted.in_flight,
-                ceiling=walk.granted.ceiling,
+                in_flight=walk.last_grant.in_flight,
+                ceiling=walk.last_grant.ceiling,
                 passed_over=_passed_over(walk),
                 resumes=walk.resumes,
                 cut_at=tuple(walk.cut_at),
                 digest=f"{work.head.digest:x}" if _tells_digest(walk, outcome) else "",
-                predicted_ms=walk.queued.predicted_ms,
+                predicted_ms=walk.queue_result.predicted_ms,
             )
         )
 
 
-def _passed_over(walk: Walk) -> tuple[tuple[str, str], ...]:
+def _passed_over(walk: Dispatch) -> tuple[tuple[str, str], ...]:
     """Return the engines that did not take a request, each with why."""
-    closed = () if walk.turned_from is None else (walk.turned_from,)
+    closed = () if walk.closed_home is None else (walk.closed_home,)
     return (*closed, *walk.plan.passed_over)
 
 
-def _tells_digest(walk: Walk, outcome: str) -> bool:
+def _tells_digest(walk: Dispatch, outcome: str) -> bool:
     """Return whether a request's other attempts are of interest to whoever reads its line."""
     return bool(walk.cut_at) or outcome == QUARANTINED.code
 
@@ -321,11 +321,11 @@
 async def _end_keyed(keyed: KeyedRun, ended: Ended, copy: AnswerCopy) -> None:
     """Tell the key's holders what became of its request."""
     if isinstance(ended, NotRun):
-        await keyed.not_run()
+        await keyed.release_claims()
         return
     if not isinstance(ended, Whole):
-        await keyed.outcome_unknown()
+        await keyed.record_unknown()
         return
     body = copy.body()
-    answer = kept(copy.status, copy.headers, body) if body is not None else None
-    await keyed.ran(answer)
+    answer = kept_answer(copy.status, copy.headers, body) if body is not None else None
+    await keyed.record_completed(answer)
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -11,15 +11,15 @@
 from pondhatch.limits import HeldBytes
 from pondhatch.observing import Metrics, NoMetrics
 from pondhatch.requests import (
+    AnswerKind,
+    AnswerLost,
+    AnswerStarted,
     BodySource,
     Broken,
     EngineRefusal,
     Headers,
-    Judged,
-    Lost,
     NotRun,
     NoUpstreamView,
-    Opened,
     PartSink,
     RequestHead,
     Target,
@@ -114,11 +114,11 @@
         self._exchange.pipe.fail(ConnectionError("the deadline passed"))
         self._exchange.cancel()
 
-    def _lost(self, reason: str, was_cut: bool = False) -> Lost:
+    def _lost(self, reason: str, was_cut: bool = False) -> AnswerLost:
         outcome = self._try.lost(reason)
         if not isinstance(outcome, Broken):
             raise TypeError(f"an answer cannot be lost as {outcome}")
-        return Lost(replace(outcome, was_cut=was_cut))
+        return AnswerLost(replace(outcome, connection_lost=was_cut))
 
 
 class HttpUpstreams:
@@ -141,7 +141,7 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         """Send a request once; see Upstreams."""
         tried = new_try(target.name)
         deadline = asyncio.get_running_loop().time() + head.deadline
@@ -150,15 +150,17 @@
         try:
             async with asyncio.timeout_at(deadline):
                 address = _address_of(target.url)
-                reusable = head.repeatable and not head.fresh
+                reusable = head.repeatable and not head.needs_new_connection
                 exchange = await self.client.send(
                     address,
                     request,
                     body,
                     reusable,
-                    head.fresh,
+                    head.needs_new_connection,
                     Hooks(
-                        trusts=lambda answered: self._judge(head, answered) is not Judged.CROSSED,
+                        trusts=lambda answered: (
+                            self._judge(head, answered) is not AnswerKind.CROSSED
+                        ),
                         heard=lambda answered: self._hear(target, answered),
                         check=lambda: self._check(target, head),
                         new_counter=lambda: self._held.counter(head.account),
@@ -176,7 +178,7 @@
             return self._gave_up(exchange, tried, "no answer before the deadline")
         except ConnectionError as error:
             lost = self._gave_up(exchange, tried, str(error))
-            return replace(lost, was_cut=True) if isinstance(lost, Unknown) else lost
+            return replace(lost, connection_lost=True) if isinstance(lost, Unknown) else lost
         except BaseException:
             if exchange is not None:
                 exchange.cancel()
@@ -214,9 +216,9 @@
         """Take in what an answer says of its upstream, whatever it says of the request."""
         notice = self._dialect.notice(answered.status, answered.value_by_name)
         if notice or notice.pace:
-            self._view.heard(target.name, notice)
+            self._view.receive_notice(target.name, notice)
 
-    def _judge(self, head: RequestHead, answered: ResponseHead) -> Judged | EngineRefusal:
+    def _judge(self, head: RequestHead, answered: ResponseHead) -> AnswerKind | EngineRefusal:
         return self._dialect.judge(head, answered.status, answered.value_by_name)
 
     def _gave_up(self, exchange: Exchange | None, tried: Try, reason: str) -> NotRun | Unknown:
@@ -231,9 +233,9 @@
         head: RequestHead,
         tried: Try,
         deadline: float,
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         judged = self._judge(head, answered)
-        if judged is Judged.CROSSED:
+        if judged is AnswerKind.CROSSED:
             tried.crossed()
             exchange.cancel()
             return _refusal(tried, "the answer belongs to another request")
@@ -245,14 +247,18 @@
         headers = self._dialect.answer_headers(answered.headers, self._note_dropped)
         streams = answered.status == OK and is_event_stream(headers)
         last_event = self._dialect.last_event(head) if streams else None
-        return Opened(
+        return AnswerStarted(
             UpstreamAnswer(exchange, answered.status, headers, tried, deadline, last_event)
         )
 
 
 def _most_idle(target: Target) -> int:
     """Return how many idle connections are kept to an upstream at most."""
-    return IDLE_CONNECTIONS if target.most_idle is None else min(target.most_idle, IDLE_CONNECTIONS)
+    return (
+        IDLE_CONNECTIONS
+        if target.max_idle_connections is None
+        else min(target.max_idle_connections, IDLE_CONNECTIONS)
+    )
 
 
 @functools.lru_cache(maxsize=URLS_KEPT)
--- a/pondhatch/transport/tests/test_caller_idle.py
+++ b/pondhatch/transport/tests/test_caller_idle.py
@@ -8,7 +8,7 @@
 from twisted.internet.address import IPv4Address
 
 from pondhatch.configuration import CallerLimits
-from pondhatch.requests import Headers, Opened
+from pondhatch.requests import AnswerStarted, Headers
 from pondhatch.transport._caller_channel import CallerSite
 from pondhatch.transport._parts import HIGH_WATER
 from pondhatch.transport.tests.test_routed_callers import (
@@ -53,7 +53,7 @@
         self.assertTrue(self.wire.disconnecting, "left open")
 
     async def serve(self, body: bytes = b"") -> None:
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         told = await self.ask("POST /x HTTP/1.1", body=body)
         self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
 
@@ -73,7 +73,7 @@
         self.closes_after(IDLE_SECONDS)
 
     async def test_an_answer_under_way_is_not_idle(self) -> None:
-        self.upstreams.replies = [Opened(Endless((b"ye",), headers=UNFRAMED))]
+        self.upstreams.replies = [AnswerStarted(Endless((b"ye",), headers=UNFRAMED))]
         await self.ask("POST /x HTTP/1.1", body=b"a" * PAUSING)
         self.clock.advance(10 * IDLE_SECONDS)
         self.assertFalse(self.wire.disconnecting)
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -21,10 +21,10 @@
 from pondhatch.observing import ServedMetrics
 from pondhatch.platform._engines import EngineDialect
 from pondhatch.platform.tests._wire import CONFIGURATION
-from pondhatch.requests import Headers, ReplayableBody, RequestHead, Unknown, Ways
-from pondhatch.requests._entry import Walk
+from pondhatch.requests import Collaborators, Headers, ReplayableBody, RequestHead, Unknown
+from pondhatch.requests._dispatch import Dispatch
+from pondhatch.requests._dispatch_results import Placed, Refused
 from pondhatch.requests._entry_view import EnginePreference, NoPreference
-from pondhatch.requests._walk_results import Placed, Refused
 from pondhatch.router import PooledEngines
 from pondhatch.store import Upstream
 from pondhatch.transport import HttpClient, HttpUpstreams
@@ -88,7 +88,7 @@
         self.state.load_management = switch
         self.metrics = ServedMetrics("r0")
         self.client = HttpClient(self)
-        self.client.configure(self.state.load_managed, self.metrics)
+        self.client.configure(self.state.is_load_managed, self.metrics)
         self.upstreams = HttpUpstreams(self.client, EngineDialect())
         self.preference: EnginePreference = PooledEngines(self.state, self.upstreams.is_pooled)
         self.engines: list[Engine] = []
@@ -105,8 +105,8 @@
         head = RequestHead(
             attempt, "a", "lang", 0, "POST", "/", headers, False, 5.0, 5, caller_id=attempt
         )
-        ways = Ways(Grants(), self.upstreams, preference=self.preference)
-        walk = Walk(self.state, ways, RetryBudget(), head, ReplayableBody(b"x"), lambda: 5.0)
+        ways = Collaborators(Grants(), self.upstreams, preference=self.preference)
+        walk = Dispatch(self.state, ways, RetryBudget(), head, ReplayableBody(b"x"), lambda: 5.0)
         ended = await walk.run()
         if isinstance(ended, Placed):
             await ended.reply.answer.pour(_Sink())
--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from pondhatch.requests import Ended, Headers, Opened, OwnerReply, Question
+from pondhatch.requests import AnswerStarted, EndReason, GrantRequest, Headers, OwnerReply
 from pondhatch.transport.tests.test_routed_callers import (
     KEY,
     Answer,
@@ -32,7 +32,7 @@
         self.told = asyncio.Event()
         self._holds_from = holds_from
 
-    async def ask(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
         self.asked += 1
         if self.asked >= self._holds_from:
             await self.told.wait()
@@ -66,7 +66,7 @@
         self.held.told.set()
         await self.settle()
 
-    def assert_given_up(self, *released: Ended) -> None:
+    def assert_given_up(self, *released: EndReason) -> None:
         """Nothing more was sent, every grant is back, and the record says what happened."""
         self.assertEqual(self.grants.released, list(released))
         self.assertEqual(len(self.upstreams.sent), len(released))
@@ -98,32 +98,32 @@
                 self.upstreams.hold = asyncio.Event()
                 await self.ask(line, KEY)
                 await self.leave()
-                self.assert_given_up(Ended.NOTHING)
+                self.assert_given_up(EndReason.NEUTRAL)
 
     async def test_before_the_first_part_and_in_the_middle(self) -> None:
         for parts in ((), (b"ye",)):
             with self.subTest(parts=parts):
                 await self.asyncSetUp()
                 answer = Watched(parts)
-                self.upstreams.replies = [Opened(answer)]
+                self.upstreams.replies = [AnswerStarted(answer)]
                 await self.ask("GET /x HTTP/1.1")
                 await self.leave()
                 self.assertTrue(answer.cancelled)
-                self.assert_given_up(Ended.NOTHING)
+                self.assert_given_up(EndReason.NEUTRAL)
 
     async def test_between_two_tries(self) -> None:
         await self.hold_grants(2)
-        self.upstreams.replies = [Opened(Answer((), whole=False))]
+        self.upstreams.replies = [AnswerStarted(Answer((), whole=False))]
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(self.held.asked, 2)
         await self.leave()
-        self.assert_given_up(Ended.FAILED)
+        self.assert_given_up(EndReason.CONNECTION_FAILED)
 
     async def test_resumed(self) -> None:
         cut = Answer((EVENT,), whole=False, headers=STREAM)
         resumed = Watched((EVENT,), headers=STREAM)
-        self.upstreams.replies = [Opened(cut), Opened(resumed)]
+        self.upstreams.replies = [AnswerStarted(cut), AnswerStarted(resumed)]
         await self.ask("POST /notes/a HTTP/1.1", KEY, body=b"abc")
         await self.leave()
         self.assertTrue(resumed.cancelled)
-        self.assert_given_up(Ended.FAILED, Ended.NOTHING)
+        self.assert_given_up(EndReason.CONNECTION_FAILED, EndReason.NEUTRAL)
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -13,7 +13,7 @@
 
 from pondhatch.limits import HeldBytes
 from pondhatch.platform._engines import EngineDialect
-from pondhatch.requests import Opened
+from pondhatch.requests import AnswerStarted
 from pondhatch.transport._http_client import HttpClient
 from pondhatch.transport._http_connection import Connection
 from pondhatch.transport._parts import HIGH_WATER
@@ -228,7 +228,7 @@
 
     async def test_one_with_a_key_is_counted_until_its_run_ends(self) -> None:
         self.upstreams.hold = asyncio.Event()
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Idempotency-Key: 7\r\nContent-Length: 4\r\n\r\nab".encode())
         await self.send(b"cd")
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -14,7 +14,7 @@
 from pondhatch.configuration import CallerLimits, Edit, Fleet, Snapshot
 from pondhatch.kernel import Tasks
 from pondhatch.observing import NoMetrics
-from pondhatch.requests import CallerGone, Ended, Headers, Opened, Ways
+from pondhatch.requests import AnswerStarted, CallerGone, Collaborators, EndReason, Headers
 from pondhatch.router import Starting
 from pondhatch.standard._callers import OpenAiCallers
 from pondhatch.store import Listed
@@ -57,7 +57,7 @@
         self.state.take_listed_evacuations(Listed(1, ()))
         parts = CallerParts(
             self.state,
-            Ways(self.grants, self.upstreams),
+            Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
             NoMetrics(),
             self.noted,
@@ -92,7 +92,7 @@
     async def test_a_key_of_any_characters_finds_its_account(self) -> None:
         for key in KEYS:
             with self.subTest(key=key):
-                self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+                self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
                 told = await self.get(key)
                 self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
 
@@ -112,7 +112,7 @@
         self.assertTrue(self.wire.aborted)
 
     async def test_an_answer_under_way_is_cut_as_the_router_ends(self) -> None:
-        self.upstreams.replies = [Opened(Endless((b"ye",), headers=UNFRAMED))]
+        self.upstreams.replies = [AnswerStarted(Endless((b"ye",), headers=UNFRAMED))]
         told = await self.get()
         self.assertTrue(told.endswith(b"2\r\nye\r\n"), told)
         self.assert_cut(await self.cancel_all())
@@ -128,11 +128,11 @@
         for error in (CallerGone("gone"), RuntimeError("a fault"), ConnectionError("lost")):
             with self.subTest(error=error):
                 await self.asyncSetUp()
-                self.upstreams.replies = [Opened(Raising(error))]
+                self.upstreams.replies = [AnswerStarted(Raising(error))]
                 self.assert_cut(await self.get())
 
     async def test_a_whole_answer_gets_its_end(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"yes!",), headers=UNFRAMED))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",), headers=UNFRAMED))]
         told = await self.get()
         self.assertTrue(told.endswith(LAST_CHUNK), told)
         self.assertFalse(self.wire.aborted)
@@ -165,7 +165,7 @@
         return [record.state for record in self.state.keys.record_by_key.values()]
 
     async def test_it_goes_on_and_its_answer_is_there_when_it_is_asked_for_again(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"ye", b"s!"), headers=UNFRAMED))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"ye", b"s!"), headers=UNFRAMED))]
         await self.post()
         await self.leave()
         self.assertEqual((self.grants.released, self.openai.in_flight), ([], 1))
@@ -173,7 +173,7 @@
         assert self.upstreams.hold is not None
         self.upstreams.hold.set()
         await self.settle()
-        self.assertEqual((self.grants.released, self.openai.in_flight), ([Ended.ANSWERED], 0))
+        self.assertEqual((self.grants.released, self.openai.in_flight), ([EndReason.ANSWERED], 0))
         self.assertEqual(self.key_states(), ["done"])
         told = await self.asked_again()
         self.assertIn(b"yes!", told)
@@ -182,7 +182,7 @@
 
     async def test_in_the_middle_of_its_answer_too(self) -> None:
         answer = Endless((b"ye",), headers=UNFRAMED)
-        self.upstreams.replies = [Opened(answer)]
+        self.upstreams.replies = [AnswerStarted(answer)]
         self.upstreams.hold = None
         self.assertTrue((await self.post()).endswith(b"2\r\nye\r\n"))
         await self.leave()
@@ -196,11 +196,11 @@
         await self.post(length=9)
         self.assertEqual(len(self.upstreams.sent), 1)
         await self.leave()
-        self.assertEqual((self.grants.released, self.openai.in_flight), ([Ended.NOTHING], 0))
+        self.assertEqual((self.grants.released, self.openai.in_flight), ([EndReason.NEUTRAL], 0))
         self.assertEqual(self.key_states(), ["unknown"])
 
     async def test_as_the_router_ends_it_ends_and_is_unknown(self) -> None:
         await self.post()
         await self.leave()
         await self.cancel_all()
-        self.assertEqual((self.grants.released, self.openai.in_flight), ([Ended.NOTHING], 0))
+        self.assertEqual((self.grants.released, self.openai.in_flight), ([EndReason.NEUTRAL], 0))
--- a/pondhatch/transport/tests/test_queued_callers.py
+++ b/pondhatch/transport/tests/test_queued_callers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pondhatch.requests import Busy, OwnerReply, Question
+from pondhatch.requests import Busy, GrantRequest, OwnerReply
 from pondhatch.transport.tests.test_routed_callers import RoutedCallersTest
 
 
@@ -15,11 +15,11 @@
 
     async def test_a_refused_caller_is_told_the_time_that_the_owners_expect_it(self) -> None:
         """Every refused caller coming back after the same second, all at once."""
-        asked: list[Question] = []
+        asked: list[GrantRequest] = []
 
-        async def ask(owner: str, question: Question, bearable: float) -> OwnerReply:
+        async def ask(owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
             asked.append(question)
-            is_first = question.queues > 1 and question.engine == "i-2"
+            is_first = question.queue_count > 1 and question.engine == "i-2"
             return Busy(9, 9, False, 4000, 1234 if is_first else 1300)
 
         self.state.load_management = "on"
@@ -29,8 +29,8 @@
         self.assertIn(b"Retry-After: 1.234", told)
         self.assertEqual(msgspec.to_builtins(self.noted.records[0])["predicted_ms"], 4000)
         self.assertIn(mock.call("queue.refused-at-arrival"), count.mock_calls)
-        waits = [question for question in asked if question.queues == 2]
+        waits = [question for question in asked if question.queue_count == 2]
         self.assertEqual({question.engine for question in waits}, {"i-2", "i-3"})
         for question in waits:
-            self.assertAlmostEqual(question.patience, 870, delta=50)
+            self.assertAlmostEqual(question.max_wait_ms, 870, delta=50)
             self.assertGreater(question.in_time, 0)
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -23,23 +23,23 @@
 from pondhatch.platform._configuration import decode_configuration
 from pondhatch.platform.tests._wire import CONFIGURATION
 from pondhatch.requests import (
+    AnswerLost,
+    AnswerStarted,
     BodySource,
     Broken,
     Busy,
     CallerGone,
-    Elsewhere,
-    Ended,
+    Collaborators,
+    ContextElsewhere,
+    EndReason,
+    GrantRequest,
     Headers,
-    Lost,
     NotRun,
-    Opened,
     OwnerReply,
     PartSink,
-    Question,
     RequestHead,
     Target,
     Unknown,
-    Ways,
 )
 from pondhatch.router import RouterState, Starting
 from pondhatch.router._starting import STARTING_SECONDS
@@ -71,7 +71,7 @@
         for part in self._parts:
             sink.write(part)
         if not self._whole:
-            raise Lost(Broken("answer-broken", "cut"))
+            raise AnswerLost(Broken("answer-broken", "cut"))
 
     def cancel(self) -> None:
         return None
@@ -81,13 +81,13 @@
     """Answers as told, in order; keeps what was sent where."""
 
     def __init__(self) -> None:
-        self.replies: list[Opened | NotRun | Unknown] = []
+        self.replies: list[AnswerStarted | NotRun | Unknown] = []
         self.sent: list[tuple[str, RequestHead, bytes]] = []
         self.hold: asyncio.Event | None = None
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         self.sent.append((target.name, head, await body.read()))
         if self.hold is not None:
             await self.hold.wait()
@@ -100,30 +100,30 @@
     router = 1
 
     def __init__(self) -> None:
-        self.released: list[Ended] = []
+        self.released: list[EndReason] = []
         #: Engines that are at their ceiling.
         self.full: set[str] = set()
         #: Where the context of every chat lies, if not at home.
         self.context_at: str | None = None
         self._number = 0
 
-    async def ask(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
         elsewhere = self.context_at not in (None, question.engine)
-        if self.context_at is not None and elsewhere and question.home and not question.insist:
-            return Elsewhere(self.context_at)
+        if self.context_at is not None and elsewhere and question.is_home and not question.insist:
+            return ContextElsewhere(self.context_at)
         return Busy(9, 9) if question.engine in self.full else Granted(1, 9)
 
-    def ask_nobody(self, question: Question) -> OwnerReply:
+    def decide_without_owner(self, question: GrantRequest) -> OwnerReply:
         return Busy(9, 9)
 
-    def release(self, number: int, ended: Ended) -> None:
+    def release(self, number: int, ended: EndReason) -> None:
         self.released.append(ended)
 
     def next_number(self) -> int:
         self._number += 1
         return self._number
 
-    def remember(self, owner: str, chat: int, engine: str) -> None:
+    def report_spill(self, owner: str, chat: int, engine: str) -> None:
         return None
 
 
@@ -178,7 +178,7 @@
         self.state.clock = lambda: STARTING_SECONDS
         parts = CallerParts(
             self.state,
-            Ways(self.grants, self.upstreams),
+            Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
             NoMetrics(),
             self.noted,
@@ -217,7 +217,7 @@
 
 class PassingOnTest(RoutedCallersTest):
     async def test_an_answer_comes_back_unchanged(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"ye", b"s!")))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"ye", b"s!")))]
         told = await self.ask("POST /proofs/a?b=1 HTTP/1.1", KEY, body=b"abc")
         head, _, body = told.partition(b"\r\n\r\n")
         self.assertTrue(head.startswith(b"HTTP/1.1 200 OK"), head)
@@ -229,7 +229,7 @@
 
     async def test_a_deadline_is_the_shorter_of_the_callers_and_the_routes(self) -> None:
         for wait, expected in (("700", 0.7), ("9000", 1.5)):
-            self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+            self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
             await self.ask("GET /x HTTP/1.1", f"Deadline-Ms: {wait}")
             self.assertAlmostEqual(self.upstreams.sent[-1][1].deadline, expected, delta=0.3)
 
@@ -254,7 +254,7 @@
         self.assertIn(b"Retry-After: 0.500", told)
 
     async def test_each_request_leaves_a_decision(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("GET /x HTTP/1.1")
         record = self.noted.records[0]
         self.assertEqual(msgspec.to_builtins(record)["id"], "9c41")
@@ -268,7 +268,10 @@
         )
 
     async def test_after_a_break_it_names_the_upstream_that_answered_last(self) -> None:
-        self.upstreams.replies = [Opened(Answer((), whole=False)), Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [
+            AnswerStarted(Answer((), whole=False)),
+            AnswerStarted(Answer((b"yes!",))),
+        ]
         await self.ask("GET /x HTTP/1.1")
         found = msgspec.to_builtins(self.noted.records[0])
         self.assertEqual(found["upstream"], self.upstreams.sent[-1][0])
@@ -283,7 +286,7 @@
 
 class KeptConnectionTest(RoutedCallersTest):
     async def test_a_refusal_leaves_the_connection_for_the_next_request(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         refused = await self.ask("POST /proofs/a HTTP/1.1", body=b"x" * 5000)
         self.assertTrue(refused.startswith(b"HTTP/1.1 401"))
         self.assertNotIn(b"close", refused.lower())
@@ -296,7 +299,7 @@
         self.assertEqual(self.written(), b"")
         await self.send(b"def")
         self.assertTrue(self.written().startswith(b"HTTP/1.1 401"))
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         served = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(served.startswith(b"HTTP/1.1 200"), served)
 
@@ -323,7 +326,7 @@
 
     async def test_a_stopping_routers_answers_say_that_it_closes(self) -> None:
         self.state.phase = Phase.DRAINING
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 200"))
         self.assertIn(b"connection: close", told.lower())
@@ -332,8 +335,8 @@
 class BrokenAnswerTest(RoutedCallersTest):
     async def test_an_answer_cut_before_its_first_part_is_asked_for_again(self) -> None:
         self.upstreams.replies = [
-            Opened(Answer((), whole=False)),
-            Opened(Answer((b"yes!",))),
+            AnswerStarted(Answer((), whole=False)),
+            AnswerStarted(Answer((b"yes!",))),
         ]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
@@ -346,7 +349,7 @@
         budget.ratio = budget.saved = 0.0
         self.upstreams.replies = [
             NotRun("upstream-unreachable", "refused"),
-            Opened(Answer((b"yes!",))),
+            AnswerStarted(Answer((b"yes!",))),
         ]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
@@ -355,31 +358,34 @@
         budget = self.state.retries.of("portal")
         budget.ratio = budget.saved = 0.0
         self.state.retries.of("lang").saved = 5.0
-        self.upstreams.replies = [Opened(Answer((), whole=False)), Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [
+            AnswerStarted(Answer((), whole=False)),
+            AnswerStarted(Answer((b"yes!",))),
+        ]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
 
     async def test_one_that_may_not_be_repeated_is_refused_as_unknown(self) -> None:
-        self.upstreams.replies = [Opened(Answer((), whole=False))]
+        self.upstreams.replies = [AnswerStarted(Answer((), whole=False))]
         told = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
         self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
         self.assertFalse(self.wire.aborted)
         self.assertEqual(len(self.upstreams.sent), 1)
 
     async def test_after_as_many_engines_as_allowed_it_is_refused(self) -> None:
-        self.upstreams.replies = [Opened(Answer((), whole=False))] * 2
+        self.upstreams.replies = [AnswerStarted(Answer((), whole=False))] * 2
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
         self.assertEqual(len(self.upstreams.sent), 2)
 
     async def test_one_cut_in_the_middle_cuts_the_callers_connection(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"ye",), whole=False))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"ye",), whole=False))]
         await self.ask("GET /x HTTP/1.1")
         self.assertTrue(self.wire.aborted)
 
     async def test_a_cut_answer_without_length_gets_no_end_that_looks_whole(self) -> None:
         unframed: Headers = (("Instance-Signature", "3e"),)
-        self.upstreams.replies = [Opened(Answer((b"ye",), whole=False, headers=unframed))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"ye",), whole=False, headers=unframed))]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(self.wire.aborted)
         self.assertTrue(told.endswith(b"2\r\nye\r\n"), told)
@@ -388,7 +394,7 @@
         # Of what may be repeated, the failure of the last one that was asked.
         for line, upstreams in (("POST /proofs/a HTTP/1.1", 1), ("GET /x HTTP/1.1", 2)):
             with self.subTest(line=line):
-                failures = [Opened(Answer((b"oops",), status=500)) for _ in range(upstreams)]
+                failures = [AnswerStarted(Answer((b"oops",), status=500)) for _ in range(upstreams)]
                 self.upstreams.replies = [*failures]
                 told = await self.ask(line, KEY, body=b"" if upstreams == 2 else b"x")
                 self.assertTrue(told.startswith(b"HTTP/1.1 500"), told)
@@ -400,7 +406,7 @@
         self,
     ) -> None:
         refused = NotRun("upstream-refused", "full")
-        self.upstreams.replies = [refused, Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [refused, AnswerStarted(Answer((b"yes!",)))]
         told = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
         self.upstreams.replies = [refused]
@@ -412,10 +418,10 @@
     """Where an engine is told to take a context over from."""
 
     async def placed(self) -> tuple[str, str]:
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("POST /notes/a HTTP/1.1", KEY, "Prefix-Hash: a:500,b:3", body=b"abc")
         name, head, _ = self.upstreams.sent[-1]
-        return name, head.context_from
+        return name, head.context_address
 
     async def home(self) -> str:
         """Place the chat for the first time: at home, which takes over what the next one holds."""
@@ -476,7 +482,7 @@
         self.assertEqual(len(self.upstreams.sent), 1)
         self.channel.connectionLost(Failure(ConnectionLost()))
         await self.settle()
-        self.assertEqual(self.grants.released, [Ended.NOTHING])
+        self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
         self.assertEqual(self.callers.in_flight, 0)
 
 
@@ -510,7 +516,7 @@
         self.assertIn(b"503", told)
         self.assertIn(b"Retry-After: 2", told)
         self.assertEqual(self.upstreams.sent, [])
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.status("GET /x HTTP/1.1"), b"200")
 
     async def test_no_caller_is_told_for_good_what_may_be_false(self) -> None:
@@ -533,7 +539,7 @@
         told = await self.status("GET /x HTTP/1.1", "Host: other.example")
         self.assertEqual(told, b"503")
         self.assertEqual(await self.status("POST /proofs/a HTTP/1.1", self.OTHERS_KEY), b"503")
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.status("GET /x HTTP/1.1"), b"200")
 
 
@@ -547,7 +553,7 @@
 
     async def test_an_answer_under_way_is_cut_and_gets_no_end_that_looks_whole(self) -> None:
         unframed: Headers = (("Instance-Signature", "3e"),)
-        self.upstreams.replies = [Opened(Endless((b"ye",), headers=unframed))]
+        self.upstreams.replies = [AnswerStarted(Endless((b"ye",), headers=unframed))]
         self.assertTrue((await self.ask("GET /x HTTP/1.1")).endswith(b"2\r\nye\r\n"))
         self.assertEqual(await self.end(), b"")
         self.assertTrue(self.wire.aborted)
@@ -584,7 +590,7 @@
         for error in (CallerGone("gone"), RuntimeError("a fault"), ConnectionError("lost")):
             with self.subTest(error=error):
                 await self.asyncSetUp()
-                self.upstreams.replies = [Opened(Raising(error))]
+                self.upstreams.replies = [AnswerStarted(Raising(error))]
                 told = await self.ask("GET /x HTTP/1.1")
                 self.assertTrue(told.endswith(b"2\r\nye\r\n"), told)
                 self.assertTrue(self.wire.aborted)
@@ -611,7 +617,7 @@
         self.callers._starting = self.held
 
     async def test_they_are_served_by_what_it_then_knows(self) -> None:
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.ask("GET /x HTTP/1.1"), b"")
         self.state.fleet = self.fleet
         self.held.over.set()
--- a/pondhatch/transport/tests/test_silent_peers.py
+++ b/pondhatch/transport/tests/test_silent_peers.py
@@ -12,7 +12,7 @@
 from pondhatch.cli._ports import listening
 from pondhatch.configuration import Update
 from pondhatch.membership import Address
-from pondhatch.requests import Fresh, KeyRecord
+from pondhatch.requests import KeyRecord, NewKey
 from pondhatch.store import UpstreamUpdate
 from pondhatch.transport import PeerService, PullReply, RemotePeer
 from pondhatch.transport._silence import OPTIONS
@@ -28,8 +28,8 @@
 class NoKeys:
     """Holds no key and learns none."""
 
-    async def claim(self, key: str, record: Any) -> Fresh:
-        return Fresh()
+    async def claim(self, key: str, record: Any) -> NewKey:
+        return NewKey()
 
 
 class AcceptedTest(unittest.TestCase):
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from pondhatch.configuration import CallerLimits
-from pondhatch.requests import Ended, Opened, OwnerReply, Question
+from pondhatch.requests import AnswerStarted, EndReason, GrantRequest, OwnerReply
 from pondhatch.transport._caller_channel import CallerSite
 from pondhatch.transport._parts import HIGH_WATER
 from pondhatch.transport.tests.test_openai_callers import KEYS, OpenAiCallersTest
@@ -32,7 +32,7 @@
         super().__init__()
         self.told = asyncio.Event()
 
-    async def ask(self, owner: str, question: Question, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
         await self.told.wait()
         return await super().ask(owner, question, bearable)
 
@@ -138,7 +138,7 @@
         self.assertNotIn(self.connection, self.readers.reading)
         await self.leave()
         self.assert_given_up(sent=1)
-        self.assertEqual(self.grants.released, [Ended.NOTHING])
+        self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
 
     async def test_one_that_sent_its_next_request_already(self) -> None:
         self.upstreams.hold = asyncio.Event()
@@ -147,7 +147,7 @@
         self.assertNotIn(self.connection, self.readers.reading)
         await self.leave()
         self.assert_given_up(sent=1)
-        self.assertEqual(self.grants.released, [Ended.NOTHING])
+        self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
 
     async def test_one_that_stays_is_served_however_long_it_is_not_read(self) -> None:
         held = HeldGrants()
@@ -157,7 +157,7 @@
         self.assertNotIn(self.connection, self.readers.reading)
         for _ in range(100):
             self.clock.advance(STEP)
-        self.upstreams.replies = [Opened(Answer((b"yes!",)))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         held.told.set()
         await self.settle()
         await self.take_in()
--- a/pondhatch/transport/tests/test_upstream_notices.py
+++ b/pondhatch/transport/tests/test_upstream_notices.py
@@ -30,7 +30,7 @@
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
         return self.refusal
 
-    def heard(self, upstream: str, notice: Notice) -> None:
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
         self.notices.append((upstream, notice))
 
 
