--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -291,7 +291,7 @@
             (RESUME_HEADER, self._answering_id),
             (RESUME_FROM_HEADER, str(position.events)),
         )
-        grant_request = self._grant_request(engine, insist=True, resuming=True, last=True)
+        grant_request = self._grant_request(engine, is_forced=True, resuming=True, is_last=True)
         headers = (*self._head.headers, *resuming)
         head = self._next_head(headers=headers, resuming=True)
         reply = await self._tries.run(grant_request, head)
@@ -310,7 +310,7 @@
         if ask.last and self._view.is_load_managed():
             return await self._wait_in_queues(ask)
         grant_request = self._grant_request(
-            ask.engine, insist=ask.insist, context=ask.context, last=ask.last
+            ask.engine, is_forced=ask.insist, has_context=ask.context, is_last=ask.last
         )
         head = self._next_head(needs_new_connection=ask.fresh)
         reply = await self._tries.run(grant_request, head)
@@ -324,13 +324,13 @@
             return self._queue_request(engine, seconds, len(engines))
 
         head = self._next_head(needs_new_connection=ask.fresh)
-        tried = await self._tries.run_at_first_grant(
+        outcome = await self._tries.run_at_first_grant(
             engines, question, self._slot_wait.limit(), head
         )
-        if isinstance(tried, NotGranted):
-            self._note_no_grant(tried.reply_by_engine)
+        if isinstance(outcome, NotGranted):
+            self._note_no_grant(outcome.reply_by_engine)
             return None
-        engine, reply = tried
+        engine, reply = outcome
         self.queue_result = QueueResult(QueueOutcome.GRANTED)
         self.plan.granted(engine)
         return await self._after_try(msgspec.structs.replace(ask, engine=engine), head, reply)
@@ -351,8 +351,8 @@
 
     def _queue_request(self, engine: str, seconds: float, queues: int) -> GrantRequest:
         """Return a question about an engine in whose queue the request waits beside others."""
-        grant_request = self._grant_request(engine, insist=True)
-        target, patience = self._view.target(engine), max(1, round(seconds * MS_PER_SECOND))
+        grant_request = self._grant_request(engine, is_forced=True)
+        target, max_wait_ms = self._view.target(engine), max(1, round(seconds * MS_PER_SECOND))
         seen = 0
         if target is not None and self._remaining_at_start - self._remaining() <= SEEN_LOAD_SECONDS:
             seen = max(
@@ -361,9 +361,9 @@
             )
         return msgspec.structs.replace(
             grant_request,
-            max_wait_ms=patience,
+            max_wait_ms=max_wait_ms,
             seen_in_flight_elsewhere=seen,
-            in_time=self._slot_wait.in_time_ms(patience),
+            in_time=self._slot_wait.in_time_ms(max_wait_ms),
             queue_count=queues,
         )
 
@@ -418,31 +418,31 @@
     def _grant_request(
         self,
         engine: str,
-        insist: bool,
+        is_forced: bool,
         resuming: bool = False,
-        context: bool = False,
-        last: bool = False,
+        has_context: bool = False,
+        is_last: bool = False,
     ) -> GrantRequest:
-        at_home = engine == self.plan.home
-        patience = self._wait_limits.context_engine if context else 0.0
-        patience = min(self._remaining(), self._wait_limits.last_engine if last else patience)
+        is_home = engine == self.plan.home
+        max_wait = self._wait_limits.context_engine if has_context else 0.0
+        max_wait = min(self._remaining(), self._wait_limits.last_engine if is_last else max_wait)
         need = self._need_at(engine)
         return GrantRequest(
             number=self._collaborators.grants.next_number(),
             router=self._collaborators.grants.router,
             engine=engine,
             account=self._head.account,
-            chat=self._head.chat if at_home else 0,
+            chat=self._head.chat if is_home else 0,
             priority=self._head.priority,
-            max_wait_ms=round(max(0.0, patience) * MS_PER_SECOND),
+            max_wait_ms=round(max(0.0, max_wait) * MS_PER_SECOND),
             weight=round(self._head.weight * WEIGHT_SCALE),
             # What the walk saw is old by the time a stream breaks, and would raise the ceiling
             # of its engine above what is running then.
             seen_in_flight_elsewhere=0 if resuming else self.plan.seen_elsewhere(engine),
             is_followup=self._head.is_followup,
-            is_home=at_home,
-            settled_engine=self._settled_engine(engine) if at_home else None,
-            insist=insist,
+            is_home=is_home,
+            settled_engine=self._settled_engine(engine) if is_home else None,
+            is_forced=is_forced,
             resuming=resuming,
             tokens=need.tokens,
             parts=need.parts,
@@ -502,8 +502,8 @@
         """
         if not isinstance(reply, NotRun) or reply.refusal is not EngineRefusal.OVERLOADED:
             return reply
-        nearest = self._resting.shortest_known_rest(self._live_upstreams())
-        return msgspec.structs.replace(reply, retry_after=max(nearest, reply.retry_after))
+        shortest_rest = self._resting.shortest_known_rest(self._live_upstreams())
+        return msgspec.structs.replace(reply, retry_after=max(shortest_rest, reply.retry_after))
 
     def _is_request_at_fault(self, reply: NotRun) -> bool:
         """Return whether other engines would refuse the request as well."""
--- a/pondhatch/requests/_grant_requests.py
+++ b/pondhatch/requests/_grant_requests.py
@@ -43,7 +43,7 @@
     #: The chat's first engine that did not join lately; told to a home engine that did.
     settled_engine: str | None = None
     #: Whether the engine is asked although the context is elsewhere, or it is ailing.
-    insist: bool = False
+    is_forced: bool = False
     #: Whether a broken stream is to go on: no new work, welcome at a leaving engine too.
     resuming: bool = False
     #: Whether the one asked is to decide although it does not own the engine: its owner gives
--- a/pondhatch/requests/_keyed_runs.py
+++ b/pondhatch/requests/_keyed_runs.py
@@ -82,13 +82,13 @@
         self._regions = regions
         self._key = key
         self._record = record
-        self._held_at: list[str] = []
+        self._claimed_at: list[str] = []
 
     async def begin(self) -> NewKey | UsedKey | NotRun:
         """Claim the key at its holders; anything but Fresh means that it must not run."""
         for _ in range(HOLDERS_PER_KEY + 2):
             wanted = self._current_holders()
-            missing = [name for name in wanted if name not in self._held_at]
+            missing = [name for name in wanted if name not in self._claimed_at]
             if wanted and not missing:
                 return NewKey()
             if not wanted:
@@ -110,7 +110,7 @@
 
     async def release_claims(self) -> None:
         """Forget the claim: the request certainly did not run."""
-        for name in self._held_at:
+        for name in self._claimed_at:
             holder = self._view.key_holder(name)
             if holder is not None:
                 await holder.release(self._key, self._record.request_id)
@@ -124,11 +124,11 @@
         if claim is None:
             self._view.note_unreachable(name)
         if isinstance(claim, NewKey):
-            self._held_at.append(name)
+            self._claimed_at.append(name)
         return claim
 
     async def _settle(self, record: KeyRecord) -> None:
-        for name in dict.fromkeys([*self._held_at, *self._current_holders()]):
+        for name in dict.fromkeys([*self._claimed_at, *self._current_holders()]):
             holder = self._view.key_holder(name)
             if holder is not None:
                 await holder.settle(self._key, record)
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -277,15 +277,15 @@
         engine, now = grant_request.engine, self._clock()
         if self._health.is_down(engine, now):
             return NotRun("upstream-down", f"{engine} failed several times in a row")
-        if self._health.is_ailing(engine, now) and not grant_request.insist:
+        if self._health.is_ailing(engine, now) and not grant_request.is_forced:
             return NotRun(AILING, f"{engine} fails or refuses many requests")
-        if target.intake.rest.of_some > 0 and not grant_request.insist:
+        if target.intake.rest.of_some > 0 and not grant_request.is_forced:
             return NotRun(AILING, f"{engine} turns some routers away")
         return None
 
     def _context_engine(self, grant_request: GrantRequest) -> str:
         """Return where to send the chat: here, unless this is its home and it lies elsewhere."""
-        if not (grant_request.is_home and grant_request.is_followup) or grant_request.insist:
+        if not (grant_request.is_home and grant_request.is_followup) or grant_request.is_forced:
             return grant_request.engine
         is_young = self._view.is_young(grant_request.engine)
         return context_engine(
@@ -345,7 +345,14 @@
         )
         pace, slots = self._pace(target, grant_request), self._slots(target, grant_request)
         verdict = self._gate.ask(
-            target.name, now, target.bound, others, target.peers, slots, target.slack, pace
+            target.name,
+            now,
+            target.load_bound,
+            others,
+            target.peers,
+            slots,
+            target.load_slack,
+            pace,
         )
         if isinstance(verdict, Granted):
             self._engine_memory.granted(grant_request, now)
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -35,7 +35,7 @@
     #: For which requests, and how fast, it may take work now.
     intake: Intake
     #: The service's set multiple of the mean.
-    bound: float
+    load_bound: float
     #: How many upstreams of the service take work.
     peers: int
     #: Requests that it can take at once, whatever the mean.
@@ -43,7 +43,7 @@
     #: Requests that it queues itself beyond those.
     engine_queue: int = 0
     #: Requests above the multiple of the mean that it may hold.
-    slack: int = 0
+    load_slack: int = 0
     #: Whether it takes contexts over from other engines of its service.
     shares_context: bool = False
     #: The id that it answers to; empty where its name is that.
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -320,7 +320,7 @@
         async def main() -> tuple[OwnerReply, OwnerReply]:
             fleet = Fleet([], [], False)
             await self.fail_much(fleet)
-            return await self.ask(fleet), await self.ask(fleet, insist=True)
+            return await self.ask(fleet), await self.ask(fleet, is_forced=True)
 
         passed_over, insisting = run_virtually(main())
         self.assertIsInstance(passed_over, NotRun)
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -34,7 +34,7 @@
         self._memory = memory
 
     def target(self, engine: str) -> Target:
-        target = Target(engine, "", OPEN, 1.7, 1, SLOTS, engine_queue=3, slack=99)
+        target = Target(engine, "", OPEN, 1.7, 1, SLOTS, engine_queue=3, load_slack=99)
         return replace(target, pace=self._pace, memory_tokens=self._memory)
 
     def owner_name(self, engine: str) -> str:
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -111,7 +111,7 @@
 
     async def ask_among_many(self, fleet: Fleet) -> OwnerReply:
         """Ask where the ceiling, by the work elsewhere, is well above what the engine holds."""
-        asked = question(fleet, self.entry, seen_in_flight_elsewhere=10, insist=True)
+        asked = question(fleet, self.entry, seen_in_flight_elsewhere=10, is_forced=True)
         return await fleet.routers[self.entry].entry.ask(self.owner, asked, INITIAL_WAIT)
 
     def test_a_full_engine_gets_no_more_than_it_holds_for_a_while(self) -> None:
@@ -133,7 +133,7 @@
         async def main(rest: Rest, insist: bool) -> OwnerReply:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine["e0"] = Intake(rest=rest)
-            asked = question(fleet, self.entry, insist=insist)
+            asked = question(fleet, self.entry, is_forced=insist)
             return await fleet.routers[self.entry].entry.ask(self.owner, asked, INITIAL_WAIT)
 
         for rest, insist, code in (
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -57,7 +57,7 @@
 
     def target(self, engine: str) -> Target | None:
         known = super().target(engine)
-        return replace(known, bound=1.7, slack=3, slots=PLACES) if known else None
+        return replace(known, load_bound=1.7, load_slack=3, slots=PLACES) if known else None
 
 
 class PlainUpstreams:
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -57,7 +57,7 @@
     """Run a test in virtual time at engines with a memory, whose owners may know of it."""
 
     def target(view: View, engine: str) -> Target:
-        return Target(engine, "", OPEN, 1.5, len(ENGINES), 48, slack=40, memory_tokens=MEMORY)
+        return Target(engine, "", OPEN, 1.5, len(ENGINES), 48, load_slack=40, memory_tokens=MEMORY)
 
     with (
         patch.object(View, "is_load_managed", lambda view: managed),
@@ -271,7 +271,7 @@
             ways, body = Collaborators(router.entry, Engines()), ReplayableBody(b"")
             asked = head(1_000, **stated)
             walk = Dispatch(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
-            return walk._grant_request("e0", insist=False)
+            return walk._grant_request("e0", is_forced=False)
 
         return run(main(), managed)
 
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -109,7 +109,12 @@
 
     async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
         elsewhere = self.context_at not in (None, question.engine)
-        if self.context_at is not None and elsewhere and question.is_home and not question.insist:
+        if (
+            self.context_at is not None
+            and elsewhere
+            and question.is_home
+            and not question.is_forced
+        ):
             return ContextElsewhere(self.context_at)
         return Busy(9, 9) if question.engine in self.full else Granted(1, 9)
 
