--- a/pondhatch/requests/_dispatch_results.py
+++ b/pondhatch/requests/_dispatch_results.py
@@ -1,4 +1,4 @@
-"""What a walk is given and what it comes to."""
+"""Inputs and results of dispatching a request to an engine."""
 
 from __future__ import annotations
 
@@ -14,72 +14,72 @@
 
 
 class Placed(msgspec.Struct, frozen=True):
-    """An engine answers the request."""
+    """An engine has begun to answer the request."""
 
     reply: AnswerStarted
     engine: str
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The request got its final refusal."""
+    """The request was refused; no other engine will be tried."""
 
     refusal: Refusal
 
 
 class RetryLater(msgspec.Struct, frozen=True):
-    """Neither the engine nor its owner could be asked just now."""
+    """Neither the engine nor its owner could be reached; a later try may succeed."""
 
 
 class StreamPosition(msgspec.Struct, frozen=True):
-    """How much of a stream its caller has."""
+    """How much of an event stream was delivered to its caller."""
 
-    #: Whole events.
+    #: Complete events delivered.
     events: int
-    #: Id of the last of them; empty where it told none.
+    #: Id of the last delivered event; empty if it carried none.
     last_id: str = ""
 
 
 class WaitLimits(msgspec.Struct, frozen=True):
-    """How long a request may wait in an engine's line, in seconds."""
+    """How long a request may wait in an engine's wait queue, in seconds."""
 
-    #: Before the engine that is believed to hold its chat's context.
+    #: At the engine that is believed to hold the chat's context.
     context_engine: float
-    #: Before the last engine that is left to ask.
+    #: At the last engine that is left to ask.
     last_engine: float
-    #: When an answer is in time and when it is too late; None where nobody says, so that
-    #: ``last`` bounds the wait while load is managed too.
+    #: When an answer is in time and when it is too late; if None, ``last_engine`` bounds the
+    #: wait with load management too.
     deadlines: AnswerDeadlines | None = None
 
 
 class QueueOutcome(enum.Enum):
     """How a request's wait in the queues of full engines ended."""
 
-    #: It was in none, or load is not managed.
+    #: The request did not wait, or load management is off.
     NONE = "none"
     GRANTED = "granted"
-    #: Every owner predicted that its turn would come too late.
+    #: Every owner predicted that a slot would come free too late.
     REFUSED = "refused"
-    #: It was kept, and no place came free in time.
+    #: The request was queued, and no slot came free in time.
     TIMED_OUT = "in-vain"
 
 
 class QueueResult(msgspec.Struct, frozen=True):
-    """What came of the latest wait in the queues of full engines."""
+    """Result of the latest wait in the queues of full engines."""
 
     outcome: QueueOutcome = QueueOutcome.NONE
-    #: The shortest wait that the owners predicted, in milliseconds; 0 where none did.
+    #: The shortest wait that the owners predicted, in milliseconds; 0 if none predicted one.
     predicted_ms: int = 0
-    #: The earliest time at which an owner expects it back, in milliseconds; 0 where none said.
+    #: The shortest retry delay that the owners suggested, in milliseconds; 0 if none did.
     retry_after_ms: int = 0
 
 
 def result_without_grant(replies: Iterable[OwnerReply]) -> QueueResult:
-    """Return what came of a wait without a grant, by the owners' final replies."""
+    """Return the result of a wait without a grant from the owners' final replies."""
     busy = [reply for reply in replies if isinstance(reply, Busy)]
     predicted = [reply.predicted_ms for reply in busy]
     retry_after = [reply.retry_after_ms for reply in busy if reply.retry_after_ms]
     if not busy:
-        # No owner said anything of the wait.
+        # No owner reported how its engine's queue stands.
         return QueueResult()
     was_queued = not all(predicted)
     return QueueResult(
--- a/pondhatch/requests/_grant_requests.py
+++ b/pondhatch/requests/_grant_requests.py
@@ -1,4 +1,4 @@
-"""What an entry router asks an engine's owner, and what the owner may answer."""
+"""Grant requests from entry routers to the owners of engines, and the owners' replies."""
 
 from __future__ import annotations
 
@@ -10,65 +10,66 @@
 from pondhatch.placement import Granted
 from pondhatch.requests._outcomes import NotRun
 
-#: A question's patience in a second, and its weight in a whole share.
+#: Units of ``GrantRequest.max_wait_ms`` in a second, and of ``GrantRequest.weight`` in one share.
 MS_PER_SECOND = 1000
 WEIGHT_SCALE = 1000
-#: Seconds for which the work that a walk saw at other engines may raise a ceiling, at its entry
-#: router and then again in a line: it may have ended since.
+#: Seconds for which the in-flight requests seen at other engines may raise an engine's ceiling,
+#: counted at the entry router and again in the owner's queue: they may have ended since.
 SEEN_LOAD_SECONDS = 0.8
 
 
 class GrantRequest(msgspec.Struct, frozen=True, array_like=True, tag=50):
-    """May this request run at this engine? Travels between routers, so each byte counts."""
+    """Asks an engine's owner whether a request may run there.
 
-    #: 32 bits, unique among the questions of its router in the time of a lease.
+    Sent between routers in one small packet, so its encoding is kept short.
+    """
+
+    #: 32 bits, unique among the grant requests of its router for the time of a lease.
     number: int
     #: Short id of the entry router.
     router: int
     engine: str
     account: str
-    #: 64-bit key of the chat at its home engine; 0 elsewhere, and where there is none.
+    #: 64-bit key of the chat if the engine is its home; 0 at other engines and without a chat.
     chat: int
     priority: int
-    #: Milliseconds that the request may wait in the engine's line if it is full.
+    #: Milliseconds that the request may wait in the owner's queue if the engine is full.
     max_wait_ms: int = 0
-    #: Thousandths of the account's share against others that wait.
+    #: The account's weight among waiting accounts, in thousandths.
     weight: int = 1000
-    #: Work that the walk has seen at other engines of the service.
+    #: In-flight requests that the dispatch has seen at other engines of the service.
     seen_in_flight_elsewhere: int = 0
-    #: Whether an earlier turn of the chat was answered, so that its context lies somewhere.
+    #: Whether an earlier turn of the chat was answered, so that some engine holds its context.
     is_followup: bool = False
     #: Whether the engine is the chat's home engine.
     is_home: bool = False
-    #: The chat's first engine that did not join lately; told to a home engine that did.
+    #: The chat's highest-ranked engine that did not join recently; set if the home engine did.
     settled_engine: str | None = None
-    #: Whether the engine is asked although the context is elsewhere, or it is ailing.
+    #: Whether to grant even if the context is at another engine or this one is ailing.
     is_forced: bool = False
-    #: Whether a broken stream is to go on: no new work, welcome at a leaving engine too.
+    #: Whether this resumes a broken stream, which a leaving engine accepts too.
     resuming: bool = False
-    #: Whether the one asked is to decide although it does not own the engine: its owner gives
-    #: no word.
+    #: Whether the receiver is to decide without owning the engine, as the owner does not reply.
     instead_of_owner: bool = False
     #: Milliseconds within which a grant still leaves time for an answer within the objective;
-    #: 0 where that is not said. This and what follows is said where load is managed.
+    #: 0 if not stated. This and the following fields are set only with load management.
     in_time: int = 0
-    #: Engines in whose queues the request waits at once, this one included.
+    #: Number of engines in whose queues the request waits at once, this one included.
     queue_count: int = 1
-    #: Tokens that it takes of an engine's memory beside the parts of its prompt: those of its
-    #: answer; 0 where not said.
+    #: Tokens of engine memory that the answer needs beside the prompt's parts; 0 if not stated.
     tokens: int = 0
-    #: Parts of its prompt, each as a key and its tokens; OWN_PART is the key of what no other
-    #: request shares.
+    #: Parts of the prompt, each a key and its number of tokens; OWN_PART is the key of what no
+    #: other request shares.
     parts: tuple[tuple[int, int], ...] = ()
 
     @property
     def holder(self) -> Holder:
-        """Return what a grant of this question is known by."""
+        """Return the id of the grant that this request may get."""
         return Holder(self.router, self.number)
 
 
 class Holder(msgspec.Struct, frozen=True):
-    """Who holds a grant: an entry router's short id, and the number of its question."""
+    """Identifies a grant: its entry router's short id and its grant request's number."""
 
     router: int
     number: int
@@ -79,53 +80,53 @@
 
     in_flight: int
     ceiling: int
-    #: Whether it has places, but is cold, and is to get nothing more for a moment.
+    #: Whether the engine has free slots but is cold, so that grants are paced.
     is_cold: bool = False
-    #: Milliseconds that a request would wait here for a place, and after which it is worth
-    #: coming back; 0 where they are not estimated.
+    #: Milliseconds that the request would wait here for a slot, and the suggested retry delay in
+    #: milliseconds; 0 if not estimated.
     predicted_ms: int = 0
     retry_after_ms: int = 0
-    #: Tokens that must come free in the engine's memory before it takes the request; 0 where
-    #: its memory is not the reason.
+    #: Tokens that must come free in the engine's memory before it can take the request; 0 if
+    #: memory is not the reason.
     short_tokens: int = 0
 
 
 class ContextElsewhere(msgspec.Struct, frozen=True):
-    """The chat's context lies at another engine."""
+    """The chat's context is at another engine."""
 
     engine: str
 
 
 class NotOwner(msgspec.Struct, frozen=True):
-    """The router asked does not own the engine."""
+    """The replying router does not own the engine."""
 
-    #: The router that owns it as the one asked believes; None if unknown.
+    #: The owner in the replying router's view; None if unknown.
     owner: str | None = None
 
 
-#: Nothing is sent to the engine before it is granted, so each of the others is sure not to run.
+#: Nothing is sent to an engine before a grant, so after any other reply the request did not run.
 OwnerReply = Granted | Busy | ContextElsewhere | NotOwner | NotRun
 
 
 class EndReason(enum.IntEnum):
-    """What a request that gives its grant back tells of the engine."""
+    """How a granted request ended, as evidence of its engine's health and load."""
 
     #: The engine answered.
     ANSWERED = 0
-    #: Nothing is to be learned: refused, given up, never sent.
+    #: No evidence: the request was refused, cancelled or never sent.
     NEUTRAL = 1
-    #: The engine could not be reached, or lost the request or its answer.
+    #: The engine could not be reached, or the connection was lost before the answer's end.
     CONNECTION_FAILED = 2
-    #: The engine answered with a failure of its own, or refused without a reason.
+    #: The engine answered with a server error, or refused without a reason.
     ENGINE_ERROR = 3
-    #: The engine refused the request as it has no place.
+    #: The engine refused the request because it has no free slot.
     FULL = 4
-    #: The engine refused the request as it is about to end.
+    #: The engine refused the request because it is about to shut down.
     LEAVING = 5
 
 
 class Grants(Protocol):
-    """The way from a walk to the owners of engines, wherever they are."""
+    """Requests and releases grants at the owners of engines, local or remote."""
 
     #: Short id of this router.
     router: int
@@ -133,17 +134,17 @@
     async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
         """Ask an owner; a grant is held until it is released.
 
-        ``bearable`` is for how many seconds the request can wait for an owner's word.
+        ``max_wait`` is how many seconds the request can wait for the owner's reply.
         """
 
     def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
-        """Decide by what this router knows, where an engine's owner cannot be asked."""
+        """Decide from this router's own state because the engine's owner cannot be asked."""
 
     def release(self, number: int, end_reason: EndReason) -> None:
-        """Give the grant of a question back; safe to call twice."""
+        """Release the grant of a grant request; safe to call twice."""
 
     def next_number(self) -> int:
-        """Return a number that no question of this router had."""
+        """Return a number that no recent grant request of this router has."""
 
     def report_spill(self, owner: str, chat: int, engine: str) -> None:
-        """Tell the owner of a chat's home engine where the chat was served."""
+        """Tell the owner of a chat's home engine which other engine served the chat."""
--- a/pondhatch/requests/_messages.py
+++ b/pondhatch/requests/_messages.py
@@ -1,4 +1,4 @@
-"""A request and its answer as the parts of a router pass them on."""
+"""Requests and answers as they pass between the parts of a router."""
 
 from __future__ import annotations
 
@@ -13,54 +13,54 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """All of a request but its body."""
+    """A request without its body."""
 
-    #: Unique to one try of one caller's request.
+    #: Unique to one try of a caller's request.
     request_id: str
     account: str
     service: str
-    #: 64-bit key of the chat; 0 where the request belongs to none.
+    #: 64-bit key of the chat; 0 if the request belongs to none.
     chat: int
     method: str
-    #: Path and query towards the upstream.
+    #: Path and query sent to the upstream.
     path: str
     headers: Headers
-    #: Whether running it twice does no harm.
+    #: Whether it may run twice without harm.
     repeatable: bool
     #: Seconds left until the caller's deadline.
     deadline: float
     priority: int
-    #: The account's share against others that wait.
+    #: The account's weight among waiting accounts.
     weight: float = 1.0
-    #: Whether an earlier turn of the chat was answered, so that its context lies somewhere.
+    #: Whether an earlier turn of the chat was answered, so that some engine holds its context.
     is_followup: bool = False
-    #: Whether a connection must be used that no earlier request came on.
+    #: Whether the request must be sent on a connection that carried no earlier request.
     needs_new_connection: bool = False
-    #: Id that the caller gave its request; empty where it gave none.
+    #: Id that the caller gave its request; empty if none.
     caller_id: str = ""
-    #: Engines that it may be sent to at most; 0 sets no limit.
+    #: Maximum number of engines that it may be sent to; 0 sets no limit.
     most_tries: int = 0
-    #: Whether a broken stream may go on at another engine than the one it began on.
+    #: Whether a broken stream may resume at another engine than the one that began it.
     resumes_anywhere: bool = False
-    #: "IP:port" of the engine that is believed to hold its context, where another runs it.
+    #: "IP:port" of the engine believed to hold its context, if another engine runs it.
     context_address: str = ""
-    #: Id of the last event that was received, where a stream is to go on after it.
+    #: Id of the last event received, after which a stream is to resume.
     last_event_id: str = ""
-    #: Regions whose engines may run it; None where any may.
+    #: Regions whose engines may run it; None allows any.
     regions: Regions = None
-    #: Whether it is the rest of a stream that its upstream began.
+    #: Whether it resumes a stream that its upstream began.
     resuming: bool = False
-    #: Of what the caller asks for, alike in all attempts at it; 0 where its body is not held.
+    #: Digest of the caller's request, equal for all its attempts; 0 if the body is not in memory.
     digest: int = 0
-    #: Tokens of its prompt, and those that its answer is taken to have; 0 where not stated.
+    #: Tokens of its prompt and expected tokens of its answer; 0 if not stated.
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    #: Parts of its prompt that other requests share, each as an id and its tokens.
+    #: Parts of its prompt that other requests share, each an id and its number of tokens.
     prompt_parts: tuple[tuple[int, int], ...] = ()
 
 
 class AnswerLost(Exception):
-    """An answer ended before it was whole; carries what that means."""
+    """An answer ended before it was complete; carries the outcome."""
 
     def __init__(self, outcome: Broken) -> None:
         super().__init__(outcome.reason)
@@ -68,21 +68,21 @@
 
 
 class CallerGone(Exception):
-    """The caller went away while its request was read or its answer written."""
+    """The caller disconnected while its request was read or its answer written."""
 
 
 class BodySource(Protocol):
-    """A request's body, read once, in parts."""
+    """A request's body, read once, in chunks."""
 
-    #: Length in bytes, or None where it is not known before the end.
+    #: Length in bytes, or None if not known in advance.
     length: int | None
 
     async def read(self) -> bytes:
-        """Return the next part, or b"" at the end. Raises CallerGone."""
+        """Return the next chunk, or b"" at the end. Raises CallerGone."""
 
 
 class ReplayableBody:
-    """A body held in memory, which another try may read again."""
+    """A body held in memory, which each try can read anew."""
 
     def __init__(self, content: bytes) -> None:
         self.content = content
@@ -102,49 +102,49 @@
 
 
 class PartSink(Protocol):
-    """Takes an answer's parts, no faster than its caller does."""
+    """Accepts an answer's chunks, with backpressure from the caller's connection."""
 
     def write(self, part: bytes) -> bool:
-        """Take a part; False asks to wait for ``ready``. Raises CallerGone."""
+        """Write a chunk; False asks the writer to await ``ready``. Raises CallerGone."""
 
     async def ready(self) -> None:
-        """Return once more parts may be written. Raises CallerGone."""
+        """Return once more may be written. Raises CallerGone."""
 
 
 class AnswerStream(Protocol):
-    """An answer whose head has come."""
+    """An answer whose status and headers have arrived."""
 
     status: int
     headers: Headers
 
     async def pour(self, sink: PartSink) -> None:
-        """Hand every part to a sink as it comes, to the answer's end.
+        """Write every chunk to a sink as it arrives, up to the answer's end.
 
-        Raises Lost, and what the sink raises.
+        Raises AnswerLost, and what the sink raises.
         """
 
     def cancel(self) -> None:
-        """Give the answer up; the upstream's work is cancelled. Safe to call twice."""
+        """Abandon the answer; the upstream cancels its work. Safe to call twice."""
 
 
 class AnswerStarted(msgspec.Struct, frozen=True):
-    """The upstream took the request and answers."""
+    """The upstream accepted the request and has begun its answer."""
 
     answer: AnswerStream
 
 
 class RoutingDecision(msgspec.Struct, frozen=True):
-    """Why a request went where it went; kept for the state dump."""
+    """Records why a request went to its engine; kept for the state dump."""
 
     request_id: str
     account: str
     service: str
-    #: The engine that took it, or None.
+    #: The engine that answered, or None.
     engine: str | None
-    #: (engine, why) of those passed over, in order.
+    #: (engine, reason) of the engines that were skipped or refused, in order.
     passed_over: tuple[tuple[str, str], ...]
-    #: What became of it, as a short code.
+    #: Code of the outcome.
     outcome: str
-    #: Seconds from the caller's request to the end.
+    #: Seconds from the arrival of the request to its end.
     seconds: float
     at: float = msgspec.field(default=0.0)
--- a/pondhatch/requests/_outcomes.py
+++ b/pondhatch/requests/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a request: the only things a caller may be told."""
+"""Outcomes of a request; callers are told no others."""
 
 from __future__ import annotations
 
@@ -6,77 +6,77 @@
 
 import msgspec
 
-#: Code of an outcome that is unknown because another request's answer came.
+#: Code of an unknown outcome: the answer received belongs to another request.
 CROSSED = "answer-crossed"
-#: Code where an upstream was passed over because it answers many requests with failures.
+#: Code for skipping an upstream because it fails or refuses many requests.
 AILING = "upstream-ailing"
 
 
-#: Seconds after which to come back where load was not the reason: a new request is free to
-#: go to any engine, and by then the owner of the one that refused passes it over.
+#: Retry delay in seconds if load was not the reason: a new request may go to any engine, and by
+#: then the owner of the refusing engine skips that engine.
 SOON_RETRY_AFTER = 0.2
-#: Status of a refusal for which another try is worth it, and of one for which none is.
+#: HTTP status of a refusal that is worth retrying, and of one that is not.
 UNAVAILABLE_STATUS = 503
 BAD_REQUEST_STATUS = 400
 
 
 class EngineRefusal(enum.StrEnum):
-    """Why an upstream did not run a request that it was sent; the value is the code told.
+    """Why an upstream did not run a request that it was sent; the value is the caller's code.
 
-    What follows is decided by this alone: a full or overloaded upstream says something of its
-    load, one that is leaving or the wrong one of itself, and a bad request of the request.
+    It alone decides how dispatch goes on: FULL and OVERLOADED are about the upstream's load,
+    LEAVING and WRONG_INSTANCE about the upstream itself, and BAD_REQUEST about the request.
     """
 
-    #: It has no place: its slots, its queue or its memory are taken.
+    #: Its slots, its queue or its memory are full.
     FULL = "upstream-full"
-    #: It has places, by its own word, and refused the request all the same.
+    #: It reports free slots, and refused the request all the same.
     DECLINED = "upstream-declined"
-    #: It wants nothing more for a while, which it says.
+    #: It asks for no more requests for a time that it states.
     OVERLOADED = "upstream-overloaded"
-    #: It takes no more work, since it is about to end.
+    #: It accepts no more requests because it is about to shut down.
     LEAVING = "upstream-draining"
-    #: Another upstream answers at its address: the list of upstreams is behind.
+    #: Another upstream answers at its address: the list of upstreams is out of date.
     WRONG_INSTANCE = "upstream-not-the-one"
-    #: It takes the request itself for wrong; any other would as well.
+    #: It rejects the request as invalid, as any other upstream would.
     BAD_REQUEST = "upstream-bad-request"
-    #: It does not say why.
+    #: It gives no reason.
     UNKNOWN = "upstream-refused"
 
 
 class Whole(msgspec.Struct, frozen=True):
-    """The whole answer was delivered."""
+    """The answer was delivered completely."""
 
 
 class NotRun(msgspec.Struct, frozen=True):
-    """It is certain that no upstream ran the request; repeating it is safe."""
+    """No upstream ran the request; repeating it is safe."""
 
     #: Short stable code, such as "rate-limited"; listed in docs/OPERATIONS.md.
     code: str
     reason: str
-    #: Seconds after which it is worth coming back.
+    #: Suggested retry delay in seconds.
     retry_after: float = 1.0
-    #: HTTP status towards the caller.
+    #: HTTP status sent to the caller.
     status: int = UNAVAILABLE_STATUS
-    #: Why the upstream that was sent the request refused it; None where none was.
+    #: Why the upstream that was sent the request refused it; None if it was sent to none.
     refusal: EngineRefusal | None = None
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """An upstream may have run the request; only the caller can judge a repeat."""
+    """An upstream may have run the request; only the caller can decide whether to repeat it."""
 
     code: str
     reason: str
     status: int = 502
-    #: Whether the connection to the upstream ended, rather than that this router gave up.
+    #: Whether the connection to the upstream was lost, as opposed to closed by this router.
     connection_lost: bool = False
 
 
 class Broken(msgspec.Struct, frozen=True):
-    """Part of the answer was delivered, then the upstream was lost."""
+    """Part of the answer was delivered before the upstream was lost."""
 
     code: str
     reason: str
-    #: Whether the connection to the upstream ended, rather than that this router gave up.
+    #: Whether the connection to the upstream was lost, as opposed to closed by this router.
     connection_lost: bool = False
 
 
@@ -85,7 +85,7 @@
 
 
 def deadline_passed() -> NotRun:
-    """Return the refusal of a request whose time ran out before it was sent."""
+    """Return the refusal of a request whose deadline passed before it was sent."""
     return NotRun("deadline", "the deadline passed before an engine was free")
 
 
@@ -101,7 +101,7 @@
 
 
 def refused_by_engine(refusal: EngineRefusal, reason: str) -> NotRun:
-    """Return what a caller is told of an upstream's refusal, where nobody else took it."""
+    """Return the caller's refusal for an upstream's refusal if no other upstream took it."""
     if refusal is EngineRefusal.BAD_REQUEST:
         return NotRun(refusal.value, reason, 0.0, BAD_REQUEST_STATUS, refusal)
     if refusal in _ABOUT_THE_ENGINE:
