--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -1,4 +1,4 @@
-"""The entry router's side: walk the plan until an engine answers, or refuse."""
+"""Dispatch at the entry router: tries engines in a plan's order until one answers."""
 
 from __future__ import annotations
 
@@ -52,28 +52,28 @@
 from pondhatch.requests._token_needs import stated_need
 from pondhatch.requests._tries import Tries, TryResult
 
-#: Seconds after which to come back when every engine asked was at its ceiling.
+#: Retry delay in seconds if every engine asked was at its ceiling.
 FULL_RETRY_AFTER = 1.0
-#: Header that names the request whose stream is to go on.
+#: Header with the id of the request whose stream is to resume.
 RESUME_HEADER = "X-Resume"
-#: Header that says after how many events it is to go on.
+#: Header with the number of events after which the stream is to resume.
 RESUME_FROM_HEADER = "X-Resume-From"
 OK = 200
-#: Refusals for which nothing was sent anywhere: going on is no retry.
+#: Codes of refusals before anything was sent: asking the next engine costs no retry budget.
 NOTHING_SENT = frozenset(
     {*Closed, "upstream-down", AILING, "upstream-unreachable", "router-unreachable"}
 )
-#: Refusals of engines that may take the same request a moment later.
+#: Refusals after which the same engine may accept the request a moment later.
 RETRYABLE_REFUSALS = frozenset({EngineRefusal.FULL, EngineRefusal.DECLINED})
-#: Said where an engine's memory is not known, or load is not managed.
+#: The need stated if the engine's memory size is unknown or load management is off.
 UNSTATED_NEED = TokenNeed()
-#: Engines that refuse a request without a reason before its caller is told: where a second
-#: one does, it is likelier the request than the engines.
+#: Refusals without a reason after which the caller is refused: if two engines refuse the same
+#: request, the request is more likely at fault than the engines.
 MAX_UNKNOWN_REFUSALS = 2
 
 
 class Dispatch:
-    """One request's walk; kept apart so that the plan can be read afterwards."""
+    """Dispatches one request; its plan and results can be read afterwards."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         self.plan = Plan(self._chat, view.live_upstreams(head.service, head.regions))
         if not head.chat:
             self.plan.prefer(collaborators.preference.preferred(head.service, self.plan.order))
-        #: The engine that would be the chat's home were it not closed to it, and why it is.
+        #: The chat's home engine and the reason, if that engine's hall is closed to the chat.
         self.closed_home = view.closed_home(head.service, self._chat, head.regions)
         self._view = view
         self._collaborators = collaborators
@@ -100,51 +100,51 @@
         self._remaining = remaining
         self._wait_limits = wait_limits
         self._slot_wait = SlotWait(head, wait_limits, remaining, collaborators.run_times)
-        # What a request may wait in the last line, it may wait for an owner's word.
+        # A request may wait as long for an owner's reply as in the last engine's queue.
         self._watch = collaborators.crash_guard.watch(head.digest)
         self._tries = Tries(
             view, collaborators, body, self._chat, remaining, wait_limits.last_engine, self._watch
         )
         self._tries.settled_engine = self.plan.settled(view.is_young)
-        #: What remained as the walk over the engines began.
+        #: Seconds to the deadline when the current pass over the engines began.
         self._remaining_at_start = 0.0
         self._try_count = 0
-        #: Engines' refusals of this request so far, the newest last.
+        #: Refusals of this request by engines so far, the newest last.
         self._refusals: list[NotRun] = []
         self._resting = RestingEngines(view)
         self._has_waited_for_rest = False
-        #: Engines that refused it, and may take it a moment later.
+        #: Engines that refused it and may accept it a moment later.
         self._retryable_engines: set[str] = set()
-        #: The last try after which the request may have run; no later refusal undoes it.
+        #: Outcome of the last try in which the request may have run; it outranks later refusals.
         self._may_have_run: Unknown | None = None
-        #: Id under which the engine that answers knows the request.
+        #: Id under which the answering engine received the request.
         self._answering_id = ""
         #: The engine that answered last.
         self.engine: str | None = None
-        #: What came of its latest wait at several full engines.
+        #: Result of its latest wait in the queues of full engines.
         self.queue_result = QueueResult()
-        #: Times that a broken stream went on.
+        #: How often a broken stream was resumed.
         self.resumes = 0
-        #: Engines at which its run was cut, each with whether the engine had ended.
+        #: Engines whose connection was lost during a run, each with whether the engine crashed.
         self.cut_at: list[tuple[str, bool]] = []
 
     @property
     def last_grant(self) -> Granted:
-        """What was granted last: the load and the ceiling at its engine."""
+        """The latest grant: the load and the ceiling at its engine."""
         return self._tries.last_grant
 
     @property
     def grant_wait_seconds(self) -> float:
-        """Seconds that the request waited for owners' words, and in their lines."""
+        """Seconds that the request waited for owners' replies, time in their queues included."""
         return self._tries.grant_wait_seconds
 
     @property
     def queue_wait_seconds(self) -> float:
-        """Seconds of them in the queues of several engines at once."""
+        """Seconds of the grant wait spent in the queues of several engines at once."""
         return self._tries.queue_wait_seconds
 
     async def run(self) -> Placed | Refused:
-        """Return the opened answer or the refusal that the caller is to be told."""
+        """Return the answer that has begun, or the refusal to send to the caller."""
         self._budget.first_try()
         result = await self._try_engines()
         if isinstance(result, Placed) and self._failed(result):
@@ -154,14 +154,14 @@
         return result
 
     def _failed(self, placed: Placed) -> bool:
-        """Return whether an engine answered with a failure of its own, which another may not."""
+        """Return whether an engine answered with a server error that another may not give."""
         return is_own_failure(placed.reply.answer.status) and self.can_rerun()
 
     async def _replace_failure(self, failed: Placed) -> Placed:
-        """Return another engine's answer instead of a failure, which stands where there is none.
+        """Return another engine's answer, or the failed one if no other engine answers.
 
-        Its caller would repeat it later than a short objective allows. It costs a retry, so that
-        a service that fails as a whole is not asked twice as much for nothing.
+        The caller's own retry would come too late for a short objective. This takes from the
+        retry budget, so that a service that fails as a whole does not get twice the requests.
         """
         if self._tries_are_spent() or not self._budget.may_retry():
             return failed
@@ -196,9 +196,9 @@
         return Refused(deadline_passed())
 
     async def _wait_for_rest(self) -> bool:
-        """Wait for the nearest end of a rest, once, where no engine is full beside it.
+        """Wait once for the first resting engine, if no engine is full; return whether it did.
 
-        No longer than it would wait for a place, or its caller may as well come back then.
+        It waits no longer than for a slot: the caller can retry after a longer rest itself.
         """
         rest = self._resting.shortest_rest()
         bearable = min(self._wait_limits.last_engine, self._remaining())
@@ -213,9 +213,9 @@
         return True
 
     async def note_connection_lost(self, engine: str, lost: Unknown | Broken) -> None:
-        """Find out whether a run that was cut ended with its engine.
+        """Find out whether the engine crashed during a run that lost its connection.
 
-        A garbled or reset connection looks alike; an engine that leaves ends as planned.
+        A reset or corrupted connection looks the same; a leaving engine shuts down as planned.
         """
         if not lost.connection_lost:
             return
@@ -225,31 +225,31 @@
         self.cut_at.append((engine, await self._watch.note_connection_lost(target)))
 
     def note_completed(self, status: int) -> None:
-        """Note that an engine answered the request in whole.
+        """Note that an engine answered the request completely.
 
-        A failure of the engine's own may be told before it begins to run the request, as at a
-        deadline in its queue, and says nothing of whether it would bear it.
+        A server error may come before the engine began to run the request, such as at a deadline
+        in its queue, and does not show that the request is harmless.
         """
         if status < FAILURE_STATUS:
             self._watch.note_completed()
 
     def close(self) -> None:
-        """Note that the request has ended, in whatever way."""
+        """Note that the request has ended, for any reason."""
         self._watch.close()
 
     def final_outcome(self, lost: Unknown) -> Unknown:
-        """Return what is told of a run that was lost: that no other will be tried, if so."""
+        """Return the outcome of a lost run: that of a quarantined request if it is now one."""
         return QUARANTINED if self._watch.is_quarantined() else lost
 
     def can_resume(self, engine: str) -> bool:
-        """Return whether an engine's broken stream may be taken up again."""
+        """Return whether an engine's broken stream may be resumed."""
         can = self._head.resumes_anywhere or self._view.can_resume(engine)
         return can and isinstance(self._body, ReplayableBody)
 
     async def resume(self, engine: str, position: StreamPosition) -> Placed | RetryLater | None:
-        """Have a stream that broke go on where its caller's copy ends.
+        """Resume a broken stream after the last event that its caller has.
 
-        None means that it cannot, Unready that a later try may work.
+        None means that it cannot be resumed, RetryLater that a later try may succeed.
         """
         if self._remaining() <= 0:
             return None
@@ -262,7 +262,7 @@
         return resumed
 
     async def _resume_elsewhere(self, engine: str, position: StreamPosition) -> Placed | None:
-        """Run the rest at another engine."""
+        """Run the rest of a stream at another engine."""
         if position.last_id:
             self._head = msgspec.structs.replace(self._head, last_event_id=position.last_id)
         placed = await self.rerun(engine)
@@ -272,11 +272,11 @@
         return None
 
     def can_rerun(self) -> bool:
-        """Return whether an answer of which nothing was passed on may be asked for again."""
+        """Return whether the request may run again if nothing of its answer was delivered."""
         return self._head.repeatable and isinstance(self._body, ReplayableBody)
 
     async def rerun(self, engine: str) -> Placed | None:
-        """Run the request once more; the engine that broke off is the last resort."""
+        """Run the request once more, at the failed engine only if there is no other."""
         if self._tries_are_spent() or not self._budget.may_retry():
             return None
         engines = self._live_upstreams()
@@ -286,7 +286,7 @@
         return result if isinstance(result, Placed) else None
 
     async def _resume_at(self, engine: str, position: StreamPosition) -> Placed | RetryLater | None:
-        """Ask the engine that ran the request to go on."""
+        """Ask the engine that ran the request to resume its stream."""
         resuming = (
             (RESUME_HEADER, self._answering_id),
             (RESUME_FROM_HEADER, str(position.events)),
@@ -301,12 +301,12 @@
                 return Placed(reply, engine)
             reply.answer.cancel()
             return None
-        # Whatever the reason: asking again is another arrival, which no budget allows for here.
+        # For any reason: another try would add load that no retry budget covers here.
         was_refused = isinstance(reply, NotRun) and reply.refusal is not None
         return None if was_refused else RetryLater()
 
     async def _ask(self, ask: Ask) -> Placed | Refused | None:
-        """Ask one engine's owner and, if granted, try it; None means that the walk goes on."""
+        """Ask one engine's owner and, if granted, try the engine; None means try the next."""
         if ask.last and self._view.is_load_managed():
             return await self._wait_in_queues(ask)
         grant_request = self._grant_request(
@@ -317,7 +317,7 @@
         return await self._after_try(ask, head, reply)
 
     async def _wait_in_queues(self, ask: Ask) -> Placed | Refused | None:
-        """Wait at the least loaded engines at once, and try the first that grants."""
+        """Wait in the queues of the least loaded engines, and try the first that grants."""
         engines = self.plan.queue_engines(MAX_QUEUES) or (ask.engine,)
 
         def question(engine: str, seconds: float) -> GrantRequest:
@@ -336,7 +336,7 @@
         return await self._after_try(msgspec.structs.replace(ask, engine=engine), head, reply)
 
     def _note_no_grant(self, reply_by_engine: dict[str, OwnerReply]) -> None:
-        """Note what the owners said of a wait that came to nothing."""
+        """Record the owners' replies to a wait that ended without a grant."""
         self.queue_result = result_without_grant(reply_by_engine.values())
         self.plan.end_looks()
         for engine, reply in reply_by_engine.items():
@@ -350,7 +350,7 @@
                 self.plan.refused("its owner is in doubt")
 
     def _queue_request(self, engine: str, seconds: float, queues: int) -> GrantRequest:
-        """Return a question about an engine in whose queue the request waits beside others."""
+        """Return the grant request for an engine among several in whose queues it waits."""
         grant_request = self._grant_request(engine, is_forced=True)
         target, max_wait_ms = self._view.target(engine), max(1, round(seconds * MS_PER_SECOND))
         seen = 0
@@ -370,7 +370,7 @@
     async def _after_try(
         self, ask: Ask, head: RequestHead, reply: TryResult
     ) -> Placed | Refused | None:
-        """Take in what became of one try; None means that the walk goes on."""
+        """Handle the result of one try; None means that the next engine is tried."""
         if isinstance(reply, AnswerStarted):
             self._answering_id = head.request_id
             self.engine = ask.engine
@@ -398,7 +398,7 @@
         return self._after_failure(ask, reply)
 
     def _note_refused(self, ask: Ask, reply: Refusal) -> None:
-        """Note who did not take the request, and what that says of where else it may go."""
+        """Record an engine's refusal in the plan, and which engines may still accept it."""
         why = f"{reply.code}: {reply.reason}"
         refusal = reply.refusal if isinstance(reply, NotRun) else None
         if isinstance(reply, NotRun) and refusal is not None:
@@ -412,7 +412,7 @@
             self.plan.renew(self._live_upstreams())
 
     def _live_upstreams(self) -> tuple[str, ...]:
-        """Return the engines that may take the request as they are listed by now."""
+        """Return the engines that may take the request, as currently listed."""
         return self._view.live_upstreams(self._head.service, self._head.regions)
 
     def _grant_request(
@@ -436,8 +436,8 @@
             priority=self._head.priority,
             max_wait_ms=round(max(0.0, max_wait) * MS_PER_SECOND),
             weight=round(self._head.weight * WEIGHT_SCALE),
-            # What the walk saw is old by the time a stream breaks, and would raise the ceiling
-            # of its engine above what is running then.
+            # The load seen is out of date by the time a stream breaks, and would raise the
+            # engine's ceiling above the load of that time.
             seen_in_flight_elsewhere=0 if resuming else self.plan.seen_elsewhere(engine),
             is_followup=self._head.is_followup,
             is_home=is_home,
@@ -449,7 +449,7 @@
         )
 
     def _need_at(self, engine: str) -> TokenNeed:
-        """Return what the request takes of an engine's memory, where its owner goes by that."""
+        """Return the engine memory that the request needs, if the engine's owner counts memory."""
         if not (self._need.is_stated and self._view.is_load_managed()):
             return UNSTATED_NEED
         target = self._view.target(engine)
@@ -457,11 +457,11 @@
         return self._need if is_known else UNSTATED_NEED
 
     def _settled_engine(self, home: str) -> str | None:
-        """Return where a newcomer's chat was at home before, and is to stay for now.
+        """Return where a chat stays for now whose home engine joined recently, or None.
 
-        Not where engines take contexts over: there a newcomer has its chats' contexts for a
-        sixth of reading them, and left without chats it has the others take its share, up to
-        their ceilings and beyond to engines that hold nothing.
+        None if engines take over each other's contexts: a transfer costs a sixth of processing
+        the prompt again. Without its chats the new engine would leave its share to the others,
+        up to their ceilings, and then to engines that hold no context either.
         """
         target = self._view.target(home)
         takes_over = target is not None and target.shares_context
@@ -470,7 +470,7 @@
         return self.plan.settled(self._view.is_young)
 
     def _next_head(self, **changes: Any) -> RequestHead:
-        """Return the head of the next try, under an id of its own."""
+        """Return the head of the next try, with an id of its own."""
         self._try_count += 1
         return msgspec.structs.replace(
             self._head, request_id=f"{self._head.request_id}.{self._try_count}", **changes
@@ -491,14 +491,14 @@
         if not body_is_whole or not self._budget.may_retry():
             return Refused(self._with_retry_time(reply))
         if reply.code == CROSSED and not ask.fresh:
-            # The connection was at fault, which is closed now; the engine may be the only one.
+            # The connection was at fault and is closed now; there may be no other engine.
             self.plan.again()
         return None
 
     def _with_retry_time(self, reply: Refusal) -> Refusal:
-        """Return a refusal as its caller is told of it.
+        """Return a refusal with the retry delay to send to the caller.
 
-        Where all engines want nothing, it is not to come back before the first rest ends.
+        If all engines rest, the caller is to retry only when the first rest ends.
         """
         if not isinstance(reply, NotRun) or reply.refusal is not EngineRefusal.OVERLOADED:
             return reply
@@ -506,18 +506,18 @@
         return msgspec.structs.replace(reply, retry_after=max(shortest_rest, reply.retry_after))
 
     def _is_request_at_fault(self, reply: NotRun) -> bool:
-        """Return whether other engines would refuse the request as well."""
+        """Return whether other engines would refuse the request too."""
         if reply.refusal is EngineRefusal.BAD_REQUEST:
             return True
         unknown = [each for each in self._refusals if each.refusal is EngineRefusal.UNKNOWN]
         return len(unknown) >= MAX_UNKNOWN_REFUSALS
 
     def _tries_are_spent(self) -> bool:
-        """Return whether the request was sent to as many engines as it may."""
+        """Return whether the request was sent to the maximum number of engines."""
         return 0 < self._head.most_tries <= len(self._tries.sent_to)
 
     def _note_served(self, engine: str) -> None:
-        """Remember who holds the chat's context now, and tell its home's owner."""
+        """Record the engine that holds the chat's context, and tell the home engine's owner."""
         if self._head.chat:
             self._view.note_served(self._head.chat, engine)
         home = self.plan.home
@@ -534,11 +534,11 @@
         asked = ", ".join(f"{engine} ({why})" for engine, why in self.plan.passed_over)
         rest = self._resting.shortest_rest()
         if rest is not None and not self.plan.in_flight_by_engine:
-            # What keeps it from the others, if any, may be over before.
+            # Engines that were skipped for other reasons may be available before.
             after = rest if self._resting.includes_all(step.asked) else min(rest, FULL_RETRY_AFTER)
             return NotRun("engines-resting", f"asked {asked}", max(after, SOON_RETRY_AFTER))
         if self._refusals and not self.plan.in_flight_by_engine:
-            # Nobody is full, so that is not what the caller is told.
+            # No engine is full, so the caller gets the engine's refusal instead.
             return self._refusals[-1]
         retry_after = self.queue_result.retry_after_ms / MS_PER_SECOND
         return NotRun("engines-full", f"asked {asked}", retry_after or FULL_RETRY_AFTER)
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait at their owner until a full engine can take them."""
+"""Queues of requests that wait at an engine's owner until the engine has a free slot."""
 
 from __future__ import annotations
 
@@ -23,33 +23,33 @@
 )
 from pondhatch.requests._grant_requests import MS_PER_SECOND, WEIGHT_SCALE, GrantRequest
 
-#: Requests that may wait before one engine.
+#: Maximum number of requests that wait for one engine.
 QUEUE_LIMIT = 64
-#: The same while load is managed, where a request waits for as long as its caller can: an
-#: engine that frees a slot every 3 ms serves some 300 in the second that a caller waits.
+#: The same with load management, where a request waits for as long as its caller can: an engine
+#: that frees a slot every 3 ms serves some 300 requests in the second that a caller waits.
 MANAGED_QUEUE_LIMIT = 512
-#: Requests short of memory that are passed over each time that a line is served, so that smaller
-#: ones behind them go on: each costs a question to the gate.
+#: Maximum number of requests short of memory that are skipped each time a queue is served, so
+#: that smaller requests behind them are granted: each costs a call to the gate.
 MAX_PASSED_OVER = 4
-#: Refused requests of one engine that are remembered until their time is over.
+#: Maximum number of refused requests per engine that are remembered until their wait would end.
 MAX_REMEMBERED_REFUSALS = 512
 
 
 class Waiter(msgspec.Struct, frozen=True):
-    """One request that waits."""
+    """A request that waits in a queue."""
 
     ticket: Ticket
     #: Asks the gate again on its behalf.
     ask: Callable[[], Verdict]
-    #: Set when its turn came, or when it was pushed out.
+    #: Set when the request is granted, or evicted from the queue.
     turn: asyncio.Future[Verdict]
 
 
 class _Queue(msgspec.Struct, frozen=True):
-    """One engine's line and those who wait in it.
+    """The order of one engine's queue and the requests that wait in it.
 
-    It is there until its last waiter has left, who may have had its turn some steps before: two
-    lines of one engine at the same time would give out the same places.
+    Kept until its last waiter has left, which can be some event loop steps after its grant: two
+    queues for one engine at the same time would grant the same slots twice.
     """
 
     line: Line
@@ -65,13 +65,13 @@
 
 
 def _drop_expired(heap: list[float], now: float) -> None:
-    """Remove the times that are over from a heap of times."""
+    """Remove the times that have passed from a heap of times."""
     while heap and heap[0] <= now:
         heapq.heappop(heap)
 
 
 class EngineQueues:
-    """The lines before the engines that this router owns."""
+    """The wait queues of the engines that this router owns."""
 
     def __init__(
         self,
@@ -84,12 +84,12 @@
         #: Releases a grant that came too late for its request.
         self._give_back = give_back
         self._clock = clock
-        #: Whether load is managed.
+        #: Returns whether load management is on.
         self._is_managed = is_managed
         self._schedule_by_engine: dict[str, RetrySchedule] = {}
-        #: Until when requests that were refused at arrival could have waited, the first on top.
+        #: Times until which requests refused at arrival could have waited, a heap by engine.
         self._refused_until_by_engine: dict[str, list[float]] = {}
-        #: Requests that were refused at arrival, and that a place came free for in time.
+        #: Number of requests refused at arrival for which a slot came free in time after all.
         self.wrongly_refused = 0
 
     def waiting_count(self, engine: str) -> int:
@@ -100,7 +100,7 @@
     async def wait(
         self, grant_request: GrantRequest, full: Full, ask: Callable[[], Verdict]
     ) -> Verdict:
-        """Wait until granted; ``full`` is the answer when patience ends or the line is full."""
+        """Wait until granted; returns ``full`` when the wait ends or the queue is full."""
         is_predicted = self._is_managed() and grant_request.in_time > 0
         if not is_predicted and self._exceeds_max_wait(grant_request):
             return full
@@ -130,7 +130,7 @@
         return verdict
 
     def forget(self, is_gone: Callable[[str], bool]) -> None:
-        """Forget what is known of engines that are gone and that nobody waits for."""
+        """Drop the state of engines that are gone and have no waiting requests."""
         for known in (
             self._interval_by_engine,
             self._schedule_by_engine,
@@ -143,15 +143,15 @@
                 del known[engine]
 
     def note_released(self, engine: str, now: float, was_used: bool = True) -> None:
-        """Note that a grant was given back, and serve the line.
+        """Note that a grant was released, and serve the queue.
 
-        One that was not used, as when its request had another one, tells nothing of how long
-        the engine takes.
+        An unused grant, such as one whose request got another one, is no measure of how fast
+        the engine frees slots.
         """
         known = self._interval_by_engine.get(engine, ReleaseInterval(now))
         busy = self.waiting_count(engine) > 0
         if not self._is_managed():
-            # Only the gaps of an engine that is wanted tell how fast it frees slots.
+            # Only while requests wait do the gaps between releases show how fast slots come free.
             self._interval_by_engine[engine] = (
                 known.after(now) if busy else replace(known, last=now)
             )
@@ -163,7 +163,7 @@
         self.serve(engine)
 
     def _queue(self, engine: str) -> _Queue:
-        """Return an engine's line, a new one where nobody waits."""
+        """Return an engine's queue, creating it if no request waits."""
         queue = self._queue_by_engine.get(engine)
         if queue is not None:
             return queue
@@ -172,7 +172,7 @@
             limit = MANAGED_QUEUE_LIMIT
             now = self._clock()
             known = self._interval_by_engine.get(engine, ReleaseInterval(now))
-            # The time before, in which nobody wanted a slot, is no part of a gap.
+            # The idle time before this, when no request waited, does not count as a gap.
             self._interval_by_engine[engine] = replace(known, last=now)
         queue = self._queue_by_engine[engine] = _Queue(Line(limit))
         return queue
@@ -191,7 +191,7 @@
         )
 
     def _exceeds_max_wait(self, grant_request: GrantRequest) -> bool:
-        """Return whether those before a request alone will take longer than it may wait.
+        """Return whether the requests ahead of a request take longer than it may wait.
 
         Such a request is refused at once: waiting would end in the same refusal.
         """
@@ -203,10 +203,10 @@
         return wait > grant_request.max_wait_ms / MS_PER_SECOND
 
     def _predicted_wait(self, grant_request: GrantRequest) -> float:
-        """Return the seconds that a request will wait; 0 where nothing is known.
+        """Return the predicted wait of a request in seconds; 0 if unknown.
 
-        One whose time for an answer within the objective ends before its turn comes is behind
-        those that are late already.
+        A request that will miss its objective before its turn comes is queued behind those that
+        are already late.
         """
         queue, gap = (
             self._queue_by_engine.get(grant_request.engine),
@@ -223,11 +223,11 @@
             queue.line.share_before(grant_request.account, grant_request.priority, is_late=True)
             - share
         )
-        # While those in time take all places, none comes free for the late ones.
+        # While requests that are in time take all slots, none is left for the late ones.
         return wait + late * max(gap, queue.line.late_gap())
 
     def _refused(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
-        """Return the answer to a request that is refused at arrival, and remember it."""
+        """Return the reply to a request that is refused at arrival, and remember the refusal."""
         now = self._clock()
         refused_until = self._refused_until_by_engine.setdefault(grant_request.engine, [])
         _drop_expired(refused_until, now)
@@ -240,7 +240,7 @@
         return replace(full, retry_after_ms=self._retry_after_ms(grant_request))
 
     def _retry_after_ms(self, grant_request: GrantRequest) -> int:
-        """Return after how many milliseconds a refused caller is to retry; 0 if unknown."""
+        """Return the retry delay in milliseconds for a refused caller; 0 if unknown."""
         queue, gap = (
             self._queue_by_engine.get(grant_request.engine),
             self._release_gap(grant_request.engine),
@@ -253,16 +253,16 @@
         return max(1, round(seconds * MS_PER_SECOND))
 
     def granted_ahead(self, engine: str, most: int) -> int:
-        """Return how many requests to grant beyond an engine's slots while others wait."""
+        """Return how many requests to grant beyond an engine's slots while requests wait."""
         return granted_ahead(self._release_gap(engine), most)
 
     def _release_gap(self, engine: str) -> float:
-        """Return the mean seconds between two places that come free; 0 if unknown."""
+        """Return the mean seconds between two slots that come free; 0 if unknown."""
         interval = self._interval_by_engine.get(engine)
         return interval.gap if interval is not None and interval.gap is not None else 0.0
 
     def _note_unused_slot(self, engine: str, now: float) -> None:
-        """Count a refusal as wrong for a place that nobody waits for."""
+        """Count a refusal as wrong for a slot that came free while no request waits."""
         refused_until = self._refused_until_by_engine.get(engine)
         if refused_until is None:
             return
@@ -274,7 +274,7 @@
             del self._refused_until_by_engine[engine]
 
     def serve(self, engine: str) -> None:
-        """Grant those who wait for an engine, in order, as far as the gate allows."""
+        """Grant the requests that wait for an engine, in order, as far as the gate allows."""
         queue = self._queue_by_engine.get(engine)
         if queue is None:
             return
@@ -296,7 +296,7 @@
             waiter.turn.set_result(verdict)
 
     def serve_all(self) -> None:
-        """Serve every line; called when a ceiling may have risen."""
+        """Serve every queue; called when a ceiling may have risen."""
         for engine in tuple(self._queue_by_engine):
             self.serve(engine)
 
@@ -307,19 +307,19 @@
             del self._queue_by_engine[engine]
 
     def _return_late_grant(self, engine: str, turn: asyncio.Future[Verdict]) -> None:
-        """Give back a grant made in the moment in which its request stopped waiting."""
+        """Release a grant that was made just as its request stopped waiting."""
         granted = turn.done() and not turn.cancelled() and isinstance(turn.result(), Granted)
         if granted:
             self._give_back(engine)
 
 
 def _evict_last(queue: _Queue, full: Full) -> None:
-    """Have the last one leave where the line is longer than it may be."""
+    """Remove the last request if the queue exceeds its limit."""
     last = queue.line.overflow()
     if last is None:
         return
     queue.line.leave(last)
     waiter = queue.waiter_by_number[last.number]
     if not waiter.turn.done():
-        # What the other request lacks of the engine's memory says nothing of this one.
+        # The memory shortage of the request that displaced it does not apply to this one.
         waiter.turn.set_result(replace(full, short_tokens=0))
--- a/pondhatch/requests/_entry_grants.py
+++ b/pondhatch/requests/_entry_grants.py
@@ -1,4 +1,4 @@
-"""The entry router's side of grants: questions to owners, and what is held of them."""
+"""The entry router's side of grants: requests grants from owners and tracks those held."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from pondhatch.requests._owner import LocalOwner
 from pondhatch.requests._owner_timeouts import OwnerTimeouts
 
-#: Seconds to wait for an owner that said that the question waits, try by try: it is asked
-#: now and then, in case its word was lost or it was.
+#: Seconds to wait after each send to an owner that has the request queued: it is asked again
+#: from time to time, in case its reply was lost or the owner failed.
 QUEUED_PAUSES = (0.5, 0.3, 0.3)
-#: The same for a question about one of several queues in which its request waits: a lost reply
-#: costs it less, and each of the questions is sent as often.
+#: The same for a request that waits in several queues: a lost reply costs it less, and each of
+#: its grant requests is sent as often.
 PARALLEL_QUEUED_PAUSES = (1.0, 0.5, 0.5)
-#: Seconds between two tellings of what is held; two fit into a lease, so one may be lost.
+#: Seconds between two renewals of held grants; two fit into a lease, so one may be lost.
 RENEW_SECONDS = 12.0
 
-#: Numbers start over after so many questions.
+#: Grant request numbers wrap around at this value.
 NUMBER_LIMIT = 2**32
 
 Send = Callable[[str, GrantPacket], None]
@@ -44,15 +44,15 @@
 
 
 class _PendingRequest(msgspec.Struct):
-    """A question that waits for its owner's word."""
+    """A grant request that waits for its owner's reply."""
 
     owner: str
     reply: asyncio.Future[OwnerReply]
-    #: When it was first sent, in the loop's seconds.
+    #: When it was first sent, in the event loop's seconds.
     sent_at: float
     #: How often it was sent.
     sends: int = 0
-    #: Whether the owner said that it waits, since the question was last sent.
+    #: Whether the owner reported it as queued since it was last sent.
     is_queued: bool = False
 
 
@@ -64,7 +64,7 @@
 
 
 class EntryGrants(msgspec.Struct):
-    """See Grants; packets and time in, packets out."""
+    """Implements Grants over packets, without I/O of its own."""
 
     #: This router's name, and its short id.
     name: str
@@ -72,10 +72,10 @@
     local: LocalOwner
     #: Sends a packet to a router by name.
     send: Send
-    #: Number of the last question; to begin at a place of each process's own, so that
-    #: none repeats one that an earlier process of this name used a short while ago.
+    #: Number of the last grant request; each process starts at a different number, so that none
+    #: repeats a recent one of an earlier process of this name.
     number: int
-    #: Takes in the name of a router that was passed over, and is heard from again.
+    #: Called with the name of a router that replied after its timeout and is fast enough again.
     on_late_reply: Callable[[str], None] = _ignore
     timeouts: OwnerTimeouts = msgspec.field(default_factory=OwnerTimeouts)
     held_by_number: dict[int, HeldGrant] = msgspec.field(default_factory=dict)
@@ -83,7 +83,7 @@
     _renewed_at: float = float("-inf")
 
     def next_number(self) -> int:
-        """Return a number that no question of this router had."""
+        """Return a number that no recent grant request of this router has."""
         self.number = (self.number + 1) % NUMBER_LIMIT
         return self.number
 
@@ -98,27 +98,27 @@
         return reply
 
     def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
-        """Decide by what is known here; see Grants."""
+        """Decide from local state; see Grants."""
         reply = self.local.decide_without_owner(grant_request)
         if isinstance(reply, Granted):
             self.held_by_number[grant_request.number] = HeldGrant(grant_request.engine, self.name)
         return reply
 
     def release(self, number: int, end_reason: EndReason) -> None:
-        """Give a grant back; see Grants."""
+        """Release a grant; see Grants."""
         held = self.held_by_number.pop(number, None)
         if held is not None:
             self._release_at(held.owner, number, end_reason)
 
     def report_spill(self, owner: str, chat: int, engine: str) -> None:
-        """Tell the owner of a chat's home engine where the chat was served."""
+        """Tell the owner of a chat's home engine which other engine served the chat."""
         if owner == self.name:
             self.local.note_spill(chat, engine)
         else:
             self.send(owner, Spilled(chat, engine))
 
     def receive(self, packet: ReplyPacket, send_back: Callable[[GrantPacket], None]) -> None:
-        """Take in an owner's word; ``source`` sends a packet back to where it came from."""
+        """Handle an owner's reply; ``send_back`` sends a packet to the replying router."""
         pending = self._pending_by_number.get(packet.number)
         reply = reply_of(packet)
         if pending is None:
@@ -131,7 +131,7 @@
             pending.reply.set_result(reply)
 
     def move_to_new_owners(self, owner_name: Callable[[str], str | None]) -> None:
-        """Hold at its new owner what is held at an engine whose owner changed."""
+        """Move the grants of engines whose owner changed to the new owners."""
         for number, held in tuple(self.held_by_number.items()):
             owner = owner_name(held.engine)
             if owner is None or owner == held.owner:
@@ -141,7 +141,7 @@
             self._hold_at(owner, held.engine, (number,))
 
     def report_held_grants(self, owner: str) -> None:
-        """Tell an owner that restarted, and counts from nothing, what is held there."""
+        """Report the held grants to an owner that restarted and has lost its counts."""
         numbers_by_engine: dict[str, list[int]] = {}
         for number, held in self.held_by_number.items():
             if held.owner == owner:
@@ -150,7 +150,7 @@
             self._hold_at(owner, engine, tuple(numbers))
 
     def tick(self, now: float) -> None:
-        """Renew the leases of what is held, when it is time."""
+        """Renew the leases of held grants when due."""
         self.timeouts.forget_old(now)
         if now - self._renewed_at < RENEW_SECONDS:
             return
@@ -164,21 +164,21 @@
     def _handle_late_reply(
         self, packet: ReplyPacket, send_back: Callable[[GrantPacket], None]
     ) -> None:
-        """Give back a grant, or a place in line, whose request ended or went elsewhere.
+        """Release a grant or a queue position whose request has ended or went elsewhere.
 
-        A question may come after its own release, which the owner then knew nothing of.
+        A grant request may arrive after its own release, which the owner then ignored.
         """
         now = asyncio.get_running_loop().time()
         owner = self.timeouts.note_late_reply(packet.number, now)
         if owner is not None and not self.timeouts.is_too_slow(owner, now):
             self.on_late_reply(owner)
-        # Granted by another owner since, it holds nothing at this one.
+        # If another owner has granted it since, it holds nothing at this one.
         is_held_here = packet.number in self.held_by_number and owner is None
         if isinstance(packet, GrantedReply | Waiting) and not is_held_here:
             send_back(release_of(self.router, packet.number, EndReason.NEUTRAL))
 
     def _note_reply_time(self, pending: _PendingRequest) -> None:
-        """Note how long an owner took, where it is clear which send it answers."""
+        """Record an owner's reply time if it is clear which send the reply belongs to."""
         if pending.sends == 1 and not pending.is_queued and not pending.reply.done():
             now = asyncio.get_running_loop().time()
             self.timeouts.note_reply(pending.owner, now - pending.sent_at, now)
@@ -197,13 +197,13 @@
         try:
             reply = await self._await_reply(grant_request, pending, pauses)
         except asyncio.CancelledError:
-            # A late reply to a request that was granted elsewhere says nothing of its owner.
+            # A late reply to a request that got its grant elsewhere is no sign of a slow owner.
             was_withdrawn = grant_request.in_time > 0
             raise
         finally:
             del self._pending_by_number[grant_request.number]
             if reply is None:
-                # A grant may be under way, or the question may wait in the engine's line.
+                # A grant may be under way, or the request may wait in the owner's queue.
                 if not was_withdrawn:
                     self.timeouts.note_timeout(grant_request.number, owner, pending.sent_at)
                 self._release_at(owner, grant_request.number, EndReason.NEUTRAL)
@@ -214,7 +214,7 @@
     async def _await_reply(
         self, grant_request: GrantRequest, pending: _PendingRequest, first_pauses: tuple[float, ...]
     ) -> OwnerReply | None:
-        """Return the owner's reply, or None where it gives no word."""
+        """Return the owner's reply, or None if it does not reply in time."""
         pauses = iter(first_pauses)
         while (pause := next(pauses, None)) is not None:
             pending.is_queued = False
--- a/pondhatch/requests/_entry_view.py
+++ b/pondhatch/requests/_entry_view.py
@@ -1,4 +1,4 @@
-"""What the entry side reads of its router's state, and what it goes through to others."""
+"""Interfaces that a dispatch uses: its router's state, and services that it calls."""
 
 from __future__ import annotations
 
@@ -15,57 +15,57 @@
 
 
 class EntryView(Protocol):
-    """What the entry side reads of the router's state."""
+    """The parts of the router's state that a dispatch reads."""
 
     def owner_name(self, engine: str) -> str | None:
-        """Return the router that owns an engine, or None without live routers."""
+        """Return the router that owns an engine, or None if no router is live."""
 
     def note_unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
 
     def is_reachable(self, name: str) -> bool:
-        """Return whether a router counts as there for this one."""
+        """Return whether this router considers another as reachable."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
-        """Return the service's upstreams that take work bound to these regions."""
+        """Return the service's upstreams that take requests restricted to these regions."""
 
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
-        """Return a chat's home engine were its hall not closed to it, and why it is closed."""
+        """Return a chat's home engine and the reason if its hall is closed to it, else None."""
 
     def can_resume(self, engine: str) -> bool:
         """Return whether an engine can resume a broken stream."""
 
     def is_young(self, engine: str) -> bool:
-        """Return whether an upstream joined a short while ago."""
+        """Return whether an upstream joined recently."""
 
     def target(self, engine: str) -> Target | None:
-        """Return an upstream, or None where it is not known."""
+        """Return an upstream, or None if it is unknown."""
 
     def former_home(self, service: str, chat: str) -> str | None:
-        """Return a chat's home engine were those that leave still counted."""
+        """Return a chat's home engine with leaving engines still ranked."""
 
     def note_served(self, chat: int, engine: str) -> None:
-        """Remember which engine answered a chat last."""
+        """Record which engine answered a chat last."""
 
     def last_served(self, chat: int) -> str | None:
-        """Return the engine that answered a chat last, as far as this router saw."""
+        """Return the engine that last answered a chat through this router."""
 
     def is_load_managed(self) -> bool:
-        """Return whether the parts of load management are in force."""
+        """Return whether load management is on."""
 
 
 class EnginePreference(Protocol):
-    """Which engines are asked first for a request that no context binds to one."""
+    """Chooses the engines to ask first for requests without a chat context."""
 
     def preferred(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
-        """Return the engines of an order to ask before the others; empty where none are."""
+        """Return the engines of an order to ask before the others; empty if none are."""
 
     def note_reply(self, engine: str, reply: OwnerReply) -> None:
-        """Take in the reply of an engine's owner."""
+        """Record the reply of an engine's owner."""
 
 
 class NoPreference:
-    """Keeps to the order; see EnginePreference."""
+    """Keeps the given order; see EnginePreference."""
 
     def preferred(self, service: str, order: Sequence[str]) -> tuple[str, ...]:
         """Prefer none."""
@@ -76,11 +76,11 @@
 
 
 class Collaborators(msgspec.Struct, frozen=True):
-    """What a walk goes through to others."""
+    """Services that a dispatch uses, shared by all dispatches of a router."""
 
     grants: Grants
     upstreams: Upstreams
     crash_guard: CrashGuard = NoCrashGuard()
     preference: EnginePreference = NoPreference()
-    #: How long upstreams usually take, as seen by all walks that go this way.
+    #: How long upstreams usually take, measured by all dispatches that share this.
     run_times: RunTimes = msgspec.field(default_factory=RunTimes)
--- a/pondhatch/requests/_parallel_waits.py
+++ b/pondhatch/requests/_parallel_waits.py
@@ -1,4 +1,4 @@
-"""One request's wait in the queues of several engines at once, until the first grant."""
+"""Waiting in the queues of several engines at once until the first of them grants."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
     OwnerReply,
 )
 
-#: Queues in which a request waits at once at most.
+#: Maximum number of queues in which a request waits at once.
 MAX_QUEUES = 4
-#: Seconds between two looks at who owns the engines: an owner that dies takes its queue along,
-#: and is found out by its peers within about two seconds.
+#: Seconds between two checks of who owns the engines: an owner that dies loses its queue, and
+#: its peers detect that within about two seconds.
 OWNER_CHECK_SECONDS = 0.25
-#: Seconds beyond its own wait for which a request waits for the owners' final replies.
+#: Seconds after the end of its wait for which a request waits for the owners' final replies.
 FINAL_REPLY_GRACE = 0.01
 
-#: Seconds of a pause at least: a shorter one may end before the clock has moved.
+#: Minimum pause in seconds: a shorter one may end before the clock has advanced.
 MIN_PAUSE = 0.001
 
 
 class FirstGrant(msgspec.Struct, frozen=True):
-    """The first grant of all."""
+    """The first grant among several engines."""
 
     question: GrantRequest
     granted: Granted
 
 
 class NotGranted(msgspec.Struct, frozen=True):
-    """No engine had a place in time; what each owner said last, by engine."""
+    """No engine had a free slot in time; each owner's last reply, by engine."""
 
     reply_by_engine: dict[str, OwnerReply]
 
 
 class _PendingRequest(msgspec.Struct, frozen=True):
-    """A question that waits at its engine's owner."""
+    """A grant request that waits at its engine's owner."""
 
     question: GrantRequest
     #: The router that owned the engine when it was asked.
@@ -52,7 +52,7 @@
 
 
 class ParallelWait:
-    """Asks the owners of several engines for one request, and keeps exactly one grant."""
+    """Asks the owners of several engines on behalf of one request; keeps at most one grant."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._grants = grants
         self._owner_name = owner_name
         self._ask = ask
-        #: Returns the question about an engine whose request may wait for so many seconds.
+        #: Returns the grant request for an engine, given the seconds that it may wait there.
         self._grant_request = question
         self._pending_by_task: dict[asyncio.Task[OwnerReply], _PendingRequest] = {}
         self._reply_by_engine: dict[str, OwnerReply] = {}
@@ -72,7 +72,7 @@
     async def first_grant(
         self, engines: tuple[str, ...], seconds: float
     ) -> FirstGrant | NotGranted:
-        """Return the first grant within some seconds; the other queues drop the request."""
+        """Return the first grant within some seconds, and leave the other queues."""
         clock = asyncio.get_running_loop().time
         until, check_at = clock() + seconds, clock() + OWNER_CHECK_SECONDS
         try:
@@ -98,7 +98,7 @@
         self._pending_by_task[task] = _PendingRequest(grant_request, self._owner_name(engine))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait for an owner's final reply, or some seconds."""
+        """Wait until an owner's final reply arrives, or for some seconds."""
         if self._pending_by_task:
             await asyncio.wait(
                 self._pending_by_task, timeout=seconds, return_when=asyncio.FIRST_COMPLETED
@@ -107,7 +107,7 @@
             await asyncio.sleep(seconds)
 
     def _take_replies(self) -> FirstGrant | None:
-        """Take in the final replies that have come; return the first grant among them."""
+        """Record the final replies that have arrived; return the first grant among them."""
         for task, pending in tuple(self._pending_by_task.items()):
             if not task.done():
                 continue
@@ -125,9 +125,9 @@
         return left > 0 and any(self._lacks_queue_reply(engine) for engine in engines)
 
     def _lacks_queue_reply(self, engine: str) -> bool:
-        """Return whether an engine's owner said nothing of the wait there.
+        """Return whether an engine's final reply says nothing of its owner's queue.
 
-        So it is where the owner died, and another router decided by what it knew.
+        This happens if the owner died and another router decided in its place.
         """
         reply = self._reply_by_engine.get(engine)
         if isinstance(reply, Busy):
@@ -135,7 +135,7 @@
         return isinstance(reply, NotOwner)
 
     def _ask_new_owners(self, engines: tuple[str, ...], left: float) -> None:
-        """Ask anew where the owner changed, and where none said anything of the wait."""
+        """Ask again where the owner changed or the last reply did not come from a queue."""
         if left <= 0:
             return
         for task, pending in tuple(self._pending_by_task.items()):
@@ -152,7 +152,7 @@
                 self._start(engine, left)
 
     def _withdraw(self) -> None:
-        """Leave the queues, and give back a second grant that came in the same moment."""
+        """Leave the queues, and release any second grant that arrived at the same time."""
         for task, pending in self._pending_by_task.items():
             if not task.done():
                 task.cancel()
