--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: grants against the ceiling of the engines that this router owns."""
+"""The owner's side: grants requests up to the ceilings of the engines that this router owns."""
 
 from __future__ import annotations
 
@@ -39,23 +39,23 @@
 from pondhatch.requests._outcomes import AILING, NotRun
 from pondhatch.requests._sending import Target, grantable_target
 
-#: Seconds that a process takes at least from its start to its first request: what a router
-#: that restarted was granted longer ago belongs to its earlier process.
+#: Minimum seconds from a process's start to its first request: grants that a restarted router
+#: got longer ago belong to its earlier process.
 MIN_START_SECONDS = 0.5
 
 
-#: Ends of requests that an engine ran. The others freed no slot, or say nothing of how long a
-#: slot is taken.
+#: End reasons of requests that an engine ran. After the others no slot came free, or its time
+#: in use is no measure of how long requests take.
 RUN_ENDS = frozenset({EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR})
-#: Seconds between two looks for engines that are gone.
+#: Seconds between two clean-ups of engines that are gone.
 FORGET_SECONDS = 10.0
 
 
 class OwnerView(Protocol):
-    """What the owner's side reads of the router's state."""
+    """The parts of the router's state that the owner's side reads."""
 
     def target(self, engine: str) -> Target | None:
-        """Return an upstream, or None where it is not known."""
+        """Return an upstream, or None if it is unknown."""
 
     def owner_name(self, engine: str) -> str | None:
         """Return the router that owns an engine in this router's view."""
@@ -64,24 +64,24 @@
         """Return the in-flight total of the service's other engines."""
 
     def is_young(self, engine: str) -> bool:
-        """Return whether an upstream joined a short while ago."""
+        """Return whether an upstream joined recently."""
 
     def is_draining(self) -> bool:
         """Return whether this router is draining."""
 
     def is_load_managed(self) -> bool:
-        """Return whether the parts of load management are in force."""
+        """Return whether load management is on."""
 
 
 class MustWait(msgspec.Struct, frozen=True):
-    """The engine is at its ceiling, and the request may wait in its line."""
+    """The engine is at its ceiling, and the request may wait in its queue."""
 
     target: Target
     full: Full
 
 
 class LocalOwner:
-    """The engines that this router owns."""
+    """Grants requests at the engines that this router owns."""
 
     def __init__(
         self,
@@ -107,22 +107,22 @@
         self._forgot_at = float("-inf")
 
     async def ask(self, grant_request: GrantRequest) -> OwnerReply:
-        """Return the answer to a question, after waiting in line where it may."""
+        """Return the reply to a grant request, after waiting in the queue if it may."""
         reply = self.decide(grant_request)
         return await self.wait(grant_request, reply) if isinstance(reply, MustWait) else reply
 
     def decide(self, grant_request: GrantRequest) -> OwnerReply | MustWait:
-        """Answer a question at once, or say that its request must wait."""
+        """Reply to a grant request at once, or return that it must wait."""
         if self._view.is_draining():
             return NotOwner()
         target = self._target(grant_request)
         if isinstance(target, NotRun):
-            # Where it was granted before, and that word was lost, nobody would give it back.
+            # If it was granted before and that reply was lost, no one else would release it.
             self.release(grant_request.holder, EndReason.NEUTRAL)
             return target
         if grant_request.holder in self.leases.by_holder:
-            # Asked again, since the first word was lost; what speaks against the engine by
-            # now may be this very request, sent to try it.
+            # Asked again because the first reply was lost. The engine's state is not checked
+            # anew: this very request may be the one probing it.
             return Granted(self._gate.in_flight(target.name, self._clock()), target.slots)
         refusal = self._placement_refusal(grant_request, target)
         if refusal is not None:
@@ -137,11 +137,11 @@
         return _busy(verdict)
 
     def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
-        """Answer a question of this router's own whose owner cannot be asked.
+        """Reply to a grant request of this router whose owner cannot be asked.
 
-        What is known here of the engine's load is held against its ceiling; the grant is
-        told to the owner as soon as there is one again. Nothing goes to a cold upstream so: any
-        number of routers may decide alone at once, and none knows what the others send there.
+        The load known here is compared with the engine's ceiling; the grant is reported to the
+        owner once there is one again. Cold upstreams get nothing this way: any number of routers
+        may decide without an owner at once, and none knows what the others send there.
         """
         target = self._target(grant_request)
         if isinstance(target, NotRun):
@@ -158,7 +158,7 @@
         return _busy(verdict)
 
     async def wait(self, grant_request: GrantRequest, must_wait: MustWait) -> OwnerReply:
-        """Wait in the engine's line until granted, or until patience ends."""
+        """Wait in the engine's queue until granted or until the maximum wait has passed."""
         ask = functools.partial(
             self._ask_gate_again, must_wait.target, grant_request, self._clock()
         )
@@ -169,30 +169,30 @@
             if not isinstance(verdict, Granted):
                 self._drop_reservation(grant_request)
         if isinstance(verdict, Full):
-            # As it is now: the next owner that is asked counts what it is told here, and what
-            # was there when the wait began may have ended since.
+            # Reports the present load: the next owner asked counts it as load elsewhere, and
+            # requests that ran when the wait began may have ended since.
             held = self._gate.in_flight(grant_request.engine, self._clock())
             return _busy(replace(verdict, in_flight=held))
         target = self._target(grant_request)
         if isinstance(target, NotRun):
-            # It was closed while the request waited.
+            # The upstream was closed while the request waited.
             self._engine_memory.ended(grant_request.engine, grant_request.holder)
             self._return_slot(grant_request.engine)
             return target
         return self._record_grant(grant_request, verdict)
 
     def release(self, holder: Holder, end_reason: EndReason) -> None:
-        """Take a grant back, and learn from how its request ended; safe to call twice."""
+        """End a grant and record how its request ended; safe to call twice."""
         lease = self.leases.take(holder)
         if lease is None:
             return
-        # First, since whoever waits in the engine's line is granted when the place is back.
+        # Recorded first, since returning the slot grants the next request in the queue.
         self._learn(lease.engine, end_reason)
         self._engine_memory.ended(lease.engine, holder)
         self._return_slot(lease.engine, was_used=end_reason in RUN_ENDS)
 
     def _learn(self, engine: str, end_reason: EndReason) -> None:
-        """Take in what the end of a request, whose grant still counts, tells of its engine."""
+        """Record how a request ended at its engine, while its grant still counts as in flight."""
         now = self._clock()
         if end_reason == EndReason.ANSWERED:
             self._health.answered(engine)
@@ -207,10 +207,11 @@
             self._note_engine_full(engine, now)
 
     def _note_engine_full(self, engine: str, now: float) -> None:
-        """Hold less at an engine than the places that were counted for it.
+        """Lower the limit of an engine that refused a request as full.
 
-        One that holds nothing else of ours is not full by what is counted here: once may be
-        the request's size, again and again speaks against the engine, unless it is cold.
+        If it runs no other request granted here, the refusal counts as an engine error instead:
+        a single one may be due to the request's size, repeated ones are not. Cold engines are
+        exempt from both.
         """
         target = self._view.target(engine)
         if target is not None and target.intake.cold_pace is not None:
@@ -221,7 +222,7 @@
             self._health.erred(engine, now)
 
     def hold(self, router: int, engine: str, numbers: Collection[int]) -> None:
-        """Renew leases; what another owner granted is counted here from now on."""
+        """Renew leases; grants of an earlier owner are counted here from now on."""
         for number in numbers:
             holder = Holder(router, number)
             if holder not in self.leases.by_holder:
@@ -230,19 +231,19 @@
             self.leases.give(holder, engine, self._clock())
 
     def router_gone(self, router: int) -> None:
-        """Take back the grants of an entry router that is gone: its connections are, too."""
+        """End the grants of an entry router that is gone, as its connections are gone too."""
         self._release_all(self.leases.of_router(router))
 
     def router_restarted(self, router: int) -> None:
-        """Take back what an entry router held before it started anew.
+        """End the grants that an entry router held before it restarted.
 
-        Its new process may have asked already; a start takes longer than that word.
+        Its new process may have asked already; a start takes longer than the news of it.
         """
         self._release_all(self.leases.of_router(router, self._clock() - MIN_START_SECONDS))
 
     @property
     def wrongly_refused(self) -> int:
-        """Requests that were refused at arrival, and that a place came free for in time."""
+        """Number of requests refused at arrival for which a slot came free in time after all."""
         return self._queues.wrongly_refused
 
     def holding_routers(self) -> frozenset[int]:
@@ -250,11 +251,11 @@
         return frozenset(holder.router for holder in self.leases.by_holder)
 
     def note_spill(self, chat: int, engine: str) -> None:
-        """Note where a chat was served away from its home engine."""
+        """Record the engine that served a chat instead of its home engine."""
         self._memory.remember(chat, engine)
 
     def tick(self) -> None:
-        """Do what is due each round: leases end, and a ceiling may have risen."""
+        """Do the periodic work: end expired leases, and serve queues if ceilings have risen."""
         now = self._clock()
         self._release_all(self.leases.ended(now))
         self._queues.serve_all()
@@ -263,7 +264,7 @@
             self._queues.forget(lambda engine: self._view.target(engine) is None)
 
     def _placement_refusal(self, grant_request: GrantRequest, target: Target) -> OwnerReply | None:
-        """Return why a request may not run at an engine that takes work, whatever its load."""
+        """Return why a request may not run at an open engine, regardless of its load."""
         owner = self._view.owner_name(grant_request.engine)
         if owner != self._name and not grant_request.instead_of_owner:
             return NotOwner(owner)
@@ -273,7 +274,7 @@
         return self._health_refusal(grant_request, target)
 
     def _health_refusal(self, grant_request: GrantRequest, target: Target) -> NotRun | None:
-        """Return why a request should not run at an engine, by what became of others there."""
+        """Return why a request should not run at an engine given its recent failures."""
         engine, now = grant_request.engine, self._clock()
         if self._health.is_down(engine, now):
             return NotRun("upstream-down", f"{engine} failed several times in a row")
@@ -284,7 +285,7 @@
         return None
 
     def _context_engine(self, grant_request: GrantRequest) -> str:
-        """Return where to send the chat: here, unless this is its home and it lies elsewhere."""
+        """Return where to send the chat: here, unless this is its home and it has spilled."""
         if not (grant_request.is_home and grant_request.is_followup) or grant_request.is_forced:
             return grant_request.engine
         is_young = self._view.is_young(grant_request.engine)
@@ -297,12 +298,12 @@
         )
 
     def _target(self, grant_request: GrantRequest) -> Target | NotRun:
-        """Return the upstream that is asked for, or why no router may send it the request."""
+        """Return the requested upstream, or why no router may send it the request."""
         target = self._view.target(grant_request.engine)
         return grantable_target(target, grant_request.engine, grant_request.resuming)
 
     def _ask_gate_again(self, target: Target, grant_request: GrantRequest, since: float) -> Verdict:
-        """Ask the gate for a request that waited, since its upstream may have turned cold."""
+        """Ask the gate again for a queued request; its upstream may have become cold."""
         if grant_request.in_time > 0 and self._clock() - since > SEEN_LOAD_SECONDS:
             grant_request = replace(grant_request, seen_in_flight_elsewhere=0)
         verdict = self._ask_gate(self._view.target(target.name) or target, grant_request)
@@ -311,12 +312,12 @@
         return verdict
 
     def _drop_reservation(self, grant_request: GrantRequest) -> None:
-        """Take back what a request counts or keeps that goes without a grant."""
+        """Drop the memory reservation of a request that leaves without a grant."""
         if self._engine_memory.ended(grant_request.engine, grant_request.holder):
             self._queues.serve(grant_request.engine)
 
     def _ask_gate(self, target: Target, grant_request: GrantRequest) -> Verdict:
-        """Grant a request at an upstream's ceiling and, where it is cold, at its pace."""
+        """Grant a request up to an upstream's ceiling and, if it is cold, at its pace."""
         pace, now = target.intake.cold_pace, self._clock()
         if pace is None:
             self._cold_paces.forget(target.name)
@@ -329,12 +330,12 @@
         return verdict
 
     def _cold_refusal(self, target: Target) -> Full:
-        """Return the answer where a cold upstream is to get nothing more for a moment."""
+        """Return the refusal of a cold upstream that is to get no more requests for a moment."""
         held = self._gate.in_flight(target.name, self._clock())
         return Full(held, held, is_cold=True)
 
     def _ask_ceiling(self, target: Target, grant_request: GrantRequest) -> Verdict:
-        """Grant a request where an upstream has a place and memory for it."""
+        """Grant a request if an upstream has a slot and memory for it."""
         now = self._clock()
         held = self._gate.in_flight(target.name, now)
         short = self._engine_memory.shortage(target, grant_request, held, now)
@@ -359,10 +360,10 @@
         return verdict
 
     def _slots(self, target: Target, grant_request: GrantRequest) -> int:
-        """Return how many requests an engine may hold, whatever the mean.
+        """Return how many requests an engine may hold, regardless of the service's mean load.
 
-        One that waits in its queue may be sent ahead of the next free slot. One that does not may
-        find a free slot at another engine.
+        A request that waits in the queue may be sent ahead of the next free slot. Any other
+        request may find a free slot at another engine.
         """
         if grant_request.in_time == 0 or not self._view.is_load_managed():
             return target.slots
@@ -371,8 +372,8 @@
     def _pace(self, target: Target, grant_request: GrantRequest) -> int:
         """Return the pace by which an engine's ceiling is lowered for a request.
 
-        One that comes for its context goes by the usual ceiling: taking the context over to
-        another engine costs it more than the slow engine does, and outlasts the pace.
+        A request whose context is at the engine gets the usual ceiling: moving the context to
+        another engine costs it more than a slow engine does, and outlasts the slowness.
         """
         waits_for_context = grant_request.max_wait_ms > 0 and grant_request.in_time == 0
         comes_for_context = grant_request.is_followup and (
@@ -397,7 +398,7 @@
             self.release(holder, EndReason.NEUTRAL)
 
     def _return_slot(self, engine: str, was_used: bool = False) -> None:
-        """Give a place at an engine back, and let whoever is next in line have it."""
+        """Return a slot at an engine, and grant it to the next request in the queue."""
         self._gate.release(engine)
         self._queues.note_released(engine, self._clock(), was_used)
 
--- a/pondhatch/requests/_owner_grants.py
+++ b/pondhatch/requests/_owner_grants.py
@@ -1,4 +1,4 @@
-"""The owner's side of grants: other routers' questions, as their packets come."""
+"""The owner's side of grants: handles the packets of other routers' grant requests."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class OwnerGrants(msgspec.Struct):
-    """Answers questions; one that must wait is answered when its turn has come."""
+    """Replies to grant requests, to queued ones once they are granted or time out."""
 
     local: LocalOwner
     tasks: Tasks
     _waiting_by_holder: dict[Holder, asyncio.Task[None]] = msgspec.field(default_factory=dict)
 
     def receive_request(self, grant_request: GrantRequest, send_back: SendBack) -> None:
-        """Take in a question, also one that was asked before; ``answer`` sends back."""
+        """Handle a grant request, new or repeated; ``send_back`` sends the reply."""
         if grant_request.holder in self._waiting_by_holder:
             send_back(Waiting(grant_request.number))
             return
@@ -42,11 +42,11 @@
         send_back(Waiting(grant_request.number))
         task = self.tasks.start(self._wait(grant_request, reply, send_back))
         self._waiting_by_holder[grant_request.holder] = task
-        # Not within the task, which may be cancelled before its first step.
+        # Not removed within the task, which may be cancelled before its first step.
         task.add_done_callback(lambda _: self._waiting_by_holder.pop(grant_request.holder))
 
     def receive_update(self, update: GrantUpdate) -> None:
-        """Take in what an entry router says of its requests."""
+        """Handle an entry router's update on its grants or chats."""
         if isinstance(update, Release):
             self._release(Holder(update.router, update.number), end_reason_of(update))
         elif isinstance(update, Hold):
--- a/pondhatch/requests/_parallel_waits.py
+++ b/pondhatch/requests/_parallel_waits.py
@@ -163,7 +163,7 @@
     def _release_if_granted(self, task: asyncio.Task[OwnerReply], pending: _PendingRequest) -> None:
         error = task.exception()
         if error is not None:
-            context = {"message": "A question to an engine's owner failed", "exception": error}
+            context = {"message": "A grant request to an engine's owner failed", "exception": error}
             asyncio.get_running_loop().call_exception_handler(context)
         elif isinstance(task.result(), Granted):
             self._grants.release(pending.question.number, EndReason.NEUTRAL)
--- a/pondhatch/requests/_slot_wait.py
+++ b/pondhatch/requests/_slot_wait.py
@@ -1,4 +1,4 @@
-"""For how long one request may wait at full engines, from moment to moment."""
+"""How long one request may still wait at full engines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SlotWait:
-    """Goes by what the request's caller bears, and by how long its service usually takes."""
+    """Limits the wait by the caller's deadlines and the usual run times of the service."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
     def in_time_ms(self, default_ms: int) -> int:
         """Return the milliseconds within which a grant is in time for the objective.
 
-        ``patience_ms``, for which it waits, where no objective is known.
+        Returns ``default_ms`` if no objective is known.
         """
         deadlines = self._wait_limits.deadlines
         if deadlines is None:
@@ -45,7 +45,7 @@
         return max(1, round(left * MS_PER_SECOND))
 
     def _elapsed(self) -> float:
-        """Return the seconds since the request came."""
+        """Return the seconds since the request arrived."""
         return self._head.deadline - self._remaining()
 
     def _usual(self) -> UsualTimes:
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -1,4 +1,4 @@
-"""One request's tries: ask an engine's owner and, where it grants, send the request."""
+"""One request's tries: ask an engine's owner for a grant, then send the request."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from pondhatch.requests._parallel_waits import NotGranted, ParallelWait
 from pondhatch.requests._sending import GrantedAnswer, Target, open_target
 
-#: What an engine's refusal tells its owner. A bad request says nothing of the engine; one
-#: that is not the one meant is out of reach at its address, like one that is gone.
+#: The end reason reported to the owner for each refusal of its engine. A bad request is no
+#: evidence on the engine; an address that another engine answers at counts as unreachable.
 END_REASON_BY_REFUSAL = {
     EngineRefusal.FULL: EndReason.FULL,
-    # Held to less, it would be so again and again, down to nothing.
+    # Lowering its limit would go on with each refusal, down to nothing.
     EngineRefusal.DECLINED: EndReason.ENGINE_ERROR,
-    # What it asked for is told apart, and is no sign of illness.
+    # The rest that it asks for is announced separately, and is no sign of a fault.
     EngineRefusal.OVERLOADED: EndReason.NEUTRAL,
     EngineRefusal.LEAVING: EndReason.LEAVING,
     EngineRefusal.WRONG_INSTANCE: EndReason.CONNECTION_FAILED,
@@ -37,17 +37,17 @@
     EngineRefusal.UNKNOWN: EndReason.ENGINE_ERROR,
 }
 
-#: Codes of tries that were given up right before their first byte went out.
+#: Codes of tries that were abandoned right before their first byte was sent.
 CLOSED_CODES = frozenset(Closed)
-#: Codes of tries of which no byte went out.
+#: Codes of tries of which no byte was sent.
 NOT_SENT_CODES = frozenset({*CLOSED_CODES, "upstream-unreachable"})
 
-#: What became of one question and, where it was granted, of the try that followed.
+#: Result of one grant request and, if granted, of the try that followed.
 TryResult = AnswerStarted | Busy | ContextElsewhere | NotOwner | NotRun | Unknown
 
 
 class Tries:
-    """Runs one request's tries, and keeps what the next one needs to know of them."""
+    """Runs one request's tries, and keeps the state that later tries need."""
 
     def __init__(
         self,
@@ -62,27 +62,27 @@
         self._view = view
         self._collaborators = collaborators
         self._body = body
-        #: By which engines are ranked for the request.
+        #: Key by which engines are ranked for the request.
         self._chat = chat
         self._remaining = remaining
         self._watch = watch
-        #: Seconds that the request can wait for one owner's word.
+        #: Seconds that the request can wait for one owner's reply.
         self._max_owner_wait = max_owner_wait
-        #: Engine at which the context lies, as its home engine's owner said.
+        #: Engine that holds the context according to the home engine's owner.
         self.context_engine: str | None = None
-        #: Engine at which the context was before those ranked above it joined.
+        #: Engine that held the context before engines ranked above it joined.
         self.settled_engine: str | None = None
-        #: What was granted last: the load and the ceiling at its engine.
+        #: The latest grant: the load and the ceiling at its engine.
         self.last_grant = Granted(0, 0)
-        #: Seconds that it waited for owners' words, and in their lines.
+        #: Seconds that it waited for owners' replies, time in their queues included.
         self.grant_wait_seconds = 0.0
-        #: Seconds of them in the queues of several engines at once.
+        #: Seconds of that wait in the queues of several engines at once.
         self.queue_wait_seconds = 0.0
-        #: Engines that were sent the request.
+        #: Engines to which the request was sent.
         self.sent_to: set[str] = set()
 
     async def run(self, grant_request: GrantRequest, head: RequestHead) -> TryResult:
-        """Ask the engine's owner; where it grants, send the request to the engine."""
+        """Ask the engine's owner; if it grants, send the request to the engine."""
         closed = self._open_target(grant_request, head)
         if isinstance(closed, NotRun):
             return closed
@@ -101,9 +101,9 @@
         seconds: float,
         head: RequestHead,
     ) -> tuple[str, TryResult] | NotGranted:
-        """Wait at several engines' owners at once; send the request to the first that grants.
+        """Wait in several engines' queues; send the request to the first that is granted.
 
-        Return that engine and what became of the request there.
+        Return that engine and the result of the try there.
         """
         queues = ParallelWait(
             self._collaborators.grants, self._view.owner_name, self._request_grant, question
@@ -126,10 +126,10 @@
     async def _run_granted(
         self, grant_request: GrantRequest, reply: Granted, head: RequestHead
     ) -> TryResult:
-        """Send a granted request to its engine, unless that must not be any more."""
+        """Send a granted request to its engine, unless it may no longer be sent there."""
         self.last_grant = reply
         if self._watch.is_quarantined():
-            # Known only since the request began to wait in the engine's line.
+            # The request was quarantined while it waited in the owner's queue.
             self._collaborators.grants.release(grant_request.number, EndReason.NEUTRAL)
             return QUARANTINED
         target = self._open_target(grant_request, head)
@@ -139,14 +139,14 @@
         return await self._send(grant_request, target, head)
 
     def _open_target(self, grant_request: GrantRequest, head: RequestHead) -> Target | NotRun:
-        """Return the engine that is asked for, or why it may not be sent the request now."""
+        """Return the requested engine, or why it may not be sent the request now."""
         known = self._view.target(grant_request.engine)
         return open_target(known, grant_request.engine, head.resuming, head.regions)
 
     async def _send(
         self, grant_request: GrantRequest, target: Target, head: RequestHead
     ) -> TryResult:
-        """Send a granted request; its grant is given back when it ends in whatever way."""
+        """Send a granted request; its grant is released when it ends, for any reason."""
         grants, number = self._collaborators.grants, grant_request.number
         source = self._context_address(target, head)
         head = replace(head, deadline=self._remaining(), context_address=source)
@@ -176,29 +176,29 @@
         return reply
 
     def _end_reason(self, reply: NotRun | Unknown) -> EndReason:
-        """Return what a try without an answer tells of its engine."""
+        """Return the end reason to report for a try without an answer."""
         if reply.code in CLOSED_CODES:
             return EndReason.NEUTRAL
         if isinstance(reply, Unknown) or reply.refusal is None:
             return EndReason.CONNECTION_FAILED
         if self._remaining() <= 0:
-            # Its time ran out in the engine's queue, which engines tell as they tell "full".
+            # Its deadline passed in the engine's queue, which engines report as "full".
             return EndReason.NEUTRAL
         return END_REASON_BY_REFUSAL[reply.refusal]
 
     def _context_address(self, target: Target, head: RequestHead) -> str:
-        """Return the address of the engine from which another is to take a context over.
+        """Return the address of the engine from which the target is to fetch the context, or "".
 
-        The likeliest holder is named unless this engine served the chat last; where it is sent
-        to its home, that is the next of its order, to which it spilled now and then. Taking a
-        context over costs a sixth of reading it again, and asking one that holds nothing costs
-        nothing.
+        It is the likeliest holder, unless the target itself served the chat last; for a chat sent
+        to its home engine it is the next in rank, to which the chat sometimes spilled. Fetching
+        a context costs a sixth of processing the prompt again, and asking an engine that does
+        not hold it costs nothing.
         """
         if not (target.shares_context and head.chat and head.is_followup):
             return ""
         if self._watch.is_suspected():
-            # The context taken over may be what the last engine ended of, not the request:
-            # read anew, it runs, and is cleared.
+            # A damaged context may have crashed the last engine instead of the request: with
+            # its prompt processed anew the request runs, and is cleared.
             return ""
         last = self._view.last_served(head.chat)
         if last == target.name:
@@ -211,14 +211,15 @@
         return ""
 
     async def _request_grant(self, grant_request: GrantRequest) -> OwnerReply:
-        """Ask the owner, and whom it names instead of itself; without it, another decides."""
+        """Ask the owner, and the owner that it names; if neither replies, decide without it."""
         name = self._view.owner_name(grant_request.engine)
         reply = await self._ask_owner(name, grant_request)
         if isinstance(reply, NotOwner) and reply.owner not in (None, name):
             if self._view.is_reachable(reply.owner):
                 reply = await self._ask_owner(reply.owner, grant_request)
             else:
-                # The one asked has not noticed yet; what it counts, it counts for all.
+                # The asked router has not yet noticed that the owner is unreachable; deciding in
+                # its place, it counts the grants of all routers.
                 reply = await self._ask_instead_of_owner(name, grant_request)
         elif _is_unreachable(reply):
             next_owner = self._view.owner_name(grant_request.engine)
@@ -232,7 +233,7 @@
     async def _ask_instead_of_owner(
         self, name: str | None, grant_request: GrantRequest
     ) -> OwnerReply:
-        """Ask the router that owns an engine while its owner is out of reach."""
+        """Ask a router to decide because the engine's owner is unreachable."""
         return await self._ask_owner(name, replace(grant_request, instead_of_owner=True))
 
     async def _ask_owner(self, name: str | None, grant_request: GrantRequest) -> OwnerReply:
@@ -250,5 +251,5 @@
 
 
 def _is_unreachable(reply: OwnerReply) -> bool:
-    """Return whether an owner gave no word in time."""
+    """Return whether an owner did not reply in time."""
     return isinstance(reply, NotRun) and reply.code == "router-unreachable"
--- a/pondhatch/requests/_wait_limits.py
+++ b/pondhatch/requests/_wait_limits.py
@@ -1,35 +1,35 @@
-"""How long a request may wait for a slot, by what its caller bears, without I/O."""
+"""How long a request may wait for a slot, given its caller's deadlines, without I/O."""
 
 from __future__ import annotations
 
 import msgspec
 
 #: Seconds before the latest useful grant at which waiting ends: a refusal still has to be
-#: written, and a grant has to come over from the engine's owner.
+#: written, and a grant has to travel from the engine's owner.
 GRANT_MARGIN = 0.02
-#: Least seconds in which a stream's caller waits for the first event, and multiples of the
-#: objective and of the longest pause for which it waits, if they are more.
+#: A stream's caller is taken to wait for the first event for the largest of these: a minimum in
+#: seconds, and multiples of the objective and of the longest pause.
 MIN_FIRST_EVENT = 2.0
 FIRST_EVENT_OBJECTIVE_FACTOR = 4.0
 FIRST_EVENT_PAUSE_FACTOR = 8.0
-#: Weight of the newest run in the usual time of a service: some ten runs tell it.
+#: Weight of the newest run in a service's usual times, which cover about ten runs.
 NEWEST_WEIGHT = 0.1
-#: Multiple of the usual time beyond which a run counts for no more: the end of an answer is
-#: late where its caller reads slowly.
+#: Multiple of the usual time at which a run's time is capped: an answer ends late if its caller
+#: reads slowly.
 OUTLIER_FACTOR = 3.0
 
 
 class AnswerDeadlines(msgspec.Struct, frozen=True):
     """When an answer is in time, and when it is too late, in seconds from the request's start."""
 
-    #: Within which an answer, or a stream's first event, is in time.
+    #: Time within which an answer, or a stream's first event, meets its objective.
     objective: float
-    #: Within which a stream's first event must come; None where the answer is no stream.
+    #: Time within which a stream's first event must arrive; None if the answer is no stream.
     first_event: float | None = None
 
 
 def answer_deadlines(objective: float, streams: bool, longest_pause: float) -> AnswerDeadlines:
-    """Return when an answer on a route is in time and when it is too late."""
+    """Return an answer's deadlines on a route; all times are in seconds."""
     if not streams:
         return AnswerDeadlines(objective)
     first_event = max(
@@ -41,7 +41,7 @@
 
 
 class UsualTimes(msgspec.Struct, frozen=True):
-    """Usual seconds from sending a request of a service to its upstream."""
+    """A service's usual times in seconds, from sending a request to its upstream."""
 
     #: Until its answer begins.
     begins: float = 0.0
@@ -50,16 +50,16 @@
 
 
 class RunTimes(msgspec.Struct):
-    """How long upstreams usually take, as this router saw, by service."""
+    """How long upstreams usually take, by service, as seen by this router."""
 
     _usual_by_service: dict[str, UsualTimes] = msgspec.field(default_factory=dict)
 
     def usual(self, service: str) -> UsualTimes:
-        """Return a service's usual times; 0 before its first answer."""
+        """Return a service's usual times; zeros before its first answer."""
         return self._usual_by_service.get(service, UsualTimes())
 
     def record(self, service: str, begun: float, ended: float) -> None:
-        """Note after how many seconds an answer began and ended."""
+        """Record after how many seconds an answer began and ended."""
         known = self._usual_by_service.get(service)
         newest = UsualTimes(begun, ended)
         self._usual_by_service[service] = newest if known is None else _mean(known, newest)
@@ -80,7 +80,7 @@
 ) -> float:
     """Return the seconds that a request may wait for a grant.
 
-    ``remaining`` is the time to its caller's deadline, ``elapsed`` that since it came.
+    ``remaining`` is the time to its caller's deadline, ``elapsed`` the time since it arrived.
     """
     limit = remaining - usual.ends
     if deadlines.first_event is not None:
