--- a/pondhatch/requests/__init__.py
+++ b/pondhatch/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: one try and its states, an owner's grants, an entry router's walk."""
+"""Requests: dispatch at the entry router, grants by the owners of engines, and tries."""
 
 from pondhatch.requests._chat import ChatRequest, MalformedChat, read_chat
 from pondhatch.requests._crash_guard import (
--- a/pondhatch/requests/_chat.py
+++ b/pondhatch/requests/_chat.py
@@ -1,4 +1,4 @@
-"""Which chat a request belongs to, read from the body of a chat completion."""
+"""Identifies a request's chat from the body of a chat completion."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-#: Bytes of a chat's key.
+#: Length of a chat's key in bytes.
 CHAT_KEY_BYTES = 8
 
 
@@ -23,25 +23,25 @@
 
 
 class ChatRequest(msgspec.Struct, frozen=True):
-    """What routing needs of a chat completion's body."""
+    """The parts of a chat completion's body that routing needs."""
 
     model: str
     #: 64-bit key of the chat, never 0.
     chat: int
     stream: bool
-    #: Whether an earlier turn was answered, so that its context lies somewhere.
+    #: Whether an earlier turn was answered, so that some engine holds its context.
     is_followup: bool
 
 
 class MalformedChat(Exception):
-    """The body is no chat completion; the text says what was expected."""
+    """The body is not a valid chat completion; the message says what was expected."""
 
 
 def read_chat(account: str, body: bytes) -> ChatRequest:
     """Read a body. Raises MalformedChat.
 
     A caller may name its chat in ``prompt_cache_key``; otherwise the messages up
-    to the first of the user's stand for it, since every later turn repeats them.
+    to the first user message identify it, since every later turn repeats them.
     """
     try:
         parsed = msgspec.json.decode(body, type=_ChatBody)
--- a/pondhatch/requests/_crash_guard.py
+++ b/pondhatch/requests/_crash_guard.py
@@ -1,4 +1,4 @@
-"""What a request's walk asks and tells of engines that ended while they ran it."""
+"""Interface of a dispatch to the quarantine of requests that crash engines."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 from pondhatch.requests._outcomes import BAD_REQUEST_STATUS, Refusal, Unknown
 from pondhatch.requests._sending import Target
 
-#: What the caller of a request that is held back is told. It has run, so nothing promises the
-#: contrary; any other engine would end as well, so nothing asks for another try.
+#: The outcome of a quarantined request. It has run, so NotRun would be wrong; any other engine
+#: would crash too, so the status does not invite a retry.
 QUARANTINED = Unknown(
     "request-quarantined", "engines ended each time they ran this request", BAD_REQUEST_STATUS
 )
 
 
 class RequestWatch(Protocol):
-    """One request, from its first try to its end."""
+    """Watches one request from its first try to its end."""
 
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
-        """Return why the request may not be sent now, or None where it may.
+        """Return why the request may not be sent now, or None if it may.
 
-        A suspected one waits here until no other copy of it runs.
+        A suspected request waits here until no other copy of it runs.
         """
 
     def is_quarantined(self) -> bool:
-        """Return whether it is known by now to end the engines that run it."""
+        """Return whether the request is now known to crash the engines that run it."""
 
     def is_suspected(self) -> bool:
-        """Return whether an engine ended under it, and nothing has cleared it of that."""
+        """Return whether an engine crashed while running it, and nothing has cleared it since."""
 
     async def note_connection_lost(self, target: Target) -> bool:
-        """Note that a run lost its connection; return whether its engine has ended."""
+        """Note that a run lost its connection; return whether its engine has crashed."""
 
     def note_completed(self) -> None:
-        """Note that an engine bore it."""
+        """Note that an engine completed it without a crash."""
 
     def close(self) -> None:
-        """Note that no more runs of it come from here. Safe to call twice."""
+        """Note that this dispatch will not run it again. Safe to call twice."""
 
 
 class CrashGuard(Protocol):
-    """Keeps requests that end engines from the engines that are left."""
+    """Keeps requests that crash engines away from the remaining engines."""
 
     def watch(self, digest: int) -> RequestWatch:
-        """Return the watch over one request; 0 is one that cannot be told from others."""
+        """Return the watch over one request; digest 0 marks one that cannot be identified."""
 
 
 class NoWatch:
-    """Lets everything pass; see RequestWatch."""
+    """Allows every request; see RequestWatch."""
 
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
         """Return None."""
@@ -77,8 +77,8 @@
 
 
 class NoCrashGuard:
-    """Suspects nothing; see CrashGuard."""
+    """Suspects no request; see CrashGuard."""
 
     def watch(self, digest: int) -> RequestWatch:
-        """Return a watch that lets everything pass."""
+        """Return a watch that allows every request."""
         return NO_WATCH
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -1,4 +1,4 @@
-"""Passing an answer on to its caller, whole, over breaks where the engine can resume."""
+"""Delivers an answer to its caller, resuming it after lost connections where possible."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from pondhatch.requests._messages import AnswerLost, AnswerStream, Headers, PartSink
 from pondhatch.requests._outcomes import Broken, Unknown, Whole
 
-#: Times that one answer is taken up again at most.
+#: Maximum number of times that one answer is resumed.
 MAX_RESUMES = 3
-#: Seconds in which a broken answer must be taken up again; an engine that restarts
-#: its listener, or an owner that is replaced, is back in that time.
+#: Seconds within which a broken answer must be resumed; an engine that restarts
+#: its listener, or an owner that is replaced, is back by then.
 RESUME_TIME_LIMIT = 8.0
-#: Seconds between two tries to take it up.
+#: Seconds between two tries to resume it.
 RESUME_PAUSE = 0.25
 
 
 class Delivered(msgspec.Struct, frozen=True):
-    """How the delivery ended, and how often the answer was taken up again."""
+    """How the delivery ended, and how often the answer was resumed."""
 
-    #: Unknown where it broke off before any of it had reached the caller.
+    #: Unknown if the answer broke off before any of it reached the caller.
     outcome: Whole | Broken | Unknown
     resumes: int = 0
 
@@ -39,7 +39,7 @@
 
 
 class _WholeEvents:
-    """Passes whole events on to a sink; see PartSink."""
+    """Writes only complete events to a sink; see PartSink."""
 
     def __init__(self, sink: PartSink) -> None:
         self.splitter = EventSplitter()
@@ -51,18 +51,18 @@
         return self._sink.write(whole) if whole else True
 
     def end(self) -> None:
-        """Pass on what stands behind the last whole event of an answer that ended."""
+        """Write what follows the last complete event of an answer that ended."""
         rest = self.splitter.take_rest()
         if rest:
             self._sink.write(rest)
 
 
 class _AnswerStart:
-    """Begins the caller's answer with its first part; see PartSink."""
+    """Begins the caller's answer when the first chunk arrives; see PartSink."""
 
     def __init__(self, sink: PartSink, begin: Callable[[], None]) -> None:
         self.has_begun = False
-        #: The longest time between two parts so far, in seconds.
+        #: The longest time between two chunks so far, in seconds.
         self.longest_pause = 0.0
         self._last_at: float | None = None
         self._sink = sink
@@ -89,10 +89,10 @@
 
 
 class Delivery:
-    """One answer on its way to its caller.
+    """Delivers one answer to its caller.
 
-    Until its first part has come, the caller is told nothing: an answer that breaks
-    before that is asked for again where it may be, or refused like one that never came.
+    Nothing is sent to the caller before the first chunk: if an answer breaks off before
+    that, the request runs again if it may, or is refused as if no answer had begun.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         self._start_delivering(placed)
 
     def _start_delivering(self, placed: Placed) -> None:
-        """Go on with an answer of which nothing was passed on."""
+        """Start with an answer of which nothing was delivered yet."""
         self._engine = placed.engine
         self._answer: AnswerStream = placed.reply.answer
         streamed = is_event_stream(self._answer.headers)
@@ -117,11 +117,11 @@
 
     @property
     def longest_pause(self) -> float:
-        """The longest time between two parts that were passed on, in seconds."""
+        """The longest time between two delivered chunks, in seconds."""
         return self._start.longest_pause
 
     async def run(self) -> Delivered:
-        """Pass everything on; raises what the caller's sink raises."""
+        """Deliver the whole answer; raises what the caller's sink raises."""
         try:
             while (lost := await self._pour()) is not None:
                 await self._dispatch.note_connection_lost(self._engine, lost)
@@ -132,7 +132,7 @@
             self._answer.cancel()
 
     async def _pour(self) -> Broken | None:
-        """Pass on what comes; return how the answer broke off, or None where it is whole."""
+        """Deliver chunks as they arrive; return how the answer broke off, or None if complete."""
         try:
             await self._answer.pour(self._sink)
         except AnswerLost as lost:
@@ -148,7 +148,7 @@
         return self._dispatch.final_outcome(Unknown(outcome.code, outcome.reason))
 
     async def _recover(self) -> bool:
-        """Return whether a broken answer is taken up, from where it was or from its start."""
+        """Resume a broken answer or run its request again; return whether that worked."""
         if self._start.has_begun or not self._dispatch.can_rerun():
             return await self._resume()
         self._answer.cancel()
@@ -159,7 +159,7 @@
         return True
 
     async def _resume(self) -> bool:
-        """Take the answer up where the caller's copy ends; return whether that worked."""
+        """Resume after the last event that the caller has; return whether that worked."""
         if self._events is None or not self._dispatch.can_resume(self._engine):
             return False
         splitter = self._events.splitter
--- a/pondhatch/requests/_digest.py
+++ b/pondhatch/requests/_digest.py
@@ -1,19 +1,19 @@
-"""What tells that two attempts are at the same request."""
+"""Digests that identify the attempts at the same request."""
 
 from __future__ import annotations
 
 import hashlib
 
-#: Bytes of a digest: among 4,096 remembered ones, one in 4e15 requests is taken for another.
+#: Length of a digest in bytes: with 4,096 remembered, one in 4e15 requests collides with another.
 DIGEST_BYTES = 8
 
 
 def digest_of(account: str, method: str, path: str, body: bytes) -> int:
-    """Return the digest of what a caller asks for, never 0.
+    """Return the digest of a caller's request, never 0.
 
-    Ids, deadlines and the router asked differ from one attempt to the next; these do not. A
-    cryptographic digest, so that no account can make a request that passes for another's. Costs
-    3 us for each KB of the body on a busy machine (``python -m bench quarantine``).
+    It covers only what is equal in all attempts, so not ids, deadlines or the router asked. It is
+    cryptographic, so that no account can forge a request with the digest of another's. It costs
+    3 us for each KB of the body.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for field in (account.encode(), method.encode(), path.encode()):
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -1,4 +1,4 @@
-"""The memory of the engines that a router owns, held against what requests state of theirs."""
+"""Admission by engine memory: compares the tokens of requests with their engine's capacity."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class EngineMemory:
-    """Counts the tokens of what is granted; see TokenCounts."""
+    """Counts the tokens of granted requests; see TokenCounts."""
 
     def __init__(self, counts: TokenCounts, load_managed: Callable[[], bool]) -> None:
         self._counts = counts
-        #: Returns whether load is managed; without that nothing is held against memory.
+        #: Returns whether load management is on; without it memory is not checked.
         self._load_managed = load_managed
 
     def shortage(self, target: Target, grant_request: GrantRequest, held: int, now: float) -> int:
-        """Return the tokens that an engine lacks for a request; 0 where that is not gone by.
+        """Return the tokens that an engine lacks for a request; 0 if memory is not checked.
 
-        One that holds nothing takes any request, which could run nowhere else either. The rest
-        of a stream runs in memory that the engine holds already.
+        An idle engine takes any request, which would fit no better elsewhere. A resumed stream
+        uses memory that the engine has already allocated.
         """
         if target.memory_tokens is None or grant_request.resuming or held == 0:
             return 0
@@ -40,19 +40,19 @@
             self._counts.add(grant_request.engine, grant_request.holder, need, now)
 
     def adopted(self, target: Target | None, holder: Holder) -> None:
-        """Count a request that another owner granted, and of which nothing is known."""
+        """Count a request that another owner granted, whose need is unknown."""
         if target is not None and target.memory_tokens is not None and self._load_managed():
             self._counts.adopt(target.name, holder)
 
     def refused(self) -> None:
-        """Note that a question was answered with a lack of memory."""
+        """Count a refusal for lack of memory."""
         self._counts.refused += 1
 
     def keep_for(self, target: Target, grant_request: GrantRequest) -> None:
-        """Keep memory for a request that waits for it.
+        """Reserve memory for a request that waits for it.
 
-        Smaller requests that come later would take each piece that comes free. One that states
-        more than there is runs alone or nowhere: memory kept for it would stop all others.
+        Otherwise smaller requests that arrive later would take all memory that comes free. A
+        request larger than the memory can only run alone: a reservation would block all others.
         """
         memory, need = target.memory_tokens, asked_need(grant_request)
         if memory is not None and need.total <= usable_tokens(memory):
@@ -60,5 +60,5 @@
             self._counts.reserve(target.name, kept)
 
     def ended(self, engine: str, holder: Holder) -> bool:
-        """Take back what a request holds or has reserved; return whether there was anything."""
+        """Free what a request uses or has reserved; return whether there was anything."""
         return self._counts.remove(engine, holder)
--- a/pondhatch/requests/_events.py
+++ b/pondhatch/requests/_events.py
@@ -1,41 +1,41 @@
-"""Whole events of an answer that is streamed.
+"""Splits a streamed answer into complete events.
 
-Only whole events are passed on, and they are counted, so that a stream that
-breaks can go on at another connection without a token lost or doubled.
+Only complete events are delivered, and they are counted, so that a broken stream
+can resume on another connection without losing or repeating a token.
 """
 
 from __future__ import annotations
 
-#: Ends an event of a stream.
+#: The end of each event of a stream.
 SEPARATOR = b"\n\n"
-#: Last event of a streamed chat answer; without it the answer is not whole.
+#: Last event of a streamed chat answer; without it the answer is incomplete.
 LAST_EVENT = b"data: [DONE]"
-#: Begins the line of an event that tells its id.
+#: Start of the line that carries an event's id.
 ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    """Cuts the bytes of a stream into whole events."""
+    """Splits the bytes of a stream into complete events."""
 
     def __init__(self) -> None:
-        #: Whole events passed on so far.
+        #: Number of complete events delivered so far.
         self.events = 0
-        #: Whether the last event was passed on.
+        #: Whether the stream's last event was delivered.
         self.is_complete = False
         self._rest = b""
-        #: What was passed on last; holds the newest event's id.
+        #: The bytes delivered last, which hold the newest event's id.
         self._newest = b""
 
     @property
     def last_id(self) -> str:
-        """Return the id of the last event passed on, or an empty text where none told one."""
+        """Return the id in the bytes delivered last, or an empty string if there is none."""
         for line in reversed(self._newest.splitlines()):
             if line.startswith(ID_FIELD):
                 return line[len(ID_FIELD) :].strip().decode("latin-1")
         return ""
 
     def feed(self, part: bytes) -> bytes:
-        """Take in bytes; return those that make whole events."""
+        """Add received bytes; return those that complete events."""
         if not self._rest and part.endswith(SEPARATOR):
             return self._count(part)
         joined = self._rest + part
@@ -53,10 +53,10 @@
         return whole
 
     def take_rest(self) -> bytes:
-        """Return what came after the last whole event, when the answer has ended."""
+        """Remove and return what follows the last complete event of an ended answer."""
         rest, self._rest = self._rest, b""
         return rest
 
     def discard_partial(self) -> None:
-        """Drop the piece of an event that came last; the next stream sends it whole."""
+        """Drop the incomplete last event; the resumed stream sends it in full."""
         self._rest = b""
--- a/pondhatch/requests/_grant_packets.py
+++ b/pondhatch/requests/_grant_packets.py
@@ -1,8 +1,8 @@
-"""What routers tell each other of grants, in small packets that may be lost.
+"""Packets on grants between routers; they may be lost.
 
-A packet that is lost, late, or comes twice does no harm: a question that is
-repeated gets the same grant, a release is a fact, and a grant that nobody
-renews is taken back when its lease ends.
+A lost, late or duplicated packet does no harm: a repeated grant request gets
+the same grant, releases are idempotent, and a grant that is not renewed ends
+with its lease.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class _Packet(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all packets on grants."""
+    """Base class of the packets on grants."""
 
 
 class Waiting(_Packet, frozen=True, tag=51):
-    """The question was heard, and waits in the engine's line."""
+    """The grant request was received, and waits in the engine's queue."""
 
     number: int
 
 
 class GrantedReply(_Packet, frozen=True, tag=52):
-    """The question is granted."""
+    """The request is granted."""
 
     number: int
     in_flight: int
@@ -48,7 +48,7 @@
     number: int
     in_flight: int
     ceiling: int
-    #: These and what follows stand in the order of Busy.
+    #: This and the following fields are in the order of Busy.
     is_cold: bool = False
     predicted_ms: int = 0
     retry_after_ms: int = 0
@@ -56,14 +56,14 @@
 
 
 class ContextElsewhereReply(_Packet, frozen=True, tag=54):
-    """The chat's context lies at another engine."""
+    """The chat's context is at another engine."""
 
     number: int
     engine: str
 
 
 class NotOwnerReply(_Packet, frozen=True, tag=55):
-    """The router asked does not own the engine."""
+    """The replying router does not own the engine."""
 
     number: int
     owner: str | None
@@ -75,24 +75,23 @@
     number: int
     code: str
     reason: str
-    #: Milliseconds after which it is worth coming back; 0 where a router of an older program
-    #: does not say.
+    #: Suggested retry delay in milliseconds; 0 if a router of an older version omits it.
     retry_after_ms: int = 0
 
 
 class Release(_Packet, frozen=True, tag=57):
-    """A grant is given back, or a question taken back."""
+    """Releases a grant, or withdraws a grant request."""
 
     router: int
     number: int
-    #: An Ended that every router of the fleet knows, so that each takes the grant back.
+    #: An EndReason that routers of all versions know, so that each of them ends the grant.
     basic_end_reason: int
-    #: The Ended meant, where one that runs an older program would not know it; else 0.
+    #: The actual EndReason if routers of older versions may not know it; else 0.
     exact_end_reason: int = 0
 
 
 class Hold(_Packet, frozen=True, tag=58):
-    """These questions' grants are still held; renews their leases, at a new owner too."""
+    """Renews the leases of held grants; reports them to a new owner too."""
 
     router: int
     engine: str
@@ -106,21 +105,21 @@
     engine: str
 
 
-#: What a release told from the first version of these packets on.
+#: The end reasons that the first version of these packets had.
 _BASIC_END_REASONS = frozenset(
     {EndReason.ANSWERED, EndReason.NEUTRAL, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
 )
 
 
 def release_of(router: int, number: int, end_reason: EndReason) -> Release:
-    """Return the packet that gives a grant back."""
+    """Return the packet that releases a grant."""
     if end_reason in _BASIC_END_REASONS:
         return Release(router, number, end_reason)
     return Release(router, number, EndReason.NEUTRAL, end_reason)
 
 
 def end_reason_of(release: Release) -> EndReason:
-    """Return what a release tells of the engine."""
+    """Return the actual end reason in a release."""
     return EndReason(release.exact_end_reason or release.basic_end_reason)
 
 
@@ -130,7 +129,7 @@
 GrantUpdate = Release | Hold | Spilled
 GrantPacket = GrantRequest | ReplyPacket | GrantUpdate
 
-#: The first of the fields, standing last, that tell of managed load only.
+#: The first of a packet's trailing fields that are used only with load management.
 _FIRST_LOAD_FIELD_BY_TYPE: dict[type[GrantPacket], str] = {
     GrantRequest: "in_time",
     BusyReply: "predicted_ms",
@@ -141,13 +140,13 @@
 
 
 def encode_grant_packet(packet: GrantPacket) -> bytes:
-    """Return a packet's bytes; without what tells of managed load where it says nothing."""
+    """Return a packet's bytes, without load management fields that have their defaults."""
     first = _FIRST_LOAD_FIELD_BY_TYPE.get(type(packet))
     return _ENCODER.encode(packet if first is None else without_defaults(packet, first))
 
 
 def decode_grant_packet(payload: bytes) -> GrantPacket | None:
-    """Return the packet in bytes, or None where they make none."""
+    """Return the decoded packet, or None if the bytes are invalid."""
     try:
         return _DECODER.decode(payload)
     except (msgspec.DecodeError, ValueError):
@@ -169,7 +168,7 @@
 
 
 def reply_of(packet: ReplyPacket) -> OwnerReply | None:
-    """Return the reply that a packet carries; None where it only says that it waits."""
+    """Return the reply in a packet; None if it only says that the request is queued."""
     if isinstance(packet, GrantedReply):
         return Granted(packet.in_flight, packet.ceiling)
     if isinstance(packet, BusyReply):
--- a/pondhatch/requests/_grant_sides.py
+++ b/pondhatch/requests/_grant_sides.py
@@ -1,4 +1,4 @@
-"""Both sides of one router's grants: where packets go, and what is due each round."""
+"""Combines the entry side and the owner side of one router's grants."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class GrantSides(msgspec.Struct, frozen=True):
-    """The entry's side and the owner's side of one router."""
+    """The entry side and the owner side of one router."""
 
     entry: EntryGrants
     owner: OwnerGrants
 
     def receive(self, packet: GrantPacket, send_back: SendBack) -> None:
-        """Take in a packet; ``answer`` sends one back to where it came from."""
+        """Handle a packet; ``send_back`` sends one to its sender."""
         if isinstance(packet, GrantRequest):
             self.owner.receive_request(packet, send_back)
         elif isinstance(packet, Release | Hold | Spilled):
@@ -28,7 +28,7 @@
             self.entry.receive(packet, send_back)
 
     def tick(self, now: float, owner_name: Callable[[str], str | None]) -> None:
-        """Do what is due each round; ``owner_name`` says who owns an engine now."""
+        """Do the periodic work; ``owner_name`` returns an engine's present owner."""
         self.entry.move_to_new_owners(owner_name)
         self.entry.tick(now)
         self.owner.local.tick()
--- a/pondhatch/requests/_keyed_runs.py
+++ b/pondhatch/requests/_keyed_runs.py
@@ -1,4 +1,4 @@
-"""Running a keyed request at most once: claims at two routers before it runs."""
+"""Runs a request with an idempotency key at most once: claims the key at two routers first."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 )
 from pondhatch.requests._outcomes import NotRun, Unknown
 
-#: Routers that hold a key's record.
+#: Number of routers that hold a key's record.
 HOLDERS_PER_KEY = 2
 CONFLICT = 409
 UNPROCESSABLE = 422
 
 
 class KeyHolder(Protocol):
-    """A router that holds records of keys, be it this one or a peer."""
+    """A router that holds records of keys: this one or a peer."""
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
-        """Claim a key; None where the router could not be asked."""
+        """Claim a key; None if the router could not be reached."""
 
     async def settle(self, key: str, record: KeyRecord) -> None:
-        """Record what became of a claimed request."""
+        """Record the outcome of a claimed request."""
 
     async def release(self, key: str, request_id: str) -> None:
         """Forget a claim whose request did not run."""
@@ -50,7 +50,7 @@
         return self._keys.claim(key, record, self._clock())
 
     async def settle(self, key: str, record: KeyRecord) -> None:
-        """Record what became of a keyed request; see KeyHolder."""
+        """Record the outcome of a claimed request; see KeyHolder."""
         self._keys.settle(key, record, self._clock())
 
     async def release(self, key: str, request_id: str) -> None:
@@ -59,13 +59,13 @@
 
 
 class HolderView(Protocol):
-    """What claims read of the router's state."""
+    """The parts of the router's state that keyed runs use."""
 
     def key_holders(self, key: str, regions: Regions = None) -> tuple[str, ...]:
-        """Return the live routers of these regions that hold a key, the first ranked first."""
+        """Return the live routers of these regions in their rank as holders of a key."""
 
     def key_holder(self, name: str) -> KeyHolder | None:
-        """Return the way to a router, or None where it is not known."""
+        """Return a router's interface for keys, or None if the router is unknown."""
 
     def note_unreachable(self, name: str) -> None:
         """Note that a router could not be reached."""
@@ -78,14 +78,14 @@
         self, view: HolderView, key: str, record: KeyRecord, regions: Regions = None
     ) -> None:
         self._view = view
-        #: Regions whose routers may keep its answer; None where any may.
+        #: Regions whose routers may keep its answer; None allows any.
         self._regions = regions
         self._key = key
         self._record = record
         self._claimed_at: list[str] = []
 
     async def begin(self) -> NewKey | UsedKey | NotRun:
-        """Claim the key at its holders; anything but Fresh means that it must not run."""
+        """Claim the key at its holders; the request may run only if this returns NewKey."""
         for _ in range(HOLDERS_PER_KEY + 2):
             wanted = self._current_holders()
             missing = [name for name in wanted if name not in self._claimed_at]
@@ -101,15 +101,15 @@
         return NotRun("keys-unreachable", "the routers that hold this key cannot be reached")
 
     async def record_completed(self, answer: KeptAnswer | None) -> None:
-        """Record that the request ran to its end."""
+        """Record that the request has run to completion."""
         await self._settle(settled_record(self._record, answer))
 
     async def record_unknown(self) -> None:
-        """Record that nobody knows whether the request ran."""
+        """Record that it is unknown whether the request ran."""
         await self._settle(msgspec.structs.replace(self._record, state="unknown"))
 
     async def release_claims(self) -> None:
-        """Forget the claim: the request certainly did not run."""
+        """Release the claims because the request certainly did not run."""
         for name in self._claimed_at:
             holder = self._view.key_holder(name)
             if holder is not None:
@@ -135,7 +135,7 @@
 
 
 def used_key_refusal(known: UsedKey, record: KeyRecord) -> NotRun | Unknown:
-    """Return what a caller is told whose key was used before and has no kept answer."""
+    """Return the refusal for a key that was used before and has no kept answer."""
     if known.record.digest != record.digest:
         wrong = "the idempotency key was used for another request"
         return NotRun("key-reused", wrong, 0.0, UNPROCESSABLE)
--- a/pondhatch/requests/_keys.py
+++ b/pondhatch/requests/_keys.py
@@ -1,7 +1,7 @@
-"""Idempotency keys, without I/O: what is known of a request that may run only once.
+"""Records of idempotency keys, whose requests may run only once; without I/O.
 
-A key's records lie at two routers, the first and second that rendezvous hashing
-ranks for it, so that one may be lost. docs/DESIGN.md says what is promised.
+A key's record is kept at two routers, the first and second that rendezvous hashing
+ranks for it, so that one may be lost. docs/DESIGN.md states the guarantees.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 import msgspec
 
-#: Seconds for which a settled key is remembered.
+#: Seconds for which a key is remembered after its last update.
 KEEP_SECONDS = 600.0
-#: Bytes of an answer's body that are kept for a repeat.
+#: Maximum bytes of an answer's body that is kept for a repeated request.
 MAX_KEPT_BODY = 64 * 1024
-#: Keys remembered at most by one router.
+#: Maximum number of keys that one router remembers.
 MAX_KEYS = 10_000
-#: Bytes of answers kept at most by one router; beyond it the oldest keys are forgotten.
+#: Maximum bytes of answers that one router keeps; beyond it the oldest keys are dropped.
 MAX_KEPT_BYTES = 8 * 1024 * 1024
 
 
 class KeptAnswer(msgspec.Struct, frozen=True):
-    """A settled request's answer."""
+    """The answer of a completed request."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -29,11 +29,11 @@
 
 
 class KeyRecord(msgspec.Struct, frozen=True):
-    """What is known of one key."""
+    """The state of one key's request."""
 
-    #: Digest of the request, so that a key is not used for two requests.
+    #: Digest of the request, to detect a key that is used for two requests.
     digest: str
-    #: The entry router that runs the request, and under which id.
+    #: The entry router that runs the request, and the request's id there.
     router: str
     request_id: str
     #: "running", "done", "unknown".
@@ -63,9 +63,9 @@
     _touched_by_key: dict[str, float] = msgspec.field(default_factory=dict)
 
     def claim(self, key: str, record: KeyRecord, now: float) -> Claim:
-        """Record a new key, or return what is known of a used one.
+        """Record a new key, or return the record of a used one.
 
-        A claim that is made again under the same request id is fresh again.
+        A repeated claim with the same request id counts as new again.
         """
         self._forget_old(now)
         known = self.record_by_key.get(key)
@@ -76,7 +76,7 @@
         return NewKey()
 
     def settle(self, key: str, record: KeyRecord, now: float) -> None:
-        """Record what became of a request; a settled record is never running again."""
+        """Record a request's outcome; a record that is done does not change again."""
         known = self.record_by_key.get(key)
         if known is not None and known.request_id != record.request_id:
             return
@@ -91,7 +91,7 @@
             self._drop(key)
 
     def router_gone(self, router: str) -> None:
-        """Note that an entry router is gone: what it ran may or may not have run."""
+        """Mark the running requests of an entry router that is gone as unknown."""
         for key, record in self.record_by_key.items():
             if record.router == router and record.state == "running":
                 self.record_by_key[key] = msgspec.structs.replace(record, state="unknown")
@@ -125,10 +125,10 @@
 def kept_answer(
     status: int, headers: tuple[tuple[str, str], ...], body: bytes
 ) -> KeptAnswer | None:
-    """Return an answer to be kept, or None where it is too large."""
+    """Return an answer to keep, or None if it is too large."""
     return KeptAnswer(status, headers, body) if len(body) <= MAX_KEPT_BODY else None
 
 
 def settled_record(record: KeyRecord, answer: KeptAnswer | None) -> KeyRecord:
-    """Return a record of a request that ran."""
+    """Return the record of a request that has run."""
     return msgspec.structs.replace(record, state="done", answer=answer)
--- a/pondhatch/requests/_leases.py
+++ b/pondhatch/requests/_leases.py
@@ -1,4 +1,4 @@
-"""The grants that an owner has given, each under a lease that its holder renews."""
+"""The grants given by an owner, each with a lease that its holder renews."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from pondhatch.requests._grant_requests import Holder
 
-#: Seconds for which a grant that is not renewed counts: a lost release, or a lost
-#: entry router, keeps a place at an engine no longer than this.
+#: Seconds until a grant that is not renewed ends: a lost release or a lost entry
+#: router occupies a slot of an engine no longer than this.
 LEASE_SECONDS = 30.0
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """One grant."""
+    """The lease of one grant."""
 
     engine: str
-    #: When it ends unless it is renewed, in the clock's seconds.
+    #: When it ends unless renewed, in the clock's seconds.
     until: float
 
 
@@ -25,19 +25,19 @@
     by_holder: dict[Holder, Lease] = msgspec.field(default_factory=dict)
 
     def give(self, holder: Holder, engine: str, now: float) -> None:
-        """Record a grant, or renew it."""
+        """Start or renew the lease of a grant."""
         self.by_holder[holder] = Lease(engine, now + LEASE_SECONDS)
 
     def take(self, holder: Holder) -> Lease | None:
-        """Return a holder's lease and forget it; None where it has none."""
+        """Remove and return a holder's lease; None if it has none."""
         return self.by_holder.pop(holder, None)
 
     def ended(self, now: float) -> tuple[Holder, ...]:
-        """Return the holders whose lease has ended."""
+        """Return the holders whose leases have expired."""
         return tuple(holder for holder, lease in self.by_holder.items() if lease.until <= now)
 
     def of_router(self, router: int, before: float = float("inf")) -> tuple[Holder, ...]:
-        """Return the holders that are requests of an entry router, renewed before a time."""
+        """Return an entry router's holders whose leases were last renewed before a time."""
         until = before + LEASE_SECONDS
         return tuple(
             holder
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -1,4 +1,4 @@
-"""Sending a granted request to its upstream, and giving the grant back when it ends."""
+"""Sending a granted request to its upstream, and releasing the grant when it ends."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
 )
 from pondhatch.requests._outcomes import NotRun, Unknown
 
-#: The least status that says that an upstream failed by itself.
+#: The lowest status of a server error.
 FAILURE_STATUS = 500
-#: Above it, but no failure of an upstream's own: the request's time was over.
+#: A status above it that is no failure of the upstream: the request's deadline passed.
 TIMEOUT_STATUS = 504
 
 
 class Target(msgspec.Struct, frozen=True):
-    """An upstream as those who ask for it and send to it need it."""
+    """An upstream's data for granting and sending requests."""
 
     name: str
     url: str
-    #: For which requests, and how fast, it may take work now.
+    #: Which requests it may take now, and how fast.
     intake: Intake
-    #: The service's set multiple of the mean.
+    #: The service's configured bound on its load, as a multiple of the mean load.
     load_bound: float
-    #: How many upstreams of the service take work.
+    #: Number of the service's upstreams that take requests.
     peers: int
-    #: Requests that it can take at once, whatever the mean.
+    #: Requests that it can run at once, regardless of the mean load.
     slots: int
-    #: Requests that it queues itself beyond those.
+    #: Requests that it queues itself beyond its slots.
     engine_queue: int = 0
-    #: Requests above the multiple of the mean that it may hold.
+    #: Requests that it may hold beyond the load bound.
     load_slack: int = 0
-    #: Whether it takes contexts over from other engines of its service.
+    #: Whether it can fetch contexts from other engines of its service.
     shares_context: bool = False
-    #: The id that it answers to; empty where its name is that.
+    #: Its instance id in requests and answers; empty if that is its name.
     instance: str = ""
-    #: Its processing time in percent of usual, as far as it is known now.
+    #: Its current processing time in percent of usual, as far as known.
     pace: int = USUAL_PACE
-    #: Tokens that its memory holds; None where that is not known.
+    #: Capacity of its memory in tokens; None if unknown.
     memory_tokens: int | None = None
-    #: Idle connections that this router may keep to it; None where nothing says how many.
+    #: Idle connections that this router may keep to it; None if no limit is known.
     max_idle_connections: int | None = None
 
 
-#: What is told of an upstream that may not be sent a request.
+#: Explanation for each reason why an upstream may not be sent a request.
 _TEXT_BY_CLOSED = {
     Closed.LEAVING: "takes no new work",
     Closed.EVACUATED: "stands in a data hall that is evacuated",
@@ -68,7 +68,7 @@
 def open_target(
     target: Target | None, upstream: str, resuming: bool, regions: Regions = None
 ) -> Target | NotRun:
-    """Return an upstream that may be sent a request, or the rest of one, else why it may not."""
+    """Return the upstream if it may be sent a request or a resumption, else why not."""
     if target is None:
         return NotRun(Closed.LEAVING, f"{upstream} is gone")
     closed = target.intake.closed_to(regions, resuming)
@@ -76,7 +76,7 @@
 
 
 def grantable_target(target: Target | None, upstream: str, resuming: bool) -> Target | NotRun:
-    """Return an upstream that may be granted to some router, else why it may not."""
+    """Return the upstream if some router may send it the request, else why not."""
     if target is None:
         return NotRun(Closed.LEAVING, f"{upstream} is gone")
     closed = target.intake.closed_to_all(resuming)
@@ -98,23 +98,23 @@
 
 
 class UpstreamView(Protocol):
-    """What the connections to upstreams go by, and tell of them."""
+    """What connections to upstreams need to know, and where they report notices."""
 
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
-        """Return why a request may not be sent to an upstream now, None where it may.
+        """Return why a request may not be sent to an upstream now, or None if it may.
 
-        Asked last of all, right before its first byte goes out.
+        The last check, right before the first byte is sent.
         """
 
     def receive_notice(self, upstream: str, notice: Notice) -> None:
-        """Take in what an upstream said of itself in the head of an answer."""
+        """Handle the notice that an upstream gave in the head of an answer."""
 
 
 class NoUpstreamView:
     """Knows nothing of upstreams; see UpstreamView."""
 
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
-        """Say that it may be sent."""
+        """Return None: any request may be sent."""
         return None
 
     def receive_notice(self, upstream: str, notice: Notice) -> None:
@@ -122,17 +122,17 @@
 
 
 def is_own_failure(status: int) -> bool:
-    """Return whether an upstream's answer is a failure of its own."""
+    """Return whether a status means that the upstream itself failed."""
     return status >= FAILURE_STATUS and status != TIMEOUT_STATUS
 
 
 def _end_reason_of(status: int) -> EndReason:
-    """Return what a whole answer tells of its engine."""
+    """Return the end reason of a complete answer with this status."""
     return EndReason.ENGINE_ERROR if is_own_failure(status) else EndReason.ANSWERED
 
 
 class GrantedAnswer:
-    """An answer that gives its grant back when it ends, once, in whatever way."""
+    """An answer that releases its grant exactly once when it ends, for any reason."""
 
     def __init__(self, answer: AnswerStream, release: Callable[[EndReason], None]) -> None:
         self._answer = answer
@@ -141,7 +141,7 @@
         self.headers: Headers = answer.headers
 
     async def pour(self, sink: PartSink) -> None:
-        """Hand every part to a sink; see AnswerStream."""
+        """Write every chunk to a sink; see AnswerStream."""
         ended = EndReason.NEUTRAL
         try:
             await self._answer.pour(sink)
@@ -153,7 +153,7 @@
             self._end(ended)
 
     def cancel(self) -> None:
-        """Give the answer up and the grant back; that it is a failure its head has told."""
+        """Abandon the answer and release the grant; a server error is known from the head."""
         self._answer.cancel()
         self._end(EndReason.ENGINE_ERROR if is_own_failure(self.status) else EndReason.NEUTRAL)
 
--- a/pondhatch/requests/_try.py
+++ b/pondhatch/requests/_try.py
@@ -1,7 +1,7 @@
 """One try of a request at one upstream, as a state machine without I/O.
 
-The shell tells the machine what happened on the connection; the machine alone
-says what may be concluded when the connection is lost.
+The connection code reports events to the machine; the machine alone decides
+the outcome when the connection is lost.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
         """The first byte of the request may have left this process."""
 
     def refused(self, refusal: EngineRefusal) -> None:
-        """The upstream said that it did not run the request, and why."""
+        """The upstream reported that it did not run the request, and why."""
 
     def crossed(self) -> None:
-        """The answer that came belongs to another request."""
+        """The received answer belongs to another request."""
 
     def head(self) -> None:
-        """The head of the answer came."""
+        """The head of the answer was received."""
 
     def ended(self) -> None:
-        """The last byte of the answer came."""
+        """The last byte of the answer was received."""
 
     def lost(self, reason: str) -> Outcome:
-        """The connection is gone, or the try was given up; say what that means."""
+        """The connection was lost or the try abandoned; return the outcome."""
 
 
 class TryFacts(msgspec.Struct):
-    """What a try remembers besides its state."""
+    """Data of a try besides its state."""
 
     upstream: str
-    #: Why the upstream did not run the request, once it said so.
+    #: Why the upstream did not run the request, once it has said so.
     refusal: EngineRefusal = EngineRefusal.UNKNOWN
 
 
@@ -107,5 +107,5 @@
 
 
 def new_try(upstream: str) -> Try:
-    """Return a try that was not sent yet."""
+    """Return a try of which nothing was sent yet."""
     return _new_try(TryFacts(upstream))
--- a/pondhatch/requests/_upstream_dialect.py
+++ b/pondhatch/requests/_upstream_dialect.py
@@ -1,4 +1,4 @@
-"""How upstreams are spoken to: which headers carry what, and what an answer's head says."""
+"""The HTTP conventions of upstreams: headers of requests, and meaning of an answer's head."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AnswerKind(enum.Enum):
-    """What an answer's head says of the request, unless it is a refusal."""
+    """What an answer is according to its head, unless it is a refusal."""
 
     #: The upstream ran the request, and this is its answer.
     ANSWERED = enum.auto()
@@ -22,24 +22,24 @@
 
 
 class UpstreamDialect(Protocol):
-    """Names and formats towards upstreams; decides nothing."""
+    """Header names and formats of upstreams; makes no decisions."""
 
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
-        """Return all headers of a request but those that frame its body."""
+        """Return all headers of a request except those that frame its body."""
 
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
-        """Say what an answer's head means, a refusal by its reason; names are in lower case."""
+        """Return the kind of an answer, or the reason of a refusal; names are in lower case."""
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
-        """Return what an answer's head says of the upstream itself; names are in lower case."""
+        """Return the upstream's notice about itself in an answer; names are in lower case."""
 
     def answer_headers(self, headers: Headers, note: Callable[[str], None]) -> Headers:
-        """Return the headers of an answer that an upstream may say to a caller.
+        """Return the headers of an answer that may be passed to a caller.
 
-        ``note`` is told the kind of each other that the upstream had no right to say.
+        ``note`` is called with the kind of each header that the upstream may not set.
         """
 
     def last_event(self, head: RequestHead) -> bytes | None:
-        """Return the event without which a stream is not whole, or None where there is none."""
+        """Return the event that must end a complete stream, or None if there is none."""
