--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -48,7 +48,7 @@
     status = 200
     headers: tuple[tuple[str, str], ...] = ()
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         """Hand on nothing."""
 
     def cancel(self) -> None:
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -57,7 +57,7 @@
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         await asyncio.sleep(self._seconds)
 
     def cancel(self) -> None:
--- a/pondhatch/requests/_chat.py
+++ b/pondhatch/requests/_chat.py
@@ -54,13 +54,13 @@
     if parsed.prompt_cache_key is not None:
         key.update(b"\0key\0" + parsed.prompt_cache_key.encode())
     else:
-        _add_opening(key, parsed.messages)
+        _add_first_messages(key, parsed.messages)
     returning = any(message.role == "assistant" for message in parsed.messages)
     chat = int.from_bytes(key.digest(), "big") or 1
     return ChatRequest(parsed.model, chat, parsed.stream, returning)
 
 
-def _add_opening(key: hashlib.blake2b, messages: list[_Message]) -> None:
+def _add_first_messages(key: hashlib.blake2b, messages: list[_Message]) -> None:
     for message in messages:
         key.update(b"\0" + message.role.encode() + b"\0" + bytes(message.content))
         if message.role == "user":
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -123,7 +123,7 @@
     async def run(self) -> Delivered:
         """Deliver the whole answer; raises what the caller's sink raises."""
         try:
-            while (lost := await self._pour()) is not None:
+            while (lost := await self._deliver()) is not None:
                 await self._dispatch.note_connection_lost(self._engine, lost)
                 if not await self._recover():
                     return Delivered(self._final_outcome(lost), self._resumes)
@@ -131,10 +131,10 @@
         finally:
             self._answer.cancel()
 
-    async def _pour(self) -> Broken | None:
+    async def _deliver(self) -> Broken | None:
         """Deliver chunks as they arrive; return how the answer broke off, or None if complete."""
         try:
-            await self._answer.pour(self._sink)
+            await self._answer.stream_to(self._sink)
         except AnswerLost as lost:
             return lost.outcome
         if self._events is not None:
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -291,7 +291,7 @@
             (RESUME_HEADER, self._answering_id),
             (RESUME_FROM_HEADER, str(position.events)),
         )
-        grant_request = self._grant_request(engine, is_forced=True, resuming=True, is_last=True)
+        grant_request = self._new_grant_request(engine, is_forced=True, resuming=True, is_last=True)
         headers = (*self._head.headers, *resuming)
         head = self._next_head(headers=headers, resuming=True)
         reply = await self._tries.run(grant_request, head)
@@ -309,7 +309,7 @@
         """Ask one engine's owner and, if granted, try the engine; None means try the next."""
         if ask.last and self._view.is_load_managed():
             return await self._wait_in_queues(ask)
-        grant_request = self._grant_request(
+        grant_request = self._new_grant_request(
             ask.engine, is_forced=ask.insist, has_context=ask.context, is_last=ask.last
         )
         head = self._next_head(needs_new_connection=ask.fresh)
@@ -320,12 +320,12 @@
         """Wait in the queues of the least loaded engines, and try the first that grants."""
         engines = self.plan.queue_engines(MAX_QUEUES) or (ask.engine,)
 
-        def question(engine: str, seconds: float) -> GrantRequest:
-            return self._queue_request(engine, seconds, len(engines))
+        def new_request(engine: str, seconds: float) -> GrantRequest:
+            return self._new_queue_request(engine, seconds, len(engines))
 
         head = self._next_head(needs_new_connection=ask.fresh)
         outcome = await self._tries.run_at_first_grant(
-            engines, question, self._slot_wait.limit(), head
+            engines, new_request, self._slot_wait.limit(), head
         )
         if isinstance(outcome, NotGranted):
             self._note_no_grant(outcome.reply_by_engine)
@@ -349,9 +349,9 @@
             else:
                 self.plan.refused("its owner is in doubt")
 
-    def _queue_request(self, engine: str, seconds: float, queues: int) -> GrantRequest:
+    def _new_queue_request(self, engine: str, seconds: float, queues: int) -> GrantRequest:
         """Return the grant request for an engine among several in whose queues it waits."""
-        grant_request = self._grant_request(engine, is_forced=True)
+        grant_request = self._new_grant_request(engine, is_forced=True)
         target, max_wait_ms = self._view.target(engine), max(1, round(seconds * MS_PER_SECOND))
         seen = 0
         if target is not None and self._remaining_at_start - self._remaining() <= SEEN_LOAD_SECONDS:
@@ -415,7 +415,7 @@
         """Return the engines that may take the request, as currently listed."""
         return self._view.live_upstreams(self._head.service, self._head.regions)
 
-    def _grant_request(
+    def _new_grant_request(
         self,
         engine: str,
         is_forced: bool,
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -33,22 +33,22 @@
             target.name, grant_request.holder, need, limit, now, grant_request.priority
         )
 
-    def granted(self, grant_request: GrantRequest, now: float) -> None:
+    def record_grant(self, grant_request: GrantRequest, now: float) -> None:
         """Count a request that was granted."""
         need = asked_need(grant_request)
         if need.is_stated:
             self._counts.add(grant_request.engine, grant_request.holder, need, now)
 
-    def adopted(self, target: Target | None, holder: Holder) -> None:
+    def record_adopted(self, target: Target | None, holder: Holder) -> None:
         """Count a request that another owner granted, whose need is unknown."""
         if target is not None and target.memory_tokens is not None and self._load_managed():
             self._counts.adopt(target.name, holder)
 
-    def refused(self) -> None:
+    def record_refusal(self) -> None:
         """Count a refusal for lack of memory."""
         self._counts.refused += 1
 
-    def keep_for(self, target: Target, grant_request: GrantRequest) -> None:
+    def reserve_for(self, target: Target, grant_request: GrantRequest) -> None:
         """Reserve memory for a request that waits for it.
 
         Otherwise smaller requests that arrive later would take all memory that comes free. A
@@ -59,6 +59,6 @@
             kept = Reservation(grant_request.holder, need, grant_request.priority)
             self._counts.reserve(target.name, kept)
 
-    def ended(self, engine: str, holder: Holder) -> bool:
+    def remove(self, engine: str, holder: Holder) -> bool:
         """Free what a request uses or has reserved; return whether there was anything."""
         return self._counts.remove(engine, holder)
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -42,17 +42,17 @@
     #: Asks the gate again on its behalf.
     ask: Callable[[], Verdict]
     #: Set when the request is granted, or evicted from the queue.
-    turn: asyncio.Future[Verdict]
+    decision: asyncio.Future[Verdict]
 
 
-class _Queue(msgspec.Struct, frozen=True):
+class _EngineQueue(msgspec.Struct, frozen=True):
     """The order of one engine's queue and the requests that wait in it.
 
     Kept until its last waiter has left, which can be some event loop steps after its grant: two
     queues for one engine at the same time would grant the same slots twice.
     """
 
-    line: Line
+    fair_queue: Line
     waiter_by_number: dict[int, Waiter] = msgspec.field(default_factory=dict)
 
 
@@ -80,7 +80,7 @@
         is_managed: Callable[[], bool] = _never,
     ) -> None:
         self._interval_by_engine: dict[str, ReleaseInterval] = {}
-        self._queue_by_engine: dict[str, _Queue] = {}
+        self._queue_by_engine: dict[str, _EngineQueue] = {}
         #: Releases a grant that came too late for its request.
         self._give_back = give_back
         self._clock = clock
@@ -95,7 +95,7 @@
     def waiting_count(self, engine: str) -> int:
         """Return how many requests wait for an engine."""
         queue = self._queue_by_engine.get(engine)
-        return len(queue.line) if queue is not None else 0
+        return len(queue.fair_queue) if queue is not None else 0
 
     async def wait(
         self, grant_request: GrantRequest, full: Full, ask: Callable[[], Verdict]
@@ -112,24 +112,24 @@
         ticket = self._join(queue, grant_request)
         if ticket is None:
             return self._with_retry_time(grant_request, full) if is_predicted else full
-        turn: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
-        queue.waiter_by_number[ticket.number] = Waiter(ticket, ask, turn)
+        decision_future: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
+        queue.waiter_by_number[ticket.number] = Waiter(ticket, ask, decision_future)
         _evict_last(queue, full)
-        verdict: Verdict | None = None
+        decision: Verdict | None = None
         try:
             async with asyncio.timeout(grant_request.max_wait_ms / MS_PER_SECOND):
-                verdict = await turn
+                decision = await decision_future
         except TimeoutError:
-            verdict = full
+            decision = full
         finally:
             self._leave(engine, queue, ticket)
-            if verdict is None or verdict is full:
-                self._return_late_grant(engine, turn)
-        if is_predicted and isinstance(verdict, Full):
-            return self._with_retry_time(grant_request, verdict)
-        return verdict
+            if decision is None or decision is full:
+                self._return_late_grant(engine, decision_future)
+        if is_predicted and isinstance(decision, Full):
+            return self._with_retry_time(grant_request, decision)
+        return decision
 
-    def forget(self, is_gone: Callable[[str], bool]) -> None:
+    def drop_gone(self, is_gone: Callable[[str], bool]) -> None:
         """Drop the state of engines that are gone and have no waiting requests."""
         for known in (
             self._interval_by_engine,
@@ -149,20 +149,20 @@
         the engine frees slots.
         """
         known = self._interval_by_engine.get(engine, ReleaseInterval(now))
-        busy = self.waiting_count(engine) > 0
+        has_waiting = self.waiting_count(engine) > 0
         if not self._is_managed():
             # Only while requests wait do the gaps between releases show how fast slots come free.
             self._interval_by_engine[engine] = (
-                known.after(now) if busy else replace(known, last=now)
+                known.after(now) if has_waiting else replace(known, last=now)
             )
         elif was_used:
             steady = known.after(now, STEADY_GAP_WEIGHT)
-            self._interval_by_engine[engine] = steady if busy else replace(known, last=now)
-        if not busy:
+            self._interval_by_engine[engine] = steady if has_waiting else replace(known, last=now)
+        if not has_waiting:
             self._note_unused_slot(engine, now)
         self.serve(engine)
 
-    def _queue(self, engine: str) -> _Queue:
+    def _queue(self, engine: str) -> _EngineQueue:
         """Return an engine's queue, creating it if no request waits."""
         queue = self._queue_by_engine.get(engine)
         if queue is not None:
@@ -174,15 +174,15 @@
             known = self._interval_by_engine.get(engine, ReleaseInterval(now))
             # The idle time before this, when no request waited, does not count as a gap.
             self._interval_by_engine[engine] = replace(known, last=now)
-        queue = self._queue_by_engine[engine] = _Queue(Line(limit))
+        queue = self._queue_by_engine[engine] = _EngineQueue(Line(limit))
         return queue
 
-    def _join(self, queue: _Queue, grant_request: GrantRequest) -> Ticket | None:
+    def _join(self, queue: _EngineQueue, grant_request: GrantRequest) -> Ticket | None:
         in_time_until = math.inf
         if self._is_managed() and grant_request.in_time > 0:
             in_time_until = self._clock() + grant_request.in_time / MS_PER_SECOND
         weight = grant_request.weight / WEIGHT_SCALE
-        return queue.line.join(
+        return queue.fair_queue.join(
             grant_request.account,
             grant_request.priority,
             weight,
@@ -199,7 +199,7 @@
         if queue is None:
             return False
         gap = self._release_gap(grant_request.engine)
-        wait = queue.line.before(grant_request.account, grant_request.priority) * gap
+        wait = queue.fair_queue.before(grant_request.account, grant_request.priority) * gap
         return wait > grant_request.max_wait_ms / MS_PER_SECOND
 
     def _predicted_wait(self, grant_request: GrantRequest) -> float:
@@ -214,17 +214,19 @@
         )
         if queue is None:
             return 0.0
-        queue.line.pass_time(self._clock())
-        share = queue.line.share_before(grant_request.account, grant_request.priority)
+        queue.fair_queue.pass_time(self._clock())
+        share = queue.fair_queue.share_before(grant_request.account, grant_request.priority)
         wait = share * gap
         if wait <= grant_request.in_time / MS_PER_SECOND:
             return wait
         late = (
-            queue.line.share_before(grant_request.account, grant_request.priority, is_late=True)
+            queue.fair_queue.share_before(
+                grant_request.account, grant_request.priority, is_late=True
+            )
             - share
         )
         # While requests that are in time take all slots, none is left for the late ones.
-        return wait + late * max(gap, queue.line.late_gap())
+        return wait + late * max(gap, queue.fair_queue.late_gap())
 
     def _refused(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
         """Return the reply to a request that is refused at arrival, and remember the refusal."""
@@ -247,14 +249,14 @@
         )
         if gap == 0:
             return 0
-        share = queue.line.share() if queue is not None else 0.0
+        share = queue.fair_queue.share() if queue is not None else 0.0
         schedule = self._schedule_by_engine.setdefault(grant_request.engine, RetrySchedule())
         seconds = schedule.next_delay(self._clock(), share, gap, grant_request.queue_count)
         return max(1, round(seconds * MS_PER_SECOND))
 
-    def granted_ahead(self, engine: str, most: int) -> int:
+    def granted_ahead(self, engine: str, limit: int) -> int:
         """Return how many requests to grant beyond an engine's slots while requests wait."""
-        return granted_ahead(self._release_gap(engine), most)
+        return granted_ahead(self._release_gap(engine), limit)
 
     def _release_gap(self, engine: str) -> float:
         """Return the mean seconds between two slots that come free; 0 if unknown."""
@@ -279,47 +281,51 @@
         if queue is None:
             return
         if self._is_managed():
-            queue.line.pass_time(self._clock())
+            queue.fair_queue.pass_time(self._clock())
         passed_over = 0
-        while (ticket := queue.line.at(passed_over)) is not None:
+        while (ticket := queue.fair_queue.at(passed_over)) is not None:
             waiter = queue.waiter_by_number[ticket.number]
-            if waiter.turn.done():
-                queue.line.leave(ticket)
+            if waiter.decision.done():
+                queue.fair_queue.leave(ticket)
                 continue
-            verdict = waiter.ask()
-            if isinstance(verdict, Full):
-                if verdict.short_tokens == 0 or passed_over == MAX_PASSED_OVER:
+            decision = waiter.ask()
+            if isinstance(decision, Full):
+                if decision.short_tokens == 0 or passed_over == MAX_PASSED_OVER:
                     return
                 passed_over += 1
                 continue
-            queue.line.served(ticket)
-            waiter.turn.set_result(verdict)
+            queue.fair_queue.served(ticket)
+            waiter.decision.set_result(decision)
 
     def serve_all(self) -> None:
         """Serve every queue; called when a ceiling may have risen."""
         for engine in tuple(self._queue_by_engine):
             self.serve(engine)
 
-    def _leave(self, engine: str, queue: _Queue, ticket: Ticket) -> None:
-        queue.line.leave(ticket)
+    def _leave(self, engine: str, queue: _EngineQueue, ticket: Ticket) -> None:
+        queue.fair_queue.leave(ticket)
         del queue.waiter_by_number[ticket.number]
         if not queue.waiter_by_number:
             del self._queue_by_engine[engine]
 
-    def _return_late_grant(self, engine: str, turn: asyncio.Future[Verdict]) -> None:
+    def _return_late_grant(self, engine: str, decision_future: asyncio.Future[Verdict]) -> None:
         """Release a grant that was made just as its request stopped waiting."""
-        granted = turn.done() and not turn.cancelled() and isinstance(turn.result(), Granted)
+        granted = (
+            decision_future.done()
+            and not decision_future.cancelled()
+            and isinstance(decision_future.result(), Granted)
+        )
         if granted:
             self._give_back(engine)
 
 
-def _evict_last(queue: _Queue, full: Full) -> None:
+def _evict_last(queue: _EngineQueue, full: Full) -> None:
     """Remove the last request if the queue exceeds its limit."""
-    last = queue.line.overflow()
+    last = queue.fair_queue.overflow()
     if last is None:
         return
-    queue.line.leave(last)
+    queue.fair_queue.leave(last)
     waiter = queue.waiter_by_number[last.number]
-    if not waiter.turn.done():
+    if not waiter.decision.done():
         # The memory shortage of the request that displaced it does not apply to this one.
-        waiter.turn.set_result(replace(full, short_tokens=0))
+        waiter.decision.set_result(replace(full, short_tokens=0))
--- a/pondhatch/requests/_entry_grants.py
+++ b/pondhatch/requests/_entry_grants.py
@@ -151,7 +151,7 @@
 
     def tick(self, now: float) -> None:
         """Renew the leases of held grants when due."""
-        self.timeouts.forget_old(now)
+        self.timeouts.drop_expired(now)
         if now - self._renewed_at < RENEW_SECONDS:
             return
         self._renewed_at = now
--- a/pondhatch/requests/_keys.py
+++ b/pondhatch/requests/_keys.py
@@ -60,14 +60,14 @@
     record_by_key: OrderedDict[str, KeyRecord] = msgspec.field(default_factory=OrderedDict)
     #: Bytes of the answers that are kept.
     kept_bytes: int = 0
-    _touched_by_key: dict[str, float] = msgspec.field(default_factory=dict)
+    _updated_at_by_key: dict[str, float] = msgspec.field(default_factory=dict)
 
     def claim(self, key: str, record: KeyRecord, now: float) -> Claim:
         """Record a new key, or return the record of a used one.
 
         A repeated claim with the same request id counts as new again.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         known = self.record_by_key.get(key)
         if known is not None and known.request_id != record.request_id:
             return UsedKey(known)
@@ -100,20 +100,20 @@
         if key in self.record_by_key:
             self._drop(key)
         self.record_by_key[key] = record
-        self._touched_by_key[key] = now
+        self._updated_at_by_key[key] = now
         self.kept_bytes += _size(record)
         while self.kept_bytes > MAX_KEPT_BYTES:
             self._drop(next(iter(self.record_by_key)))
 
     def _drop(self, key: str) -> None:
         self.kept_bytes -= _size(self.record_by_key.pop(key))
-        del self._touched_by_key[key]
+        del self._updated_at_by_key[key]
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self.record_by_key:
             key = next(iter(self.record_by_key))
-            old = now - self._touched_by_key[key] > KEEP_SECONDS
-            if not old and len(self.record_by_key) <= MAX_KEYS:
+            is_expired = now - self._updated_at_by_key[key] > KEEP_SECONDS
+            if not is_expired and len(self.record_by_key) <= MAX_KEYS:
                 return
             self._drop(key)
 
--- a/pondhatch/requests/_leases.py
+++ b/pondhatch/requests/_leases.py
@@ -16,7 +16,7 @@
 
     engine: str
     #: When it ends unless renewed, in the clock's seconds.
-    until: float
+    expires_at: float
 
 
 class Leases(msgspec.Struct):
@@ -24,17 +24,17 @@
 
     by_holder: dict[Holder, Lease] = msgspec.field(default_factory=dict)
 
-    def give(self, holder: Holder, engine: str, now: float) -> None:
+    def start_or_renew(self, holder: Holder, engine: str, now: float) -> None:
         """Start or renew the lease of a grant."""
         self.by_holder[holder] = Lease(engine, now + LEASE_SECONDS)
 
-    def take(self, holder: Holder) -> Lease | None:
+    def remove(self, holder: Holder) -> Lease | None:
         """Remove and return a holder's lease; None if it has none."""
         return self.by_holder.pop(holder, None)
 
-    def ended(self, now: float) -> tuple[Holder, ...]:
+    def expired(self, now: float) -> tuple[Holder, ...]:
         """Return the holders whose leases have expired."""
-        return tuple(holder for holder, lease in self.by_holder.items() if lease.until <= now)
+        return tuple(holder for holder, lease in self.by_holder.items() if lease.expires_at <= now)
 
     def of_router(self, router: int, before: float = float("inf")) -> tuple[Holder, ...]:
         """Return an entry router's holders whose leases were last renewed before a time."""
@@ -42,5 +42,5 @@
         return tuple(
             holder
             for holder, lease in self.by_holder.items()
-            if holder.router == router and lease.until < until
+            if holder.router == router and lease.expires_at < until
         )
--- a/pondhatch/requests/_messages.py
+++ b/pondhatch/requests/_messages.py
@@ -117,7 +117,7 @@
     status: int
     headers: Headers
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         """Write every chunk to a sink as it arrives, up to the answer's end.
 
         Raises AnswerLost, and what the sink raises.
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -48,7 +48,7 @@
 #: in use is no measure of how long requests take.
 RUN_ENDS = frozenset({EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR})
 #: Seconds between two clean-ups of engines that are gone.
-FORGET_SECONDS = 10.0
+CLEANUP_SECONDS = 10.0
 
 
 class OwnerView(Protocol):
@@ -104,7 +104,7 @@
         self._cold_paces = cold_paces or ColdPaces()
         self._engine_memory = EngineMemory(tokens or TokenCounts(), view.is_load_managed)
         self.leases = Leases()
-        self._forgot_at = float("-inf")
+        self._cleaned_up_at = float("-inf")
 
     async def ask(self, grant_request: GrantRequest) -> OwnerReply:
         """Return the reply to a grant request, after waiting in the queue if it may."""
@@ -128,13 +128,13 @@
         if refusal is not None:
             return refusal
         self._queues.serve(target.name)
-        verdict = self._ask_gate(target, grant_request)
-        if isinstance(verdict, Granted):
-            return self._record_grant(grant_request, verdict)
-        self._note_refused(verdict)
+        decision = self._ask_gate(target, grant_request)
+        if isinstance(decision, Granted):
+            return self._record_grant(grant_request, decision)
+        self._note_refused(decision)
         if grant_request.max_wait_ms > 0:
-            return MustWait(target, verdict)
-        return _busy(verdict)
+            return MustWait(target, decision)
+        return _busy(decision)
 
     def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
         """Reply to a grant request of this router whose owner cannot be asked.
@@ -151,44 +151,44 @@
             return refusal
         if target.intake.cold_pace is not None:
             return _busy(self._cold_refusal(target))
-        verdict = self._ask_gate(target, grant_request)
-        if isinstance(verdict, Granted):
-            return self._record_grant(grant_request, verdict)
-        self._note_refused(verdict)
-        return _busy(verdict)
+        decision = self._ask_gate(target, grant_request)
+        if isinstance(decision, Granted):
+            return self._record_grant(grant_request, decision)
+        self._note_refused(decision)
+        return _busy(decision)
 
     async def wait(self, grant_request: GrantRequest, must_wait: MustWait) -> OwnerReply:
         """Wait in the engine's queue until granted or until the maximum wait has passed."""
         ask = functools.partial(
             self._ask_gate_again, must_wait.target, grant_request, self._clock()
         )
-        verdict: Verdict | None = None
+        decision: Verdict | None = None
         try:
-            verdict = await self._queues.wait(grant_request, must_wait.full, ask)
+            decision = await self._queues.wait(grant_request, must_wait.full, ask)
         finally:
-            if not isinstance(verdict, Granted):
+            if not isinstance(decision, Granted):
                 self._drop_reservation(grant_request)
-        if isinstance(verdict, Full):
+        if isinstance(decision, Full):
             # Reports the present load: the next owner asked counts it as load elsewhere, and
             # requests that ran when the wait began may have ended since.
             held = self._gate.in_flight(grant_request.engine, self._clock())
-            return _busy(replace(verdict, in_flight=held))
+            return _busy(replace(decision, in_flight=held))
         target = self._target(grant_request)
         if isinstance(target, NotRun):
             # The upstream was closed while the request waited.
-            self._engine_memory.ended(grant_request.engine, grant_request.holder)
+            self._engine_memory.remove(grant_request.engine, grant_request.holder)
             self._return_slot(grant_request.engine)
             return target
-        return self._record_grant(grant_request, verdict)
+        return self._record_grant(grant_request, decision)
 
     def release(self, holder: Holder, end_reason: EndReason) -> None:
         """End a grant and record how its request ended; safe to call twice."""
-        lease = self.leases.take(holder)
+        lease = self.leases.remove(holder)
         if lease is None:
             return
         # Recorded first, since returning the slot grants the next request in the queue.
         self._learn(lease.engine, end_reason)
-        self._engine_memory.ended(lease.engine, holder)
+        self._engine_memory.remove(lease.engine, holder)
         self._return_slot(lease.engine, was_used=end_reason in RUN_ENDS)
 
     def _learn(self, engine: str, end_reason: EndReason) -> None:
@@ -227,8 +227,8 @@
             holder = Holder(router, number)
             if holder not in self.leases.by_holder:
                 self._gate.adopt(engine)
-                self._engine_memory.adopted(self._view.target(engine), holder)
-            self.leases.give(holder, engine, self._clock())
+                self._engine_memory.record_adopted(self._view.target(engine), holder)
+            self.leases.start_or_renew(holder, engine, self._clock())
 
     def router_gone(self, router: int) -> None:
         """End the grants of an entry router that is gone, as its connections are gone too."""
@@ -257,11 +257,11 @@
     def tick(self) -> None:
         """Do the periodic work: end expired leases, and serve queues if ceilings have risen."""
         now = self._clock()
-        self._release_all(self.leases.ended(now))
+        self._release_all(self.leases.expired(now))
         self._queues.serve_all()
-        if now - self._forgot_at >= FORGET_SECONDS:
-            self._forgot_at = now
-            self._queues.forget(lambda engine: self._view.target(engine) is None)
+        if now - self._cleaned_up_at >= CLEANUP_SECONDS:
+            self._cleaned_up_at = now
+            self._queues.drop_gone(lambda engine: self._view.target(engine) is None)
 
     def _placement_refusal(self, grant_request: GrantRequest, target: Target) -> OwnerReply | None:
         """Return why a request may not run at an open engine, regardless of its load."""
@@ -306,14 +306,14 @@
         """Ask the gate again for a queued request; its upstream may have become cold."""
         if grant_request.in_time > 0 and self._clock() - since > SEEN_LOAD_SECONDS:
             grant_request = replace(grant_request, seen_in_flight_elsewhere=0)
-        verdict = self._ask_gate(self._view.target(target.name) or target, grant_request)
-        if isinstance(verdict, Full) and verdict.short_tokens > 0:
-            self._engine_memory.keep_for(target, grant_request)
-        return verdict
+        decision = self._ask_gate(self._view.target(target.name) or target, grant_request)
+        if isinstance(decision, Full) and decision.short_tokens > 0:
+            self._engine_memory.reserve_for(target, grant_request)
+        return decision
 
     def _drop_reservation(self, grant_request: GrantRequest) -> None:
         """Drop the memory reservation of a request that leaves without a grant."""
-        if self._engine_memory.ended(grant_request.engine, grant_request.holder):
+        if self._engine_memory.remove(grant_request.engine, grant_request.holder):
             self._queues.serve(grant_request.engine)
 
     def _ask_gate(self, target: Target, grant_request: GrantRequest) -> Verdict:
@@ -324,10 +324,10 @@
             return self._ask_ceiling(target, grant_request)
         if not self._cold_paces.is_due(target.name, pace, now):
             return self._cold_refusal(target)
-        verdict = self._ask_ceiling(target, grant_request)
-        if isinstance(verdict, Granted):
+        decision = self._ask_ceiling(target, grant_request)
+        if isinstance(decision, Granted):
             self._cold_paces.went(target.name, pace, now)
-        return verdict
+        return decision
 
     def _cold_refusal(self, target: Target) -> Full:
         """Return the refusal of a cold upstream that is to get no more requests for a moment."""
@@ -345,7 +345,7 @@
             self._view.elsewhere_in_flight(target.name), grant_request.seen_in_flight_elsewhere
         )
         pace, slots = self._pace(target, grant_request), self._slots(target, grant_request)
-        verdict = self._gate.ask(
+        decision = self._gate.ask(
             target.name,
             now,
             target.load_bound,
@@ -355,9 +355,9 @@
             target.load_slack,
             pace,
         )
-        if isinstance(verdict, Granted):
-            self._engine_memory.granted(grant_request, now)
-        return verdict
+        if isinstance(decision, Granted):
+            self._engine_memory.record_grant(grant_request, now)
+        return decision
 
     def _slots(self, target: Target, grant_request: GrantRequest) -> int:
         """Return how many requests an engine may hold, regardless of the service's mean load.
@@ -385,13 +385,13 @@
 
     def _note_refused(self, full: Full) -> None:
         if full.short_tokens > 0:
-            self._engine_memory.refused()
+            self._engine_memory.record_refusal()
 
-    def _record_grant(self, grant_request: GrantRequest, verdict: Granted) -> Granted:
+    def _record_grant(self, grant_request: GrantRequest, granted: Granted) -> Granted:
         if grant_request.is_home:
             self._memory.forget(grant_request.chat)
-        self.leases.give(grant_request.holder, grant_request.engine, self._clock())
-        return verdict
+        self.leases.start_or_renew(grant_request.holder, grant_request.engine, self._clock())
+        return granted
 
     def _release_all(self, holders: Collection[Holder]) -> None:
         for holder in holders:
--- a/pondhatch/requests/_owner_timeouts.py
+++ b/pondhatch/requests/_owner_timeouts.py
@@ -109,7 +109,7 @@
         times = self._recent_times(owner, now)
         return times is not None and times.mean > TOO_SLOW_SECONDS
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop timed-out grant requests that are too old to learn from."""
         self._timed_out_by_number = {
             number: given_up
--- a/pondhatch/requests/_parallel_waits.py
+++ b/pondhatch/requests/_parallel_waits.py
@@ -33,7 +33,7 @@
 class FirstGrant(msgspec.Struct, frozen=True):
     """The first grant among several engines."""
 
-    question: GrantRequest
+    grant_request: GrantRequest
     granted: Granted
 
 
@@ -46,7 +46,7 @@
 class _PendingRequest(msgspec.Struct, frozen=True):
     """A grant request that waits at its engine's owner."""
 
-    question: GrantRequest
+    grant_request: GrantRequest
     #: The router that owned the engine when it was asked.
     owner: str | None
 
@@ -59,13 +59,13 @@
         grants: Grants,
         owner_name: Callable[[str], str | None],
         ask: Callable[[GrantRequest], Coroutine[Any, Any, OwnerReply]],
-        question: Callable[[str, float], GrantRequest],
+        new_request: Callable[[str, float], GrantRequest],
     ) -> None:
         self._grants = grants
         self._owner_name = owner_name
         self._ask = ask
         #: Returns the grant request for an engine, given the seconds that it may wait there.
-        self._grant_request = question
+        self._new_request = new_request
         self._pending_by_task: dict[asyncio.Task[OwnerReply], _PendingRequest] = {}
         self._reply_by_engine: dict[str, OwnerReply] = {}
 
@@ -93,7 +93,7 @@
         return NotGranted(self._reply_by_engine)
 
     def _start(self, engine: str, seconds: float) -> None:
-        grant_request = self._grant_request(engine, seconds)
+        grant_request = self._new_request(engine, seconds)
         task = asyncio.ensure_future(self._ask(grant_request))
         self._pending_by_task[task] = _PendingRequest(grant_request, self._owner_name(engine))
 
@@ -114,8 +114,8 @@
             del self._pending_by_task[task]
             reply = task.result()
             if isinstance(reply, Granted):
-                return FirstGrant(pending.question, reply)
-            self._reply_by_engine[pending.question.engine] = reply
+                return FirstGrant(pending.grant_request, reply)
+            self._reply_by_engine[pending.grant_request.engine] = reply
         return None
 
     def _may_be_granted(self, engines: tuple[str, ...], left: float) -> bool:
@@ -139,15 +139,17 @@
         if left <= 0:
             return
         for task, pending in tuple(self._pending_by_task.items()):
-            engine = pending.question.engine
+            engine = pending.grant_request.engine
             owner = self._owner_name(engine)
             if not task.done() and owner is not None and owner != pending.owner:
                 del self._pending_by_task[task]
                 task.cancel()
                 self._start(engine, left)
-        waiting = {asked.question.engine for asked in self._pending_by_task.values()}
+        queued_engines = {
+            pending.grant_request.engine for pending in self._pending_by_task.values()
+        }
         for engine in engines:
-            if engine not in waiting and self._lacks_queue_reply(engine):
+            if engine not in queued_engines and self._lacks_queue_reply(engine):
                 del self._reply_by_engine[engine]
                 self._start(engine, left)
 
@@ -166,4 +168,4 @@
             context = {"message": "A grant request to an engine's owner failed", "exception": error}
             asyncio.get_running_loop().call_exception_handler(context)
         elif isinstance(task.result(), Granted):
-            self._grants.release(pending.question.number, EndReason.NEUTRAL)
+            self._grants.release(pending.grant_request.number, EndReason.NEUTRAL)
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -140,11 +140,11 @@
         self.status: int = answer.status
         self.headers: Headers = answer.headers
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         """Write every chunk to a sink; see AnswerStream."""
         ended = EndReason.NEUTRAL
         try:
-            await self._answer.pour(sink)
+            await self._answer.stream_to(sink)
             ended = _end_reason_of(self.status)
         except AnswerLost:
             ended = EndReason.CONNECTION_FAILED
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -97,7 +97,7 @@
     async def run_at_first_grant(
         self,
         engines: tuple[str, ...],
-        question: Callable[[str, float], GrantRequest],
+        new_request: Callable[[str, float], GrantRequest],
         seconds: float,
         head: RequestHead,
     ) -> tuple[str, TryResult] | NotGranted:
@@ -106,7 +106,7 @@
         Return that engine and the result of the try there.
         """
         queues = ParallelWait(
-            self._collaborators.grants, self._view.owner_name, self._request_grant, question
+            self._collaborators.grants, self._view.owner_name, self._request_grant, new_request
         )
         started = asyncio.get_running_loop().time()
         try:
@@ -119,9 +119,9 @@
             for engine, reply in first.reply_by_engine.items():
                 self._collaborators.preference.note_reply(engine, reply)
             return first
-        self._collaborators.preference.note_reply(first.question.engine, first.granted)
-        tried = await self._run_granted(first.question, first.granted, head)
-        return first.question.engine, tried
+        self._collaborators.preference.note_reply(first.grant_request.engine, first.granted)
+        result = await self._run_granted(first.grant_request, first.granted, head)
+        return first.grant_request.engine, result
 
     async def _run_granted(
         self, grant_request: GrantRequest, reply: Granted, head: RequestHead
--- a/pondhatch/requests/_wait_limits.py
+++ b/pondhatch/requests/_wait_limits.py
@@ -58,10 +58,10 @@
         """Return a service's usual times; zeros before its first answer."""
         return self._usual_by_service.get(service, UsualTimes())
 
-    def record(self, service: str, begun: float, ended: float) -> None:
+    def record(self, service: str, begin_seconds: float, end_seconds: float) -> None:
         """Record after how many seconds an answer began and ended."""
         known = self._usual_by_service.get(service)
-        newest = UsualTimes(begun, ended)
+        newest = UsualTimes(begin_seconds, end_seconds)
         self._usual_by_service[service] = newest if known is None else _mean(known, newest)
 
 
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -194,7 +194,7 @@
         """End it here: its engine is gone."""
         self._cut_at = self._at
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         # Nobody but its reader cancels it, as with a connection to a real one.
         while part := await self._part():
             if not sink.write(part):
@@ -519,7 +519,7 @@
         self.told: dict[str, int] = {}
 
     def _question(self, engine: str, *args: Any, **kwargs: Any) -> GrantRequest:
-        question = super()._grant_request(engine, *args, **kwargs)
+        question = super()._new_grant_request(engine, *args, **kwargs)
         self.told[engine] = question.seen_in_flight_elsewhere
         return question
 
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -50,7 +50,7 @@
                 body = ReplayableBody(b"")
                 walk = Dispatch(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_WAIT)
                 home = walk.plan.home or ""
-                settled = walk._grant_request(home, is_forced=False).settled_engine
+                settled = walk._new_grant_request(home, is_forced=False).settled_engine
             await asyncio.sleep(0)
             return settled, walk.plan.order
 
--- a/pondhatch/requests/tests/test_owner_waits.py
+++ b/pondhatch/requests/tests/test_owner_waits.py
@@ -118,7 +118,7 @@
     def test_a_word_that_nobody_waited_for_or_that_comes_much_later_tells_nothing(self) -> None:
         waits = OwnerTimeouts()
         waits.note_timeout(1, "r1", 0.0)
-        waits.forget_old(TIMED_OUT_SECONDS + 0.1)
+        waits.drop_expired(TIMED_OUT_SECONDS + 0.1)
         self.assertIsNone(waits.note_late_reply(1, TIMED_OUT_SECONDS + 0.2))
         self.assertIsNone(waits.note_late_reply(2, 0.0))
 
--- a/pondhatch/requests/tests/test_sending.py
+++ b/pondhatch/requests/tests/test_sending.py
@@ -19,7 +19,7 @@
         self._lost = lost
         self._ends = ends
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         if not self._ends:
             await asyncio.Event().wait()
         if self._lost:
@@ -41,7 +41,7 @@
     async def ended(self, answer: Answer) -> list[EndReason]:
         released: list[EndReason] = []
         granted = GrantedAnswer(answer, released.append)
-        task = asyncio.ensure_future(granted.pour(Sink()))
+        task = asyncio.ensure_future(granted.stream_to(Sink()))
         await asyncio.sleep(0)
         if not task.done():
             task.cancel()
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -112,7 +112,7 @@
         walk = Dispatch(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
         reply = await walk.run()
         if isinstance(reply, Placed):
-            await reply.reply.answer.pour(Sink(lambda _: None))
+            await reply.reply.answer.stream_to(Sink(lambda _: None))
             self.outcomes["whole" if remaining() > 0 else "too late"] += 1
             self.seconds.append(clock() - began)
             return
@@ -222,7 +222,7 @@
         won = run_virtually(main())
         assert isinstance(won, FirstGrant)
         released = [call.args[0] for call in grants.release.mock_calls]
-        self.assertEqual(sorted([won.question.number, *released]), [0, 1, 2])
+        self.assertEqual(sorted([won.grant_request.number, *released]), [0, 1, 2])
 
 
 class RefusedAfterWaitTest(unittest.TestCase):
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -81,7 +81,7 @@
     def __init__(self, seconds: float, ended: Callable[[], None]) -> None:
         self._seconds, self._ended = seconds, ended
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         await asyncio.sleep(self._seconds)
         self._ended()
 
@@ -121,7 +121,7 @@
         placed = await walk.run()
         if isinstance(placed, Placed):
             served[tokens] += 1
-            await placed.reply.answer.pour(None)  # type: ignore[arg-type]
+            await placed.reply.answer.stream_to(None)  # type: ignore[arg-type]
 
     async def arrive(rate: float, tokens: int, tasks: list[asyncio.Task[None]]) -> None:
         while asyncio.get_running_loop().time() < SECONDS:
@@ -271,7 +271,7 @@
             ways, body = Collaborators(router.entry, Engines()), ReplayableBody(b"")
             asked = head(1_000, **stated)
             walk = Dispatch(router.view, ways, RetryBudget(), asked, body, lambda: 10.0)
-            return walk._grant_request("e0", is_forced=False)
+            return walk._new_grant_request("e0", is_forced=False)
 
         return run(main(), managed)
 
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -86,7 +86,7 @@
     def __init__(self, engines: Engines, engine: str, seconds: float) -> None:
         self._engines, self._engine, self._seconds = engines, engine, seconds
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         await asyncio.sleep(self._seconds)
         self._engines.running[self._engine] -= 1
 
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -92,7 +92,7 @@
         #: One timer for the whole answer costs less than one for each part.
         self._timer = asyncio.get_running_loop().call_at(deadline, self._expire)
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         """Hand every part to a sink; see AnswerStream."""
         watched = _TailSink(sink) if self._last_event is not None else None
         try:
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -109,7 +109,7 @@
         walk = Dispatch(self.state, ways, RetryBudget(), head, ReplayableBody(b"x"), lambda: 5.0)
         ended = await walk.run()
         if isinstance(ended, Placed):
-            await ended.reply.answer.pour(_Sink())
+            await ended.reply.answer.stream_to(_Sink())
         return ended
 
     def counts(self) -> tuple[int, int]:
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -67,7 +67,7 @@
         self._parts = parts
         self._whole = whole
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         for part in self._parts:
             sink.write(part)
         if not self._whole:
@@ -494,8 +494,8 @@
 class Endless(Answer):
     """An answer whose rest does not come, unless the test has it come."""
 
-    async def pour(self, sink: PartSink) -> None:
-        await super().pour(sink)
+    async def stream_to(self, sink: PartSink) -> None:
+        await super().stream_to(sink)
         self.rest: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         sink.write(await self.rest)
 
@@ -577,8 +577,8 @@
         super().__init__((b"ye",), headers=(("Instance-Signature", "3e"),))
         self._error = error
 
-    async def pour(self, sink: PartSink) -> None:
-        await super().pour(sink)
+    async def stream_to(self, sink: PartSink) -> None:
+        await super().stream_to(sink)
         raise self._error
 
 
