--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -46,7 +46,7 @@
                 list(self.state.suspects.quarantined_digests(self.state.clock()))
             ),
             "chats.spilled": len(self.state.spill_locations.engine_by_chat),
-            "queue.refused-in-vain": self.granting.owner.refused_in_vain,
+            "queue.refused-in-vain": self.granting.owner.wrongly_refused,
             "control.bytes_sent": self.gossip_port.bytes_sent,
             "control.bytes_received": self.gossip_port.bytes_received,
         }
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -1,4 +1,4 @@
-"""Passing an answer on to its caller, whole, over breaks where the engine can resume."""
+"""Delivers an answer to its caller, resuming it after lost connections where possible."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 import msgspec
 
-from pondhatch.requests._entry import Walk
-from pondhatch.requests._events import EventCutter
-from pondhatch.requests._messages import AnswerStream, Headers, Lost, PartSink
+from pondhatch.requests._dispatch import Dispatch
+from pondhatch.requests._dispatch_results import Placed, StreamPosition
+from pondhatch.requests._events import EventSplitter
+from pondhatch.requests._messages import AnswerLost, AnswerStream, Headers, PartSink
 from pondhatch.requests._outcomes import Broken, Unknown, Whole
-from pondhatch.requests._walk_results import Placed, Position
-
-#: Times that one answer is taken up again at most.
-MOST_RESUMES = 3
-#: Seconds in which a broken answer must be taken up again; an engine that restarts
-#: its listener, or an owner that is replaced, is back in that time.
-RESUME_SECONDS = 8.0
-#: Seconds between two tries to take it up.
+
+#: Maximum number of times that one answer is resumed.
+MAX_RESUMES = 3
+#: Seconds within which a broken answer must be resumed; an engine that restarts
+#: its listener, or an owner that is replaced, is back by then.
+RESUME_TIME_LIMIT = 8.0
+#: Seconds between two tries to resume it.
 RESUME_PAUSE = 0.25
 
 
 class Delivered(msgspec.Struct, frozen=True):
-    """How the delivery ended, and how often the answer was taken up again."""
+    """How the delivery ended, and how often the answer was resumed."""
 
-    #: Unknown where it broke off before any of it had reached the caller.
+    #: Unknown if the answer broke off before any of it reached the caller.
     outcome: Whole | Broken | Unknown
     resumes: int = 0
 
@@ -39,30 +39,30 @@
 
 
 class _WholeEvents:
-    """Passes whole events on to a sink; see PartSink."""
+    """Writes only complete events to a sink; see PartSink."""
 
     def __init__(self, sink: PartSink) -> None:
-        self.cutter = EventCutter()
+        self.splitter = EventSplitter()
         self._sink = sink
         self.ready = sink.ready
 
     def write(self, part: bytes) -> bool:
-        whole = self.cutter.feed(part)
+        whole = self.splitter.feed(part)
         return self._sink.write(whole) if whole else True
 
     def end(self) -> None:
-        """Pass on what stands behind the last whole event of an answer that ended."""
-        rest = self.cutter.rest()
+        """Write what follows the last complete event of an answer that ended."""
+        rest = self.splitter.take_rest()
         if rest:
             self._sink.write(rest)
 
 
-class _Opening:
-    """Begins the caller's answer with its first part; see PartSink."""
+class _AnswerStart:
+    """Begins the caller's answer when the first chunk arrives; see PartSink."""
 
     def __init__(self, sink: PartSink, begin: Callable[[], None]) -> None:
         self.has_begun = False
-        #: The longest time between two parts so far, in seconds.
+        #: The longest time between two chunks so far, in seconds.
         self.longest_pause = 0.0
         self._last_at: float | None = None
         self._sink = sink
@@ -89,89 +89,89 @@
 
 
 class Delivery:
-    """One answer on its way to its caller.
+    """Delivers one answer to its caller.
 
-    Until its first part has come, the caller is told nothing: an answer that breaks
-    before that is asked for again where it may be, or refused like one that never came.
+    Nothing is sent to the caller before the first chunk: if an answer breaks off before
+    that, the request runs again if it may, or is refused as if no answer had begun.
     """
 
     def __init__(
         self,
-        walk: Walk,
+        dispatch: Dispatch,
         placed: Placed,
         sink: PartSink,
         begin: Callable[[AnswerStream], None] = _nothing,
     ) -> None:
-        self._walk = walk
-        self._opening = _Opening(sink, lambda: begin(self._answer))
+        self._dispatch = dispatch
+        self._start = _AnswerStart(sink, lambda: begin(self._answer))
         self._resumes = 0
-        self._take(placed)
+        self._start_delivering(placed)
 
-    def _take(self, placed: Placed) -> None:
-        """Go on with an answer of which nothing was passed on."""
+    def _start_delivering(self, placed: Placed) -> None:
+        """Start with an answer of which nothing was delivered yet."""
         self._engine = placed.engine
         self._answer: AnswerStream = placed.reply.answer
         streamed = is_event_stream(self._answer.headers)
-        self._events = _WholeEvents(self._opening) if streamed else None
-        self._sink: PartSink = self._events or self._opening
+        self._events = _WholeEvents(self._start) if streamed else None
+        self._sink: PartSink = self._events or self._start
 
     @property
     def longest_pause(self) -> float:
-        """The longest time between two parts that were passed on, in seconds."""
-        return self._opening.longest_pause
+        """The longest time between two delivered chunks, in seconds."""
+        return self._start.longest_pause
 
     async def run(self) -> Delivered:
-        """Pass everything on; raises what the caller's sink raises."""
+        """Deliver the whole answer; raises what the caller's sink raises."""
         try:
-            while (lost := await self._pour()) is not None:
-                await self._walk.note_cut(self._engine, lost)
-                if not await self._goes_on():
-                    return Delivered(self._lost(lost), self._resumes)
+            while (lost := await self._deliver()) is not None:
+                await self._dispatch.note_connection_lost(self._engine, lost)
+                if not await self._recover():
+                    return Delivered(self._final_outcome(lost), self._resumes)
             return Delivered(Whole(), self._resumes)
         finally:
             self._answer.cancel()
 
-    async def _pour(self) -> Broken | None:
-        """Pass on what comes; return how the answer broke off, or None where it is whole."""
+    async def _deliver(self) -> Broken | None:
+        """Deliver chunks as they arrive; return how the answer broke off, or None if complete."""
         try:
-            await self._answer.pour(self._sink)
-        except Lost as lost:
+            await self._answer.stream_to(self._sink)
+        except AnswerLost as lost:
             return lost.outcome
         if self._events is not None:
             self._events.end()
-        self._opening.begin()
+        self._start.begin()
         return None
 
-    def _lost(self, outcome: Broken) -> Broken | Unknown:
-        if self._opening.has_begun:
+    def _final_outcome(self, outcome: Broken) -> Broken | Unknown:
+        if self._start.has_begun:
             return outcome
-        return self._walk.final_word(Unknown(outcome.code, outcome.reason))
+        return self._dispatch.final_outcome(Unknown(outcome.code, outcome.reason))
 
-    async def _goes_on(self) -> bool:
-        """Return whether a broken answer is taken up, from where it was or from its start."""
-        if self._opening.has_begun or not self._walk.may_run_again():
-            return await self._resumed()
+    async def _recover(self) -> bool:
+        """Resume a broken answer or run its request again; return whether that worked."""
+        if self._start.has_begun or not self._dispatch.can_rerun():
+            return await self._resume()
         self._answer.cancel()
-        placed = await self._walk.run_again(self._engine)
+        placed = await self._dispatch.rerun(self._engine)
         if placed is None:
             return False
-        self._take(placed)
+        self._start_delivering(placed)
         return True
 
-    async def _resumed(self) -> bool:
-        """Take the answer up where the caller's copy ends; return whether that worked."""
-        if self._events is None or not self._walk.can_resume(self._engine):
+    async def _resume(self) -> bool:
+        """Resume after the last event that the caller has; return whether that worked."""
+        if self._events is None or not self._dispatch.can_resume(self._engine):
             return False
-        cutter = self._events.cutter
-        if cutter.ended:
+        splitter = self._events.splitter
+        if splitter.is_complete:
             return False
-        cutter.broke()
+        splitter.discard_partial()
         self._answer.cancel()
         loop = asyncio.get_running_loop()
-        until = loop.time() + RESUME_SECONDS
-        while self._resumes < MOST_RESUMES and loop.time() < until:
-            position = Position(cutter.events, cutter.last_id)
-            reply = await self._walk.resume(self._engine, position)
+        until = loop.time() + RESUME_TIME_LIMIT
+        while self._resumes < MAX_RESUMES and loop.time() < until:
+            position = StreamPosition(splitter.events, splitter.last_id)
+            reply = await self._dispatch.resume(self._engine, position)
             if isinstance(reply, Placed):
                 self._resumes += 1
                 self._engine = reply.engine
--- a/pondhatch/requests/_grant_packets.py
+++ b/pondhatch/requests/_grant_packets.py
@@ -1,8 +1,8 @@
-"""What routers tell each other of grants, in small packets that may be lost.
+"""Packets on grants between routers; they may be lost.
 
-A packet that is lost, late, or comes twice does no harm: a question that is
-repeated gets the same grant, a release is a fact, and a grant that nobody
-renews is taken back when its lease ends.
+A lost, late or duplicated packet does no harm: a repeated grant request gets
+the same grant, releases are idempotent, and a grant that is not renewed ends
+with its lease.
 """
 
 from __future__ import annotations
@@ -12,87 +12,86 @@
 
 from pondhatch.kernel import without_defaults
 from pondhatch.placement import Granted
-from pondhatch.requests._outcomes import NotRun
-from pondhatch.requests._questions import (
-    MILLISECONDS,
+from pondhatch.requests._grant_requests import (
+    MS_PER_SECOND,
     Busy,
-    Elsewhere,
-    Ended,
+    ContextElsewhere,
+    EndReason,
+    GrantRequest,
     NotOwner,
     OwnerReply,
-    Question,
 )
+from pondhatch.requests._outcomes import NotRun
 
 
 class _Packet(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all packets on grants."""
+    """Base class of the packets on grants."""
 
 
 class Waiting(_Packet, frozen=True, tag=51):
-    """The question was heard, and waits in the engine's line."""
+    """The grant request was received, and waits in the engine's queue."""
 
     number: int
 
 
-class GrantedWord(_Packet, frozen=True, tag=52):
-    """The question is granted."""
+class GrantedReply(_Packet, frozen=True, tag=52):
+    """The request is granted."""
 
     number: int
     in_flight: int
     ceiling: int
 
 
-class BusyWord(_Packet, frozen=True, tag=53):
+class BusyReply(_Packet, frozen=True, tag=53):
     """The engine is at its ceiling."""
 
     number: int
     in_flight: int
     ceiling: int
-    #: These and what follows stand in the order of Busy.
+    #: This and the following fields are in the order of Busy.
     is_cold: bool = False
     predicted_ms: int = 0
     retry_after_ms: int = 0
     short_tokens: int = 0
 
 
-class ElsewhereWord(_Packet, frozen=True, tag=54):
-    """The chat's context lies at another engine."""
+class ContextElsewhereReply(_Packet, frozen=True, tag=54):
+    """The chat's context is at another engine."""
 
     number: int
     engine: str
 
 
-class NotOwnerWord(_Packet, frozen=True, tag=55):
-    """The router asked does not own the engine."""
+class NotOwnerReply(_Packet, frozen=True, tag=55):
+    """The replying router does not own the engine."""
 
     number: int
     owner: str | None
 
 
-class DeclinedWord(_Packet, frozen=True, tag=56):
+class NotRunReply(_Packet, frozen=True, tag=56):
     """The request may not run at this engine; see NotRun."""
 
     number: int
     code: str
     reason: str
-    #: Milliseconds after which it is worth coming back; 0 where a router of an older program
-    #: does not say.
+    #: Suggested retry delay in milliseconds; 0 if a router of an older version omits it.
     retry_after_ms: int = 0
 
 
 class Release(_Packet, frozen=True, tag=57):
-    """A grant is given back, or a question taken back."""
+    """Releases a grant, or withdraws a grant request."""
 
     router: int
     number: int
-    #: An Ended that every router of the fleet knows, so that each takes the grant back.
-    ended: int
-    #: The Ended meant, where one that runs an older program would not know it; else 0.
-    ended_as: int = 0
+    #: An EndReason that routers of all versions know, so that each of them ends the grant.
+    basic_end_reason: int
+    #: The actual EndReason if routers of older versions may not know it; else 0.
+    exact_end_reason: int = 0
 
 
 class Hold(_Packet, frozen=True, tag=58):
-    """These questions' grants are still held; renews their leases, at a new owner too."""
+    """Renews the leases of held grants; reports them to a new owner too."""
 
     router: int
     engine: str
@@ -106,30 +105,34 @@
     engine: str
 
 
-#: What a release told from the first version of these packets on.
-_KNOWN_TO_ALL = frozenset({Ended.ANSWERED, Ended.NOTHING, Ended.FAILED, Ended.ERRED})
+#: The end reasons that the first version of these packets had.
+_BASIC_END_REASONS = frozenset(
+    {EndReason.ANSWERED, EndReason.NEUTRAL, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
+)
 
 
-def release_of(router: int, number: int, ended: Ended) -> Release:
-    """Return the packet that gives a grant back."""
-    if ended in _KNOWN_TO_ALL:
-        return Release(router, number, ended)
-    return Release(router, number, Ended.NOTHING, ended)
+def release_of(router: int, number: int, end_reason: EndReason) -> Release:
+    """Return the packet that releases a grant."""
+    if end_reason in _BASIC_END_REASONS:
+        return Release(router, number, end_reason)
+    return Release(router, number, EndReason.NEUTRAL, end_reason)
 
 
-def ended_of(release: Release) -> Ended:
-    """Return what a release tells of the engine."""
-    return Ended(release.ended_as or release.ended)
+def end_reason_of(release: Release) -> EndReason:
+    """Return the actual end reason in a release."""
+    return EndReason(release.exact_end_reason or release.basic_end_reason)
 
 
-Word = Waiting | GrantedWord | BusyWord | ElsewhereWord | NotOwnerWord | DeclinedWord
-Telling = Release | Hold | Spilled
-GrantPacket = Question | Word | Telling
+ReplyPacket = (
+    Waiting | GrantedReply | BusyReply | ContextElsewhereReply | NotOwnerReply | NotRunReply
+)
+GrantUpdate = Release | Hold | Spilled
+GrantPacket = GrantRequest | ReplyPacket | GrantUpdate
 
-#: The first of the fields, standing last, that tell of managed load only.
+#: The first of a packet's trailing fields that are used only with load management.
 _FIRST_LOAD_FIELD_BY_TYPE: dict[type[GrantPacket], str] = {
-    Question: "in_time",
-    BusyWord: "predicted_ms",
+    GrantRequest: "in_time",
+    BusyReply: "predicted_ms",
 }
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -137,45 +140,45 @@
 
 
 def encode_grant_packet(packet: GrantPacket) -> bytes:
-    """Return a packet's bytes; without what tells of managed load where it says nothing."""
+    """Return a packet's bytes, without load management fields that have their defaults."""
     first = _FIRST_LOAD_FIELD_BY_TYPE.get(type(packet))
     return _ENCODER.encode(packet if first is None else without_defaults(packet, first))
 
 
 def decode_grant_packet(payload: bytes) -> GrantPacket | None:
-    """Return the packet in bytes, or None where they make none."""
+    """Return the decoded packet, or None if the bytes are invalid."""
     try:
         return _DECODER.decode(payload)
     except (msgspec.DecodeError, ValueError):
         return None
 
 
-def word_of(number: int, reply: OwnerReply) -> Word:
+def packet_of(number: int, reply: OwnerReply) -> ReplyPacket:
     """Return the packet that carries an owner's reply."""
     if isinstance(reply, Granted):
-        return GrantedWord(number, reply.in_flight, reply.ceiling)
+        return GrantedReply(number, reply.in_flight, reply.ceiling)
     if isinstance(reply, Busy):
-        return BusyWord(number, *astuple(reply))
-    if isinstance(reply, Elsewhere):
-        return ElsewhereWord(number, reply.engine)
+        return BusyReply(number, *astuple(reply))
+    if isinstance(reply, ContextElsewhere):
+        return ContextElsewhereReply(number, reply.engine)
     if isinstance(reply, NotOwner):
-        return NotOwnerWord(number, reply.owner)
-    after = round(reply.retry_after * MILLISECONDS)
-    return DeclinedWord(number, reply.code, reply.reason, after)
-
-
-def reply_of(word: Word) -> OwnerReply | None:
-    """Return the reply that a packet carries; None where it only says that it waits."""
-    if isinstance(word, GrantedWord):
-        return Granted(word.in_flight, word.ceiling)
-    if isinstance(word, BusyWord):
-        return Busy(*astuple(word)[1:])
-    if isinstance(word, ElsewhereWord):
-        return Elsewhere(word.engine)
-    if isinstance(word, NotOwnerWord):
-        return NotOwner(word.owner)
-    if isinstance(word, DeclinedWord):
-        declined = NotRun(word.code, word.reason)
-        after = word.retry_after_ms / MILLISECONDS
+        return NotOwnerReply(number, reply.owner)
+    after = round(reply.retry_after * MS_PER_SECOND)
+    return NotRunReply(number, reply.code, reply.reason, after)
+
+
+def reply_of(packet: ReplyPacket) -> OwnerReply | None:
+    """Return the reply in a packet; None if it only says that the request is queued."""
+    if isinstance(packet, GrantedReply):
+        return Granted(packet.in_flight, packet.ceiling)
+    if isinstance(packet, BusyReply):
+        return Busy(*astuple(packet)[1:])
+    if isinstance(packet, ContextElsewhereReply):
+        return ContextElsewhere(packet.engine)
+    if isinstance(packet, NotOwnerReply):
+        return NotOwner(packet.owner)
+    if isinstance(packet, NotRunReply):
+        declined = NotRun(packet.code, packet.reason)
+        after = packet.retry_after_ms / MS_PER_SECOND
         return replace(declined, retry_after=after) if after else declined
     return None
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -1,4 +1,4 @@
-"""Sending a granted request to its upstream, and giving the grant back when it ends."""
+"""Sending a granted request to its upstream, and releasing the grant when it ends."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 from msgspec.structs import replace
 
 from pondhatch.placement import USUAL_PACE, ClosedReason, Intake, Notice, Regions
+from pondhatch.requests._grant_requests import EndReason
 from pondhatch.requests._messages import (
+    AnswerLost,
+    AnswerStarted,
     AnswerStream,
     BodySource,
     Headers,
-    Lost,
-    Opened,
     PartSink,
     RequestHead,
 )
 from pondhatch.requests._outcomes import NotRun, Unknown
-from pondhatch.requests._questions import Ended
 
-#: The least status that says that an upstream failed by itself.
+#: The lowest status of a server error.
 FAILURE_STATUS = 500
-#: Above it, but no failure of an upstream's own: the request's time was over.
-OUT_OF_TIME_STATUS = 504
+#: A status above it that is no failure of the upstream: the request's deadline passed.
+TIMEOUT_STATUS = 504
 
 
 class Target(msgspec.Struct, frozen=True):
-    """An upstream as those who ask for it and send to it need it."""
+    """An upstream's data for granting and sending requests."""
 
     name: str
     url: str
-    #: For which requests, and how fast, it may take work now.
+    #: Which requests it may take now, and how fast.
     intake: Intake
-    #: The service's set multiple of the mean.
-    bound: float
-    #: How many upstreams of the service take work.
+    #: The service's configured bound on its load, as a multiple of the mean load.
+    load_bound: float
+    #: Number of the service's upstreams that take requests.
     peers: int
-    #: Requests that it can take at once, whatever the mean.
+    #: Requests that it can run at once, regardless of the mean load.
     slots: int
-    #: Requests that it queues itself beyond those.
+    #: Requests that it queues itself beyond its slots.
     engine_queue: int = 0
-    #: Requests above the multiple of the mean that it may hold.
-    slack: int = 0
-    #: Whether it takes contexts over from other engines of its service.
+    #: Requests that it may hold beyond the load bound.
+    load_slack: int = 0
+    #: Whether it can fetch contexts from other engines of its service.
     shares_context: bool = False
-    #: The id that it answers to; empty where its name is that.
+    #: Its instance id in requests and answers; empty if that is its name.
     instance: str = ""
-    #: Its processing time in percent of usual, as far as it is known now.
+    #: Its current processing time in percent of usual, as far as known.
     pace: int = USUAL_PACE
-    #: Tokens that its memory holds; None where that is not known.
+    #: Capacity of its memory in tokens; None if unknown.
     memory_tokens: int | None = None
-    #: Idle connections that this router may keep to it; None where nothing says how many.
-    most_idle: int | None = None
+    #: Idle connections that this router may keep to it; None if no limit is known.
+    max_idle_connections: int | None = None
 
 
-#: What is told of an upstream that may not be sent a request.
-_TOLD = {
+#: Explanation for each reason why an upstream may not be sent a request.
+_TEXT_BY_CLOSED = {
     ClosedReason.LEAVING: "takes no new work",
     ClosedReason.EVACUATED: "stands in a data hall that is evacuated",
     ClosedReason.OUTSIDE_REGIONS: "stands outside the regions that the request may run in",
@@ -68,24 +68,32 @@
 def open_target(
     target: Target | None, upstream: str, resuming: bool, regions: Regions = None
 ) -> Target | NotRun:
-    """Return an upstream that may be sent a request, or the rest of one, else why it may not."""
+    """Return the upstream if it may be sent a request or a resumption, else why not."""
     if target is None:
         return NotRun(ClosedReason.LEAVING, f"{upstream} is gone")
     closed = target.intake.closed_reason(regions, resuming)
-    return target if closed is None else _closed(target, closed, target.intake.rest.for_this_router)
+    return (
+        target
+        if closed is None
+        else _closed_refusal(target, closed, target.intake.rest.for_this_router)
+    )
 
 
 def grantable_target(target: Target | None, upstream: str, resuming: bool) -> Target | NotRun:
-    """Return an upstream that may be granted to some router, else why it may not."""
+    """Return the upstream if some router may send it the request, else why not."""
     if target is None:
         return NotRun(ClosedReason.LEAVING, f"{upstream} is gone")
     closed = target.intake.closed_reason_for_all(resuming)
-    return target if closed is None else _closed(target, closed, target.intake.rest.for_all_routers)
+    return (
+        target
+        if closed is None
+        else _closed_refusal(target, closed, target.intake.rest.for_all_routers)
+    )
 
 
-def _closed(target: Target, why: ClosedReason, rest: float) -> NotRun:
-    told = NotRun(why, f"{target.name} {_TOLD[why]}")
-    return replace(told, retry_after=rest) if why is ClosedReason.RESTING else told
+def _closed_refusal(target: Target, why: ClosedReason, rest: float) -> NotRun:
+    refusal = NotRun(why, f"{target.name} {_TEXT_BY_CLOSED[why]}")
+    return replace(refusal, retry_after=rest) if why is ClosedReason.RESTING else refusal
 
 
 class Upstreams(Protocol):
@@ -93,71 +101,71 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         """Send a request once; never repeat it."""
 
 
 class UpstreamView(Protocol):
-    """What the connections to upstreams go by, and tell of them."""
+    """What connections to upstreams need to know, and where they report notices."""
 
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
-        """Return why a request may not be sent to an upstream now, None where it may.
+        """Return why a request may not be sent to an upstream now, or None if it may.
 
-        Asked last of all, right before its first byte goes out.
+        The last check, right before the first byte is sent.
         """
 
-    def heard(self, upstream: str, notice: Notice) -> None:
-        """Take in what an upstream said of itself in the head of an answer."""
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
+        """Handle the notice that an upstream gave in the head of an answer."""
 
 
 class NoUpstreamView:
     """Knows nothing of upstreams; see UpstreamView."""
 
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
-        """Say that it may be sent."""
+        """Return None: any request may be sent."""
         return None
 
-    def heard(self, upstream: str, notice: Notice) -> None:
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
         """Do nothing."""
 
 
 def is_own_failure(status: int) -> bool:
-    """Return whether an upstream's answer is a failure of its own."""
-    return status >= FAILURE_STATUS and status != OUT_OF_TIME_STATUS
+    """Return whether a status means that the upstream itself failed."""
+    return status >= FAILURE_STATUS and status != TIMEOUT_STATUS
 
 
-def _ended_with(status: int) -> Ended:
-    """Return what a whole answer tells of its engine."""
-    return Ended.ERRED if is_own_failure(status) else Ended.ANSWERED
+def _end_reason_of(status: int) -> EndReason:
+    """Return the end reason of a complete answer with this status."""
+    return EndReason.ENGINE_ERROR if is_own_failure(status) else EndReason.ANSWERED
 
 
 class GrantedAnswer:
-    """An answer that gives its grant back when it ends, once, in whatever way."""
+    """An answer that releases its grant exactly once when it ends, for any reason."""
 
-    def __init__(self, answer: AnswerStream, release: Callable[[Ended], None]) -> None:
+    def __init__(self, answer: AnswerStream, release: Callable[[EndReason], None]) -> None:
         self._answer = answer
-        self._release: Callable[[Ended], None] | None = release
+        self._release: Callable[[EndReason], None] | None = release
         self.status: int = answer.status
         self.headers: Headers = answer.headers
 
-    async def pour(self, sink: PartSink) -> None:
-        """Hand every part to a sink; see AnswerStream."""
-        ended = Ended.NOTHING
+    async def stream_to(self, sink: PartSink) -> None:
+        """Write every chunk to a sink; see AnswerStream."""
+        ended = EndReason.NEUTRAL
         try:
-            await self._answer.pour(sink)
-            ended = _ended_with(self.status)
-        except Lost:
-            ended = Ended.FAILED
+            await self._answer.stream_to(sink)
+            ended = _end_reason_of(self.status)
+        except AnswerLost:
+            ended = EndReason.CONNECTION_FAILED
             raise
         finally:
             self._end(ended)
 
     def cancel(self) -> None:
-        """Give the answer up and the grant back; that it is a failure its head has told."""
+        """Abandon the answer and release the grant; a server error is known from the head."""
         self._answer.cancel()
-        self._end(Ended.ERRED if is_own_failure(self.status) else Ended.NOTHING)
+        self._end(EndReason.ENGINE_ERROR if is_own_failure(self.status) else EndReason.NEUTRAL)
 
-    def _end(self, ended: Ended) -> None:
+    def _end(self, end_reason: EndReason) -> None:
         release, self._release = self._release, None
         if release is not None:
-            release(ended)
+            release(end_reason)
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -41,30 +41,30 @@
 from pondhatch.placement._gate import EngineCount
 from pondhatch.requests import (
     CROSSED,
-    NUMBERS,
+    NUMBER_LIMIT,
+    AnswerLost,
+    AnswerStarted,
     BodySource,
     Broken,
+    Collaborators,
     Delivery,
+    Dispatch,
     EngineRefusal,
     EntryGrants,
     GrantPacket,
+    GrantRequest,
     GrantSides,
     Headers,
     LocalOwner,
-    Lost,
     NotRun,
-    Opened,
     OwnerGrants,
     PartSink,
-    Patience,
     Placed,
-    Question,
     ReplayableBody,
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
+    WaitLimits,
     Whole,
     decode_grant_packet,
     encode_grant_packet,
@@ -97,7 +97,7 @@
     FAILED,
 )
 #: Refusals that do not depend on whether the engine has a free slot.
-PERMANENT_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.NOT_THE_ONE, EngineRefusal.UNKNOWN)
+PERMANENT_REFUSALS = (EngineRefusal.LEAVING, EngineRefusal.WRONG_INSTANCE, EngineRefusal.UNKNOWN)
 #: Seconds for which a slot must have been free for a dispatch to know of it: it asks engines one
 #: after the other, and each grant request, its reply and a refused send take 0.01 s each.
 PROPAGATION_SECONDS = 0.1
@@ -198,7 +198,7 @@
         """Cut the answer off at the current position, as its engine has ended."""
         self._cut_at = self._position
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         # Only the reader cancels it, as with the connection to a real upstream.
         while part := await self._part():
             if not sink.write(part):
@@ -209,7 +209,7 @@
         await asyncio.sleep(0.5 if self._slow else 0.01)
         if self._cut_at is not None and self._position >= self._cut_at:
             self.cancel()
-            raise Lost(Broken("answer-broken", "cut"))
+            raise AnswerLost(Broken("answer-broken", "cut"))
         end = min(self._position + 9, len(self._content), self._cut_at or len(self._content))
         part, self._position = self._content[self._position : end], end
         return part
@@ -241,7 +241,7 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         resuming = "X-Resume" in dict(head.headers)
         self._history.sends_to_leaving += target.name in self._leaving and not resuming
         request = head.request_id.split(".")[0]
@@ -272,7 +272,7 @@
         if fault == "crossed":
             return Unknown(CROSSED, "another's answer")
         if fault == FAILED:
-            return Opened(self._failure(engine))
+            return AnswerStarted(self._failure(engine))
         whole = answer_of(request)
         events = whole.split(b"\n\n")
         content = b"\n\n".join(events[max(0, resumed_from) :])
@@ -286,7 +286,7 @@
 
         stream = FakeStream(content, cut, fault == "slow", on_end)
         self._streams_by_engine.setdefault(engine, []).append(stream)
-        return Opened(stream)
+        return AnswerStarted(stream)
 
     def _failure(self, engine: str) -> FakeStream:
         """Return an answer with the status of a failure of the upstream."""
@@ -419,16 +419,16 @@
     def is_young(self, engine: str) -> bool:
         return False
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         return False
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return False
 
     def is_reachable(self, name: str) -> bool:
         return name in self._fleet.live
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Do nothing; the dispatch goes on."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
@@ -447,7 +447,7 @@
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
         return None
 
-    def resumes(self, engine: str) -> bool:
+    def can_resume(self, engine: str) -> bool:
         return self._fleet.resumes
 
 
@@ -469,7 +469,7 @@
             short_id(name),
             self.owner,
             lambda to, packet: fleet.network.send(name, to, packet),
-            NUMBERS - 3,
+            NUMBER_LIMIT - 3,
         )
         self.sides = GrantSides(self.entry, OwnerGrants(self.owner, self._tasks))
         self._ticking = self._tasks.start(self._tick())
@@ -496,7 +496,7 @@
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
-    ) -> Opened | NotRun | Unknown:
+    ) -> AnswerStarted | NotRun | Unknown:
         await asyncio.sleep(self._fleet.connect_seconds)
         known = self._router.view.target(target.name)
         found = open_target(known, target.name, head.resuming, head.regions)
@@ -516,7 +516,7 @@
             self._router.gate.record_rest(engine, now, notice.rest)
 
 
-class RecordingDispatch(Walk):
+class RecordingDispatch(Dispatch):
     """A dispatch that records the load elsewhere that its grant requests state."""
 
     def __init__(self, *args: Any) -> None:
@@ -524,9 +524,9 @@
         #: Load at other engines as stated in the last grant request, by engine.
         self.seen_elsewhere_by_engine: dict[str, int] = {}
 
-    def _question(self, engine: str, *args: Any, **kwargs: Any) -> Question:
-        grant_request = super()._question(engine, *args, **kwargs)
-        self.seen_elsewhere_by_engine[engine] = grant_request.seen_elsewhere
+    def _question(self, engine: str, *args: Any, **kwargs: Any) -> GrantRequest:
+        grant_request = super()._new_grant_request(engine, *args, **kwargs)
+        self.seen_elsewhere_by_engine[engine] = grant_request.seen_in_flight_elsewhere
         return grant_request
 
 
@@ -639,12 +639,12 @@
         router = self.routers[entry]
         dispatch = RecordingDispatch(
             router.view,
-            Ways(router.entry, self.connections_by_router[entry]),
+            Collaborators(router.entry, self.connections_by_router[entry]),
             RetryBudget(),
             head,
             ReplayableBody(b"body"),
             remaining,
-            Patience(0.2, 1.0),
+            WaitLimits(0.2, 1.0),
         )
         self._dispatches.append(dispatch)
         try:
--- a/pondhatch/requests/tests/test_caller_gone_histories.py
+++ b/pondhatch/requests/tests/test_caller_gone_histories.py
@@ -41,7 +41,7 @@
     """Return the grants that owners still count and the requests in their queues."""
     found = [f"{fleet.total_granted()} grants"] if fleet.total_granted() else []
     for name, router in fleet.routers.items():
-        waiting = sum(router.owner._lines.waiting(engine) for engine in fleet.engines)
+        waiting = sum(router.owner._queues.waiting_count(engine) for engine in fleet.engines)
         if waiting:
             found.append(f"{waiting} in the queues of {name}")
     return found
@@ -116,7 +116,7 @@
             # The first two packets request and grant the slot that fills the engine.
             fleet = Fleet([], ["none", "none", *packet_faults], False)
             await self.ask(fleet)
-            waiting = asyncio.ensure_future(self.ask(fleet, patience=5000))
+            waiting = asyncio.ensure_future(self.ask(fleet, max_wait_ms=5000))
             await asyncio.sleep(0.05)
             waiting.cancel()
             await asyncio.sleep(GONE_SECONDS)
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -18,10 +18,12 @@
 from pondhatch.placement import OPEN
 from pondhatch.requests import (
     QUARANTINED,
+    AnswerStarted,
     Broken,
+    Collaborators,
     Delivery,
+    Dispatch,
     NotRun,
-    Opened,
     Placed,
     Refusal,
     Refused,
@@ -29,12 +31,10 @@
     RequestHead,
     Target,
     Unknown,
-    Walk,
-    Ways,
 )
 from pondhatch.requests.tests._history import FakeStream, Fleet, Sink, answer_of
 
-CUT = Unknown("upstream-lost", "reset", was_cut=True)
+CUT = Unknown("upstream-lost", "reset", connection_lost=True)
 
 
 class ScriptedWatch:
@@ -56,12 +56,12 @@
     def is_suspected(self) -> bool:
         return self.is_request_suspected
 
-    async def run_was_cut(self, target: Target) -> bool:
+    async def note_connection_lost(self, target: Target) -> bool:
         self.cut_engines.append(target.name)
         self.ends_left -= 1
         return True
 
-    def run_was_whole(self) -> None:
+    def note_completed(self) -> None:
         self.was_whole = True
 
     def close(self) -> None:
@@ -79,11 +79,11 @@
 
 
 class DispatchCase(unittest.TestCase):
-    def dispatch(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Walk:
+    def dispatch(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Dispatch:
         router = fleet.routers["r0"]
         head = RequestHead("q0", "a", "s", 7, "POST", "/", (), repeatable, 10.0, 5, digest=1)
-        ways = Ways(router.entry, fleet.upstreams, FakeCrashGuard(watch))
-        return Walk(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
+        ways = Collaborators(router.entry, fleet.upstreams, FakeCrashGuard(watch))
+        return Dispatch(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
 
     def run_with(self, watch: ScriptedWatch, *replies: Any, repeatable: bool = True) -> Any:
         """Return a dispatch's result if its sends get these replies, and its number of sends."""
@@ -139,22 +139,22 @@
             placed.reply.answer.cancel()
             broken = FakeStream(answer_of("q0"), 0, False, lambda: None)
             with patch.object(broken, "_part", self.raise_lost):
-                placed = replace(placed, reply=Opened(broken))
+                placed = replace(placed, reply=AnswerStarted(broken))
                 ended = await Delivery(dispatch, placed, Sink(lambda _: None)).run()
             self.assertEqual(ended.outcome, QUARANTINED)
 
         run_virtually(main())
 
     async def raise_lost(self) -> bytes:
-        from pondhatch.requests import Lost
+        from pondhatch.requests import AnswerLost
 
-        raise Lost(Broken("answer-broken", "reset", was_cut=True))
+        raise AnswerLost(Broken("answer-broken", "reset", connection_lost=True))
 
 
 class EvidenceTest(DispatchCase):
     def test_a_request_given_up_by_this_router_is_no_evidence(self) -> None:
         watch = ScriptedWatch(3)
-        self.run_with(watch, replace(CUT, was_cut=False), repeatable=False)
+        self.run_with(watch, replace(CUT, connection_lost=False), repeatable=False)
         self.assertEqual(watch.cut_engines, [])
 
     def test_the_end_of_a_leaving_or_unknown_engine_is_no_evidence(self) -> None:
@@ -163,10 +163,10 @@
             watch = ScriptedWatch(3)
             dispatch = self.dispatch(fleet, watch)
             fleet.known_leaving.add("e0")
-            await dispatch.note_cut("e0", CUT)
-            await dispatch.note_cut("e9", CUT)
+            await dispatch.note_connection_lost("e0", CUT)
+            await dispatch.note_connection_lost("e9", CUT)
             self.assertEqual(watch.cut_engines, [])
-            await dispatch.note_cut("e1", CUT)
+            await dispatch.note_connection_lost("e1", CUT)
             self.assertEqual(watch.cut_engines, ["e1"])
 
         run_virtually(main())
@@ -175,7 +175,7 @@
         async def main() -> None:
             for status, clears in ((200, True), (404, True), (500, False), (504, False)):
                 watch = ScriptedWatch(3)
-                self.dispatch(Fleet([], [], False), watch).note_whole(status)
+                self.dispatch(Fleet([], [], False), watch).note_completed(status)
                 self.assertEqual(watch.was_whole, clears, status)
 
         run_virtually(main())
@@ -185,13 +185,13 @@
             fleet = Fleet([], [], False)
             watch = ScriptedWatch(3)
             tries = self.dispatch(fleet, watch)._tries
-            tries.context_at = "e1"
+            tries.context_engine = "e1"
             target = Target("e0", "", OPEN, 1.5, 3, 8, shares_context=True)
-            head = RequestHead("q", "a", "s", 7, "POST", "/", (), True, 9.0, 5, returning=True)
+            head = RequestHead("q", "a", "s", 7, "POST", "/", (), True, 9.0, 5, is_followup=True)
             holder = replace(target, name="e1", url="http://10.0.0.2:80")
             with patch.object(tries._view, "target", lambda _: holder):
-                self.assertEqual(tries._context_source(target, head), "10.0.0.2:80")
+                self.assertEqual(tries._context_address(target, head), "10.0.0.2:80")
                 watch.is_request_suspected = True
-                self.assertEqual(tries._context_source(target, head), "")
+                self.assertEqual(tries._context_address(target, head), "")
 
         run_virtually(main())
--- a/pondhatch/requests/tests/test_engine_queues.py
+++ b/pondhatch/requests/tests/test_engine_queues.py
@@ -9,11 +9,11 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import Full, GateDecision, Granted
-from pondhatch.requests import Question
-from pondhatch.requests._lines import LINE_LIMIT, Lines
+from pondhatch.requests import GrantRequest
+from pondhatch.requests._engine_queues import QUEUE_LIMIT, EngineQueues
 
 FULL = Full(2, 2)
-GRANT_REQUEST = Question(1, 1, "e", "a", chat=0, priority=5, patience=1000)
+GRANT_REQUEST = GrantRequest(1, 1, "e", "a", chat=0, priority=5, max_wait_ms=1000)
 
 
 class FullEngine:
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.free = 0
         self.returned = 0
-        self.queues = Lines(self.give_back)
+        self.queues = EngineQueues(self.give_back)
 
     def give_back(self, engine: str) -> None:
         self.returned += 1
@@ -33,12 +33,12 @@
         self.free -= 1
         return Granted(2, 2)
 
-    def wait(self, grant_request: Question = GRANT_REQUEST) -> asyncio.Task[GateDecision]:
+    def wait(self, grant_request: GrantRequest = GRANT_REQUEST) -> asyncio.Task[GateDecision]:
         return asyncio.ensure_future(self.queues.wait(grant_request, FULL, self.ask))
 
     def release(self) -> None:
         self.free += 1
-        self.queues.gave_back("e", asyncio.get_running_loop().time())
+        self.queues.note_released("e", asyncio.get_running_loop().time())
 
 
 class EngineQueuesTest(unittest.TestCase):
@@ -48,7 +48,7 @@
             waiting = engine.wait()
             await asyncio.sleep(0.1)
             engine.release()
-            return await waiting, engine.queues.waiting("e")
+            return await waiting, engine.queues.waiting_count("e")
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), 0))
 
@@ -66,7 +66,7 @@
             engine.release()
             granted = await first
             engine.release()
-            return granted, await third, engine.queues.waiting("e")
+            return granted, await third, engine.queues.waiting_count("e")
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), Granted(2, 2), 0))
 
@@ -94,7 +94,7 @@
     def test_a_full_queue_refuses_equal_priority_and_evicts_for_a_higher_one(self) -> None:
         async def main() -> tuple[list[GateDecision], GateDecision]:
             engine = FullEngine()
-            waiting = [engine.wait() for _ in range(LINE_LIMIT)]
+            waiting = [engine.wait() for _ in range(QUEUE_LIMIT)]
             await asyncio.sleep(0.01)
             refused = await engine.wait()
             urgent = engine.wait(msgspec.structs.replace(GRANT_REQUEST, priority=0))
@@ -109,7 +109,7 @@
     def test_a_request_that_cannot_be_served_in_time_is_refused_at_once(self) -> None:
         async def main() -> tuple[GateDecision, float]:
             engine = FullEngine()
-            patient = msgspec.structs.replace(GRANT_REQUEST, patience=9000)
+            patient = msgspec.structs.replace(GRANT_REQUEST, max_wait_ms=9000)
             waiting = [engine.wait(patient) for _ in range(6)]
             for _ in range(4):
                 engine.release()
@@ -127,8 +127,8 @@
     def test_one_accounts_queue_does_not_refuse_another_account(self) -> None:
         async def main() -> tuple[GateDecision, float]:
             engine = FullEngine()
-            first_account = msgspec.structs.replace(GRANT_REQUEST, patience=60_000)
-            waiting = [engine.wait(first_account) for _ in range(LINE_LIMIT)]
+            first_account = msgspec.structs.replace(GRANT_REQUEST, max_wait_ms=60_000)
+            waiting = [engine.wait(first_account) for _ in range(QUEUE_LIMIT)]
             for _ in range(4):
                 engine.release()
                 await asyncio.sleep(0.5)
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -14,12 +14,12 @@
 from pondhatch.membership import short_id
 from pondhatch.placement import Granted, winner
 from pondhatch.placement._health import FAILURES_UNTIL_DOWN, FIRST_AILING_PAUSE, FIRST_PAUSE
-from pondhatch.requests import Busy, Ended, NotOwner, NotRun, OwnerReply, Question, Release
-from pondhatch.requests._grant_packets import DeclinedWord, GrantedWord, GrantPacket
+from pondhatch.requests import Busy, EndReason, GrantRequest, NotOwner, NotRun, OwnerReply, Release
+from pondhatch.requests._grant_packets import GrantedReply, GrantPacket, NotRunReply
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests._outcomes import AILING
-from pondhatch.requests._owner import START_SECONDS
-from pondhatch.requests._owner_waits import FIRST_WAIT, PARTS
+from pondhatch.requests._owner import MIN_START_SECONDS
+from pondhatch.requests._owner_timeouts import INITIAL_WAIT, WAIT_FRACTIONS
 from pondhatch.requests.tests._history import Fleet
 
 ENGINE = "e0"
@@ -27,10 +27,10 @@
 CEILING = 1
 
 
-def grant_request(fleet: Fleet, entry: str, **changes: Any) -> Question:
+def grant_request(fleet: Fleet, entry: str, **changes: Any) -> GrantRequest:
     number = fleet.routers[entry].entry.next_number()
     fields: dict[str, Any] = {"chat": 0, "priority": 5, **changes}
-    return Question(number, short_id(entry), ENGINE, "a", **fields)
+    return GrantRequest(number, short_id(entry), ENGINE, "a", **fields)
 
 
 class GrantCase(unittest.TestCase):
@@ -46,7 +46,7 @@
 
     def ask(self, fleet: Fleet, **changes: Any) -> Coroutine[Any, Any, OwnerReply]:
         request = grant_request(fleet, self.entry, **changes)
-        return fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
+        return fleet.routers[self.entry].entry.ask(self.owner, request, INITIAL_WAIT)
 
 
 class OwnerUnreachableTest(GrantCase):
@@ -54,7 +54,7 @@
 
     def decide_alone(self, fleet: Fleet, **changes: Any) -> OwnerReply:
         request = grant_request(fleet, self.entry, **changes)
-        return fleet.routers[self.entry].entry.ask_nobody(request)
+        return fleet.routers[self.entry].entry.decide_without_owner(request)
 
     def test_a_router_grants_up_to_the_ceiling_that_it_knows(self) -> None:
         async def main() -> list[OwnerReply]:
@@ -83,7 +83,7 @@
             fleet = Fleet([], [], False)
             self.decide_alone(fleet)
             before = self.granted_count(fleet)
-            fleet.routers[self.entry].entry.follow_owners(lambda _: self.owner)
+            fleet.routers[self.entry].entry.move_to_new_owners(lambda _: self.owner)
             await asyncio.sleep(1)
             return before, self.granted_count(fleet)
 
@@ -96,7 +96,7 @@
         async def main() -> int:
             fleet = Fleet([], [], False)
             self.decide_alone(fleet)
-            fleet.routers[self.entry].entry.follow_owners(lambda _: self.owner)
+            fleet.routers[self.entry].entry.move_to_new_owners(lambda _: self.owner)
             return self.granted_count(fleet, self.entry)
 
         return run_virtually(main())
@@ -113,7 +113,7 @@
             owner.gate.by_engine.clear()
             owner.entry.local.leases.by_holder.clear()
             before = self.granted_count(fleet)
-            fleet.routers[self.entry].entry.hold_again(self.owner)
+            fleet.routers[self.entry].entry.report_held_grants(self.owner)
             await asyncio.sleep(1)
             return before, self.granted_count(fleet)
 
@@ -124,10 +124,10 @@
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             owner = fleet.routers[self.owner].entry.local
-            owner.restarted_router(short_id(self.entry))
+            owner.router_restarted(short_id(self.entry))
             at_once = self.granted_count(fleet)
-            await asyncio.sleep(START_SECONDS + 0.1)
-            owner.restarted_router(short_id(self.entry))
+            await asyncio.sleep(MIN_START_SECONDS + 0.1)
+            owner.router_restarted(short_id(self.entry))
             return at_once, self.granted_count(fleet)
 
         # A grant of a moment ago belongs to the new process.
@@ -146,7 +146,7 @@
                     await asyncio.sleep(1)
                     counted = self.granted_count(fleet)
                     for number in held:
-                        fleet.routers[self.entry].entry.release(number, Ended.ANSWERED)
+                        fleet.routers[self.entry].entry.release(number, EndReason.ANSWERED)
                     await asyncio.sleep(1)
                     return reply, counted, self.granted_count(fleet)
 
@@ -162,12 +162,12 @@
 
         reply, at = run_virtually(main())
         self.assertIsInstance(reply, NotRun)
-        self.assertAlmostEqual(at, FIRST_WAIT, places=2)
+        self.assertAlmostEqual(at, INITIAL_WAIT, places=2)
 
     def test_a_grant_whose_reply_came_too_late_is_given_back(self) -> None:
         async def main() -> tuple[OwnerReply, int]:
             # After the late reply, all repeats of the request and the first release are lost.
-            fleet = Fleet([], ["none", "very-late", *["lost"] * len(PARTS)], False)
+            fleet = Fleet([], ["none", "very-late", *["lost"] * len(WAIT_FRACTIONS)], False)
             reply = await self.ask(fleet)
             await asyncio.sleep(3)
             return reply, self.granted_count(fleet)
@@ -181,7 +181,7 @@
             fleet = Fleet([], ["none", "none", "lost"], False)
             await self.ask(fleet)
             entry = fleet.routers[self.entry].entry
-            entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ANSWERED)
             await asyncio.sleep(1)
             before = self.granted_count(fleet)
             await asyncio.sleep(LEASE_SECONDS)
@@ -221,11 +221,11 @@
         return run_virtually(main())
 
     def test_a_probe_of_a_down_engine_keeps_its_grant(self) -> None:
-        expected = ([GrantedWord, GrantedWord], 1)
+        expected = ([GrantedReply, GrantedReply], 1)
         self.assertEqual(self.replies(lambda fleet: None), expected)
 
     def test_a_request_whose_engine_leaves_meanwhile_holds_nothing(self) -> None:
-        expected = ([GrantedWord, DeclinedWord], 0)
+        expected = ([GrantedReply, NotRunReply], 0)
         self.assertEqual(self.replies(lambda fleet: fleet.known_leaving.add(ENGINE)), expected)
 
 
@@ -236,8 +236,8 @@
             first = await self.ask(fleet)
             entry = fleet.routers[self.entry].entry
             number = next(iter(entry.held_by_number))
-            asyncio.get_running_loop().call_later(0.7, entry.release, number, Ended.ANSWERED)
-            second = await self.ask(fleet, patience=5000)
+            asyncio.get_running_loop().call_later(0.7, entry.release, number, EndReason.ANSWERED)
+            second = await self.ask(fleet, max_wait_ms=5000)
             return first, second, self.granted_count(fleet)
 
         first, second, counted = run_virtually(main())
@@ -249,12 +249,12 @@
         async def main() -> tuple[OwnerReply, int]:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
-            waiting = asyncio.ensure_future(self.ask(fleet, patience=50_000))
+            waiting = asyncio.ensure_future(self.ask(fleet, max_wait_ms=50_000))
             await asyncio.sleep(0.2)
             waiting.cancel()
             await asyncio.sleep(0.2)
             entry = fleet.routers[self.entry].entry
-            entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ANSWERED)
             await asyncio.sleep(0.2)
             return await self.ask(fleet), self.granted_count(fleet)
 
@@ -267,17 +267,17 @@
             fleet = Fleet([], [], False)
             await self.ask(fleet)
             side = fleet.routers[self.owner]
-            request = grant_request(fleet, self.entry, patience=50_000)
+            request = grant_request(fleet, self.entry, max_wait_ms=50_000)
             side.sides.receive(request, lambda _: None)
             side.sides.receive(
-                Release(request.router, request.number, Ended.NOTHING), lambda _: None
+                Release(request.router, request.number, EndReason.NEUTRAL), lambda _: None
             )
             await asyncio.sleep(0.2)
             entry = fleet.routers[self.entry].entry
-            entry.release(next(iter(entry.held_by_number)), Ended.ANSWERED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ANSWERED)
             await asyncio.sleep(0.2)
             return self.granted_count(fleet), await asyncio.wait_for(
-                entry.ask(self.owner, request, FIRST_WAIT), 10
+                entry.ask(self.owner, request, INITIAL_WAIT), 10
             )
 
         counted, reply = run_virtually(main())
@@ -288,7 +288,7 @@
         async def main() -> OwnerReply:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
-            return await self.ask(fleet, patience=300)
+            return await self.ask(fleet, max_wait_ms=300)
 
         self.assertEqual(run_virtually(main()), Busy(CEILING, CEILING))
 
@@ -303,7 +303,7 @@
             await self.ask(fleet)
             gate = fleet.routers[self.owner].gate
             gate.adopt(ENGINE)
-            waiting = asyncio.ensure_future(self.ask(fleet, patience=300))
+            waiting = asyncio.ensure_future(self.ask(fleet, max_wait_ms=300))
             await asyncio.sleep(0.1)
             gate.release(ENGINE)
             return await waiting
@@ -319,14 +319,14 @@
     async def fail_until_passed_over(self, fleet: Fleet) -> None:
         entry = fleet.routers[self.entry].entry
         while isinstance(await self.ask(fleet), Granted):
-            entry.release(next(iter(entry.held_by_number)), Ended.ERRED)
+            entry.release(next(iter(entry.held_by_number)), EndReason.ENGINE_ERROR)
             await asyncio.sleep(0.1)
 
     def test_an_ailing_engine_gets_only_insisting_requests(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply]:
             fleet = Fleet([], [], False)
             await self.fail_until_passed_over(fleet)
-            return await self.ask(fleet), await self.ask(fleet, insist=True)
+            return await self.ask(fleet), await self.ask(fleet, is_forced=True)
 
         passed_over, insisting = run_virtually(main())
         self.assertIsInstance(passed_over, NotRun)
@@ -354,7 +354,7 @@
             counted = self.granted_count(fleet, successor)
             request = grant_request(fleet, self.entry)
             return counted, await fleet.routers[self.entry].entry.ask(
-                successor, request, FIRST_WAIT
+                successor, request, INITIAL_WAIT
             )
 
         counted, reply = run_virtually(main())
@@ -375,7 +375,7 @@
         async def main() -> int:
             fleet = Fleet([], [], False)
             await self.ask(fleet)
-            fleet.routers[self.owner].owner.lost_router(short_id(self.entry))
+            fleet.routers[self.owner].owner.router_gone(short_id(self.entry))
             return self.granted_count(fleet)
 
         self.assertEqual(run_virtually(main()), 0)
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.requests import EngineRefusal, EntryGrants, OwnerReply, Question
+from pondhatch.requests import EngineRefusal, EntryGrants, GrantRequest, OwnerReply
 from pondhatch.requests._leases import LEASE_SECONDS
 from pondhatch.requests.tests._history import (
     PACKET_FAULTS,
@@ -179,10 +179,12 @@
             ask = EntryGrants.ask
 
             async def recording_ask(
-                side: EntryGrants, owner: str, grant_request: Question, max_wait: float
+                side: EntryGrants, owner: str, grant_request: GrantRequest, max_wait: float
             ) -> OwnerReply:
                 if side is entry:
-                    recorded.append((grant_request.resuming, grant_request.seen_elsewhere))
+                    recorded.append(
+                        (grant_request.resuming, grant_request.seen_in_flight_elsewhere)
+                    )
                 return await ask(side, owner, grant_request, max_wait)
 
             with patch.object(EntryGrants, "ask", recording_ask):
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -18,9 +18,9 @@
     ReleaseInterval,
     TokenCounts,
 )
-from pondhatch.requests import LocalOwner, Question, Target
+from pondhatch.requests import GrantRequest, LocalOwner, Target
+from pondhatch.requests._grant_requests import Busy
 from pondhatch.requests._owner import MustWait
-from pondhatch.requests._questions import Busy
 
 ENGINE = "e0"
 SLOTS = 6
@@ -34,7 +34,7 @@
         self._memory = memory
 
     def target(self, engine: str) -> Target:
-        target = Target(engine, "", OPEN, 1.7, 1, SLOTS, engine_queue=3, slack=99)
+        target = Target(engine, "", OPEN, 1.7, 1, SLOTS, engine_queue=3, load_slack=99)
         return replace(target, pace=self._pace, memory_tokens=self._memory)
 
     def owner_name(self, engine: str) -> str:
@@ -46,10 +46,10 @@
     def is_young(self, engine: str) -> bool:
         return False
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         return False
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return True
 
 
@@ -57,11 +57,11 @@
     def setUp(self) -> None:
         memory, health = ContextLocations(), Health()
         self.owner = LocalOwner("r0", OneEngineView(), Gate(), memory, lambda: 1.0, health)
-        self.owner._lines._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
+        self.owner._queues._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
 
     def ask(self, in_time: int = 0, patience: int = 0) -> object:
-        grant_request = Question(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
+        grant_request = GrantRequest(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
         return self.owner.decide(replace(grant_request, in_time=in_time))
 
     def test_only_waiting_requests_are_granted_before_a_slot_is_free(self) -> None:
@@ -78,11 +78,11 @@
     def test_only_a_request_with_its_context_there_gets_the_usual_ceiling(self) -> None:
         """Guards against queued chats that overload an engine which lacks their contexts."""
         rows: tuple[tuple[str, dict[str, Any], type], ...] = (
-            ("at its home", {"home": True, "returning": True}, Granted),
-            ("waits for its context", {"returning": True, "patience": 50}, Granted),
+            ("at its home", {"is_home": True, "is_followup": True}, Granted),
+            ("waits for its context", {"is_followup": True, "max_wait_ms": 50}, Granted),
             (
                 "waits at several engines",
-                {"returning": True, "patience": 50, "in_time": 100},
+                {"is_followup": True, "max_wait_ms": 50, "in_time": 100},
                 MustWait,
             ),
             ("without a context", {}, Busy),
@@ -94,7 +94,7 @@
                 owner = LocalOwner("r0", view, gate, ContextLocations(), lambda: 1.0, Health())
                 for _ in range(3):
                     gate.adopt(ENGINE)
-                grant_request = replace(Question(1, 1, ENGINE, "a", 0, 5), **fields)
+                grant_request = replace(GrantRequest(1, 1, ENGINE, "a", 0, 5), **fields)
                 self.assertIsInstance(owner.decide(grant_request), expected)
 
 
@@ -108,12 +108,12 @@
             owner = LocalOwner(
                 "r0", view, Gate(), ContextLocations(), lambda: 1.0, Health(), tokens=counts
             )
-            owner.decide(Question(1, 1, ENGINE, "a", 0, 5, tokens=100))
-            too_large = Question(2, 1, ENGINE, "b", 0, 5, patience=100, tokens=999_999_999)
+            owner.decide(GrantRequest(1, 1, ENGINE, "a", 0, 5, tokens=100))
+            too_large = GrantRequest(2, 1, ENGINE, "b", 0, 5, max_wait_ms=100, tokens=999_999_999)
             waiting = asyncio.ensure_future(owner.ask(too_large))
             await asyncio.sleep(0.05)
             owner.tick()
-            reply = owner.decide(Question(3, 1, ENGINE, "c", 0, 5, tokens=100))
+            reply = owner.decide(GrantRequest(3, 1, ENGINE, "c", 0, 5, tokens=100))
             await waiting
             return reply
 
--- a/pondhatch/requests/tests/test_owner_timeouts.py
+++ b/pondhatch/requests/tests/test_owner_timeouts.py
@@ -12,18 +12,18 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.placement import Granted, winner
-from pondhatch.requests import EntryGrants, NotRun, Question
-from pondhatch.requests._grant_packets import GrantedWord
-from pondhatch.requests._owner_waits import (
-    FIRST_WAIT,
-    KNOWN_FOR,
-    PARTS,
-    REMEMBERED,
-    SHORTEST_WAIT,
-    TOO_SLOW,
-    AnswerTimes,
-    OwnerWaits,
-    pauses,
+from pondhatch.requests import EntryGrants, GrantRequest, NotRun
+from pondhatch.requests._grant_packets import GrantedReply
+from pondhatch.requests._owner_timeouts import (
+    INITIAL_WAIT,
+    MIN_WAIT,
+    TIMED_OUT_SECONDS,
+    TIMES_VALID_SECONDS,
+    TOO_SLOW_SECONDS,
+    WAIT_FRACTIONS,
+    OwnerTimeouts,
+    ReplyTimes,
+    send_pauses,
 )
 from pondhatch.requests.tests._history import Fleet
 from pondhatch.requests.tests.test_grants import grant_request
@@ -37,11 +37,11 @@
 STREAM_MAX_WAIT = 0.12
 
 
-def timeouts_after(seconds: float, replies: int = 20) -> OwnerWaits:
+def timeouts_after(seconds: float, replies: int = 20) -> OwnerTimeouts:
     """Return the timeouts after some replies of an owner that took ``seconds`` each."""
-    timeouts = OwnerWaits()
+    timeouts = OwnerTimeouts()
     for _ in range(replies):
-        timeouts.answered("r1", seconds, 0.0)
+        timeouts.note_reply("r1", seconds, 0.0)
     return timeouts
 
 
@@ -51,10 +51,10 @@
     def test_a_fast_owner_gets_the_shortest_wait_and_an_unknown_one_the_first_wait(
         self,
     ) -> None:
-        known = sum(timeouts_after(USUAL_SECONDS).pauses("r1", FIRST_WAIT, 0.0))
-        unknown = sum(OwnerWaits().pauses("r1", FIRST_WAIT, 0.0))
-        self.assertAlmostEqual(known, SHORTEST_WAIT)
-        self.assertAlmostEqual(unknown, FIRST_WAIT)
+        known = sum(timeouts_after(USUAL_SECONDS).send_pauses("r1", INITIAL_WAIT, 0.0))
+        unknown = sum(OwnerTimeouts().send_pauses("r1", INITIAL_WAIT, 0.0))
+        self.assertAlmostEqual(known, MIN_WAIT)
+        self.assertAlmostEqual(unknown, INITIAL_WAIT)
 
     def test_no_request_waits_beyond_its_bound_or_the_shortest_wait(self) -> None:
         rows = [
@@ -64,37 +64,40 @@
         ]
         for seconds, bearable in rows:
             with self.subTest(seconds=seconds, bearable=bearable):
-                most = max(SHORTEST_WAIT, min(bearable, FIRST_WAIT))
+                most = max(MIN_WAIT, min(bearable, INITIAL_WAIT))
                 timeouts = timeouts_after(seconds, 2)
-                self.assertLessEqual(sum(timeouts.pauses("r1", bearable, 0.0)), most + 1e-9)
-                self.assertLessEqual(sum(OwnerWaits().pauses("r1", bearable, 0.0)), most + 1e-9)
+                self.assertLessEqual(sum(timeouts.send_pauses("r1", bearable, 0.0)), most + 1e-9)
+                self.assertLessEqual(
+                    sum(OwnerTimeouts().send_pauses("r1", bearable, 0.0)), most + 1e-9
+                )
 
     def test_a_link_that_loses_one_packet_in_forty_does_not_silence_an_owner(self) -> None:
         """A request and its reply both arrive with probability 0.95; three fail once in 8,000."""
         self.assertEqual(
-            len(timeouts_after(USUAL_SECONDS).pauses("r1", PLAIN_MAX_WAIT, 0.0)), len(PARTS)
+            len(timeouts_after(USUAL_SECONDS).send_pauses("r1", PLAIN_MAX_WAIT, 0.0)),
+            len(WAIT_FRACTIONS),
         )
-        self.assertLess((1 - 0.975**2) ** len(PARTS), 1 / 8000)
+        self.assertLess((1 - 0.975**2) ** len(WAIT_FRACTIONS), 1 / 8000)
 
     def test_an_owner_with_varying_reply_times_gets_a_longer_wait(self) -> None:
-        scattered = OwnerWaits()
+        scattered = OwnerTimeouts()
         for at in range(20):
-            scattered.answered("r1", 0.002 if at % 2 else 0.03, 0.0)
-        wait = sum(scattered.pauses("r1", FIRST_WAIT, 0.0))
-        self.assertGreater(wait, 2 * SHORTEST_WAIT)
+            scattered.note_reply("r1", 0.002 if at % 2 else 0.03, 0.0)
+        wait = sum(scattered.send_pauses("r1", INITIAL_WAIT, 0.0))
+        self.assertGreater(wait, 2 * MIN_WAIT)
 
 
 class SlowOwnerTest(unittest.TestCase):
     """An owner runs five times slower and replies after entry routers have given up."""
 
-    def record_late_reply(self, timeouts: OwnerWaits, at: float) -> None:
-        timeouts.gave_up(1, "r1", at)
-        timeouts.came_late(1, at + SLOW_SECONDS)
+    def record_late_reply(self, timeouts: OwnerTimeouts, at: float) -> None:
+        timeouts.note_timeout(1, "r1", at)
+        timeouts.note_late_reply(1, at + SLOW_SECONDS)
 
     def test_after_a_few_late_replies_nobody_waits_for_the_owner(self) -> None:
         timeouts = timeouts_after(USUAL_SECONDS)
         requests = 0
-        while timeouts.pauses("r1", PLAIN_MAX_WAIT, 0.0) and requests < 100:
+        while timeouts.send_pauses("r1", PLAIN_MAX_WAIT, 0.0) and requests < 100:
             self.record_late_reply(timeouts, 0.0)
             requests += 1
         self.assertLessEqual(requests, 2)
@@ -104,27 +107,27 @@
 
     def test_reply_times_expire_so_that_a_slow_owner_is_tried_again(self) -> None:
         timeouts = timeouts_after(SLOW_SECONDS)
-        self.assertEqual(timeouts.pauses("r1", PLAIN_MAX_WAIT, 0.0), ())
-        self.assertTrue(timeouts.pauses("r1", PLAIN_MAX_WAIT, KNOWN_FOR + 0.1))
+        self.assertEqual(timeouts.send_pauses("r1", PLAIN_MAX_WAIT, 0.0), ())
+        self.assertTrue(timeouts.send_pauses("r1", PLAIN_MAX_WAIT, TIMES_VALID_SECONDS + 0.1))
 
     def test_a_fast_owner_is_asked_again_after_one_late_reply(self) -> None:
         """A pause of 60 ms, as for a configuration change, does not make an owner slow."""
         timeouts = timeouts_after(USUAL_SECONDS)
-        timeouts.gave_up(1, "r1", 0.0)
-        self.assertEqual(timeouts.came_late(1, 0.06), "r1")
+        timeouts.note_timeout(1, "r1", 0.0)
+        self.assertEqual(timeouts.note_late_reply(1, 0.06), "r1")
         self.assertFalse(timeouts.is_too_slow("r1", 0.06))
-        self.assertTrue(timeouts.pauses("r1", PLAIN_MAX_WAIT, 0.06))
+        self.assertTrue(timeouts.send_pauses("r1", PLAIN_MAX_WAIT, 0.06))
 
     def test_unexpected_and_very_late_replies_are_ignored(self) -> None:
-        timeouts = OwnerWaits()
-        timeouts.gave_up(1, "r1", 0.0)
-        timeouts.forget_old(REMEMBERED + 0.1)
-        self.assertIsNone(timeouts.came_late(1, REMEMBERED + 0.2))
-        self.assertIsNone(timeouts.came_late(2, 0.0))
+        timeouts = OwnerTimeouts()
+        timeouts.note_timeout(1, "r1", 0.0)
+        timeouts.drop_expired(TIMED_OUT_SECONDS + 0.1)
+        self.assertIsNone(timeouts.note_late_reply(1, TIMED_OUT_SECONDS + 0.2))
+        self.assertIsNone(timeouts.note_late_reply(2, 0.0))
 
     def test_an_owner_is_too_slow_above_a_mean_of_the_first_pause(self) -> None:
-        self.assertTrue(pauses(AnswerTimes(TOO_SLOW, 0.0, 0.0), FIRST_WAIT))
-        self.assertEqual(pauses(AnswerTimes(FIRST_WAIT + 0.01, 0.0, 0.0), FIRST_WAIT), ())
+        self.assertTrue(send_pauses(ReplyTimes(TOO_SLOW_SECONDS, 0.0, 0.0), INITIAL_WAIT))
+        self.assertEqual(send_pauses(ReplyTimes(INITIAL_WAIT + 0.01, 0.0, 0.0), INITIAL_WAIT), ())
 
 
 class InsteadOfOwnerTest(unittest.TestCase):
@@ -134,16 +137,16 @@
         self.owner = winner("e0", ("r0", "r1", "r2")) or ""
         self.entry, self.other = (name for name in ("r0", "r1", "r2") if name != self.owner)
 
-    def request(self, fleet: Fleet, instead: bool) -> Question:
+    def request(self, fleet: Fleet, instead: bool) -> GrantRequest:
         return grant_request(fleet, self.entry, instead_of_owner=instead)
 
     def test_the_next_router_counts_for_all_while_the_owner_is_silent(self) -> None:
         async def main() -> tuple[object, int, int]:
             fleet = Fleet([], [], False)
             entry = fleet.routers[self.entry].entry
-            reply = await entry.ask(self.other, self.request(fleet, True), FIRST_WAIT)
+            reply = await entry.ask(self.other, self.request(fleet, True), INITIAL_WAIT)
             count = fleet.routers[self.other].gate.by_engine["e0"].granted
-            second = await entry.ask(self.other, self.request(fleet, True), FIRST_WAIT)
+            second = await entry.ask(self.other, self.request(fleet, True), INITIAL_WAIT)
             return reply, count, 0 if isinstance(second, Granted) else 1
 
         reply, counted, refused = run_virtually(main())
@@ -159,10 +162,10 @@
             reply = await entry.ask(self.owner, request, PLAIN_MAX_WAIT)
             self.assertIsInstance(reply, NotRun)
             fleet.network.silent.clear()
-            reply = await entry.ask(self.other, request, FIRST_WAIT)
+            reply = await entry.ask(self.other, request, INITIAL_WAIT)
             self.assertIsInstance(reply, Granted)
             returned: list[object] = []
-            entry.receive(GrantedWord(request.number, 1, 1), returned.append)
+            entry.receive(GrantedReply(request.number, 1, 1), returned.append)
             await asyncio.sleep(0)
             return returned
 
@@ -173,11 +176,11 @@
             fleet = Fleet([], [], False)
             replied: list[str] = []
             entry = fleet.routers[self.entry].entry
-            entry.on_heard = replied.append
+            entry.on_late_reply = replied.append
             fleet.network.silent.add(self.owner)
             request = self.request(fleet, False)
             await entry.ask(self.owner, request, PLAIN_MAX_WAIT)
-            entry.receive(GrantedWord(request.number, 1, 1), lambda _: None)
+            entry.receive(GrantedReply(request.number, 1, 1), lambda _: None)
             return replied
 
         self.assertEqual(run_virtually(main()), [self.owner])
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -14,7 +14,7 @@
 from pondhatch.placement._health import AILING_ERROR_RATE, ERROR_WEIGHT, FAILURES_UNTIL_DOWN
 from pondhatch.requests import (
     Busy,
-    Ended,
+    EndReason,
     EngineRefusal,
     NotRun,
     OwnerReply,
@@ -22,16 +22,16 @@
     decode_grant_packet,
     encode_grant_packet,
 )
-from pondhatch.requests._grant_packets import ended_of, release_of
+from pondhatch.requests._grant_packets import end_reason_of, release_of
 from pondhatch.requests._outcomes import AILING, BAD_REQUEST_STATUS, UNAVAILABLE_STATUS
-from pondhatch.requests._owner_waits import FIRST_WAIT
-from pondhatch.requests._tries import ENDED_BY_REFUSAL
+from pondhatch.requests._owner_timeouts import INITIAL_WAIT
+from pondhatch.requests._tries import END_REASON_BY_REFUSAL
 from pondhatch.requests.tests._history import Fleet
 from pondhatch.requests.tests.test_grants import GrantCase, grant_request
 
 FULL = EngineRefusal.FULL
 LEAVING = EngineRefusal.LEAVING
-NOT_THE_ONE = EngineRefusal.NOT_THE_ONE
+NOT_THE_ONE = EngineRefusal.WRONG_INSTANCE
 BAD_REQUEST = EngineRefusal.BAD_REQUEST
 UNKNOWN = EngineRefusal.UNKNOWN
 DECLINED = EngineRefusal.DECLINED
@@ -106,7 +106,7 @@
 class OwnerTest(GrantCase):
     """What an engine's owner learns from requests that the engine refused."""
 
-    async def end_one(self, fleet: Fleet, ended: Ended) -> None:
+    async def end_one(self, fleet: Fleet, ended: EndReason) -> None:
         """End the newest request that holds a grant."""
         entry = fleet.routers[self.entry].entry
         entry.release(max(entry.held_by_number), ended)
@@ -114,17 +114,17 @@
 
     async def ask_below_the_ceiling(self, fleet: Fleet) -> OwnerReply:
         """Request a grant with a load elsewhere that keeps the ceiling above the engine's load."""
-        request = grant_request(fleet, self.entry, seen_elsewhere=10, insist=True)
-        return await fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
+        request = grant_request(fleet, self.entry, seen_in_flight_elsewhere=10, is_forced=True)
+        return await fleet.routers[self.entry].entry.ask(self.owner, request, INITIAL_WAIT)
 
     def test_a_full_engine_gets_no_more_than_it_runs_for_a_while(self) -> None:
         async def main() -> list[OwnerReply]:
             fleet = Fleet([], [], False)
             for _ in range(3):
                 await self.ask_below_the_ceiling(fleet)
-            await self.end_one(fleet, Ended.FULL)
+            await self.end_one(fleet, EndReason.FULL)
             at_once = await self.ask_below_the_ceiling(fleet)
-            await self.end_one(fleet, Ended.ANSWERED)
+            await self.end_one(fleet, EndReason.ANSWERED)
             in_its_place = await self.ask_below_the_ceiling(fleet)
             await asyncio.sleep(FULL_LIFETIME)
             return [at_once, in_its_place, await self.ask_below_the_ceiling(fleet)]
@@ -136,8 +136,8 @@
         async def main(rest: Rest, insist: bool) -> OwnerReply:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine["e0"] = Intake(rest=rest)
-            request = grant_request(fleet, self.entry, insist=insist)
-            return await fleet.routers[self.entry].entry.ask(self.owner, request, FIRST_WAIT)
+            request = grant_request(fleet, self.entry, is_forced=insist)
+            return await fleet.routers[self.entry].entry.ask(self.owner, request, INITIAL_WAIT)
 
         for rest, insist, code in (
             (Rest(for_some_routers=1.0), False, AILING),
@@ -156,7 +156,7 @@
             replies = []
             for _ in range(AILING_AFTER + 1):
                 replies.append(await self.ask(fleet))
-                await self.end_one_if_held(fleet, Ended.FULL)
+                await self.end_one_if_held(fleet, EndReason.FULL)
             return replies
 
         replies = run_virtually(main())
@@ -165,7 +165,7 @@
 
     # Each refusal lowered the ceiling of engines that refused at random, down to one request.
     def test_declines_do_not_lower_an_engines_ceiling(self) -> None:
-        async def main(ended: Ended) -> OwnerReply:
+        async def main(ended: EndReason) -> OwnerReply:
             fleet = Fleet([], [], False)
             for _ in range(6):
                 await self.ask_below_the_ceiling(fleet)
@@ -173,20 +173,20 @@
                 await self.end_one(fleet, ended)
             return await self.ask_below_the_ceiling(fleet)
 
-        self.assertEqual(run_virtually(main(Ended.FULL)), Busy(3, 3))
-        reply = run_virtually(main(ENDED_BY_REFUSAL[DECLINED]))
+        self.assertEqual(run_virtually(main(EndReason.FULL)), Busy(3, 3))
+        reply = run_virtually(main(END_REASON_BY_REFUSAL[DECLINED]))
         self.assertIsInstance(reply, Granted)
 
-    async def end_one_if_held(self, fleet: Fleet, ended: Ended) -> None:
+    async def end_one_if_held(self, fleet: Fleet, ended: EndReason) -> None:
         if fleet.routers[self.entry].entry.held_by_number:
             await self.end_one(fleet, ended)
 
     def test_an_engine_is_passed_over_after_enough_refusals(self) -> None:
         rows = (
             # how its requests ended, how often before it gets none, and the refusal's code then
-            (Ended.LEAVING, 1, AILING),
-            (Ended.FAILED, FAILURES_UNTIL_DOWN, "upstream-down"),
-            (Ended.ERRED, AILING_AFTER, AILING),
+            (EndReason.LEAVING, 1, AILING),
+            (EndReason.CONNECTION_FAILED, FAILURES_UNTIL_DOWN, "upstream-down"),
+            (EndReason.ENGINE_ERROR, AILING_AFTER, AILING),
         )
         for ended, times, code in rows:
             with self.subTest(ended=ended):
@@ -195,10 +195,10 @@
                 self.assertEqual(getattr(replies[-1], "code", ""), code)
 
     def test_bad_requests_do_not_count_against_an_engine(self) -> None:
-        replies = self.replies(Ended.NOTHING, 2 * AILING_AFTER)
+        replies = self.replies(EndReason.NEUTRAL, 2 * AILING_AFTER)
         self.assertTrue(all(isinstance(each, Granted) for each in replies), replies)
 
-    def replies(self, ended: Ended, times: int) -> list[OwnerReply]:
+    def replies(self, ended: EndReason, times: int) -> list[OwnerReply]:
         """Return an owner's replies to requests that end with ``ended``, and to one after them."""
 
         async def main() -> list[OwnerReply]:
@@ -225,14 +225,14 @@
 
 class PacketTest(unittest.TestCase):
     def test_the_end_in_a_release_survives_encoding(self) -> None:
-        for ended in Ended:
+        for ended in EndReason:
             with self.subTest(ended=ended):
                 packet = decode_grant_packet(encode_grant_packet(release_of(1, 2, ended)))
                 if not isinstance(packet, Release):
                     self.fail(f"no release: {packet}")
-                self.assertEqual(ended_of(packet), ended)
+                self.assertEqual(end_reason_of(packet), ended)
 
     def test_new_end_reasons_are_sent_as_nothing_to_older_routers(self) -> None:
-        for ended in (Ended.FULL, Ended.LEAVING):
+        for ended in (EndReason.FULL, EndReason.LEAVING):
             with self.subTest(ended=ended):
-                self.assertEqual(release_of(1, 2, ended).ended, Ended.NOTHING)
+                self.assertEqual(release_of(1, 2, ended).basic_end_reason, EndReason.NEUTRAL)
--- a/pondhatch/requests/tests/test_sending.py
+++ b/pondhatch/requests/tests/test_sending.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from pondhatch.requests import Broken, Ended, Headers, Lost, PartSink
+from pondhatch.requests import AnswerLost, Broken, EndReason, Headers, PartSink
 from pondhatch.requests._sending import GrantedAnswer
 
 
@@ -19,11 +19,11 @@
         self._lost = lost
         self._ends = ends
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         if not self._ends:
             await asyncio.Event().wait()
         if self._lost:
-            raise Lost(Broken("answer-broken", "cut"))
+            raise AnswerLost(Broken("answer-broken", "cut"))
 
     def cancel(self) -> None:
         """Do nothing."""
@@ -38,10 +38,10 @@
 
 
 class GrantedAnswerTest(unittest.IsolatedAsyncioTestCase):
-    async def ended(self, answer: Answer) -> list[Ended]:
-        released: list[Ended] = []
+    async def ended(self, answer: Answer) -> list[EndReason]:
+        released: list[EndReason] = []
         granted = GrantedAnswer(answer, released.append)
-        task = asyncio.ensure_future(granted.pour(Sink()))
+        task = asyncio.ensure_future(granted.stream_to(Sink()))
         await asyncio.sleep(0)
         if not task.done():
             task.cancel()
@@ -54,14 +54,14 @@
 
     async def test_each_end_is_reported_once_with_its_kind(self) -> None:
         cases = (
-            (Answer(200), Ended.ANSWERED),
-            (Answer(404), Ended.ANSWERED),
-            (Answer(500), Ended.ERRED),
-            (Answer(502), Ended.ERRED),
-            (Answer(504), Ended.ANSWERED),
-            (Answer(200, lost=True), Ended.FAILED),
-            (Answer(500, lost=True), Ended.FAILED),
-            (Answer(200, ends=False), Ended.NOTHING),
+            (Answer(200), EndReason.ANSWERED),
+            (Answer(404), EndReason.ANSWERED),
+            (Answer(500), EndReason.ENGINE_ERROR),
+            (Answer(502), EndReason.ENGINE_ERROR),
+            (Answer(504), EndReason.ANSWERED),
+            (Answer(200, lost=True), EndReason.CONNECTION_FAILED),
+            (Answer(500, lost=True), EndReason.CONNECTION_FAILED),
+            (Answer(200, ends=False), EndReason.NEUTRAL),
         )
         for answer, expected in cases:
             with self.subTest(status=answer.status, expected=expected):
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -17,26 +17,26 @@
 from pondhatch.placement._forecast import LONGEST_RETRY_AFTER
 from pondhatch.requests import (
     AnswerDeadlines,
+    AnswerStarted,
     BodySource,
+    Collaborators,
+    Dispatch,
     EngineRefusal,
+    GrantRequest,
     NotRun,
-    Opened,
-    Patience,
     Placed,
-    Question,
-    QueueEnd,
+    QueueOutcome,
     ReplayableBody,
     RequestHead,
     RunTimes,
     Target,
-    Walk,
-    Ways,
+    WaitLimits,
     answer_deadlines,
 )
-from pondhatch.requests._entry import FULL_RETRY_AFTER
-from pondhatch.requests._lines import Lines
-from pondhatch.requests._queues import FirstGrant, NotGranted, Queues
-from pondhatch.requests._wait_limits import MARGIN, UsualTimes, in_time, wait_limit
+from pondhatch.requests._dispatch import FULL_RETRY_AFTER
+from pondhatch.requests._engine_queues import EngineQueues
+from pondhatch.requests._parallel_waits import FirstGrant, NotGranted, ParallelWait
+from pondhatch.requests._wait_limits import GRANT_MARGIN, UsualTimes, in_time, wait_limit
 from pondhatch.requests.tests._history import FakeStream, Fleet, RouterView, Sink
 
 #: Slots of a plain upstream, and the range of seconds that a request runs there.
@@ -46,18 +46,18 @@
 CALLER_TIMEOUT = 1.05
 OBJECTIVE = 0.152
 #: The wait limits of the service's routes while load is not managed.
-PATIENCE = Patience(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
+PATIENCE = WaitLimits(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
 
 
 class ManagedView(RouterView):
     """A view of plain upstreams; load is managed."""
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         return True
 
     def target(self, engine: str) -> Target | None:
         known = super().target(engine)
-        return replace(known, bound=1.7, slack=3, slots=SLOTS) if known else None
+        return replace(known, load_bound=1.7, load_slack=3, slots=SLOTS) if known else None
 
 
 class PlainUpstreams:
@@ -70,7 +70,7 @@
         #: Number of sends of each request.
         self.sends: Counter[str] = Counter()
 
-    async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
+    async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         self.sends[head.request_id.split(".")[0]] += 1
         self.running[target.name] += 1
         self.most = max(self.most, self.running[target.name])
@@ -78,7 +78,7 @@
             await asyncio.sleep(self._rng.uniform(*RUN_SECONDS))
         finally:
             self.running[target.name] -= 1
-        return Opened(FakeStream(b"", None, False, lambda: None))
+        return AnswerStarted(FakeStream(b"", None, False, lambda: None))
 
 
 class Service:
@@ -106,19 +106,19 @@
             f"q{number}", "a", "s", 0, "POST", "/", (), False, CALLER_TIMEOUT, 5, most_tries=1
         )
         router = self.fleet.routers[entry]
-        ways = Ways(router.entry, self.upstreams, run_times=self.run_times)
+        ways = Collaborators(router.entry, self.upstreams, run_times=self.run_times)
         remaining: Callable[[], float] = lambda: began + CALLER_TIMEOUT - clock()  # noqa: E731
         body = ReplayableBody(b"")
-        dispatch = Walk(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
+        dispatch = Dispatch(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
         reply = await dispatch.run()
         if isinstance(reply, Placed):
-            await reply.reply.answer.pour(Sink(lambda _: None))
+            await reply.reply.answer.stream_to(Sink(lambda _: None))
             self.outcomes["whole" if remaining() > 0 else "too late"] += 1
             self.seconds.append(clock() - began)
             return
         self.outcomes[reply.refusal.code] += 1
-        if dispatch.queued.end is not QueueEnd.NONE:
-            self.outcomes[dispatch.queued.end.value] += 1
+        if dispatch.queue_result.outcome is not QueueOutcome.NONE:
+            self.outcomes[dispatch.queue_result.outcome.value] += 1
         if isinstance(reply.refusal, NotRun):
             self.retry_after.append(reply.refusal.retry_after)
 
@@ -208,21 +208,21 @@
         """Guards against a slot that stays taken until its lease ends, as its grant was missed."""
         grants = mock.Mock()
 
-        async def ask(grant_request: Question) -> Granted:
+        async def ask(grant_request: GrantRequest) -> Granted:
             await asyncio.sleep(0.01)
             return Granted(1, 6)
 
-        def grant_request(engine: str, _: float) -> Question:
-            return Question(int(engine[1:]), 1, engine, "a", 0, 5)
+        def grant_request(engine: str, _: float) -> GrantRequest:
+            return GrantRequest(int(engine[1:]), 1, engine, "a", 0, 5)
 
         async def main() -> FirstGrant | NotGranted:
-            queues = Queues(grants, lambda _: "r0", ask, grant_request)
-            return await queues.first(("e0", "e1", "e2"), 1.0)
+            queues = ParallelWait(grants, lambda _: "r0", ask, grant_request)
+            return await queues.first_grant(("e0", "e1", "e2"), 1.0)
 
         first_grant = run_virtually(main())
         assert isinstance(first_grant, FirstGrant)
         released = [call.args[0] for call in grants.release.mock_calls]
-        self.assertEqual(sorted([first_grant.question.number, *released]), [0, 1, 2])
+        self.assertEqual(sorted([first_grant.grant_request.number, *released]), [0, 1, 2])
 
 
 class RefusedAfterWaitTest(unittest.TestCase):
@@ -256,7 +256,7 @@
             dying = fleet.routers["r0"].view.owner_name("e0") or ""
             service.entries = tuple(name for name in fleet.names if name != dying)
             sending = asyncio.ensure_future(service.send_bursts(100.0, 4.0, 40))
-            while fleet.routers[dying].owner._lines.waiting("e0") < 2 * SLOTS:
+            while fleet.routers[dying].owner._queues.waiting_count("e0") < 2 * SLOTS:
                 await asyncio.sleep(0.01)
             fleet.network.silent.add(dying)
             await sending
@@ -311,15 +311,19 @@
 
     def test_the_wait_limit_leaves_time_for_the_run_and_the_first_event(self) -> None:
         plain, stream = answer_deadlines(0.152, False, 0.0), answer_deadlines(0.6, True, 0.1)
-        self.assertAlmostEqual(wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - MARGIN)
-        self.assertAlmostEqual(wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - MARGIN)
+        self.assertAlmostEqual(
+            wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - GRANT_MARGIN
+        )
+        self.assertAlmostEqual(
+            wait_limit(stream, 60.0, 0.4, UsualTimes(0.3, 9.0)), 1.7 - GRANT_MARGIN
+        )
         self.assertAlmostEqual(in_time(stream, 0.2, UsualTimes(0.3, 9.0)), 0.1)
 
     def test_a_slot_that_stays_free_after_a_refusal_counts_as_wrongly_refused(self) -> None:
         async def main() -> list[int]:
-            queues = Lines(lambda _: None, is_managed=lambda: True)
+            queues = EngineQueues(lambda _: None, is_managed=lambda: True)
             queues._interval_by_engine["e"] = ReleaseInterval(0.0, 1.0, 9)
-            grant_request = Question(1, 1, "e", "a", 0, 5, patience=900, in_time=100)
+            grant_request = GrantRequest(1, 1, "e", "a", 0, 5, max_wait_ms=900, in_time=100)
             waiting = asyncio.ensure_future(
                 queues.wait(grant_request, Full(1, 1), lambda: Granted(1, 1))
             )
@@ -327,9 +331,9 @@
             refused = await queues.wait(grant_request, Full(1, 1), lambda: Granted(1, 1))
             counts = []
             for at in (0.1, 0.2, 0.3):
-                queues.gave_back("e", at)
+                queues.note_released("e", at)
                 await waiting
-                counts.append(queues.refused_in_vain)
+                counts.append(queues.wrongly_refused)
             assert isinstance(refused, Full)
             return [*counts, refused.predicted_ms]
 
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from pondhatch.quarantine import Suspects, Trial
-from pondhatch.requests import QUARANTINED, Refusal, Target, out_of_time
+from pondhatch.requests import QUARANTINED, Refusal, Target, deadline_passed
 
 #: Seconds for which a router waits for the evidence of others, before it runs a request again that
 #: has just crashed an engine. Packets take less time than that, between regions too.
@@ -64,7 +64,7 @@
             if await self._has_turn():
                 return None
             if remaining() <= 0:
-                return out_of_time()
+                return deadline_passed()
             await asyncio.sleep(TURN_CHECK_SECONDS)
         return QUARANTINED
 
@@ -84,11 +84,11 @@
         """Return whether there is evidence against the request; see RequestWatch."""
         return self._evidence.suspects.is_suspected(self._digest)
 
-    async def run_was_cut(self, target: Target) -> bool:
+    async def note_connection_lost(self, target: Target) -> bool:
         """Record that the request lost its connection; see RequestWatch."""
         return await self._evidence.note_connection_lost(self._digest, target)
 
-    def run_was_whole(self) -> None:
+    def note_completed(self) -> None:
         """Record that an engine completed the request; see RequestWatch."""
         self._evidence.note_completed(self._digest)
 
--- a/pondhatch/router/_grant_exchange.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -7,7 +7,7 @@
 from pondhatch.kernel import Tasks
 from pondhatch.membership import Address, Datagram, Member, short_id
 from pondhatch.requests import (
-    NUMBERS,
+    NUMBER_LIMIT,
     EntryGrants,
     GrantPacket,
     GrantSides,
@@ -46,7 +46,7 @@
             state.cold_pacer,
             state.token_counts,
         )
-        first = started_ns // NANOSECONDS_PER_NUMBER % NUMBERS
+        first = started_ns // NANOSECONDS_PER_NUMBER % NUMBER_LIMIT
         router = short_id(state.name)
         self.entry = EntryGrants(
             state.name, router, self.owner, self._send_to, first, state.mark_reachable
@@ -83,16 +83,16 @@
         members = self._state.members()
         if members is not self._followed_members:
             self._followed_members = members
-            self.entry.follow_owners(self._state.owner_name)
+            self.entry.move_to_new_owners(self._state.owner_name)
 
     def tick(self) -> None:
         """Run the periodic work of one round."""
         for name in self._restarted_routers():
-            self.owner.restarted_router(short_id(name))
-            self.entry.hold_again(name)
+            self.owner.router_restarted(short_id(name))
+            self.entry.report_held_grants(name)
         for router in self.owner.holding_routers():
             if self._state.gossip.is_gone_by_id(router):
-                self.owner.lost_router(router)
+                self.owner.router_gone(router)
         self._sides.tick(self._state.clock(), self._state.owner_name)
 
     def _restarted_routers(self) -> list[str]:
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -80,10 +80,10 @@
         found = open_target(self._state.target(upstream), upstream, head.resuming, head.regions)
         return found if isinstance(found, NotRun) else None
 
-    def heard(self, upstream: str, notice: Notice) -> None:
+    def receive_notice(self, upstream: str, notice: Notice) -> None:
         """Apply a notice from the head of an upstream's answer, and pass it on if it is new."""
         changed = self._state.apply_notice(upstream, notice)
-        if notice.pace > 0 and self._state.load_managed():
+        if notice.pace > 0 and self._state.is_load_managed():
             self._report_pace(upstream, notice.pace)
         if changed:
             self._to_repeat.add(upstream)
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -43,7 +43,7 @@
     winner,
 )
 from pondhatch.quarantine import Suspects
-from pondhatch.requests import DecisionNote, KeyHolder, KeyTable, LocalKeyHolder, Target
+from pondhatch.requests import KeyHolder, KeyTable, LocalKeyHolder, RoutingDecision, Target
 from pondhatch.router._hall_states import HallStates
 from pondhatch.router._intakes import Intakes
 from pondhatch.router._lag import ConfigurationLag
@@ -112,7 +112,7 @@
     notices: Notices = field(default_factory=Notices)
     #: The current processing speed of engines, as they report it.
     paces: EnginePaces = field(default_factory=EnginePaces)
-    #: The setting that decides when load is managed; see ``load_managed``.
+    #: The setting that decides when load is managed; see ``is_load_managed``.
     load_management: LoadManagement = "off"
     #: When this router last read a pace in an engine's answer, in the clock's seconds.
     pace_read_at: float = float("-inf")
@@ -133,7 +133,7 @@
     needs_snapshot: bool = False
     #: For how long this router has known of a newer configuration.
     lag: ConfigurationLag = field(default_factory=ConfigurationLag)
-    decisions: deque[DecisionNote] = field(default_factory=lambda: deque(maxlen=MAX_DECISIONS))
+    decisions: deque[RoutingDecision] = field(default_factory=lambda: deque(maxlen=MAX_DECISIONS))
     #: This router as a holder of idempotency keys.
     local_key_holder: KeyHolder = field(init=False)
     _members: tuple[Member, ...] = ()
@@ -174,7 +174,7 @@
             return
         member_by_name = {member.name: member for member in members}
         for gone in self._member_by_name.keys() - member_by_name.keys():
-            self.key_table.lost_router(gone)
+            self.key_table.router_gone(gone)
         self._members = members
         self._member_by_name = member_by_name
         live = tuple(member for member in members if member.phase == Phase.LIVE)
@@ -207,7 +207,7 @@
         """Return the names of the routers that are neither draining nor gone."""
         return self._live_routers
 
-    def unreachable(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Record that a call to a router failed."""
         self.gossip.mark_unreachable(name, self.clock())
         self.refresh_members()
@@ -260,7 +260,7 @@
         """Return whether an upstream joined lately, and after this router knew the list."""
         return self._upstream_changes.join_times.is_young(engine, self.clock())
 
-    def resumes(self, engine: str) -> bool:
+    def can_resume(self, engine: str) -> bool:
         """Return whether an engine can resume a broken stream."""
         upstream = self.upstreams.upstream(engine)
         return upstream is not None and upstream.resumes
@@ -333,21 +333,21 @@
             name=engine,
             url=upstream.url,
             intake=self._intakes.intake(upstream, service, self.clock()),
-            bound=service.load_bound,
+            load_bound=service.load_bound,
             peers=self._intakes.count_open_not_resting(upstream.service, self.clock()),
             slots=upstream.slots or service.engine_slots,
             engine_queue=self.engine_queue,
-            slack=service.load_slack,
+            load_slack=service.load_slack,
             shares_context=service.shares_context,
             instance=upstream.instance,
             pace=self.paces.pace(engine, self.clock()),
             memory_tokens=service.engine_tokens,
-            most_idle=self._idle_connections_share(service.max_connections),
+            max_idle_connections=self._idle_connections_share(service.max_connections),
         )
 
     def _idle_connections_share(self, max_connections: int | None) -> int | None:
         """Return this router's share of an engine's idle connections, or None for no bound."""
-        if max_connections is None or not self.load_managed():
+        if max_connections is None or not self.is_load_managed():
             return None
         return max(MIN_IDLE_CONNECTIONS, max_connections // max(1, len(self._live_routers)))
 
@@ -485,7 +485,7 @@
 
     # -- load ---------------------------------------------------------------
 
-    def load_managed(self) -> bool:
+    def is_load_managed(self) -> bool:
         """Return whether load management is active at this router now."""
         if self.load_management == "as-needed":
             return self.clock() - self.pace_read_at < PACE_TIMEOUT_SECONDS
@@ -502,7 +502,7 @@
         is_listed = self.upstreams.version > 0 and self.halls.evacuations.is_known
         return self.fleet.version > 0 and is_listed
 
-    def stopping(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether this router is draining."""
         return self.phase != Phase.LIVE
 
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -140,9 +140,9 @@
             async with asyncio.timeout(RUN_SECONDS):
                 await gone.wait()
         except TimeoutError:
-            watch.run_was_whole()
+            watch.note_completed()
             return True
-        ended = await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8))
+        ended = await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8))
         if not ended and self.port_open_seconds < FIRST_PROBE_DELAYS[-1]:
             raise AssertionError("the first probes missed a crash that they can see")
         return False
@@ -272,7 +272,7 @@
             world = Simulation(1, 1, random.Random(1))
             (engine,) = world.live
             watch, began = world.guards[0].watch(CRASHING_REQUEST), world.loop.time()
-            self.assertFalse(await watch.run_was_cut(Target(engine, "", OPEN, 1.5, 1, 8)))
+            self.assertFalse(await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8)))
             self.assertLess(world.loop.time() - began, 0.03)
             await asyncio.sleep(1.0)
             self.assertFalse(watch.is_suspected())
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -95,7 +95,7 @@
 class LeavingTest(FleetCase):
     def test_all_routers_are_told_that_an_upstream_leaves(self) -> None:
         engine = self.instance(0)
-        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
         for name in self.names[:3]:
             self.assertIs(self.closed_reason(name, engine), ClosedReason.LEAVING)
@@ -103,20 +103,20 @@
 
     def test_a_notice_is_sent_twice_in_case_a_packet_is_lost(self) -> None:
         engine, self.is_lost = self.instance(0), True
-        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         self.deliver()
         self.is_lost = False
         self.exchange_by_name["r0"].tick()
         self.assertEqual(sorted(self.deliver()), ["r1", "r2"])
         self.assertIs(self.closed_reason("r2", engine), ClosedReason.LEAVING)
         for name in self.names:
-            self.exchange_by_name[name].heard(engine, LEAVING_NOTICE)
+            self.exchange_by_name[name].receive_notice(engine, LEAVING_NOTICE)
             self.exchange_by_name[name].tick()
         self.assertEqual([to for to in self.deliver() if to != "r3"], [])
 
     def test_a_new_router_is_told(self) -> None:
         engine = self.instance(0)
-        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         self.deliver()
         self.meet_all(self.names)
         for name in self.names[:3]:
@@ -127,7 +127,7 @@
     def test_a_leaving_upstream_is_reopened_by_a_new_start_and_not_by_the_list(self) -> None:
         engine = self.instance(0)
         state = self.states["r0"]
-        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         self.set_upstream(state, "e0", 20, slots=9)
         self.assertIs(self.closed_reason("r0", engine), ClosedReason.LEAVING)
         self.set_upstream(state, "e0", 21, start=8)
@@ -136,14 +136,14 @@
     def test_an_upstream_that_is_listed_as_leaving_and_then_live_is_reopened(self) -> None:
         engine = self.instance(0)
         state = self.states["r0"]
-        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         self.set_upstream(state, "e0", 20, state="leaving")
         self.set_upstream(state, "e0", 21)
         self.assertIsNone(self.closed_reason("r0", engine))
 
     def test_streams_may_still_be_resumed_at_a_leaving_upstream(self) -> None:
         engine = self.instance(0)
-        self.exchange_by_name["r0"].heard(engine, LEAVING_NOTICE)
+        self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         closed = self.exchange_by_name["r0"].closed(engine, HEAD)
         assert closed is not None
         self.assertEqual(closed.code, ClosedReason.LEAVING)
@@ -155,7 +155,7 @@
         engine = self.instance(0)
         state = self.states["r0"]
         owners = state.owners_of_same_service(engine) - {"r0"}
-        self.exchange_by_name["r0"].heard(engine, Notice(rest=3.0))
+        self.exchange_by_name["r0"].receive_notice(engine, Notice(rest=3.0))
         self.assertEqual(set(self.deliver()), owners)
         for name in owners:
             self.assertIs(self.closed_reason(name, engine), ClosedReason.RESTING)
@@ -173,7 +173,9 @@
         owner = self.states["r0"].owner_name(engine)
         assert owner is not None
         receiver = next(name for name in self.names[:3] if name != owner)
-        self.exchange_by_name[receiver].heard(engine, Notice(rest=3.0, has_free_slots=True))
+        self.exchange_by_name[receiver].receive_notice(
+            engine, Notice(rest=3.0, has_free_slots=True)
+        )
         self.assertEqual(self.deliver(), [owner])
         self.assertIs(self.closed_reason(receiver, engine), ClosedReason.RESTING)
         for name in set(self.names[:3]) - {receiver}:
@@ -209,7 +211,7 @@
         engine, state = self.instance(0), self.states["r0"]
         owner = state.owner_name(engine)
         sender = next(name for name in self.names[:3] if name != owner)
-        self.exchange_by_name[sender].heard(engine, Notice(rest=3.0))
+        self.exchange_by_name[sender].receive_notice(engine, Notice(rest=3.0))
         self.exchange_by_name[sender].tick()
         self.sent.clear()
         self.exchange_by_name[sender]._owner_by_upstream[engine] = "r9"
@@ -218,7 +220,7 @@
 
     def test_packets_about_many_rests_are_bounded(self) -> None:
         for at in range(2000):
-            self.exchange_by_name["r0"].heard(self.instance(at % 3), Notice(rest=3.0 + at))
+            self.exchange_by_name["r0"].receive_notice(self.instance(at % 3), Notice(rest=3.0 + at))
         without_owners = len(self.sent) - 2000
         self.assertLess(without_owners, 10 * REST_PACKETS_PER_ROUND + 1)
 
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -31,7 +31,7 @@
     def test_only_the_owner_gets_a_report_once_a_second(self) -> None:
         for at in range(25):
             self.now = at / 10
-            self.exchange_by_name[self.entry].heard(self.engine, SLOW)
+            self.exchange_by_name[self.entry].receive_notice(self.engine, SLOW)
             self.exchange_by_name[self.entry].tick()
         self.assertEqual(self.deliver(), [self.owner] * 3)
         self.assertEqual(self.pace_at(self.owner), 250)
@@ -39,12 +39,12 @@
         self.assertEqual(self.pace_at(self.owner), USUAL_PACE)
 
     def test_a_pace_near_the_usual_and_an_owners_own_reading_are_not_reported(self) -> None:
-        self.exchange_by_name[self.entry].heard(self.engine, Notice(pace=149))
-        self.exchange_by_name[self.owner].heard(self.engine, SLOW)
+        self.exchange_by_name[self.entry].receive_notice(self.engine, Notice(pace=149))
+        self.exchange_by_name[self.owner].receive_notice(self.engine, SLOW)
         self.assertEqual(self.deliver(), [])
 
     def test_a_pace_closes_no_upstream(self) -> None:
-        self.exchange_by_name[self.entry].heard(self.engine, SLOW)
+        self.exchange_by_name[self.entry].receive_notice(self.engine, SLOW)
         self.deliver()
         for name in (self.entry, self.owner):
             self.assertIsNone(self.closed_reason(name, self.engine))
@@ -64,9 +64,9 @@
     def test_while_load_is_not_managed_no_pace_is_sent_and_no_byte_differs(self) -> None:
         for state in self.states.values():
             state.load_management = "off"
-        self.exchange_by_name[self.entry].heard(self.engine, SLOW)
+        self.exchange_by_name[self.entry].receive_notice(self.engine, SLOW)
         self.assertEqual(self.sent, [])
-        self.exchange_by_name[self.entry].heard(
+        self.exchange_by_name[self.entry].receive_notice(
             self.engine, Notice(rest=3.0, has_free_slots=True, pace=250)
         )
         payload = msgspec.msgpack.encode([70, [[self.engine, False, 3.0, True]]])
@@ -76,10 +76,10 @@
     def test_as_needed_only_a_router_that_reads_a_pace_itself_manages_load(self) -> None:
         for state in self.states.values():
             state.load_management = "as-needed"
-        self.exchange_by_name[self.entry].heard(self.engine, SLOW)
+        self.exchange_by_name[self.entry].receive_notice(self.engine, SLOW)
         self.deliver()
-        self.assertTrue(self.states[self.entry].load_managed())
-        self.assertFalse(self.states[self.owner].load_managed())
+        self.assertTrue(self.states[self.entry].is_load_managed())
+        self.assertFalse(self.states[self.owner].is_load_managed())
 
     def test_packets_without_a_pace_decode_and_a_negative_pace_is_dropped(self) -> None:
         old = msgspec.msgpack.encode([70, [["e", True, 0.0, False]]])
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -29,17 +29,17 @@
 from pondhatch.placement import USUAL_PACE
 from pondhatch.platform._engines import EngineDialect
 from pondhatch.requests import (
+    AnswerStarted,
     BodySource,
+    Collaborators,
     Delivery,
-    Opened,
+    Dispatch,
     PartSink,
-    Patience,
     Placed,
     ReplayableBody,
     RequestHead,
     Target,
-    Walk,
-    Ways,
+    WaitLimits,
     Whole,
 )
 from pondhatch.router import (
@@ -92,7 +92,7 @@
     def __init__(self, engines: Engines, engine: str, seconds: float) -> None:
         self._engines, self._engine, self._seconds = engines, engine, seconds
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         await asyncio.sleep(self._seconds)
         self._engines.running[self._engine] -= 1
 
@@ -108,13 +108,15 @@
         self.running: Counter[str] = Counter()
         self._dialect = EngineDialect()
 
-    async def answer(self, engine: str, notice_exchange: NoticeExchange) -> Opened:
+    async def answer(self, engine: str, notice_exchange: NoticeExchange) -> AnswerStarted:
         self.running[engine] += 1
         pace = SLOW_PACE if engine == self.slow else 100
         await asyncio.sleep(ANSWER_HEAD_SECONDS * pace / 100)
         load = f"{self.running[engine]},0,{SLOTS},{pace}"
-        notice_exchange.heard(engine, self._dialect.notice(200, {"instance-load": load}))
-        return Opened(Answer(self, engine, (USUAL_SECONDS - ANSWER_HEAD_SECONDS) * pace / 100))
+        notice_exchange.receive_notice(engine, self._dialect.notice(200, {"instance-load": load}))
+        return AnswerStarted(
+            Answer(self, engine, (USUAL_SECONDS - ANSWER_HEAD_SECONDS) * pace / 100)
+        )
 
 
 class Sink:
@@ -133,7 +135,7 @@
     def __init__(self, engines: Engines, notice_exchange: NoticeExchange) -> None:
         self._engines, self._notice_exchange = engines, notice_exchange
 
-    async def send(self, target: Target, head: RequestHead, body: BodySource) -> Opened:
+    async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         return await self._engines.answer(target.name, self._notice_exchange)
 
 
@@ -157,7 +159,7 @@
         self.notice_exchange = NoticeExchange(self.state, self.send)
         self.grant_exchange = GrantExchange(self.state, self.send, Tasks(), 1)
         connections = Connections(fleet.engines, self.notice_exchange)
-        self._ways = Ways(self.grant_exchange.entry, connections)
+        self._ways = Collaborators(self.grant_exchange.entry, connections)
 
     def receive(self, payload: bytes, source: Address) -> None:
         if payload.startswith(GRANT_PACKET_PREFIX):
@@ -179,14 +181,14 @@
         """Send one request through this router; return whether the answer arrived whole."""
         until = self.state.clock() + 10.0
         head = RequestHead(f"q{number}", "a", "lang", 0, "POST", "/", (), True, 10.0, 5)
-        walk = Walk(
+        walk = Dispatch(
             self.state,
             self._ways,
             RetryBudget(),
             head,
             ReplayableBody(b""),
             lambda: until - self.state.clock(),
-            Patience(0.2, 1.0),
+            WaitLimits(0.2, 1.0),
         )
         placed = await walk.run()
         if not isinstance(placed, Placed):
--- a/pondhatch/router/tests/test_state_recorder.py
+++ b/pondhatch/router/tests/test_state_recorder.py
@@ -117,7 +117,7 @@
         peer = router("r1")
         meet(self.state, peer)
         self.assertEqual(self.new_records(), [("router", "r1", "live", 0)])
-        self.state.unreachable("r1")
+        self.state.note_unreachable("r1")
         self.assertEqual(self.new_records(), [("router", "r1", "out of reach", 0)])
 
     def test_loss_and_return_of_the_platform_are_recorded(self) -> None:
