--- a/pondhatch/requests/tests/test_owner_timeouts.py
+++ b/pondhatch/requests/tests/test_owner_timeouts.py
@@ -62,12 +62,12 @@
             for seconds in (0.001, 0.01, 0.03, 0.1)
             for max_wait in (0, PLAIN_MAX_WAIT, STREAM_MAX_WAIT, 5)
         ]
-        for seconds, bearable in rows:
-            with self.subTest(seconds=seconds, bearable=bearable):
-                most = max(SHORTEST_WAIT, min(bearable, FIRST_WAIT))
+        for seconds, max_wait in rows:
+            with self.subTest(seconds=seconds, max_wait=max_wait):
+                most = max(SHORTEST_WAIT, min(max_wait, FIRST_WAIT))
                 timeouts = timeouts_after(seconds, 2)
-                self.assertLessEqual(sum(timeouts.pauses("r1", bearable, 0.0)), most + 1e-9)
-                self.assertLessEqual(sum(OwnerWaits().pauses("r1", bearable, 0.0)), most + 1e-9)
+                self.assertLessEqual(sum(timeouts.pauses("r1", max_wait, 0.0)), most + 1e-9)
+                self.assertLessEqual(sum(OwnerWaits().pauses("r1", max_wait, 0.0)), most + 1e-9)
 
     def test_a_link_that_loses_one_packet_in_forty_does_not_silence_an_owner(self) -> None:
         """A request and its reply both arrive with probability 0.95; three fail once in 8,000."""
