--- a/pondhatch/requests/_wait_limits.py
+++ b/pondhatch/requests/_wait_limits.py
@@ -55,7 +55,7 @@
     _usual_by_service: dict[str, UsualTimes] = msgspec.field(default_factory=dict)
 
     def usual(self, service: str) -> UsualTimes:
-        """Return a service's usual times; zeros before its first answer."""
+        """Return a service's usual times; 0 before its first answer."""
         return self._usual_by_service.get(service, UsualTimes())
 
     def record(self, service: str, begin_seconds: float, end_seconds: float) -> None:
