--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -103,7 +103,7 @@
         begin: Callable[[AnswerStream], None] = _nothing,
     ) -> None:
         self._dispatch = dispatch
-        self._start = _AnswerStart(sink, lambda: begin(self._answer))
+        self._answer_start = _AnswerStart(sink, lambda: begin(self._answer))
         self._resumes = 0
         self._start_delivering(placed)
 
@@ -112,13 +112,13 @@
         self._engine = placed.engine
         self._answer: AnswerStream = placed.reply.answer
         streamed = is_event_stream(self._answer.headers)
-        self._events = _WholeEvents(self._start) if streamed else None
-        self._sink: PartSink = self._events or self._start
+        self._events = _WholeEvents(self._answer_start) if streamed else None
+        self._sink: PartSink = self._events or self._answer_start
 
     @property
     def longest_pause(self) -> float:
         """The longest time between two delivered chunks, in seconds."""
-        return self._start.longest_pause
+        return self._answer_start.longest_pause
 
     async def run(self) -> Delivered:
         """Deliver the whole answer; raises what the caller's sink raises."""
@@ -139,17 +139,17 @@
             return lost.outcome
         if self._events is not None:
             self._events.end()
-        self._start.begin()
+        self._answer_start.begin()
         return None
 
     def _final_outcome(self, outcome: Broken) -> Broken | Unknown:
-        if self._start.has_begun:
+        if self._answer_start.has_begun:
             return outcome
         return self._dispatch.final_outcome(Unknown(outcome.code, outcome.reason))
 
     async def _recover(self) -> bool:
         """Resume a broken answer or run its request again; return whether that worked."""
-        if self._start.has_begun or not self._dispatch.can_rerun():
+        if self._answer_start.has_begun or not self._dispatch.can_rerun():
             return await self._resume()
         self._answer.cancel()
         placed = await self._dispatch.rerun(self._engine)
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -324,13 +324,13 @@
             return self._new_queue_request(engine, seconds, len(engines))
 
         head = self._next_head(needs_new_connection=ask.fresh)
-        outcome = await self._tries.run_at_first_grant(
+        result = await self._tries.run_at_first_grant(
             engines, new_request, self._slot_wait.limit(), head
         )
-        if isinstance(outcome, NotGranted):
-            self._note_no_grant(outcome.reply_by_engine)
+        if isinstance(result, NotGranted):
+            self._note_no_grant(result.reply_by_engine)
             return None
-        engine, reply = outcome
+        engine, reply = result
         self.queue_result = QueueResult(QueueOutcome.GRANTED)
         self.plan.granted(engine)
         return await self._after_try(msgspec.structs.replace(ask, engine=engine), head, reply)
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -46,7 +46,9 @@
 
 #: End reasons of requests that an engine ran. After the others no slot came free, or its time
 #: in use is no measure of how long requests take.
-RUN_ENDS = frozenset({EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR})
+RUN_END_REASONS = frozenset(
+    {EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
+)
 #: Seconds between two clean-ups of engines that are gone.
 CLEANUP_SECONDS = 10.0
 
@@ -189,7 +191,7 @@
         # Recorded first, since returning the slot grants the next request in the queue.
         self._learn(lease.engine, end_reason)
         self._engine_memory.remove(lease.engine, holder)
-        self._return_slot(lease.engine, was_used=end_reason in RUN_ENDS)
+        self._return_slot(lease.engine, was_used=end_reason in RUN_END_REASONS)
 
     def _learn(self, engine: str, end_reason: EndReason) -> None:
         """Record how a request ended at its engine, while its grant still counts as in flight."""
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -157,12 +157,12 @@
         try:
             reply = await self._collaborators.upstreams.send(target, head, self._unread_body())
             if isinstance(reply, AnswerStarted):
-                first_byte_seconds = clock() - started
+                begin_seconds = clock() - started
 
                 def release(end_reason: EndReason) -> None:
                     if end_reason is EndReason.ANSWERED:
                         self._collaborators.run_times.record(
-                            head.service, first_byte_seconds, clock() - started
+                            head.service, begin_seconds, clock() - started
                         )
                     grants.release(number, end_reason)
 
