--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -201,8 +201,8 @@
         It waits no longer than for a slot: the caller can retry after a longer rest itself.
         """
         rest = self._resting.shortest_rest()
-        bearable = min(self._wait_limits.last_engine, self._remaining())
-        if rest is None or rest > bearable or self._has_waited_for_rest:
+        max_wait = min(self._wait_limits.last_engine, self._remaining())
+        if rest is None or rest > max_wait or self._has_waited_for_rest:
             return False
         if self.plan.in_flight_by_engine:
             return False
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -7,7 +7,7 @@
 from pondhatch.placement import Reservation, TokenCounts, usable_tokens
 from pondhatch.requests._grant_requests import GrantRequest, Holder
 from pondhatch.requests._sending import Target
-from pondhatch.requests._token_needs import asked_need
+from pondhatch.requests._token_needs import requested_need
 
 
 class EngineMemory:
@@ -28,14 +28,14 @@
             return 0
         if not self._load_managed():
             return 0
-        limit, need = usable_tokens(target.memory_tokens), asked_need(grant_request)
+        limit, need = usable_tokens(target.memory_tokens), requested_need(grant_request)
         return self._counts.shortage(
             target.name, grant_request.holder, need, limit, now, grant_request.priority
         )
 
     def record_grant(self, grant_request: GrantRequest, now: float) -> None:
         """Count a request that was granted."""
-        need = asked_need(grant_request)
+        need = requested_need(grant_request)
         if need.is_stated:
             self._counts.add(grant_request.engine, grant_request.holder, need, now)
 
@@ -54,7 +54,7 @@
         Otherwise smaller requests that arrive later would take all memory that comes free. A
         request larger than the memory can only run alone: a reservation would block all others.
         """
-        memory, need = target.memory_tokens, asked_need(grant_request)
+        memory, need = target.memory_tokens, requested_need(grant_request)
         if memory is not None and need.total <= usable_tokens(memory):
             kept = Reservation(grant_request.holder, need, grant_request.priority)
             self._counts.reserve(target.name, kept)
--- a/pondhatch/requests/_keyed_runs.py
+++ b/pondhatch/requests/_keyed_runs.py
@@ -87,11 +87,11 @@
     async def begin(self) -> NewKey | UsedKey | NotRun:
         """Claim the key at its holders; the request may run only if this returns NewKey."""
         for _ in range(HOLDERS_PER_KEY + 2):
-            wanted = self._current_holders()
-            missing = [name for name in wanted if name not in self._claimed_at]
-            if wanted and not missing:
+            holders = self._current_holders()
+            missing = [name for name in holders if name not in self._claimed_at]
+            if holders and not missing:
                 return NewKey()
-            if not wanted:
+            if not holders:
                 break
             claim = await self._claim_at(missing[0])
             if isinstance(claim, UsedKey):
--- a/pondhatch/requests/_token_needs.py
+++ b/pondhatch/requests/_token_needs.py
@@ -27,7 +27,7 @@
     return TokenNeed(head.answer_tokens, tuple(parts))
 
 
-def asked_need(grant_request: GrantRequest) -> TokenNeed:
+def requested_need(grant_request: GrantRequest) -> TokenNeed:
     """Return the memory need stated in a grant request."""
     return TokenNeed(grant_request.tokens, grant_request.parts)
 
