--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -234,7 +234,7 @@
             self._watch.note_completed()
 
     def close(self) -> None:
-        """Note that the request has ended, for any reason."""
+        """Note that the request has ended."""
         self._watch.close()
 
     def final_outcome(self, lost: Unknown) -> Unknown:
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -100,7 +100,7 @@
     async def wait(
         self, grant_request: GrantRequest, full: Full, ask: Callable[[], Verdict]
     ) -> Verdict:
-        """Wait until granted; returns ``full`` when the wait ends or the queue is full."""
+        """Wait until granted; return ``full`` if the wait ends first or the queue is full."""
         is_predicted = self._is_managed() and grant_request.in_time > 0
         if not is_predicted and self._exceeds_max_wait(grant_request):
             return full
--- a/pondhatch/requests/_entry_grants.py
+++ b/pondhatch/requests/_entry_grants.py
@@ -1,4 +1,4 @@
-"""The entry router's side of grants: requests grants from owners and tracks those held."""
+"""The entry router's side of grants: asks owners for grants and tracks those held."""
 
 from __future__ import annotations
 
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: grants requests up to the ceilings of the engines that this router owns."""
+"""The owner's side: decides on grant requests for the engines that this router owns."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 class LocalOwner:
-    """Grants requests at the engines that this router owns."""
+    """Decides on grant requests for the engines that this router owns."""
 
     def __init__(
         self,
@@ -188,7 +188,7 @@
         lease = self.leases.remove(holder)
         if lease is None:
             return
-        # Recorded first, since returning the slot grants the next request in the queue.
+        # Recorded first, since freeing the slot grants the next request in the queue.
         self._learn(lease.engine, end_reason)
         self._engine_memory.remove(lease.engine, holder)
         self._return_slot(lease.engine, was_used=end_reason in RUN_END_REASONS)
@@ -400,7 +400,7 @@
             self.release(holder, EndReason.NEUTRAL)
 
     def _return_slot(self, engine: str, was_used: bool = False) -> None:
-        """Return a slot at an engine, and grant it to the next request in the queue."""
+        """Free a slot of an engine, and grant it to the next request in the queue."""
         self._gate.release(engine)
         self._queues.note_released(engine, self._clock(), was_used)
 
