--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -201,8 +201,8 @@
         It waits no longer than for a slot: the caller can retry after a longer rest itself.
         """
         rest = self._resting.shortest_rest()
-        bearable = min(self._wait_limits.last_engine, self._remaining())
-        if rest is None or rest > bearable or self._has_waited_for_rest:
+        max_wait = min(self._wait_limits.last_engine, self._remaining())
+        if rest is None or rest > max_wait or self._has_waited_for_rest:
             return False
         if self.plan.in_flight_by_engine:
             return False
@@ -234,7 +234,7 @@
             self._watch.note_completed()
 
     def close(self) -> None:
-        """Note that the request has ended, for any reason."""
+        """Note that the request has ended."""
         self._watch.close()
 
     def final_outcome(self, lost: Unknown) -> Unknown:
@@ -321,13 +321,13 @@
             return self._new_queue_request(engine, seconds, len(engines))
 
         head = self._next_head(needs_new_connection=ask.needs_new_connection)
-        outcome = await self._tries.run_at_first_grant(
+        result = await self._tries.run_at_first_grant(
             engines, new_request, self._slot_wait.limit(), head
         )
-        if isinstance(outcome, NotGranted):
-            self._note_no_grant(outcome.reply_by_engine)
+        if isinstance(result, NotGranted):
+            self._note_no_grant(result.reply_by_engine)
             return None
-        engine, reply = outcome
+        engine, reply = result
         self.queue_result = QueueResult(QueueOutcome.GRANTED)
         self.plan.record_grant(engine)
         return await self._after_try(msgspec.structs.replace(ask, engine=engine), head, reply)
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: grants requests up to the ceilings of the engines that this router owns."""
+"""The owner's side: decides on grant requests for the engines that this router owns."""
 
 from __future__ import annotations
 
@@ -46,7 +46,9 @@
 
 #: End reasons of requests that an engine ran. After the others no slot came free, or its time
 #: in use is no measure of how long requests take.
-RUN_ENDS = frozenset({EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR})
+RUN_END_REASONS = frozenset(
+    {EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
+)
 #: Seconds between two clean-ups of engines that are gone.
 CLEANUP_SECONDS = 10.0
 
@@ -81,7 +83,7 @@
 
 
 class LocalOwner:
-    """Grants requests at the engines that this router owns."""
+    """Decides on grant requests for the engines that this router owns."""
 
     def __init__(
         self,
@@ -186,10 +188,10 @@
         lease = self.leases.remove(holder)
         if lease is None:
             return
-        # Recorded first, since returning the slot grants the next request in the queue.
+        # Recorded first, since freeing the slot grants the next request in the queue.
         self._learn(lease.engine, end_reason)
         self._engine_memory.remove(lease.engine, holder)
-        self._return_slot(lease.engine, was_used=end_reason in RUN_ENDS)
+        self._return_slot(lease.engine, was_used=end_reason in RUN_END_REASONS)
 
     def _learn(self, engine: str, end_reason: EndReason) -> None:
         """Record how a request ended at its engine, while its grant still counts as in flight."""
@@ -400,7 +402,7 @@
             self.release(holder, EndReason.NEUTRAL)
 
     def _return_slot(self, engine: str, was_used: bool = False) -> None:
-        """Return a slot at an engine, and grant it to the next request in the queue."""
+        """Free a slot of an engine, and grant it to the next request in the queue."""
         self._gate.release(engine)
         self._queues.note_released(engine, self._clock(), was_used)
 
