--- a/pondhatch/cli/_levels.py
+++ b/pondhatch/cli/_levels.py
@@ -9,7 +9,7 @@
 
 from pondhatch.cli._figures import Figures
 from pondhatch.configuration import Settings
-from pondhatch.observing import AllMetrics, Metrics, ServedMetrics, StatsdMetrics
+from pondhatch.observing import CombinedMetrics, Metrics, PrometheusMetrics, StatsdMetrics
 
 #: Seconds between two tellings of levels.
 LEVEL_SECONDS = 5.0
@@ -17,7 +17,7 @@
 UNTOLD_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
 
 
-def metrics_of(settings: Settings, served: ServedMetrics) -> Metrics:
+def metrics_of(settings: Settings, served: PrometheusMetrics) -> Metrics:
     """Return the metrics that the settings ask for: sent to statsd, served as text, or both."""
     several: list[Metrics] = []
     statsd = settings.statsd
@@ -26,7 +26,7 @@
         several.append(StatsdMetrics(statsd.host, statsd.port, prefix))
     if settings.metrics is not None:
         several.append(served)
-    return AllMetrics(*several)
+    return CombinedMetrics(*several)
 
 
 class Levels(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
 
     figures: Figures
     metrics: Metrics
-    served: ServedMetrics
+    served: PrometheusMetrics
 
     async def run(self) -> None:
         """Tell levels now and then until cancelled."""
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -28,8 +28,8 @@
     STANDARD_OUTPUT,
     LineRecords,
     LoggedRecords,
+    PrometheusMetrics,
     Records,
-    ServedMetrics,
 )
 from pondhatch.requests import Collaborators
 from pondhatch.router import (
@@ -96,7 +96,7 @@
             fleet_key if parts.is_key_agreed else None,
         )
         self._authority = Authority(self.state, self._platform, self._interface.orders, self._rng)
-        served = ServedMetrics(settings.name)
+        served = PrometheusMetrics(settings.name)
         self._metrics = metrics_of(settings, served)
         self._records = _records_of(settings)
         parts.client.configure(self.state.is_load_managed, self._metrics)
--- a/pondhatch/cli/tests/test_levels.py
+++ b/pondhatch/cli/tests/test_levels.py
@@ -7,7 +7,7 @@
 from pondhatch.cli import _levels
 from pondhatch.cli._figures import Figures
 from pondhatch.cli._levels import metrics_of
-from pondhatch.observing import ServedMetrics
+from pondhatch.observing import PrometheusMetrics
 from pondhatch.router.tests.test_sync import router
 
 
@@ -29,10 +29,10 @@
             settings: Any = mock.Mock(metrics=None)
             settings.name, settings.statsd.prefix = name, "pondhatch"
             with self.subTest(name=name), mock.patch.object(_levels, "StatsdMetrics") as made:
-                metrics_of(settings, ServedMetrics(name))
+                metrics_of(settings, PrometheusMetrics(name))
                 self.assertEqual(made.call_args.args[2], f"pondhatch.{told}")
 
     def test_a_name_is_escaped_in_metrics_that_are_served(self) -> None:
-        served = ServedMetrics('a"b\\c\nd')
+        served = PrometheusMetrics('a"b\\c\nd')
         served.gauge("level", 1.0)
         self.assertIn(b'router="a\\"b\\\\c\\nd"', served.text())
--- a/pondhatch/explaining/__init__.py
+++ b/pondhatch/explaining/__init__.py
@@ -1,14 +1,14 @@
 """Explaining: from a failed request's id to its cause, by the lines that routers wrote."""
 
-from pondhatch.explaining._lines import Lines, LoggedLine, in_order, read_lines
-from pondhatch.explaining._story import Story, Told, explain
+from pondhatch.explaining._log_reader import LoggedLine, ParsedLines, causal_order, read_lines
+from pondhatch.explaining._story import Story, StoryLine, explain
 
 __all__ = [
-    "Lines",
+    "ParsedLines",
     "LoggedLine",
     "Story",
-    "Told",
+    "StoryLine",
     "explain",
-    "in_order",
+    "causal_order",
     "read_lines",
 ]
--- a/pondhatch/explaining/_story.py
+++ b/pondhatch/explaining/_story.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from pondhatch.explaining._lines import LoggedLine, in_order
-from pondhatch.observing import Believed, RequestEnded
+from pondhatch.explaining._log_reader import LoggedLine, causal_order
+from pondhatch.observing import RequestEnded, StateChange
 
 #: Seconds before a request's begin and after its end in which what routers came to believe of
 #: the upstreams that it met may explain it: failures are told up to some seconds late.
@@ -39,7 +39,7 @@
 }
 
 
-class Told(msgspec.Struct, frozen=True):
+class StoryLine(msgspec.Struct, frozen=True):
     """One line of a story."""
 
     router: str
@@ -52,9 +52,9 @@
 
     name: str
     #: What happened.
-    events: tuple[Told, ...]
+    events: tuple[StoryLine, ...]
     #: What the routers that took the request held to be so as it ended.
-    known: tuple[Told, ...] = ()
+    known: tuple[StoryLine, ...] = ()
 
 
 def explain(name: str, lines: Sequence[LoggedLine]) -> Story:
@@ -63,35 +63,37 @@
     Names are those of upstreams, routers, halls and entries; a number is a configuration's
     version. Without events the lines say nothing of it.
     """
-    ordered = in_order(lines)
-    ended = [each for each in ordered if _is_request(each, name)]
-    if not ended:
-        about = [each for each in ordered if _is_about(each, name)]
-        return Story(name, tuple(_told(each) for each in about))
-    known = [told for each in ended for told in _known_at(each, ordered)]
-    events = {each.number: each for end in ended for each in (end, *_around(end, ordered))}
-    in_place = [each for each in ordered if each.number in events]
-    return Story(name, tuple(_told(each) for each in in_place), tuple(known))
-
-
-def _is_request(line: LoggedLine, name: str) -> bool:
+    ordered = causal_order(lines)
+    requests = [each for each in ordered if _matches_request(each, name)]
+    if not requests:
+        about = [each for each in ordered if _matches_state_change(each, name)]
+        return Story(name, tuple(_story_line(each) for each in about))
+    known = [line for each in requests for line in _known_before(each, ordered)]
+    event_by_number = {
+        each.number: each for end in requests for each in (end, *_related_changes(end, ordered))
+    }
+    events_in_order = [each for each in ordered if each.number in event_by_number]
+    return Story(name, tuple(_story_line(each) for each in events_in_order), tuple(known))
+
+
+def _matches_request(line: LoggedLine, name: str) -> bool:
     return isinstance(line.record, RequestEnded) and name in (line.record.id, line.record.digest)
 
 
-def _is_about(line: LoggedLine, name: str) -> bool:
+def _matches_state_change(line: LoggedLine, name: str) -> bool:
     record = line.record
-    if not isinstance(record, Believed):
+    if not isinstance(record, StateChange):
         return False
     is_version = record.about == "configuration" and str(record.version) == name
     return is_version or name in (record.name, *record.name.split())
 
 
 def _upstreams_of(ended: RequestEnded) -> set[str]:
-    met = {name for name, _ in ended.passed_over} | {name for name, _ in ended.cut_at}
-    return met | ({ended.upstream} if ended.upstream else set())
+    names = {name for name, _ in ended.passed_over} | {name for name, _ in ended.cut_at}
+    return names | ({ended.upstream} if ended.upstream else set())
 
 
-def _around(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[LoggedLine]:
+def _related_changes(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[LoggedLine]:
     """Return what routers came to believe of the upstreams that a request met, around its time."""
     ended = end.record
     if not isinstance(ended, RequestEnded):
@@ -101,13 +103,13 @@
     return [
         each
         for each in lines
-        if isinstance(each.record, Believed)
+        if isinstance(each.record, StateChange)
         and begins <= each.at <= ends
         and (each.record.name in names or each.record.name == (ended.digest or None))
     ]
 
 
-def _known_at(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[Told]:
+def _known_before(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[StoryLine]:
     """Return what the router that took a request last came to believe before it ended."""
     ended = end.record
     if not isinstance(ended, RequestEnded):
@@ -118,20 +120,20 @@
         if each.number == end.number:
             break
         record = each.record
-        if each.router != end.router or not isinstance(record, Believed):
+        if each.router != end.router or not isinstance(record, StateChange):
             continue
         if record.name in names or record.about in ("configuration", "platform"):
             latest[record.about, record.name] = each
-    return [_told(each) for each in latest.values()]
+    return [_story_line(each) for each in latest.values()]
 
 
-def _told(line: LoggedLine) -> Told:
+def _story_line(line: LoggedLine) -> StoryLine:
     record = line.record
-    text = _ended(record) if isinstance(record, RequestEnded) else _believed(record)
-    return Told(line.router, line.at, text)
+    text = _request_text(record) if isinstance(record, RequestEnded) else _state_change_text(record)
+    return StoryLine(line.router, line.at, text)
 
 
-def _ended(ended: RequestEnded) -> str:
+def _request_text(ended: RequestEnded) -> str:
     meaning = MEANING_BY_OUTCOME.get(ended.outcome, ended.outcome)
     parts = [f"request {ended.id} of {ended.account or 'nobody'} for {ended.service}: {meaning}"]
     parts.append(f"({ended.outcome}, {ended.ms} ms, configuration {ended.configuration})")
@@ -149,7 +151,7 @@
     return " ".join(parts)
 
 
-def _believed(believed: Believed) -> str:
-    version = f" as of {believed.version}" if believed.version else ""
-    why = f" ({believed.why})" if believed.why else ""
-    return f"{believed.about} {believed.name}".strip() + f" is {believed.now}{version}{why}"
+def _state_change_text(change: StateChange) -> str:
+    version = f" as of {change.version}" if change.version else ""
+    why = f" ({change.why})" if change.why else ""
+    return f"{change.about} {change.name}".strip() + f" is {change.now}{version}{why}"
--- a/pondhatch/explaining/tests/test_story.py
+++ b/pondhatch/explaining/tests/test_story.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from pondhatch.explaining import Story, explain, in_order, read_lines
-from pondhatch.observing import Believed, Record, RequestEnded
+from pondhatch.explaining import Story, causal_order, explain, read_lines
+from pondhatch.observing import Record, RequestEnded, StateChange
 
 LOST = RequestEnded(
     id="9c41",
@@ -26,12 +26,12 @@
     return f'{{"at":{at:.3f},"router":"{router}",{body[1:]}'
 
 
-def in_force(version: int, source: str) -> Believed:
-    return Believed("configuration", "", "in force", version, f"follows 1, from {source}")
+def in_force(version: int, source: str) -> StateChange:
+    return StateChange("configuration", "", "in force", version, f"follows 1, from {source}")
 
 
 class ReadingTest(unittest.TestCase):
-    def test_records_are_read_whatever_stands_before_them(self) -> None:
+    def test_records_are_read_behind_any_prefix(self) -> None:
         texts = [
             line("r0", 1.0, LOST),
             "   5.914 r1 " + line("r1", 2.0, in_force(7, "the platform")),
@@ -48,13 +48,13 @@
 
 class OrderTest(unittest.TestCase):
     def routers(self, *texts: str) -> list[tuple[str, float]]:
-        return [(each.router, each.at) for each in in_order(read_lines(texts).lines)]
+        return [(each.router, each.at) for each in causal_order(read_lines(texts).lines)]
 
-    def test_by_time_where_nothing_speaks_against_it(self) -> None:
+    def test_lines_are_ordered_by_time_without_contrary_evidence(self) -> None:
         first, second = line("r1", 1.0, LOST), line("r0", 2.0, LOST)
         self.assertEqual(self.routers(second, first), [("r1", 1.0), ("r0", 2.0)])
 
-    def test_what_a_peer_gave_comes_after_the_peer_had_it(self) -> None:
+    def test_a_pulled_configuration_comes_after_its_source_had_it(self) -> None:
         """The clock of r1 is four seconds behind; its later lines move with it."""
         texts = (
             line("r0", 10.0, in_force(8, "the platform")),
@@ -70,14 +70,14 @@
     def story(self, name: str, *texts: str) -> Story:
         return explain(name, read_lines(texts).lines)
 
-    def test_a_failed_request_with_what_was_known_and_what_came_to_be(self) -> None:
+    def test_a_failed_request_shows_what_was_known_and_what_followed(self) -> None:
         texts = (
             line("r0", 1.0, in_force(7, "the platform")),
-            line("r0", 2.0, Believed("upstream", "i-1", "live", 3, "new")),
-            line("r0", 2.0, Believed("upstream", "i-2", "live", 3, "new")),
+            line("r0", 2.0, StateChange("upstream", "i-1", "live", 3, "new")),
+            line("r0", 2.0, StateChange("upstream", "i-2", "live", 3, "new")),
             line("r0", 20.0, LOST),
-            line("r1", 20.4, Believed("upstream", "i-1", "removed", 9, "was live")),
-            line("r1", 90.0, Believed("upstream", "i-1", "live", 12, "was removed")),
+            line("r1", 20.4, StateChange("upstream", "i-1", "removed", 9, "was live")),
+            line("r1", 90.0, StateChange("upstream", "i-1", "live", 12, "was removed")),
         )
         story = self.story("9c41", *texts)
         self.assertEqual([each.router for each in story.events], ["r0", "r1"])
@@ -90,20 +90,20 @@
         )
         self.assertEqual(known[1:], ["upstream i-1 is live as of 3 (new)"])
 
-    def test_all_attempts_at_one_request_by_their_digest(self) -> None:
+    def test_a_digest_finds_all_attempts_at_a_request(self) -> None:
         cut = msgspec.structs.replace(LOST, digest="ab", cut_at=(("i-1", True),))
         other = msgspec.structs.replace(cut, id="9c42")
-        suspected = Believed("request", "ab", "suspected", why="i-1 ended while it ran it")
+        suspected = StateChange("request", "ab", "suspected", why="i-1 ended while it ran it")
         texts = (line("r0", 1.0, cut), line("r1", 1.1, suspected), line("r1", 3.0, other))
         story = self.story("ab", *texts)
         self.assertEqual([each.router for each in story.events], ["r0", "r1", "r1"])
         self.assertIn("its run was cut at i-1, which ended", story.events[0].text)
 
-    def test_a_belief_by_its_name_or_version(self) -> None:
+    def test_state_changes_are_found_by_name_or_version(self) -> None:
         texts = (
             line("r0", 1.0, in_force(7, "the platform")),
             line("r1", 1.2, in_force(7, "r0")),
-            line("r1", 2.0, Believed("notice", "i-1", "resting", why="new")),
+            line("r1", 2.0, StateChange("notice", "i-1", "resting", why="new")),
         )
         self.assertEqual([each.router for each in self.story("7", *texts).events], ["r0", "r1"])
         self.assertEqual(self.story("i-1", *texts).events[0].text, "notice i-1 is resting (new)")
--- a/pondhatch/observing/__init__.py
+++ b/pondhatch/observing/__init__.py
@@ -1,30 +1,30 @@
 """Observing: logs and metrics."""
 
-from pondhatch.observing._lines import STANDARD_OUTPUT, LineWriter
+from pondhatch.observing._line_writer import STANDARD_OUTPUT, LineWriter
+from pondhatch.observing._log_once import LogOnce
 from pondhatch.observing._log_throttle import LogThrottle
 from pondhatch.observing._logs import log_for, setup_logs
-from pondhatch.observing._metrics import AllMetrics, Metrics, NoMetrics, StatsdMetrics
-from pondhatch.observing._once import Once
+from pondhatch.observing._metrics import CombinedMetrics, Metrics, NoMetrics, StatsdMetrics
+from pondhatch.observing._prometheus_metrics import PrometheusMetrics
 from pondhatch.observing._records import (
-    Believed,
     LineRecords,
     LoggedRecords,
     NoRecords,
     Record,
     Records,
     RequestEnded,
+    StateChange,
 )
-from pondhatch.observing._served import ServedMetrics
 
 __all__ = [
-    "AllMetrics",
-    "ServedMetrics",
-    "Believed",
+    "CombinedMetrics",
+    "PrometheusMetrics",
+    "StateChange",
     "LineRecords",
     "LineWriter",
     "LoggedRecords",
     "NoRecords",
-    "Once",
+    "LogOnce",
     "Record",
     "Records",
     "RequestEnded",
--- a/pondhatch/observing/_lines.py
+++ b/pondhatch/observing/_line_writer.py
@@ -11,9 +11,9 @@
 from collections import deque
 
 #: Bytes that a pipe that reports itself writable takes without blocking (POSIX PIPE_BUF).
-AT_ONCE = 4096
+MAX_WRITE_BYTES = 4096
 #: Bytes of lines that wait for a slow reader; beyond them the oldest are dropped.
-MOST_WAITING = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class LineWriter:
@@ -23,45 +23,45 @@
         #: Lines dropped since the last that told of any.
         self.dropped = 0
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
+        self._buffered: deque[bytes] = deque()
+        self._buffered_bytes = 0
 
     def add(self, line: bytes) -> None:
         """Take in a line, its newline left out."""
-        self._waiting.append(line + b"\n")
-        self._size += len(line) + 1
-        while self._size > MOST_WAITING:
-            self._size -= len(self._waiting.popleft())
+        self._buffered.append(line + b"\n")
+        self._buffered_bytes += len(line) + 1
+        while self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._buffered_bytes -= len(self._buffered.popleft())
             self.dropped += 1
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        while self._waiting and self._writable():
+        while self._buffered and self._is_writable():
             chunk = self._next_chunk()
             try:
                 os.write(self._descriptor, chunk)
             except OSError:
                 # The reader is gone for good; whoever started this process reads no logs.
-                self._waiting.clear()
-                self._size = 0
+                self._buffered.clear()
+                self._buffered_bytes = 0
 
     def _next_chunk(self) -> bytes:
         if self.dropped:
-            self._waiting.appendleft(b'{"event":"lines-dropped","count":%d}\n' % self.dropped)
-            self._size += len(self._waiting[0])
+            self._buffered.appendleft(b'{"event":"lines-dropped","count":%d}\n' % self.dropped)
+            self._buffered_bytes += len(self._buffered[0])
             self.dropped = 0
-        chunk = self._waiting.popleft()
-        while self._waiting and len(chunk) + len(self._waiting[0]) <= AT_ONCE:
-            chunk += self._waiting.popleft()
-        self._size -= len(chunk)
-        if len(chunk) > AT_ONCE:
-            rest = chunk[AT_ONCE:]
-            self._waiting.appendleft(rest)
-            self._size += len(rest)
-            return chunk[:AT_ONCE]
+        chunk = self._buffered.popleft()
+        while self._buffered and len(chunk) + len(self._buffered[0]) <= MAX_WRITE_BYTES:
+            chunk += self._buffered.popleft()
+        self._buffered_bytes -= len(chunk)
+        if len(chunk) > MAX_WRITE_BYTES:
+            rest = chunk[MAX_WRITE_BYTES:]
+            self._buffered.appendleft(rest)
+            self._buffered_bytes += len(rest)
+            return chunk[:MAX_WRITE_BYTES]
         return chunk
 
-    def _writable(self) -> bool:
+    def _is_writable(self) -> bool:
         _, writable, _ = select.select([], [self._descriptor], [], 0)
         return bool(writable)
 
--- a/pondhatch/observing/_log_throttle.py
+++ b/pondhatch/observing/_log_throttle.py
@@ -10,11 +10,11 @@
 
     #: Between two lines.
     seconds: float
-    _told_at: float = float("-inf")
+    _allowed_at: float = float("-inf")
 
     def allows(self, now: float) -> bool:
         """Return whether to write a line now; the next one is due some seconds later."""
-        if now - self._told_at < self.seconds:
+        if now - self._allowed_at < self.seconds:
             return False
-        self._told_at = now
+        self._allowed_at = now
         return True
--- a/pondhatch/observing/_logs.py
+++ b/pondhatch/observing/_logs.py
@@ -8,7 +8,7 @@
 import msgspec
 from loguru import logger
 
-from pondhatch.observing._lines import STANDARD_OUTPUT
+from pondhatch.observing._line_writer import STANDARD_OUTPUT
 
 if TYPE_CHECKING:
     from loguru import Logger, Message
--- a/pondhatch/observing/_metrics.py
+++ b/pondhatch/observing/_metrics.py
@@ -31,26 +31,26 @@
         """Do nothing."""
 
 
-class AllMetrics:
+class CombinedMetrics:
     """Hands each measure to several."""
 
-    def __init__(self, *several: Metrics) -> None:
-        self._several = several
+    def __init__(self, *backends: Metrics) -> None:
+        self._backends = backends
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
-        for each in self._several:
-            each.count(name, by)
+        for backend in self._backends:
+            backend.count(name, by)
 
     def timing(self, name: str, seconds: float) -> None:
         """Record a duration."""
-        for each in self._several:
-            each.timing(name, seconds)
+        for backend in self._backends:
+            backend.timing(name, seconds)
 
     def gauge(self, name: str, value: float) -> None:
         """Set a level."""
-        for each in self._several:
-            each.gauge(name, value)
+        for backend in self._backends:
+            backend.gauge(name, value)
 
 
 class StatsdMetrics:
--- a/pondhatch/observing/_served.py
+++ b/pondhatch/observing/_prometheus_metrics.py
@@ -15,9 +15,9 @@
 
 #: Upper bounds of the buckets of durations, in seconds: around the users' objectives of 0.2 to
 #: 0.6 s and their deadlines of 1 to 10 s.
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.5, 5.0, 10.0)
+BUCKET_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.5, 5.0, 10.0)
 #: Begins every name that is told.
-PREFIX = "pondhatch_"
+NAME_PREFIX = "pondhatch_"
 #: Label that takes the last part of a counter's name, by the rest of it.
 LABEL_BY_FAMILY = {"requests": "outcome", "refusals": "code", "headers_dropped": "kind"}
 
@@ -26,29 +26,29 @@
     """Durations by bucket."""
 
     #: One more than there are bounds: the last takes what is longer than all.
-    counts: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BUCKETS) + 1))
+    counts: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BUCKET_BOUNDS) + 1))
     #: Seconds of all together.
     total: float = 0.0
 
     def add(self, seconds: float) -> None:
         """Take in a duration."""
-        self.counts[bisect_left(BUCKETS, seconds)] += 1
+        self.counts[bisect_left(BUCKET_BOUNDS, seconds)] += 1
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
         """Return how many were at most as long as each bound."""
-        bounds = [*(str(bound) for bound in BUCKETS), "+Inf"]
+        bounds = [*(str(bound) for bound in BUCKET_BOUNDS), "+Inf"]
         sums = (float(count) for count in accumulate(self.counts))
         return list(zip(bounds, sums, strict=True))
 
 
-class ServedMetrics(msgspec.Struct):
+class PrometheusMetrics(msgspec.Struct):
     """See Metrics; keeps everything until it is asked for."""
 
     router: str
     count_by_name: dict[str, int] = msgspec.field(default_factory=dict)
     histogram_by_name: dict[str, Histogram] = msgspec.field(default_factory=dict)
-    level_by_name: dict[str, float] = msgspec.field(default_factory=dict)
+    gauge_by_name: dict[str, float] = msgspec.field(default_factory=dict)
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
@@ -60,7 +60,7 @@
 
     def gauge(self, name: str, value: float) -> None:
         """Set a level."""
-        self.level_by_name[name] = value
+        self.gauge_by_name[name] = value
 
     def text(self) -> bytes:
         """Return all metrics as text."""
@@ -73,7 +73,7 @@
         """Yield the families, as the library's registries do."""
         yield from self._counters()
         yield from self._histograms()
-        yield from self._levels()
+        yield from self._gauges()
 
     def _counters(self) -> Iterator[Any]:
         from prometheus_client.core import CounterMetricFamily
@@ -82,36 +82,38 @@
         for name, count in sorted(self.count_by_name.items()):
             family, _, last = name.partition(".")
             label = LABEL_BY_FAMILY.get(family)
-            told = _told(family if label else name)
-            if told not in families:
+            exposed_name = _exposed_name(family if label else name)
+            if exposed_name not in families:
                 labels = ["router", label] if label else ["router"]
-                families[told] = CounterMetricFamily(told, _help(name), labels=labels)
+                families[exposed_name] = CounterMetricFamily(
+                    exposed_name, _help_text(name), labels=labels
+                )
             values = [self.router, last] if label else [self.router]
-            families[told].add_metric(values, count)
+            families[exposed_name].add_metric(values, count)
         yield from families.values()
 
     def _histograms(self) -> Iterator[Any]:
         from prometheus_client.core import HistogramMetricFamily
 
         for name, histogram in sorted(self.histogram_by_name.items()):
-            told = f"{_told(name)}_seconds"
-            family = HistogramMetricFamily(told, _help(name), labels=["router"])
+            exposed_name = f"{_exposed_name(name)}_seconds"
+            family = HistogramMetricFamily(exposed_name, _help_text(name), labels=["router"])
             family.add_metric([self.router], histogram.cumulative(), histogram.total)
             yield family
 
-    def _levels(self) -> Iterator[Any]:
+    def _gauges(self) -> Iterator[Any]:
         from prometheus_client.core import GaugeMetricFamily
 
-        for name, level in sorted(self.level_by_name.items()):
-            family = GaugeMetricFamily(_told(name), _help(name), labels=["router"])
-            family.add_metric([self.router], level)
+        for name, value in sorted(self.gauge_by_name.items()):
+            family = GaugeMetricFamily(_exposed_name(name), _help_text(name), labels=["router"])
+            family.add_metric([self.router], value)
             yield family
 
 
-def _told(name: str) -> str:
+def _exposed_name(name: str) -> str:
     """Return the name under which a metric is told."""
-    return PREFIX + name.replace(".", "_").replace("-", "_")
+    return NAME_PREFIX + name.replace(".", "_").replace("-", "_")
 
 
-def _help(name: str) -> str:
+def _help_text(name: str) -> str:
     return f"See docs/OPERATIONS.md, {name.partition('.')[0]}."
--- a/pondhatch/observing/_records.py
+++ b/pondhatch/observing/_records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pondhatch.observing._lines import STANDARD_OUTPUT, LineWriter
+from pondhatch.observing._line_writer import STANDARD_OUTPUT, LineWriter
 from pondhatch.observing._logs import log_for
 
 _log = log_for("beliefs")
@@ -54,7 +54,7 @@
     predicted_ms: int = 0
 
 
-class Believed(msgspec.Struct, frozen=True, tag_field="event", tag="belief", omit_defaults=True):
+class StateChange(msgspec.Struct, frozen=True, tag_field="event", tag="belief", omit_defaults=True):
     """What this router takes to be so has changed."""
 
     #: "configuration", "upstream", "health" (of an upstream), "notice" (what an upstream said of
@@ -72,37 +72,37 @@
     why: str = ""
 
 
-Record = RequestEnded | Believed
+Record = RequestEnded | StateChange
 
 
 class Records(Protocol):
     """Takes decisions."""
 
-    def note(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         """Take in one decision."""
 
 
 class NoRecords:
     """Keeps none."""
 
-    def note(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         """Do nothing."""
 
 
 class LoggedRecords:
     """Writes changes of belief as sentences for people; requests are too many for them."""
 
-    def note(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         """Write one change."""
-        if isinstance(record, Believed):
+        if isinstance(record, StateChange):
             _log.info("{}", _sentence(record))
 
 
-def _sentence(belief: Believed) -> str:
-    subject = f"{belief.about} {belief.name}".strip().capitalize()
-    version = f" as of {belief.version}" if belief.version else ""
-    why = f" ({belief.why})" if belief.why else ""
-    return f"{subject} is {belief.now}{version}{why}."
+def _sentence(change: StateChange) -> str:
+    subject = f"{change.about} {change.name}".strip().capitalize()
+    version = f" as of {change.version}" if change.version else ""
+    why = f" ({change.why})" if change.why else ""
+    return f"{subject} is {change.now}{version}{why}."
 
 
 class LineRecords:
@@ -113,7 +113,7 @@
         self._lines = lines
         self._encoder = msgspec.json.Encoder()
 
-    def note(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         """Write one decision."""
         body = self._encoder.encode(record)
         self._lines.add(self._prefix % time.time() + body[1:])
--- a/pondhatch/observing/tests/test_lines.py
+++ b/pondhatch/observing/tests/test_line_writer.py
@@ -4,8 +4,8 @@
 import os
 import unittest
 
-from pondhatch.observing import Believed, LineRecords, LineWriter, RequestEnded
-from pondhatch.observing._lines import MOST_WAITING
+from pondhatch.observing import LineRecords, LineWriter, RequestEnded, StateChange
+from pondhatch.observing._line_writer import MAX_BUFFERED_BYTES
 
 
 class LineWriterTest(unittest.TestCase):
@@ -24,7 +24,7 @@
             return []
 
     def read_all(self) -> list[bytes]:
-        found: list[bytes] = []
+        lines: list[bytes] = []
         rest = b""
         while True:
             self.lines.flush()
@@ -32,36 +32,36 @@
                 rest += os.read(self.reader, 10_000_000)
             except BlockingIOError:
                 break
-        found += rest.splitlines()
-        return found
+        lines += rest.splitlines()
+        return lines
 
-    def test_lines_come_out_whole_and_in_order(self) -> None:
-        for at in range(2000):
-            self.lines.add(b"line %d" % at)
+    def test_lines_are_written_whole_and_in_order(self) -> None:
+        for index in range(2000):
+            self.lines.add(b"line %d" % index)
         self.assertEqual(self.read_all(), [b"line %d" % at for at in range(2000)])
 
     def test_nothing_is_written_before_a_flush(self) -> None:
         self.lines.add(b"one")
         self.assertEqual(self.read(), [])
 
-    def test_a_line_longer_than_a_pipe_takes_at_once_comes_out_whole(self) -> None:
+    def test_a_line_longer_than_one_write_is_written_whole(self) -> None:
         self.lines.add(b"x" * 20_000)
         self.lines.add(b"after")
         self.assertEqual(self.read_all(), [b"x" * 20_000, b"after"])
 
-    def test_a_reader_that_stops_costs_lines_which_are_counted(self) -> None:
+    def test_lines_dropped_for_a_stopped_reader_are_counted(self) -> None:
         line = b"x" * 999
-        many = 3 * MOST_WAITING // 1000
-        for at in range(many):
+        line_count = 3 * MAX_BUFFERED_BYTES // 1000
+        for index in range(line_count):
             self.lines.add(line)
-            if at % 100 == 0:
+            if index % 100 == 0:
                 self.lines.flush()
         found = self.read_all()
         dropped = [json.loads(each)["count"] for each in found if each.startswith(b"{")]
-        self.assertEqual(sum(dropped) + found.count(line), many)
+        self.assertEqual(sum(dropped) + found.count(line), line_count)
         self.assertGreater(sum(dropped), 0)
 
-    def test_a_reader_that_is_gone_for_good_is_no_error(self) -> None:
+    def test_a_closed_reader_is_no_error(self) -> None:
         os.close(self.reader)
         self.reader = os.open("/dev/null", os.O_RDONLY)
         self.lines.add(b"one")
@@ -70,21 +70,21 @@
 
 
 class RecordsTest(unittest.TestCase):
-    def noted(self, record: RequestEnded | Believed) -> dict[str, object]:
+    def written(self, record: RequestEnded | StateChange) -> dict[str, object]:
         reader, descriptor = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, descriptor)
         lines = LineWriter(descriptor)
-        LineRecords("r0", lines).note(record)
+        LineRecords("r0", lines).write(record)
         lines.flush()
         found: dict[str, object] = json.loads(os.read(reader, 10_000))
         self.assertIsInstance(found.pop("at"), float)
         return found
 
-    def test_a_request(self) -> None:
+    def test_a_request_is_written_under_its_field_names(self) -> None:
         ended = RequestEnded("9c41", "pina", "lang", "whole", 120, "ab", 7, "i-1", 3, 9)
         self.assertEqual(
-            self.noted(ended),
+            self.written(ended),
             {
                 "router": "r0",
                 "event": "request",
@@ -101,7 +101,7 @@
             },
         )
 
-    def test_a_line_of_a_request_stays_small(self) -> None:
+    def test_the_line_of_a_request_stays_under_300_bytes(self) -> None:
         ended = RequestEnded(
             "9c41d07be2a35f68",
             "hule930",
@@ -114,10 +114,10 @@
             31,
             44,
         )
-        self.assertLess(len(json.dumps(self.noted(ended))), 300)
+        self.assertLess(len(json.dumps(self.written(ended))), 300)
 
-    def test_a_belief(self) -> None:
-        found = self.noted(Believed("upstream", "i-1", "leaving", 9))
+    def test_a_state_change_is_written_as_a_belief(self) -> None:
+        found = self.written(StateChange("upstream", "i-1", "leaving", 9))
         self.assertEqual(
             (found["event"], found["about"], found["version"]), ("belief", "upstream", 9)
         )
--- a/pondhatch/observing/tests/test_observing.py
+++ b/pondhatch/observing/tests/test_logs_and_statsd.py
@@ -11,15 +11,15 @@
 
 class LogsTest(unittest.TestCase):
     def logged(self, form: str) -> str:
-        told = io.StringIO()
-        with contextlib.redirect_stderr(told):
+        stream = io.StringIO()
+        with contextlib.redirect_stderr(stream):
             setup_logs(form, "INFO", "r0")
             log_for("sync").info("Watching the platform for hall {}.", "h1")
             log_for("sync").debug("Not shown.")
         self.addCleanup(setup_logs, "text", "ERROR", "tests")
-        return told.getvalue()
+        return stream.getvalue()
 
-    def test_text_has_the_prefix_of_its_part(self) -> None:
+    def test_a_text_line_has_the_prefix_of_its_part(self) -> None:
         line = self.logged("text")
         self.assertTrue(line.endswith("sync: Watching the platform for hall h1.\n"), line)
 
@@ -30,7 +30,7 @@
 
 
 class StatsdTest(unittest.TestCase):
-    def test_each_measure_is_a_datagram(self) -> None:
+    def test_each_measurement_is_a_datagram(self) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as port:
             port.bind(("127.0.0.1", 0))
             port.settimeout(5)
@@ -38,7 +38,7 @@
             metrics.count("requests.whole", 2)
             metrics.timing("requests.placed", 0.25)
             metrics.gauge("routers", 8)
-            told = [port.recv(512).decode() for _ in range(3)]
-        self.assertEqual(told[0], "pond.r0.requests.whole:2|c")
-        self.assertTrue(told[1].startswith("pond.r0.requests.placed:250.0"), told[1])
-        self.assertEqual(told[2], "pond.r0.routers:8|g")
+            datagrams = [port.recv(512).decode() for _ in range(3)]
+        self.assertEqual(datagrams[0], "pond.r0.requests.whole:2|c")
+        self.assertTrue(datagrams[1].startswith("pond.r0.requests.placed:250.0"), datagrams[1])
+        self.assertEqual(datagrams[2], "pond.r0.routers:8|g")
--- a/pondhatch/observing/tests/test_served.py
+++ b/pondhatch/observing/tests/test_prometheus_metrics.py
@@ -6,14 +6,14 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from pondhatch.observing import AllMetrics, ServedMetrics
+from pondhatch.observing import CombinedMetrics, PrometheusMetrics
 
 
-class ServedMetricsTest(unittest.TestCase):
+class PrometheusMetricsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.metrics = ServedMetrics("r0")
+        self.metrics = PrometheusMetrics("r0")
 
-    def told(self) -> dict[tuple[str, str], float]:
+    def value_by_sample(self) -> dict[tuple[str, str], float]:
         """Return the values by name and by the label that tells them apart."""
         families = text_string_to_metric_families(self.metrics.text().decode())
         return {
@@ -27,36 +27,36 @@
         self.metrics.count("requests.whole", 3)
         self.metrics.count("requests.engines-full")
         self.metrics.count("callers.gone")
-        told = self.told()
-        self.assertEqual(told["pondhatch_requests_total", "whole"], 3)
-        self.assertEqual(told["pondhatch_requests_total", "engines-full"], 1)
-        self.assertEqual(told["pondhatch_callers_gone_total", ""], 1)
+        values = self.value_by_sample()
+        self.assertEqual(values["pondhatch_requests_total", "whole"], 3)
+        self.assertEqual(values["pondhatch_requests_total", "engines-full"], 1)
+        self.assertEqual(values["pondhatch_callers_gone_total", ""], 1)
 
     def test_durations_are_counted_by_bucket_and_summed_up(self) -> None:
         for seconds in (0.05, 0.3, 0.3, 99.0):
             self.metrics.timing("requests.placed", seconds)
-        told = self.told()
+        values = self.value_by_sample()
         name = "pondhatch_requests_placed_seconds"
-        counts = [told[f"{name}_bucket", bound] for bound in ("0.025", "0.05", "0.4", "+Inf")]
+        counts = [values[f"{name}_bucket", bound] for bound in ("0.025", "0.05", "0.4", "+Inf")]
         self.assertEqual(counts, [0, 1, 3, 4])
-        self.assertEqual(told[f"{name}_count", ""], 4)
-        self.assertAlmostEqual(told[f"{name}_sum", ""], 99.65)
+        self.assertEqual(values[f"{name}_count", ""], 4)
+        self.assertAlmostEqual(values[f"{name}_sum", ""], 99.65)
 
-    def test_levels_are_as_last_set(self) -> None:
+    def test_gauges_keep_the_last_value(self) -> None:
         self.metrics.gauge("routers.known", 7)
         self.metrics.gauge("routers.known", 8)
-        self.assertEqual(self.told(), {("pondhatch_routers_known", ""): 8})
+        self.assertEqual(self.value_by_sample(), {("pondhatch_routers_known", ""): 8})
 
-    def test_nothing_counted_is_no_text(self) -> None:
+    def test_the_text_is_empty_before_the_first_measurement(self) -> None:
         self.assertEqual(self.metrics.text(), b"")
 
-    def test_several_get_each_measure(self) -> None:
-        other = ServedMetrics("r1")
-        both = AllMetrics(self.metrics, other)
-        both.count("callers.gone")
-        both.timing("requests.whole", 1.0)
-        both.gauge("routers.known", 2)
+    def test_combined_metrics_pass_each_measurement_to_all_backends(self) -> None:
+        other = PrometheusMetrics("r1")
+        combined = CombinedMetrics(self.metrics, other)
+        combined.count("callers.gone")
+        combined.timing("requests.whole", 1.0)
+        combined.gauge("routers.known", 2)
         for each in (self.metrics, other):
-            found = (each.count_by_name, list(each.histogram_by_name), each.level_by_name)
+            found = (each.count_by_name, list(each.histogram_by_name), each.gauge_by_name)
             expected = ({"callers.gone": 1}, ["requests.whole"], {"routers.known": 2})
             self.assertEqual(found, expected)
--- a/pondhatch/platform/_store.py
+++ b/pondhatch/platform/_store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondhatch.observing import Once, log_for
+from pondhatch.observing import LogOnce, log_for
 from pondhatch.platform._era import EraAnswer, EraCalls
 from pondhatch.platform._objects import (
     UNREADABLE_JSON,
@@ -88,7 +88,7 @@
         self._calls = EraCalls(calls)
         #: The store's name of a kind and its decoder, by the product's name of the kind.
         self._decode_by_kind = decode_by_kind
-        self._told = Once()
+        self._told = LogOnce()
 
     @property
     def calls(self) -> int:
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -17,7 +17,7 @@
 
 from pondhatch.kernel import Tasks
 from pondhatch.membership import Datagram, Member, short_id
-from pondhatch.observing import Believed, Records
+from pondhatch.observing import Records, StateChange
 from pondhatch.quarantine import Evidence, EvidencePacket, Trial, TrialPacket, Trials
 from pondhatch.requests import NO_WATCH, RequestWatch, Target
 from pondhatch.router._crash_watch import CrashWatch
@@ -217,7 +217,7 @@
         self._send(Datagram(member.address, payload) for member in to)
 
     def _record(self, digest: int, now: str, why: str) -> None:
-        self._records.note(Believed("request", f"{digest:x}", now, why=why))
+        self._records.write(StateChange("request", f"{digest:x}", now, why=why))
 
 
 def _in_packets(evidence: Sequence[Evidence]) -> Iterator[tuple[Evidence, ...]]:
--- a/pondhatch/router/_peer_discovery.py
+++ b/pondhatch/router/_peer_discovery.py
@@ -14,7 +14,7 @@
 
 from pondhatch.kernel import Backoff, host_and_port
 from pondhatch.membership import Address, Gossip
-from pondhatch.observing import Once, log_for
+from pondhatch.observing import LogOnce, log_for
 from pondhatch.store import Accepted, Conflict, Found, Listed, Platform, StoredObject, Unavailable
 
 log = log_for("sync")
@@ -45,7 +45,7 @@
         self._own_entry: Mapping[str, Any] | None = (
             None if own_address is None else {"address": own_address, "state": "live"}
         )
-        self._logged = Once()
+        self._logged = LogOnce()
 
     async def run(self) -> None:
         """List this router and find peers, retrying until both have succeeded.
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -12,7 +12,7 @@
 
 from pondhatch.configuration import EntryKey, Misfit, format_misfits
 from pondhatch.membership import Member
-from pondhatch.observing import Believed, Records
+from pondhatch.observing import Records, StateChange
 from pondhatch.placement import Notice
 from pondhatch.router._state import RouterState
 
@@ -60,41 +60,43 @@
             *self._notice_changes(),
         ]
         for change in changes[:MAX_RECORDS_PER_ROUND]:
-            self.records.note(change)
+            self.records.write(change)
         left_out = len(changes) - MAX_RECORDS_PER_ROUND
         if left_out > 0:
-            self.records.note(Believed("records", "", f"{left_out} left out"))
+            self.records.write(StateChange("records", "", f"{left_out} left out"))
 
     def record_process(self, now: str, why: str = "") -> None:
         """Record a change of the process itself: its start, its stop, its settings."""
-        self.records.note(Believed("process", self.state.name, now, why=why))
+        self.records.write(StateChange("process", self.state.name, now, why=why))
 
-    def _platform_changes(self) -> list[Believed]:
+    def _platform_changes(self) -> list[StateChange]:
         error = self.state.platform_error
         if error == self._platform_error:
             return []
         self._platform_error = error
-        return [Believed("platform", "store", "lost" if error else "answering", why=error)]
+        return [StateChange("platform", "store", "lost" if error else "answering", why=error)]
 
-    def _configuration_changes(self) -> list[Believed]:
+    def _configuration_changes(self) -> list[StateChange]:
         version = self.state.fleet.version
         if version == self._configuration_version:
             return []
         before, self._configuration_version = self._configuration_version, version
         follows = f"follows {before}" if before else "the first"
         why = f"{follows}, from {self.state.configuration_source}"
-        return [Believed("configuration", "", "in force", version, why)]
+        return [StateChange("configuration", "", "in force", version, why)]
 
-    def _rejection_changes(self) -> list[Believed]:
+    def _rejection_changes(self) -> list[StateChange]:
         rejection = str(self.state.rejected or "")
         if rejection == self._rejection:
             return []
         self._rejection = rejection
         return [
-            Believed("configuration", "", "refused" if rejection else "taken again", why=rejection)
+            StateChange(
+                "configuration", "", "refused" if rejection else "taken again", why=rejection
+            )
         ]
 
-    def _misfit_changes(self) -> list[Believed]:
+    def _misfit_changes(self) -> list[StateChange]:
         misfits_by_entry = self.state.fleet.misfits_by_entry
         if misfits_by_entry == self._misfits_by_entry:
             return []
@@ -105,19 +107,19 @@
         mended = sorted(before.keys() - text_by_entry.keys())
         return [
             *(
-                Believed("entry", " ".join(key), "misfit", version, text_by_entry[key])
+                StateChange("entry", " ".join(key), "misfit", version, text_by_entry[key])
                 for key in changed
             ),
-            *(Believed("entry", " ".join(key), "mended or gone", version) for key in mended),
+            *(StateChange("entry", " ".join(key), "mended or gone", version) for key in mended),
         ]
 
-    def _hall_changes(self) -> list[Believed]:
+    def _hall_changes(self) -> list[StateChange]:
         evacuations = self.state.halls.evacuations
         if evacuations.halls == self._evacuated_hall_names:
             return []
         before, self._evacuated_hall_names = self._evacuated_hall_names, evacuations.halls
         return [
-            Believed(
+            StateChange(
                 "hall",
                 hall,
                 "evacuated" if hall in self._evacuated_hall_names else "open",
@@ -126,7 +128,7 @@
             for hall in sorted(before ^ self._evacuated_hall_names)
         ]
 
-    def _upstream_changes(self) -> list[Believed]:
+    def _upstream_changes(self) -> list[StateChange]:
         upstreams = self.state.upstreams
         if upstreams.version == self._upstreams_version:
             return []
@@ -136,7 +138,7 @@
         changed = _differences(self._state_by_upstream, states, "removed")
         self._state_by_upstream = states
         return [
-            Believed("upstream", name, now, self._version_of(name), why)
+            StateChange("upstream", name, now, self._version_of(name), why)
             for name, now, why in changed
         ]
 
@@ -144,36 +146,36 @@
         entry = self.state.upstreams.entry_by_name.get(upstream)
         return entry.version if entry is not None else self.state.upstreams.version
 
-    def _router_changes(self) -> list[Believed]:
+    def _router_changes(self) -> list[StateChange]:
         members = self.state.members()
         if members is self._members:
             return []
         before, now = _phases(self._members), _phases(members)
         self._members = members
         return [
-            Believed("router", name, self._absence(name) if phase == "" else phase, why=why)
+            StateChange("router", name, self._absence(name) if phase == "" else phase, why=why)
             for name, phase, why in _differences(before, now, "")
         ]
 
     def _absence(self, router: str) -> str:
         return "gone" if self.state.gossip.is_gone(router) else "out of reach"
 
-    def _health_changes(self) -> list[Believed]:
+    def _health_changes(self) -> list[StateChange]:
         health = self.state.health.states(self.state.clock())
         if health == self._health:
             return []
         changed = _differences(self._health, health, "well")
         self._health = health
-        return [Believed("health", name, now, why=why) for name, now, why in changed]
+        return [StateChange("health", name, now, why=why) for name, now, why in changed]
 
-    def _notice_changes(self) -> list[Believed]:
+    def _notice_changes(self) -> list[StateChange]:
         in_force = self.state.notices.current(self.state.clock())
         text_by_upstream = {name: _notice_text(notice) for name, notice in in_force.items()}
         if text_by_upstream == self._notice_by_upstream:
             return []
         changed = _differences(self._notice_by_upstream, text_by_upstream, "nothing")
         self._notice_by_upstream = text_by_upstream
-        return [Believed("notice", name, now, why=why) for name, now, why in changed]
+        return [StateChange("notice", name, now, why=why) for name, now, why in changed]
 
 
 def _notice_text(notice: Notice) -> str:
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -10,7 +10,7 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.configuration.tests.test_fleet import account, change
 from pondhatch.membership import Member
-from pondhatch.observing import Believed
+from pondhatch.observing import StateChange
 from pondhatch.router._lag import ConfigurationLag
 from pondhatch.router._state_recorder import StateRecorder
 from pondhatch.router.tests.test_state_recorder import RecordList
@@ -56,7 +56,7 @@
         recorder.record_changes()
         state.apply_update(peer.update_since(1), peer.name)
         recorder.record_changes()
-        whys = [each.why for each in record_list.records if isinstance(each, Believed)]
+        whys = [each.why for each in record_list.records if isinstance(each, StateChange)]
         self.assertEqual(whys, ["the first, from the platform", "follows 1, from r1"])
 
 
--- a/pondhatch/router/tests/test_state_recorder.py
+++ b/pondhatch/router/tests/test_state_recorder.py
@@ -12,7 +12,7 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.configuration import Edit, FleetConfiguration, Misfit, Rejected, Snapshot, publish
 from pondhatch.configuration.tests.test_fleet import account, change
-from pondhatch.observing import Believed, Record
+from pondhatch.observing import Record, StateChange
 from pondhatch.observing._records import _sentence
 from pondhatch.placement._health import FAILURES_UNTIL_DOWN, FIRST_AILING_PAUSE
 from pondhatch.router import StateRecorder
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self.records: list[Record] = []
 
-    def note(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         self.records.append(record)
 
 
@@ -43,7 +43,7 @@
         """Record changes; return the new records as (about, name, now, version)."""
         self.record_list.records.clear()
         self.recorder.record_changes()
-        found = [each for each in self.record_list.records if isinstance(each, Believed)]
+        found = [each for each in self.record_list.records if isinstance(each, StateChange)]
         return [(each.about, each.name, each.now, each.version) for each in found]
 
     def set_upstream(self, name: str, version: int, state: str = "live") -> None:
@@ -138,7 +138,7 @@
         self.recorder.record_process("draining", "2 requests in flight")
         self.assertEqual(
             self.record_list.records,
-            [Believed("process", "r0", "draining", why="2 requests in flight")],
+            [StateChange("process", "r0", "draining", why="2 requests in flight")],
         )
 
 
@@ -179,9 +179,9 @@
 class SentenceTest(unittest.TestCase):
     def test_records_read_as_sentences(self) -> None:
         rows = (
-            (Believed("upstream", "e0", "live", 5, "new"), "Upstream e0 is live as of 5 (new)."),
-            (Believed("configuration", "", "in force", 2), "Configuration is in force as of 2."),
-            (Believed("router", "r1", "gone"), "Router r1 is gone."),
+            (StateChange("upstream", "e0", "live", 5, "new"), "Upstream e0 is live as of 5 (new)."),
+            (StateChange("configuration", "", "in force", 2), "Configuration is in force as of 2."),
+            (StateChange("router", "r1", "gone"), "Router r1 is gone."),
         )
         for record, expected in rows:
             self.assertEqual(_sentence(record), expected)
--- a/pondhatch/standard/_platform.py
+++ b/pondhatch/standard/_platform.py
@@ -24,7 +24,7 @@
 from twisted.web.http_headers import Headers as WireHeaders
 
 from pondhatch.kernel import as_future
-from pondhatch.observing import Once, log_for
+from pondhatch.observing import LogOnce, log_for
 from pondhatch.store import (
     Accepted,
     Conflict,
@@ -111,7 +111,7 @@
         #: Calls made, for the budget that the platform counts.
         self.calls = 0
         self._url = f"{url.rstrip('/')}/v1/objects"
-        self._told = Once()
+        self._told = LogOnce()
 
     async def get(
         self, kind: str, name: str, may_be_old: bool = False
--- a/pondhatch/store/_upstream_reader.py
+++ b/pondhatch/store/_upstream_reader.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pondhatch.kernel import host_and_port
-from pondhatch.observing import Once, log_for
+from pondhatch.observing import LogOnce, log_for
 from pondhatch.store._objects import Listed
 from pondhatch.store._upstreams import LEAVING, LIVE, Upstream, UpstreamEntry, UpstreamUpdate
 
@@ -19,7 +19,7 @@
     """Decodes the platform's upstream entries; an invalid one does not affect the others."""
 
     def __init__(self) -> None:
-        self._reported = Once()
+        self._reported = LogOnce()
 
     def read_listing(self, listed: Listed) -> UpstreamUpdate:
         """Return a platform listing as an update, with the names of its invalid entries apart."""
--- a/pondhatch/transport/_gossip.py
+++ b/pondhatch/transport/_gossip.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from pondhatch.membership import Address, Datagram, Seal
-from pondhatch.observing import Once, log_for
+from pondhatch.observing import LogOnce, log_for
 
 log = log_for("gossip")
 
@@ -33,7 +33,7 @@
         self.unsealed = 0
         self._seal = seal
         self._receive = receive
-        self._told = Once()
+        self._told = LogOnce()
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Take in a packet; answers go back to where it came from."""
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -144,7 +144,7 @@
     def _note_unserved(self, request: CallerRequest, outcome: str, started: float) -> None:
         """Leave a decision on a request for which no engine was chosen."""
         facts = self._dialect.read(_headers(request))
-        self._records.note(
+        self._records.write(
             RequestEnded(
                 id=facts.caller_id,
                 account="",
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -283,7 +283,7 @@
 
     def _note_record(self, work: Work, walk: Dispatch, outcome: str, spans: _Spans) -> None:
         """Leave the decision's line."""
-        self._records.note(
+        self._records.write(
             RequestEnded(
                 id=work.head.caller_id or work.head.request_id,
                 account=work.account.name,
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -18,7 +18,7 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.limits import RetryBudget
-from pondhatch.observing import ServedMetrics
+from pondhatch.observing import PrometheusMetrics
 from pondhatch.platform._engines import EngineDialect
 from pondhatch.platform.tests._wire import CONFIGURATION
 from pondhatch.requests import Collaborators, Headers, ReplayableBody, RequestHead, Unknown
@@ -86,7 +86,7 @@
             self.state.upstreams.set(entry, at + 1)
         self.state.invalidate_upstream_caches()
         self.state.load_management = switch
-        self.metrics = ServedMetrics("r0")
+        self.metrics = PrometheusMetrics("r0")
         self.client = HttpClient(self)
         self.client.configure(self.state.is_load_managed, self.metrics)
         self.upstreams = HttpUpstreams(self.client, EngineDialect())
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -142,7 +142,7 @@
     def __init__(self) -> None:
         self.records: list[Record] = []
 
-    def note(self, record: Record) -> None:
+    def write(self, record: Record) -> None:
         self.records.append(record)
 
 
