--- a/pondhatch/_early_port.py
+++ b/pondhatch/_early_port.py
@@ -15,9 +15,9 @@
 from collections.abc import Sequence
 
 #: The one command that has callers.
-COMMAND = "run"
+RUN_COMMAND = "run"
 #: Names the port on the command line: the settings are read by libraries not yet loaded.
-OPTION = "--listen"
+LISTEN_OPTION = "--listen"
 #: Connections of callers that may wait to be accepted: as many as Linux lets any port hold by
 #: default, and as a router of the users' sites can open at all. All callers of a power cut
 #: come back within a second, while a starting router is busy; beyond the queue their opening
@@ -32,9 +32,9 @@
 
     One that cannot be opened is left to whoever opens the router's other ports, which tells why.
     """
-    if arguments[:1] != [COMMAND] or OPTION not in arguments[:-1]:
+    if arguments[:1] != [RUN_COMMAND] or LISTEN_OPTION not in arguments[:-1]:
         return
-    address = arguments[arguments.index(OPTION) + 1]
+    address = arguments[arguments.index(LISTEN_OPTION) + 1]
     host, _, port = address.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     if _key(host, port) in _opened_by_address:
--- a/pondhatch/cli/_spreading.py
+++ b/pondhatch/cli/_announcer.py
@@ -10,30 +10,30 @@
 
 #: Seconds from one telling of something new to the next: each reaches four random peers,
 #: and with one alone about two in a hundred routers would have to wait for a ping.
-RETELL_PAUSES = (0.1, 0.2)
+REPEAT_DELAYS = (0.1, 0.2)
 
 
-class Spreading:
+class Announcer:
     """Tells some peers of what this router holds now."""
 
     def __init__(self, state: RouterState, gossip_port: GossipPort, tasks: Tasks) -> None:
         self._state = state
         self._gossip_port = gossip_port
         self._tasks = tasks
-        self._retelling: asyncio.Task[None] | None = None
+        self._repeat_task: asyncio.Task[None] | None = None
 
-    def spread(self) -> None:
+    def announce(self) -> None:
         """Tell some peers now, and others after each pause."""
         self._state.publish()
-        self._tell()
-        if self._retelling is not None:
-            self._retelling.cancel()
-        self._retelling = self._tasks.start(self._retell())
+        self._send()
+        if self._repeat_task is not None:
+            self._repeat_task.cancel()
+        self._repeat_task = self._tasks.start(self._repeat())
 
-    async def _retell(self) -> None:
-        for pause in RETELL_PAUSES:
-            await asyncio.sleep(pause)
-            self._tell()
+    async def _repeat(self) -> None:
+        for delay in REPEAT_DELAYS:
+            await asyncio.sleep(delay)
+            self._send()
 
-    def _tell(self) -> None:
+    def _send(self) -> None:
         self._gossip_port.send(self._state.gossip.announcements())
--- a/pondhatch/cli/_change_commands.py
+++ b/pondhatch/cli/_change_commands.py
@@ -7,8 +7,14 @@
 import uuid
 from pathlib import Path
 
-from pondhatch.cli._platform_work import run_on_fleet
-from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT, print_edits, report, unreadable
+from pondhatch.cli._configuration_task import run_with_configuration
+from pondhatch.cli._reports import (
+    EXIT_DONE,
+    EXIT_INPUT,
+    print_edits,
+    report_outcome,
+    report_unreadable,
+)
 from pondhatch.configuration import (
     CHANGES_PER_SNAPSHOT,
     Change,
@@ -30,8 +36,8 @@
 
     :param files: YAML files, or folders of them
     """
-    sources = read_files(files)
-    fleet = checked_configuration(FleetConfiguration(), sources, sources.edits)
+    entries = read_files(files)
+    fleet = checked_configuration(FleetConfiguration(), entries, entries.edits)
     services, accounts = len(fleet.service_by_name), len(fleet.policy_by_account)
     print(f"ok: {services} services, {len(fleet.template_by_name)} templates, {accounts} accounts")
     return EXIT_DONE
@@ -64,17 +70,17 @@
     :param dry_run: only show what would change
     :param prune: also remove entries that are in force but not in the files
     """
-    sources = read_files(files)
+    entries = read_files(files)
 
     async def work(store: Platform, fleet: FleetConfiguration) -> int:
-        edits = changed_edits(fleet, sources, prune)
-        edited = checked_configuration(fleet, sources, edits)
+        edits = changed_edits(fleet, entries, prune)
+        edited = checked_configuration(fleet, entries, edits)
         print_edits(edits, fleet, edited)
         if dry_run or not edits:
             return EXIT_DONE
         return await _publish(store, _change(fleet, edits, author, note), edited)
 
-    return run_on_fleet(platform, work)
+    return run_with_configuration(platform, work)
 
 
 def undo(version: int, *, platform: str, author: str) -> int:
@@ -94,8 +100,8 @@
             return EXIT_INPUT
         before = await read_configuration(store, FleetConfiguration(), until_version=version - 1)
         if not isinstance(before, FleetConfiguration):
-            return unreadable(before)
-        edits = _inverse(before, undone)
+            return report_unreadable(before)
+        edits = _inverse_edits(before, undone)
         edited = fleet.with_edits(edits)
         if not isinstance(edited, FleetConfiguration):
             print(f"cannot take back change {version}: {edited}", file=sys.stderr)
@@ -104,14 +110,14 @@
         change = _change(fleet, edits, author, f"takes back {version}")
         return await _publish(store, change, edited)
 
-    return run_on_fleet(platform, work)
+    return run_with_configuration(platform, work)
 
 
 def _change(fleet: FleetConfiguration, edits: tuple[Edit, ...], author: str, note: str) -> Change:
     return Change(fleet.version + 1, uuid.uuid4().hex, author, time.time(), note, edits)
 
 
-def _inverse(before: FleetConfiguration, undone: Change) -> tuple[Edit, ...]:
+def _inverse_edits(before: FleetConfiguration, undone: Change) -> tuple[Edit, ...]:
     """Return edits that restore what stood before a change."""
     return tuple(
         Edit(edit.kind, edit.name, before.value_or_none(edit.kind, edit.name))
@@ -124,7 +130,7 @@
     outcome = await publish(store, change)
     if isinstance(outcome, Published):
         await _snapshot_if_due(store, edited, outcome.version)
-    return report(outcome)
+    return report_outcome(outcome)
 
 
 async def _snapshot_if_due(store: Platform, edited: FleetConfiguration, version: int) -> None:
--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -10,8 +10,8 @@
 from twisted.internet.error import CannotListenError
 from twisted.web.server import Site
 
-from pondhatch.cli._figures import Figures
-from pondhatch.cli._ports import SpareDescriptors, listen_to_callers, listening
+from pondhatch.cli._ports import SpareDescriptors, listen_to_callers, listen_to_peers
+from pondhatch.cli._router_statistics import RouterStatistics
 from pondhatch.configuration import CallerLimits, MetricsEndpoint, ReadyEndpoint, Settings
 from pondhatch.observing import log_for
 from pondhatch.router import Authority, CrashEvidenceExchange, RouterState
@@ -40,11 +40,11 @@
     peer_tls: PeerTls | None
     gossip_port: GossipPort
     authority: Authority
-    crash_guarding: CrashEvidenceExchange
-    figures: Figures
+    crash_evidence: CrashEvidenceExchange
+    statistics: RouterStatistics
     callers: Callers
     #: What callers may send, by the settings now in force.
-    limits: Callable[[], CallerLimits]
+    caller_limits: Callable[[], CallerLimits]
     #: The router's metrics as text.
     metrics_text: Callable[[], bytes]
 
@@ -61,31 +61,34 @@
     async def _open_to_peers(self) -> None:
         peers = self.settings.peers
         tls = self.peer_tls.server if self.peer_tls is not None else None
-        await self.peer_server.start(sock=listening(peers.host, peers.port), ssl=tls)
+        await self.peer_server.start(sock=listen_to_peers(peers.host, peers.port), ssl=tls)
         self.reactor.listenUDP(peers.port, self.gossip_port, interface=peers.host)
 
     def _open_to_admins(self) -> None:
         admin = self.settings.admin
         resource = Admin(
-            self.state, self.authority, self.figures.counters, self.crash_guarding.lift_quarantine
+            self.state,
+            self.authority,
+            self.statistics.counters,
+            self.crash_evidence.lift_quarantine,
         )
         self.reactor.listenTCP(admin.port, Site(resource), interface=admin.host)
 
     def _open_to_callers(self) -> Any:
         resource: Any = self.callers.resource()
-        site = CallerSite(resource, lambda: bounded(self.state, self.limits()))
+        site = CallerSite(resource, lambda: bounded(self.state, self.caller_limits()))
         return listen_to_callers(self.reactor, self.settings.callers, site)
 
     def _open_to_balancer(self, endpoint: ReadyEndpoint, callers_port: Any) -> None:
         clock, connections = self.state.clock, lambda: len(self.reactor.getReaders())
-        spare = SpareDescriptors(clock, connections)
-        resource = Readiness(endpoint.path, lambda: self._is_ready(callers_port, spare))
+        spare_descriptors = SpareDescriptors(clock, connections)
+        resource = Readiness(endpoint.path, lambda: self._is_ready(callers_port, spare_descriptors))
         self.reactor.listenTCP(endpoint.port, Site(resource), interface=endpoint.host)
 
-    def _is_ready(self, callers_port: Any, spare: SpareDescriptors) -> bool:
+    def _is_ready(self, callers_port: Any, spare_descriptors: SpareDescriptors) -> bool:
         """Return whether the balancer should send callers here."""
-        serves = self.state.fleet.version > 0 and not self.state.is_draining()
-        return serves and bool(callers_port.connected) and spare.are_there()
+        is_serving = self.state.fleet.version > 0 and not self.state.is_draining()
+        return is_serving and bool(callers_port.connected) and spare_descriptors.are_available()
 
     def _open_for_metrics(self, endpoint: MetricsEndpoint) -> None:
         """Tell metrics as text; a port that is taken costs the metrics, not the router."""
--- a/pondhatch/cli/_surroundings.py
+++ b/pondhatch/cli/_environment.py
@@ -23,7 +23,7 @@
 }
 
 
-class Surroundings(msgspec.Struct, frozen=True):
+class RouterEnvironment(msgspec.Struct, frozen=True):
     """What a router is given from outside."""
 
     interface: Interface
@@ -34,24 +34,24 @@
     is_key_agreed: bool
 
 
-async def surroundings_of(settings: Settings, reactor: Any) -> Surroundings:
+async def build_environment(settings: Settings, reactor: Any) -> RouterEnvironment:
     """Return what a router is given; waits until it has the fleet's key."""
     client = HttpClient(reactor)
-    interface = _interface(settings, client)
+    interface = _build_interface(settings, client)
     platform = interface.store(settings.platform)
-    given = load_fleet_key(settings)
-    key = given if given is not None else await _agreed_key(platform)
-    return Surroundings(interface, platform, client, key, given is None)
+    configured_key = load_fleet_key(settings)
+    key = configured_key if configured_key is not None else await _obtain_agreed_key(platform)
+    return RouterEnvironment(interface, platform, client, key, configured_key is None)
 
 
-def _interface(settings: Settings, client: HttpClient) -> Interface:
+def _build_interface(settings: Settings, client: HttpClient) -> Interface:
     package = PACKAGE_BY_INTERFACE.get(settings.interface)
     if package is not None:
         importlib.import_module(package)
-    views = {HttpClient: client, ServiceDefaults: settings.service_defaults}
-    return cast(Interface, REGISTRY.build(INTERFACE, settings.interface, views))
+    dependencies = {HttpClient: client, ServiceDefaults: settings.service_defaults}
+    return cast(Interface, REGISTRY.build(INTERFACE, settings.interface, dependencies))
 
 
-async def _agreed_key(platform: Platform) -> bytes:
+async def _obtain_agreed_key(platform: Platform) -> bytes:
     """Return the key that the fleet agrees on."""
     return await obtain_fleet_key(platform, secrets.token_hex(16), random.Random())
--- a/pondhatch/cli/_event_loop.py
+++ b/pondhatch/cli/_event_loop.py
@@ -9,19 +9,19 @@
 Result = TypeVar("Result")
 
 
-def run_on_reactor(work: Coroutine[Any, Any, Result]) -> Result:
+def run_on_reactor(coroutine: Coroutine[Any, Any, Result]) -> Result:
     """Run a coroutine on the installed reactor; return what it returns, raise what it raises."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
-    ended: list[asyncio.Task[Result]] = []
+    finished: list[asyncio.Task[Result]] = []
 
-    async def guarded() -> None:
-        task = asyncio.ensure_future(work)
+    async def run_and_stop() -> None:
+        task = asyncio.ensure_future(coroutine)
         await asyncio.wait([task])
-        ended.append(task)
+        finished.append(task)
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: asyncio.ensure_future(guarded()))
+    reactor.callWhenRunning(lambda: asyncio.ensure_future(run_and_stop()))
     reactor.run(installSignalHandlers=False)
-    return ended[0].result()
+    return finished[0].result()
--- a/pondhatch/cli/_explain_command.py
+++ b/pondhatch/cli/_explain_command.py
@@ -28,23 +28,23 @@
         except OSError as error:
             print(f"{file}: {error.strerror}", file=sys.stderr)
             return EXIT_INPUT
-    found = read_lines(texts)
-    story = explained(name, found.lines)
+    parsed = read_lines(texts)
+    story = explained(name, parsed.lines)
     if not story.events:
-        told = f"{len(found.lines)} lines, {found.skipped} others"
-        print(f"nothing is said of {name!r} in {len(files)} files ({told})", file=sys.stderr)
+        counts = f"{len(parsed.lines)} lines, {parsed.skipped} others"
+        print(f"nothing is said of {name!r} in {len(files)} files ({counts})", file=sys.stderr)
         return EXIT_INPUT
-    print(msgspec.json.encode(story).decode() if json else _as_text(story))
+    print(msgspec.json.encode(story).decode() if json else _format_story(story))
     return EXIT_DONE
 
 
-def _as_text(story: Story) -> str:
-    lines = [f"{_clock(each.at)}  {each.router}: {each.text}" for each in story.events]
+def _format_story(story: Story) -> str:
+    lines = [f"{_format_time(each.at)}  {each.router}: {each.text}" for each in story.events]
     if story.known:
         lines += ["", "What its router held to be so as it ended:"]
-        lines += [f"  since {_clock(each.at)}: {each.text}" for each in story.known]
+        lines += [f"  since {_format_time(each.at)}: {each.text}" for each in story.known]
     return "\n".join(lines)
 
 
-def _clock(at: float) -> str:
+def _format_time(at: float) -> str:
     return f"{time.strftime('%H:%M:%S', time.gmtime(at))}.{int(at % 1 * 1000):03d}"
--- a/pondhatch/cli/_hall_commands.py
+++ b/pondhatch/cli/_hall_commands.py
@@ -40,7 +40,7 @@
     :param platform: the platform's URL
     :param dry_run: only show what it would come to
     """
-    return _run(hall, platform, in_force=True, dry_run=dry_run)
+    return _run_set_evacuation(hall, platform, in_force=True, dry_run=dry_run)
 
 
 def reopen(hall: str, *, platform: str, dry_run: bool = False) -> int:
@@ -50,10 +50,10 @@
     :param platform: the platform's URL
     :param dry_run: only show what it would come to
     """
-    return _run(hall, platform, in_force=False, dry_run=dry_run)
+    return _run_set_evacuation(hall, platform, in_force=False, dry_run=dry_run)
 
 
-def _run(hall: str, url: str, in_force: bool, dry_run: bool) -> int:
+def _run_set_evacuation(hall: str, url: str, in_force: bool, dry_run: bool) -> int:
     install_reactor()
 
     async def work() -> int:
@@ -67,17 +67,17 @@
 async def set_evacuation(platform: Platform, hall: str, in_force: bool, dry_run: bool) -> int:
     """Begin or end an evacuation, and print what it comes to; return the exit code."""
     listed = await platform.list(UPSTREAM_KIND)
-    asked = await platform.list(EVACUATION_KIND)
-    if isinstance(listed, Unavailable) or isinstance(asked, Unavailable):
+    listed_evacuations = await platform.list(EVACUATION_KIND)
+    if isinstance(listed, Unavailable) or isinstance(listed_evacuations, Unavailable):
         print("cannot reach the platform; nothing was done", file=sys.stderr)
         return EXIT_UNREACHABLE
-    live = _live(listed)
+    live = _live_upstreams(listed)
     if hall not in {upstream.hall for upstream in live}:
         known = ", ".join(sorted({upstream.hall for upstream in live})) or "none"
         print(f"HALL: no upstream stands in {hall!r}; expected one of: {known}", file=sys.stderr)
         return EXIT_INPUT
     evacuations = Evacuations()
-    evacuations.apply_listing(asked, now=0.0)
+    evacuations.apply_listing(listed_evacuations, now=0.0)
     others = evacuations.halls - {hall}
     _print_effect(live, hall, others | {hall} if in_force else others, in_force)
     return EXIT_DONE if dry_run else await _write(platform, hall, in_force)
@@ -91,11 +91,11 @@
     value = {IN_FORCE: in_force}
     if isinstance(known, Found):
         version = known.object.version
-        return _report(await platform.update(EVACUATION_KIND, hall, value, version))
-    return _report(await platform.create(EVACUATION_KIND, hall, value))
+        return _report_write(await platform.update(EVACUATION_KIND, hall, value, version))
+    return _report_write(await platform.create(EVACUATION_KIND, hall, value))
 
 
-def _report(written: Accepted | Conflict | OutcomeUnknown | Unavailable) -> int:
+def _report_write(written: Accepted | Conflict | OutcomeUnknown | Unavailable) -> int:
     """Print what became of a write; return the exit code."""
     if isinstance(written, Accepted):
         print("accepted; in force at every router within seconds")
@@ -110,18 +110,18 @@
     return EXIT_UNKNOWN
 
 
-def _live(listed: Listed) -> list[Upstream]:
+def _live_upstreams(listed: Listed) -> list[Upstream]:
     entries = UpstreamReader().read_listing(listed).entries
     return [each.upstream for each in entries if each.upstream.state == LIVE]
 
 
 def _print_effect(live: list[Upstream], hall: str, closed: frozenset[str], in_force: bool) -> None:
     """Print, for each service that the hall serves, how many upstreams are left to carry it."""
-    there = Counter(each.service for each in live if each.hall == hall)
-    left = Counter(each.service for each in live if each.hall not in closed)
+    upstreams_in_hall = Counter(each.service for each in live if each.hall == hall)
+    remaining = Counter(each.service for each in live if each.hall not in closed)
     print(f"{hall} is {'evacuated' if in_force else 'open'}:")
-    for service, number in sorted(there.items()):
-        what = "get nothing more" if in_force else "are used again"
-        print(f"  {service}: {number} upstreams {what}, {left[service]} carry it")
-        if not left[service]:
+    for service, number in sorted(upstreams_in_hall.items()):
+        effect = "get nothing more" if in_force else "are used again"
+        print(f"  {service}: {number} upstreams {effect}, {remaining[service]} carry it")
+        if not remaining[service]:
             print(f"  {service}: nobody is left, its requests are refused")
--- a/pondhatch/cli/_own_state.py
+++ b/pondhatch/cli/_initial_state.py
@@ -29,21 +29,21 @@
 from pondhatch.transport import Interface
 
 
-def own_state(
+def initial_state(
     settings: Settings, rng: random.Random, connections: PeerConnections, interface: Interface
 ) -> RouterState:
     """Return the state of a router that knows nobody but its seeds."""
-    seeds = [_address(seed) for seed in settings.seeds]
+    seeds = [_parse_address(seed) for seed in settings.seeds]
     load_management = _load_management(settings, interface)
-    own = _alive(settings, _capacity(settings.vm, load_management))
-    gossip = Gossip(own, MembershipLimits(), rng, seeds)
+    own_entry = _own_entry(settings, _capacity(settings.vm, load_management))
+    gossip = Gossip(own_entry, MembershipLimits(), rng, seeds)
     return RouterState(
         settings.name,
         settings.hall,
         gossip,
         time.monotonic,
-        connections.to,
-        retry_budgets=RetryBudgets(_allowance(settings.retries)),
+        connections.connection_to,
+        retry_budgets=RetryBudgets(_retry_allowance(settings.retries)),
         halls=HallStates(settings.regions or {}),
         cold_pacer=ColdPacer(_cold_allowance(settings.cold)),
         held_bytes=HeldBytes(settings.held_bytes_bound),
@@ -54,8 +54,8 @@
 
 def _load_management(settings: Settings, interface: Interface) -> LoadManagement:
     """Return when load is managed, by the settings and the platform's rules in force."""
-    is_asked = interface.asks_for_load_management(settings.rules_in_force or ())
-    if settings.load_management == "as-needed" and is_asked:
+    is_requested = interface.asks_for_load_management(settings.rules_in_force or ())
+    if settings.load_management == "as-needed" and is_requested:
         return "on"
     return settings.load_management
 
@@ -67,7 +67,7 @@
     return capacity_of(vm.cpu_quota, vm.cores, vm.link_mbps)
 
 
-def _alive(settings: Settings, capacity: float) -> Alive:
+def _own_entry(settings: Settings, capacity: float) -> Alive:
     """Return a router's first word on itself; the time makes it newer than an earlier life's."""
     return Alive(
         router=short_id(settings.name),
@@ -81,21 +81,21 @@
     )
 
 
-def _allowance(settings: RetrySettings) -> RetryAllowance:
+def _retry_allowance(settings: RetrySettings) -> RetryAllowance:
     """Return what the settings allow; what they leave out keeps its default."""
-    return RetryAllowance(**_given(share=settings.share, slack=settings.slack))
+    return RetryAllowance(**_without_none(share=settings.share, slack=settings.slack))
 
 
 def _cold_allowance(settings: ColdSettings) -> ColdAllowance:
     """Return what the settings say that cold upstreams bear."""
-    return ColdAllowance(**_given(overshoot=settings.overshoot, slack=settings.slack))
+    return ColdAllowance(**_without_none(overshoot=settings.overshoot, slack=settings.slack))
 
 
-def _given(**values: float | None) -> dict[str, float]:
+def _without_none(**values: float | None) -> dict[str, float]:
     """Return the values that are given."""
     return {name: value for name, value in values.items() if value is not None}
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
--- a/pondhatch/cli/_main.py
+++ b/pondhatch/cli/_main.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from pondhatch import __version__
-from pondhatch._early_port import OPTION, open_early
+from pondhatch._early_port import LISTEN_OPTION, open_early
 from pondhatch.cli._reports import EXIT_INPUT
 from pondhatch.cli._run_command import run
 from pondhatch.configuration import ConfigurationError
@@ -40,7 +40,7 @@
         # the library that reads a command line, a tenth of a second and 7 MB.
         if len(arguments) == 2:
             return run(Path(arguments[1]))
-        if len(arguments) == 4 and arguments[2] == OPTION:
+        if len(arguments) == 4 and arguments[2] == LISTEN_OPTION:
             return run(Path(arguments[1]), listen=arguments[3])
     import defopt
 
--- a/pondhatch/cli/_peer_connections.py
+++ b/pondhatch/cli/_peer_connections.py
@@ -19,7 +19,7 @@
         self._tls = tls.client if tls is not None else None
         self._remote_by_name: dict[str, RemotePeer] = {}
 
-    def to(self, member: Member) -> RemotePeer:
+    def connection_to(self, member: Member) -> RemotePeer:
         """Return the connection to a router; a new one where its address has changed."""
         known = self._remote_by_name.get(member.name)
         if known is not None and known.address == member.address:
--- a/pondhatch/cli/_rounds.py
+++ b/pondhatch/cli/_periodic_jobs.py
@@ -15,16 +15,16 @@
 ROUND_SECONDS = 0.1
 #: Seconds after which a part that still fails is told again: six lines a minute show that it
 #: lasts, where a line for each round would be 600.
-TELL_AGAIN_SECONDS = 10.0
+LOG_AGAIN_SECONDS = 10.0
 
 
-class Rounds(msgspec.Struct):
+class PeriodicJobs(msgspec.Struct):
     """Runs every part once a round; one that fails neither ends the rounds nor stops the others."""
 
-    part_by_name: Mapping[str, Callable[[], None]]
+    job_by_name: Mapping[str, Callable[[], None]]
     clock: Callable[[], float]
     #: When each part that fails was last told of, in the clock's seconds.
-    _told_at_by_name: dict[str, float] = msgspec.field(default_factory=dict)
+    _logged_at_by_name: dict[str, float] = msgspec.field(default_factory=dict)
 
     async def run(self) -> None:
         """Do what is due until cancelled.
@@ -35,12 +35,12 @@
         loop = asyncio.get_running_loop()
         timer: asyncio.TimerHandle | None = None
 
-        def go_on() -> None:
+        def run_and_reschedule() -> None:
             nonlocal timer
             self.run_once()
-            timer = loop.call_later(ROUND_SECONDS, go_on)
+            timer = loop.call_later(ROUND_SECONDS, run_and_reschedule)
 
-        go_on()
+        run_and_reschedule()
         try:
             await loop.create_future()
         finally:
@@ -49,17 +49,17 @@
 
     def run_once(self) -> None:
         """Do one round."""
-        for name, part in self.part_by_name.items():
+        for name, job in self.job_by_name.items():
             try:
-                part()
+                job()
             except Exception as error:
-                self._tell(name, error)
+                self._log_failure(name, error)
             else:
-                self._told_at_by_name.pop(name, None)
+                self._logged_at_by_name.pop(name, None)
 
-    def _tell(self, name: str, error: Exception) -> None:
+    def _log_failure(self, name: str, error: Exception) -> None:
         now = self.clock()
-        if now - self._told_at_by_name.get(name, float("-inf")) < TELL_AGAIN_SECONDS:
+        if now - self._logged_at_by_name.get(name, float("-inf")) < LOG_AGAIN_SECONDS:
             return
-        self._told_at_by_name[name] = now
+        self._logged_at_by_name[name] = now
         log.opt(exception=error).error("Part {} of a round failed: {!r}.", name, error)
--- a/pondhatch/cli/_ports.py
+++ b/pondhatch/cli/_ports.py
@@ -20,10 +20,10 @@
 SPARE_DESCRIPTORS = 32
 #: Seconds for which the system's word on descriptors holds: files and other processes take
 #: some too, slowly, and a balancer is to know within some seconds.
-ASK_AGAIN_SECONDS = 2.0
+RECHECK_SECONDS = 2.0
 
 
-def listening(host: str, port: int) -> socket.socket:
+def listen_to_peers(host: str, port: int) -> socket.socket:
     """Return a listening socket; the loop would look the IP number up in a thread."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.create_server((host, port), family=family, backlog=PEER_BACKLOG)
@@ -33,7 +33,7 @@
 
 def listen_to_callers(reactor: Any, callers: CallerEndpoint, site: Site) -> Any:
     """Serve callers, over TLS where the settings name a certificate; return the port."""
-    factory = _over_tls(callers, site)
+    factory = _caller_factory(callers, site)
     early = take_early(callers.host, callers.port)
     if early is None:
         return reactor.listenTCP(callers.port, factory, CALLER_BACKLOG, callers.host)
@@ -42,7 +42,7 @@
         return reactor.adoptStreamPort(early.fileno(), early.family, factory)
 
 
-def _over_tls(callers: CallerEndpoint, site: Site) -> Any:
+def _caller_factory(callers: CallerEndpoint, site: Site) -> Any:
     """Return what serves callers, over TLS where the settings name a certificate."""
     if callers.certificate is None or callers.private_key is None:
         return site
@@ -63,23 +63,23 @@
     for each question of the balancer was a twentieth of what an idle router did.
     """
 
-    def __init__(self, clock: Callable[[], float], connections: Callable[[], int]) -> None:
+    def __init__(self, clock: Callable[[], float], count_connections: Callable[[], int]) -> None:
         self._clock = clock
         #: Returns how many connections are open now.
-        self._connections = connections
-        self._asked_at = float("-inf")
-        self._connections_then = 0
+        self._count_connections = count_connections
+        self._checked_at = float("-inf")
+        self._connections_at_check = 0
 
-    def are_there(self) -> bool:
+    def are_available(self) -> bool:
         """Return whether SPARE_DESCRIPTORS more can be opened, as far as is known."""
-        now, connections = self._clock(), self._connections()
-        came = connections - self._connections_then
-        if now - self._asked_at < ASK_AGAIN_SECONDS and came < SPARE_DESCRIPTORS // 2:
+        now, connections = self._clock(), self._count_connections()
+        opened_since = connections - self._connections_at_check
+        if now - self._checked_at < RECHECK_SECONDS and opened_since < SPARE_DESCRIPTORS // 2:
             return True
         if not _can_open(SPARE_DESCRIPTORS):
-            self._asked_at = float("-inf")
+            self._checked_at = float("-inf")
             return False
-        self._asked_at, self._connections_then = now, connections
+        self._checked_at, self._connections_at_check = now, connections
         return True
 
 
--- a/pondhatch/cli/_reports.py
+++ b/pondhatch/cli/_reports.py
@@ -41,15 +41,15 @@
         print("nothing to change")
 
 
-def report(outcome: PublishOutcome) -> int:
+def report_outcome(outcome: PublishOutcome) -> int:
     """Print what became of a change; return the exit code."""
     if isinstance(outcome, Published):
         print(f"accepted as version {outcome.version}")
         return EXIT_DONE
     if isinstance(outcome, LostRace):
-        theirs = outcome.winner
-        print(f"conflict: {theirs.author} made change {theirs.version} first:", file=sys.stderr)
-        for edit in theirs.edits:
+        winner = outcome.winner
+        print(f"conflict: {winner.author} made change {winner.version} first:", file=sys.stderr)
+        for edit in winner.edits:
             print(f"  {edit.kind} {edit.name}: {edit.value}", file=sys.stderr)
         print("nothing of yours was applied; look at it and apply again", file=sys.stderr)
         return EXIT_CONFLICT
@@ -67,7 +67,7 @@
     return EXIT_UNKNOWN
 
 
-def unreadable(found: Unavailable | Inconsistent) -> int:
+def report_unreadable(found: Unavailable | Inconsistent) -> int:
     """Print why the configuration cannot be read; return the exit code."""
     print(f"cannot read the configuration: {found.reason}", file=sys.stderr)
     return EXIT_UNREACHABLE if isinstance(found, Unavailable) else EXIT_INPUT
--- a/pondhatch/cli/_router_commands.py
+++ b/pondhatch/cli/_router_commands.py
@@ -10,7 +10,7 @@
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT, EXIT_UNREACHABLE
 from pondhatch.kernel import as_future, install_reactor
 
-OK = 200
+HTTP_OK = 200
 #: Seconds to wait for a router's admin port.
 ADMIN_SECONDS = 5
 
@@ -21,7 +21,7 @@
     :param admin: the router's admin address, as "IP:port"
     :param json: as JSON
     """
-    content = _ask_router(admin, "state.json" if json else "state")
+    content = _get_page(admin, "state.json" if json else "state")
     if content is None:
         return EXIT_UNREACHABLE
     print(content.decode(), end="")
@@ -33,7 +33,7 @@
 
     :param admin: any router's admin address, as "IP:port"
     """
-    content = _ask_router(admin, "state.json")
+    content = _get_page(admin, "state.json")
     if content is None:
         return EXIT_UNREACHABLE
     state = msgspec.json.decode(content)
@@ -48,34 +48,34 @@
     :param digest: the request's digest, as the dump and the routers' lines show it
     :param admin: any router's admin address, as "IP:port"
     """
-    answer = _call_router(admin, "POST", f"lift/{digest}")
-    if answer is None:
+    reply = _call_router(admin, "POST", f"lift/{digest}")
+    if reply is None:
         return EXIT_UNREACHABLE
-    if answer.status != OK:
+    if reply.status != HTTP_OK:
         print(f"nothing is held against a request {digest}", file=sys.stderr)
         return EXIT_INPUT
     print(f"{digest} may run again")
     return EXIT_DONE
 
 
-def _ask_router(admin: str, path: str) -> bytes | None:
+def _get_page(admin: str, path: str) -> bytes | None:
     """Return a page of a router's admin port, or None where it cannot be reached."""
-    answer = _call_router(admin, "GET", path)
-    return answer.content if answer is not None else None
+    reply = _call_router(admin, "GET", path)
+    return reply.content if reply is not None else None
 
 
-class _AdminAnswer(msgspec.Struct, frozen=True):
+class _AdminReply(msgspec.Struct, frozen=True):
     """What a router's admin port answered."""
 
     status: int
     content: bytes
 
 
-def _call_router(admin: str, method: str, path: str) -> _AdminAnswer | None:
+def _call_router(admin: str, method: str, path: str) -> _AdminReply | None:
     """Return what a router's admin port answers, or None where it cannot be reached."""
     install_reactor()
 
-    async def work() -> _AdminAnswer | None:
+    async def work() -> _AdminReply | None:
         import treq
 
         url = f"http://{admin}/{path}"
@@ -85,6 +85,6 @@
         except Exception as error:
             print(f"cannot reach {admin}: {error}", file=sys.stderr)
             return None
-        return _AdminAnswer(response.code, content)
+        return _AdminReply(response.code, content)
 
     return run_on_reactor(work())
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -11,16 +11,16 @@
 
 from grpclib.server import Server
 
+from pondhatch.cli._announcer import Announcer
 from pondhatch.cli._endpoints import Endpoints
-from pondhatch.cli._figures import Figures
-from pondhatch.cli._levels import Levels, metrics_of
-from pondhatch.cli._own_state import own_state
+from pondhatch.cli._environment import RouterEnvironment, build_environment
+from pondhatch.cli._gauge_reporter import GaugeReporter, configured_metrics
+from pondhatch.cli._initial_state import initial_state
 from pondhatch.cli._peer_connections import PeerConnections
-from pondhatch.cli._rounds import Rounds
+from pondhatch.cli._periodic_jobs import PeriodicJobs
+from pondhatch.cli._router_statistics import RouterStatistics
 from pondhatch.cli._settings_file import SettingsFile
-from pondhatch.cli._spreading import Spreading
-from pondhatch.cli._stopping import Stopping
-from pondhatch.cli._surroundings import Surroundings, surroundings_of
+from pondhatch.cli._shutdown import Shutdown
 from pondhatch.configuration import Settings
 from pondhatch.kernel import Tasks, enable_garbage_collection
 from pondhatch.membership import Address, Member, Seal
@@ -60,7 +60,7 @@
 )
 
 #: Seconds between looks at the settings file.
-SETTINGS_SECONDS = 5.0
+SETTINGS_CHECK_SECONDS = 5.0
 #: Signals that ask a router to stop.
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -68,48 +68,50 @@
 class RouterProcess:
     """Owns every part of a router; the reactor must be installed before."""
 
-    def __init__(self, settings: Settings, reactor: Any, parts: Surroundings, path: Path) -> None:
+    def __init__(
+        self, settings: Settings, reactor: Any, environment: RouterEnvironment, path: Path
+    ) -> None:
         self._settings = settings
         self._settings_file = SettingsFile(path)
         self._reactor = reactor
         self._tasks = Tasks()
-        self._interface = parts.interface
-        fleet_key = parts.fleet_key
+        self._interface = environment.interface
+        fleet_key = environment.fleet_key
         self._token = fleet_token(fleet_key)
         self._peer_tls = peer_tls(settings.name, settings.peers)
         self._connections = PeerConnections(self._token, self._peer_tls)
         self._rng = random.Random()
-        self.state = own_state(settings, self._rng, self._connections, parts.interface)
-        self._gossip_port = GossipPort(Seal(fleet_key), self._receive)
-        self._granting = GrantExchange(
+        self.state = initial_state(settings, self._rng, self._connections, environment.interface)
+        self._gossip_port = GossipPort(Seal(fleet_key), self._receive_packet)
+        self._grant_exchange = GrantExchange(
             self.state, self._gossip_port.send, self._tasks, time.time_ns()
         )
-        self._spreading = Spreading(self.state, self._gossip_port, self._tasks)
-        self._platform = parts.platform
-        self._introduction = self._new_introduction()
+        self._announcer = Announcer(self.state, self._gossip_port, self._tasks)
+        self._platform = environment.platform
+        self._peer_discovery = self._new_peer_discovery()
         self._sync = self._new_sync()
-        self._restoring = PlatformRestorer(
+        self._platform_restorer = PlatformRestorer(
             self.state,
             self._platform,
-            self._introduction,
+            self._peer_discovery,
             self._rng,
-            fleet_key if parts.is_key_agreed else None,
+            fleet_key if environment.is_key_agreed else None,
         )
         self._authority = Authority(self.state, self._platform, self._interface.orders, self._rng)
-        served = PrometheusMetrics(settings.name)
-        self._metrics = metrics_of(settings, served)
-        self._records = _records_of(settings)
-        parts.client.configure(self.state.is_load_managed, self._metrics)
-        self._beliefs = StateRecorder(self.state, self._records)
-        self._notice_keeping = NoticeExchange(self.state, self._gossip_port.send)
+        prometheus_metrics = PrometheusMetrics(settings.name)
+        self._metrics = configured_metrics(settings, prometheus_metrics)
+        self._records = _configured_records(settings)
+        environment.client.configure(self.state.is_load_managed, self._metrics)
+        self._state_recorder = StateRecorder(self.state, self._records)
+        self._notice_exchange = NoticeExchange(self.state, self._gossip_port.send)
         upstreams = HttpUpstreams(
-            parts.client,
+            environment.client,
             self._interface.upstreams,
             self._metrics,
-            self._notice_keeping,
+            self._notice_exchange,
             self.state.held_bytes,
         )
-        self._crash_guarding = CrashEvidenceExchange(
+        self._crash_evidence = CrashEvidenceExchange(
             self.state,
             self._gossip_port.send,
             self._tasks,
@@ -122,10 +124,10 @@
             self.state.local_key_holder, self._answer_pull, self._token
         )
         self._peer_server: Server = self._peer_service.server()
-        self._figures = Figures(
-            self.state, self._callers, self._gossip_port, self._granting, self._platform
+        self._statistics = RouterStatistics(
+            self.state, self._callers, self._gossip_port, self._grant_exchange, self._platform
         )
-        self._levels = Levels(self._figures, self._metrics, served)
+        self._gauge_reporter = GaugeReporter(self._statistics, self._metrics, prometheus_metrics)
 
     async def run(self) -> None:
         """Serve until a signal asks to stop, then drain."""
@@ -137,27 +139,27 @@
         self.state.refresh_members()
         self._start_tasks()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        self._beliefs.record_process("serving", f"hall {self._settings.hall}")
+        self._state_recorder.record_process("serving", f"hall {self._settings.hall}")
         await stop.wait()
-        await self._new_stopping().run()
-        self._end()
+        await self._new_shutdown().run()
+        self._close()
         for number in STOP_SIGNALS:
             # From here on the loop no longer listens: a signal that comes again would kill.
             loop.remove_signal_handler(number)
             signal.signal(number, signal.SIG_IGN)
 
     def _start_tasks(self) -> None:
-        self._tasks.start(self._new_rounds().run())
+        self._tasks.start(self._new_periodic_jobs().run())
         self._tasks.start(self._sync.run())
-        self._tasks.start(self._restoring.run())
+        self._tasks.start(self._platform_restorer.run())
         polling = self._interface.poll_loads(self.state)
         if polling is not None:
             self._tasks.start(polling)
         self._tasks.start(self._authority.run())
-        self._tasks.start(self._levels.run())
+        self._tasks.start(self._gauge_reporter.run())
         self._tasks.start(self._watch_settings())
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         """End what the router runs and holds open to its peers."""
         self._tasks.cancel_all()
         self._connections.close_all()
@@ -169,12 +171,12 @@
             self._platform,
             self._interface.configuration(self._platform),
             self._pull,
-            self._spreading.spread,
+            self._announcer.announce,
             self._rng,
-            self._introduction,
+            self._peer_discovery,
         )
 
-    def _new_introduction(self) -> PeerDiscovery:
+    def _new_peer_discovery(self) -> PeerDiscovery:
         own = self._settings.peers
         address = None if self._interface.lists_vms else f"{own.host}:{own.port}"
         state = self.state
@@ -185,9 +187,9 @@
             CallerParts(
                 state=self.state,
                 ways=Collaborators(
-                    self._granting.entry,
+                    self._grant_exchange.entry,
                     upstreams,
-                    self._crash_guarding,
+                    self._crash_evidence,
                     PooledEngines(self.state, upstreams.is_pooled),
                 ),
                 limits=lambda: self._settings.limits,
@@ -208,21 +210,21 @@
             peer_tls=self._peer_tls,
             gossip_port=self._gossip_port,
             authority=self._authority,
-            crash_guarding=self._crash_guarding,
-            figures=self._figures,
+            crash_evidence=self._crash_evidence,
+            statistics=self._statistics,
             callers=self._callers,
-            limits=lambda: self._settings.limits,
-            metrics_text=self._levels.text,
+            caller_limits=lambda: self._settings.limits,
+            metrics_text=self._gauge_reporter.text,
         )
 
-    def _new_stopping(self) -> Stopping:
-        return Stopping(
+    def _new_shutdown(self) -> Shutdown:
+        return Shutdown(
             state=self.state,
             callers=self._callers,
             authority=self._authority,
-            granting=self._granting,
-            spreading=self._spreading,
-            beliefs=self._beliefs,
+            grant_exchange=self._grant_exchange,
+            announcer=self._announcer,
+            state_recorder=self._state_recorder,
             settings=lambda: self._settings,
         )
 
@@ -230,45 +232,45 @@
 
     async def _pull(self, member: Member, configuration: int, upstreams: int) -> PullReply | None:
         takes_difference = not self.state.needs_snapshot
-        peer = self._connections.to(member)
+        peer = self._connections.connection_to(member)
         reply = await peer.pull(configuration, upstreams, takes_difference)
         if reply is None:
             self.state.note_unreachable(member.name)
         return reply
 
-    def _answer_pull(self, asked: PullRequest) -> PullReply:
+    def _answer_pull(self, request: PullRequest) -> PullReply:
         return PullReply(
-            self.state.update_since(asked.configuration, asked.takes_difference),
-            self.state.upstreams_since(asked.upstreams),
+            self.state.update_since(request.configuration, request.takes_difference),
+            self.state.upstreams_since(request.upstreams),
             self.state.halls.evacuations.as_update(),
         )
 
-    def _receive(self, payload: bytes, source: Address) -> list[Any]:
+    def _receive_packet(self, payload: bytes, source: Address) -> list[Any]:
         if payload.startswith(GRANT_PACKET_PREFIX):
-            self._granting.receive(payload[len(GRANT_PACKET_PREFIX) :], source)
+            self._grant_exchange.receive(payload[len(GRANT_PACKET_PREFIX) :], source)
             return []
         if payload.startswith(CRASH_PACKET_PREFIX):
-            self._crash_guarding.receive(payload[len(CRASH_PACKET_PREFIX) :])
+            self._crash_evidence.receive(payload[len(CRASH_PACKET_PREFIX) :])
             return []
         if payload.startswith(NOTICE_PACKET_PREFIX):
-            self._notice_keeping.receive(payload[len(NOTICE_PACKET_PREFIX) :])
+            self._notice_exchange.receive(payload[len(NOTICE_PACKET_PREFIX) :])
             return []
-        answers = self.state.gossip.receive(payload, source, self.state.clock())
+        replies = self.state.gossip.receive(payload, source, self.state.clock())
         self.state.refresh_members()
-        self._granting.follow_members()
+        self._grant_exchange.follow_members()
         if self.state.gossip.routers_ahead():
             self._tasks.start(self._sync.on_peer_ahead())
-        return answers
+        return replies
 
-    def _new_rounds(self) -> Rounds:
+    def _new_periodic_jobs(self) -> PeriodicJobs:
         state, send = self.state, self._gossip_port.send
-        return Rounds(
+        return PeriodicJobs(
             {
                 "state": state.tick,
-                "beliefs": self._beliefs.record_changes,
-                "grants": self._granting.tick,
-                "crashes": self._crash_guarding.tick,
-                "notices": self._notice_keeping.tick,
+                "beliefs": self._state_recorder.record_changes,
+                "grants": self._grant_exchange.tick,
+                "crashes": self._crash_evidence.tick,
+                "notices": self._notice_exchange.tick,
                 "connections": lambda: self._connections.close_gone(state.gossip.is_gone),
                 "gossip": lambda: send(state.gossip.tick(state.clock())),
                 "limits": lambda: send(state.limits.tick(state.clock())),
@@ -282,19 +284,19 @@
     async def _watch_settings(self) -> None:
         """Look at the settings file now and then: it may change without a signal."""
         while True:
-            await asyncio.sleep(SETTINGS_SECONDS)
-            if self._settings_file.changed():
+            await asyncio.sleep(SETTINGS_CHECK_SECONDS)
+            if self._settings_file.has_changed():
                 self._reload()
 
     def _reload(self) -> None:
         """Put changed settings in force as far as a running router can."""
-        reloaded = self._settings_file.reloaded(self._settings)
+        reloaded = self._settings_file.reload(self._settings)
         if reloaded is not None:
             self._settings = reloaded
-            self._beliefs.record_process("serving", "settings were read anew")
+            self._state_recorder.record_process("serving", "settings were read anew")
 
 
-def _records_of(settings: Settings) -> Records:
+def _configured_records(settings: Settings) -> Records:
     """Return where decisions are recorded: as lines for machines, else in the log."""
     if settings.log.form == "lines":
         return LineRecords(settings.name)
@@ -303,7 +305,7 @@
 
 async def serve(settings: Settings, reactor: Any, path: Path) -> None:
     """Run a router until it is asked to stop; ``path`` is where its settings are kept."""
-    process = RouterProcess(settings, reactor, await surroundings_of(settings, reactor), path)
+    process = RouterProcess(settings, reactor, await build_environment(settings, reactor), path)
     enable_garbage_collection()
     await process.run()
     STANDARD_OUTPUT.flush()
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_router_statistics.py
@@ -12,18 +12,18 @@
 from pondhatch.transport import Callers, GossipPort
 
 
-class Figures(msgspec.Struct, frozen=True):
+class RouterStatistics(msgspec.Struct, frozen=True):
     """Reads the numbers from a router's parts."""
 
     state: RouterState
     callers: Callers
     gossip_port: GossipPort
-    granting: GrantExchange
+    grant_exchange: GrantExchange
     platform: Platform
     #: When the router started, in seconds of the monotonic clock.
-    started: float = msgspec.field(default_factory=time.monotonic)
+    started_at: float = msgspec.field(default_factory=time.monotonic)
 
-    def levels(self) -> dict[str, int]:
+    def gauges(self) -> dict[str, int]:
         """Return what statsd is told now and then, by metric."""
         notices = self.state.notices.current(self.state.clock()).values()
         return {
@@ -46,7 +46,7 @@
                 list(self.state.suspects.quarantined_digests(self.state.clock()))
             ),
             "chats.spilled": len(self.state.spill_locations.engine_by_chat),
-            "queue.refused-in-vain": self.granting.owner.wrongly_refused,
+            "queue.refused-in-vain": self.grant_exchange.owner.wrongly_refused,
             "control.bytes_sent": self.gossip_port.bytes_sent,
             "control.bytes_received": self.gossip_port.bytes_received,
         }
@@ -54,13 +54,13 @@
     def counters(self) -> dict[str, Any]:
         """Return the counters that stand in the state dump."""
         return {
-            "uptime_seconds": round(time.monotonic() - self.started, 3),
+            "uptime_seconds": round(time.monotonic() - self.started_at, 3),
             "requests_in_flight": self.callers.in_flight,
             "gossip_bytes_sent": self.gossip_port.bytes_sent,
             "gossip_bytes_received": self.gossip_port.bytes_received,
-            "grant_packets": self.granting.packet_count,
-            "grants_held": len(self.granting.entry.held_by_number),
-            "grants_given": len(self.granting.owner.leases.by_holder),
+            "grant_packets": self.grant_exchange.packet_count,
+            "grants_held": len(self.grant_exchange.entry.held_by_number),
+            "grants_given": len(self.grant_exchange.owner.leases.by_holder),
             "gossip_unsealed": self.gossip_port.unsealed,
             "platform_calls": getattr(self.platform, "calls", 0),
         }
--- a/pondhatch/cli/_run_command.py
+++ b/pondhatch/cli/_run_command.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from pondhatch._early_port import OPTION
+from pondhatch._early_port import LISTEN_OPTION
 from pondhatch.cli._event_loop import run_on_reactor
 from pondhatch.cli._reports import EXIT_DONE
 from pondhatch.configuration import ConfigurationError, Problem, Settings, load_settings
@@ -39,7 +39,7 @@
     """Raise ConfigurationError where the port opened early is not the callers' one."""
     callers = loaded.callers
     if host_and_port(listen) != (callers.host, callers.port):
-        expected = f"expected the address given by {OPTION}, {listen!r}"
+        expected = f"expected the address given by {LISTEN_OPTION}, {listen!r}"
         found = f"found {callers.host}:{callers.port}"
         raise ConfigurationError(
             (Problem(str(settings), 0, "callers.address", f"{expected}, {found}"),)
--- a/pondhatch/cli/_settings_file.py
+++ b/pondhatch/cli/_settings_file.py
@@ -12,7 +12,7 @@
 log = log_for("settings")
 
 #: Settings that a running router can take in; the others hold from its next start.
-RELOADED = ("limits", "drain", "drain_seconds")
+RELOADABLE = ("limits", "drain", "drain_seconds")
 
 
 class SettingsFile:
@@ -20,28 +20,28 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._seen = self._content()
+        self._last_content = self._read_content()
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Return whether the file holds something else than when it was last read."""
-        return self._content() != self._seen
+        return self._read_content() != self._last_content
 
-    def reloaded(self, in_force: Settings) -> Settings | None:
+    def reload(self, current: Settings) -> Settings | None:
         """Return the settings in force with what changed; None where the file is wrong."""
-        self._seen = self._content()
+        self._last_content = self._read_content()
         try:
             read = load_settings(self._path)
         except ConfigurationError as error:
             for problem in error.problems:
                 log.error("Settings not reloaded: {}.", problem)
             return None
-        taken = {name: getattr(read, name) for name in RELOADED}
-        reloaded = replace(in_force, **taken)
-        waiting = [] if reloaded == read else ["others hold from the next start"]
-        log.info("Settings reloaded{}.", "".join(f"; {each}" for each in waiting))
+        reloadable = {name: getattr(read, name) for name in RELOADABLE}
+        reloaded = replace(current, **reloadable)
+        notes = [] if reloaded == read else ["others hold from the next start"]
+        log.info("Settings reloaded{}.", "".join(f"; {each}" for each in notes))
         return reloaded
 
-    def _content(self) -> bytes:
+    def _read_content(self) -> bytes:
         try:
             return self._path.read_bytes()
         except OSError as error:
--- a/pondhatch/cli/_stopping.py
+++ b/pondhatch/cli/_shutdown.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondhatch.cli._spreading import Spreading
+from pondhatch.cli._announcer import Announcer
 from pondhatch.configuration import Settings
 from pondhatch.membership import Phase
 from pondhatch.requests import HOLDERS_PER_KEY
@@ -16,23 +16,23 @@
 from pondhatch.transport import Callers
 
 #: Seconds between looks at what still runs while draining.
-DRAIN_STEP = 0.05
+POLL_SECONDS = 0.05
 #: Seconds that a stopping router tries to give its leases up; a platform that is out
 #: makes the next router wait for them to lapse.
 STEP_DOWN_SECONDS = 3.0
 #: Seconds for which a draining router goes on being reachable, so that all hear of it.
-DRAIN_NOTICE = 1.0
+MIN_ACCEPT_SECONDS = 1.0
 
 
-class Stopping(msgspec.Struct, frozen=True):
+class Shutdown(msgspec.Struct, frozen=True):
     """Takes a router out of its fleet, so that nothing it holds is lost."""
 
     state: RouterState
     callers: Callers
     authority: Authority
-    granting: GrantExchange
-    spreading: Spreading
-    beliefs: StateRecorder
+    grant_exchange: GrantExchange
+    announcer: Announcer
+    state_recorder: StateRecorder
     #: The settings now in force.
     settings: Callable[[], Settings]
 
@@ -40,31 +40,31 @@
         """Leave the fleet; the caller then ends the router's tasks and closes its ports."""
         await self._drain()
         await self._step_down()
-        self._note("stopping")
+        self._record_phase("stopping")
         await self._hand_over_keys()
         self.state.phase = Phase.LEFT
-        self._announce()
+        self._announce_phase()
 
     async def _drain(self) -> None:
         """Have callers go elsewhere and wait, for a time, until no request is in flight."""
-        self._note("draining")
+        self._record_phase("draining")
         self.state.phase = Phase.DRAINING
-        self._announce()
-        begun = time.monotonic()
+        self._announce_phase()
+        started_at = time.monotonic()
         drain = self.settings().drain
-        await asyncio.sleep(max(DRAIN_NOTICE, drain.accept_seconds))
+        await asyncio.sleep(max(MIN_ACCEPT_SECONDS, drain.accept_seconds))
         self.callers.takes_work = False
         whole = drain.whole_seconds
         seconds = self.settings().drain_seconds if whole is None else whole
-        deadline = begun + seconds
+        deadline = started_at + seconds
         while self.callers.in_flight > 0 and time.monotonic() < deadline:
-            await asyncio.sleep(DRAIN_STEP)
+            await asyncio.sleep(POLL_SECONDS)
 
     async def _step_down(self) -> None:
         """Give the leases of services up, so that the next router need not wait for them."""
         deadline = time.monotonic() + STEP_DOWN_SECONDS
         while self.authority.holds_any_lease() and time.monotonic() < deadline:
-            await asyncio.sleep(DRAIN_STEP)
+            await asyncio.sleep(POLL_SECONDS)
 
     async def _hand_over_keys(self) -> None:
         """Give the keys held here to those who hold them from now on."""
@@ -74,11 +74,11 @@
                 if holder is not None:
                     await holder.settle(key, record)
 
-    def _note(self, now: str) -> None:
-        self.beliefs.record_process(now, f"{self.callers.in_flight} requests in flight")
+    def _record_phase(self, now: str) -> None:
+        self.state_recorder.record_process(now, f"{self.callers.in_flight} requests in flight")
 
-    def _announce(self) -> None:
+    def _announce_phase(self) -> None:
         """Tell peers of this router's phase."""
         self.state.refresh_members()
-        self.granting.follow_members()
-        self.spreading.spread()
+        self.grant_exchange.follow_members()
+        self.announcer.announce()
--- a/pondhatch/cli/_view_commands.py
+++ b/pondhatch/cli/_view_commands.py
@@ -5,7 +5,7 @@
 import sys
 import time
 
-from pondhatch.cli._platform_work import run_on_fleet
+from pondhatch.cli._configuration_task import run_with_configuration
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT
 from pondhatch.configuration import FleetConfiguration
 from pondhatch.store import Platform
@@ -28,7 +28,7 @@
             return EXIT_INPUT
         return EXIT_DONE
 
-    return run_on_fleet(platform, work)
+    return run_with_configuration(platform, work)
 
 
 def history(*, platform: str) -> int:
@@ -44,4 +44,4 @@
             print(f"{change.version}  {at} UTC  {change.author}  {change.note or '-'}: {what}")
         return EXIT_DONE
 
-    return run_on_fleet(platform, work)
+    return run_with_configuration(platform, work)
--- a/pondhatch/cli/tests/test_early_port.py
+++ b/pondhatch/cli/tests/test_early_port.py
@@ -21,7 +21,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from pondhatch._early_port import OPTION, _opened_by_address, open_early, take_early
+from pondhatch._early_port import LISTEN_OPTION, _opened_by_address, open_early, take_early
 from pondhatch.cli import main
 from pondhatch.cli._ports import listen_to_callers
 from pondhatch.cli._reports import EXIT_INPUT
@@ -54,9 +54,9 @@
         for address in tuple(_opened_by_address):
             _opened_by_address.pop(address).close()
 
-    def test_who_connects_before_a_router_is_loaded_is_served_by_it(self) -> None:
+    def test_a_caller_that_connects_before_the_router_is_loaded_is_served(self) -> None:
         port = free_port()
-        open_early(["run", "router.yaml", OPTION, f"{HOST}:{port}"])
+        open_early(["run", "router.yaml", LISTEN_OPTION, f"{HOST}:{port}"])
         caller = self.enterContext(socket.create_connection((HOST, port), 1.0))
         caller.sendall(b"GET / HTTP/1.1\r\n\r\n")
         reactor = SelectReactor()  # Never run, so it accepts only what it is told to.
@@ -67,37 +67,42 @@
         self.assertEqual(len(reactor.getReaders()), before + 1)
         self.assertIsNone(take_early(HOST, port))
 
-    def test_a_port_that_is_taken_is_left_to_whoever_opens_the_others(self) -> None:
+    def test_an_occupied_port_is_not_opened_early(self) -> None:
         with socket.create_server((HOST, 0)) as taken:
             port = taken.getsockname()[1]
-            open_early(["run", "router.yaml", OPTION, f"{HOST}:{port}"])
+            open_early(["run", "router.yaml", LISTEN_OPTION, f"{HOST}:{port}"])
         self.assertIsNone(take_early(HOST, port))
 
-    def test_what_names_no_port_opens_none(self) -> None:
-        for words in ([], ["run", "x"], ["run", "x", OPTION], ["check", "x", OPTION, f"{HOST}:1"]):
-            with self.subTest(words=words):
-                open_early(words)
-        open_early(["run", "x", OPTION, "nowhere"])
-        open_early(["run", "x", OPTION, f"{HOST}:99999"])
+    def test_arguments_without_a_valid_port_open_none(self) -> None:
+        for arguments in (
+            [],
+            ["run", "x"],
+            ["run", "x", LISTEN_OPTION],
+            ["check", "x", LISTEN_OPTION, f"{HOST}:1"],
+        ):
+            with self.subTest(words=arguments):
+                open_early(arguments)
+        open_early(["run", "x", LISTEN_OPTION, "nowhere"])
+        open_early(["run", "x", LISTEN_OPTION, f"{HOST}:99999"])
         self.assertIsNone(take_early(HOST, 1))
 
-    def test_another_address_than_the_settings_say_is_an_error_that_names_both(self) -> None:
+    def test_an_address_that_differs_from_the_settings_is_an_error_that_names_both(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "router.yaml"
             path.write_text(SETTINGS.format(port=7001))
-            told = io.StringIO()
-            with contextlib.redirect_stderr(told):
-                code = main(["run", str(path), OPTION, "127.0.0.1:0"])
+            stderr = io.StringIO()
+            with contextlib.redirect_stderr(stderr):
+                code = main(["run", str(path), LISTEN_OPTION, "127.0.0.1:0"])
         self.assertEqual(code, EXIT_INPUT)
-        self.assertIn("127.0.0.1:0", told.getvalue())
-        self.assertIn("127.0.0.1:7001", told.getvalue())
+        self.assertIn("127.0.0.1:0", stderr.getvalue())
+        self.assertIn("127.0.0.1:7001", stderr.getvalue())
 
-    def test_it_is_open_before_the_program_is_loaded(self) -> None:
+    def test_the_port_is_open_before_the_program_is_loaded(self) -> None:
         """Loading ends in an error here; the connection came up before it began."""
         port = free_port()
         script = (
             "import socket, sys\n"
-            f"sys.argv = ['pondhatch', 'run', 'x', '{OPTION}', '{HOST}:{port}']\n"
+            f"sys.argv = ['pondhatch', 'run', 'x', '{LISTEN_OPTION}', '{HOST}:{port}']\n"
             "class Hook:\n"
             "    def find_spec(self, name, path=None, target=None):\n"
             "        if name == 'pondhatch.cli':\n"
@@ -107,5 +112,5 @@
             "import runpy\n"
             "runpy.run_module('pondhatch')\n"
         )
-        ended = subprocess.run([sys.executable, "-c", script], check=False, timeout=30)
-        self.assertEqual(ended.returncode, 7)
+        finished = subprocess.run([sys.executable, "-c", script], check=False, timeout=30)
+        self.assertEqual(finished.returncode, 7)
--- a/pondhatch/cli/tests/test_explain_command.py
+++ b/pondhatch/cli/tests/test_explain_command.py
@@ -29,17 +29,17 @@
             code = main(["explain", *arguments])
         return code, out.getvalue(), err.getvalue()
 
-    def test_a_story_in_sentences(self) -> None:
+    def test_a_story_is_printed_as_sentences(self) -> None:
         code, out, _ = self.run_with("9c41", str(self.file))
         self.assertEqual(code, EXIT_DONE)
         self.assertIn("00:00:02.500  r0: request 9c41 of pina for lang", out)
         self.assertIn("since 00:00:01.000: configuration is in force as of 7", out)
 
-    def test_a_story_as_json(self) -> None:
+    def test_a_story_is_printed_as_json(self) -> None:
         code, out, _ = self.run_with("9c41", str(self.file), "--json")
         self.assertEqual((code, json.loads(out)["name"]), (EXIT_DONE, "9c41"))
 
-    def test_what_no_line_tells_of_and_a_file_that_is_not_there(self) -> None:
+    def test_an_unknown_name_and_a_missing_file_are_input_errors(self) -> None:
         code, _, err = self.run_with("another", str(self.file))
         self.assertEqual(code, EXIT_INPUT)
         self.assertIn("nothing is said of 'another' in 1 files (2 lines, 0 others)", err)
--- a/pondhatch/cli/tests/test_hall_commands.py
+++ b/pondhatch/cli/tests/test_hall_commands.py
@@ -23,48 +23,48 @@
     async def run_command(
         self, hall: str, in_force: bool = True, dry_run: bool = False
     ) -> tuple[int, str]:
-        told = io.StringIO()
-        with contextlib.redirect_stdout(told), contextlib.redirect_stderr(told):
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
             code = await set_evacuation(self.platform, hall, in_force, dry_run)
-        return code, told.getvalue()
+        return code, output.getvalue()
 
-    async def halls(self) -> frozenset[str]:
+    async def evacuated_halls(self) -> frozenset[str]:
         listed = await self.platform.list(EVACUATION_KIND)
         assert isinstance(listed, Listed)
-        known = Evacuations()
-        known.apply_listing(listed, 0.0)
-        return known.halls
+        evacuations = Evacuations()
+        evacuations.apply_listing(listed, 0.0)
+        return evacuations.halls
 
-    async def test_it_is_shown_what_is_left_and_then_written(self) -> None:
-        code, told = await self.run_command("h1")
-        self.assertEqual((code, await self.halls()), (EXIT_DONE, {"h1"}))
-        self.assertIn("lang: 2 upstreams get nothing more, 1 carry it", told)
+    async def test_an_evacuation_shows_what_is_left_and_is_written(self) -> None:
+        code, output = await self.run_command("h1")
+        self.assertEqual((code, await self.evacuated_halls()), (EXIT_DONE, {"h1"}))
+        self.assertIn("lang: 2 upstreams get nothing more, 1 carry it", output)
 
-    async def test_who_is_left_with_nobody_is_told(self) -> None:
+    async def test_a_service_left_without_upstreams_is_shown(self) -> None:
         await self.run_command("h1")
-        _, told = await self.run_command("h2")
-        self.assertIn("lang: nobody is left", told)
+        _, output = await self.run_command("h2")
+        self.assertIn("lang: nobody is left", output)
 
     async def test_a_dry_run_writes_nothing(self) -> None:
-        code, told = await self.run_command("h1", dry_run=True)
-        self.assertEqual((code, await self.halls()), (EXIT_DONE, frozenset()))
-        self.assertIn("h1 is evacuated", told)
+        code, output = await self.run_command("h1", dry_run=True)
+        self.assertEqual((code, await self.evacuated_halls()), (EXIT_DONE, frozenset()))
+        self.assertIn("h1 is evacuated", output)
 
-    async def test_its_end_is_written_in_the_same_place(self) -> None:
+    async def test_reopening_a_hall_updates_the_same_object(self) -> None:
         await self.run_command("h1")
-        code, told = await self.run_command("h1", in_force=False)
-        self.assertEqual((code, await self.halls()), (EXIT_DONE, frozenset()))
-        self.assertIn("2 upstreams are used again, 3 carry it", told)
+        code, output = await self.run_command("h1", in_force=False)
+        self.assertEqual((code, await self.evacuated_halls()), (EXIT_DONE, frozenset()))
+        self.assertIn("2 upstreams are used again, 3 carry it", output)
         found = await self.platform.list(EVACUATION_KIND)
         assert isinstance(found, Listed)
         self.assertEqual([each.value for each in found.objects], [{IN_FORCE: False}])
 
-    async def test_a_hall_that_nobody_knows_is_refused(self) -> None:
-        code, told = await self.run_command("h9")
-        self.assertEqual((code, await self.halls()), (EXIT_INPUT, frozenset()))
-        self.assertIn("HALL: no upstream stands in 'h9'; expected one of: h1, h2", told)
+    async def test_a_hall_without_upstreams_is_refused(self) -> None:
+        code, output = await self.run_command("h9")
+        self.assertEqual((code, await self.evacuated_halls()), (EXIT_INPUT, frozenset()))
+        self.assertIn("HALL: no upstream stands in 'h9'; expected one of: h1, h2", output)
 
-    async def test_a_platform_that_is_away_is_told_from_an_answer_that_is_lost(self) -> None:
+    async def test_an_unreachable_platform_and_a_lost_reply_have_different_exit_codes(self) -> None:
         self.platform.faults.arm("outage", 1)
         self.assertEqual((await self.run_command("h1"))[0], EXIT_UNREACHABLE)
         self.platform.faults.arm("lost-answer", 1)
--- a/pondhatch/cli/tests/test_rounds.py
+++ b/pondhatch/cli/tests/test_periodic_jobs.py
@@ -8,16 +8,16 @@
 from loguru import logger
 
 from fakes._virtual_loop import run_virtually
-from pondhatch.cli._rounds import ROUND_SECONDS, Rounds
+from pondhatch.cli._periodic_jobs import ROUND_SECONDS, PeriodicJobs
 from pondhatch.cli._router_process import RouterProcess
 
 #: Calls of a round, each a part of its own.
-PARTS = (
+JOBS = (
     "state.tick",
-    "_beliefs.look",
-    "_granting.tick",
-    "_crash_guarding.tick",
-    "_notice_keeping.tick",
+    "_state_recorder.record_changes",
+    "_grant_exchange.tick",
+    "_crash_evidence.tick",
+    "_notice_exchange.tick",
     "_connections.close_gone",
     "state.gossip.tick",
     "state.limits.tick",
@@ -26,7 +26,7 @@
 RUN_SECONDS = 5.0
 
 
-class RoundsTest(unittest.TestCase):
+class FailingJobTest(unittest.TestCase):
     def setUp(self) -> None:
         self.lines: list[str] = []
         number = logger.add(self.lines.append, level="ERROR", format="{message}")
@@ -38,27 +38,27 @@
         process: Any = RouterProcess.__new__(RouterProcess)
         process.state = parts.state
         for name in (
-            "_beliefs",
-            "_granting",
-            "_crash_guarding",
-            "_notice_keeping",
+            "_state_recorder",
+            "_grant_exchange",
+            "_crash_evidence",
+            "_notice_exchange",
             "_connections",
             "_gossip_port",
         ):
             setattr(process, name, getattr(parts, name))
-        _part(parts, failing).side_effect = ValueError(f"in {failing}")
+        _nested_attribute(parts, failing).side_effect = ValueError(f"in {failing}")
 
         async def main() -> None:
             parts.state.clock = asyncio.get_running_loop().time
-            task = asyncio.ensure_future(process._new_rounds().run())
+            task = asyncio.ensure_future(process._new_periodic_jobs().run())
             await asyncio.sleep(RUN_SECONDS)
             task.cancel()
 
         run_virtually(main())
-        return {name: _part(parts, name).call_count for name in PARTS}
+        return {name: _nested_attribute(parts, name).call_count for name in JOBS}
 
-    def test_a_part_that_fails_keeps_no_other_from_running(self) -> None:
-        for failing in PARTS:
+    def test_a_failing_job_does_not_stop_the_others(self) -> None:
+        for failing in JOBS:
             with self.subTest(failing=failing):
                 self.lines.clear()
                 counts = self.run_with(failing)
@@ -67,13 +67,13 @@
                 self.assertIn(f"in {failing}", self.lines[0])
 
 
-class TurnsTest(unittest.TestCase):
+class LoopTurnsTest(unittest.TestCase):
     def test_a_round_is_one_turn_of_the_loop(self) -> None:
         async def main() -> tuple[int, int]:
             loop: Any = asyncio.get_running_loop()
-            rounds = Rounds({"counted": lambda: None}, loop.time)
+            jobs = PeriodicJobs({"counted": lambda: None}, loop.time)
             with mock.patch.object(loop, "_run_once", wraps=loop._run_once) as turns:
-                task = asyncio.ensure_future(rounds.run())
+                task = asyncio.ensure_future(jobs.run())
                 await asyncio.sleep(RUN_SECONDS)
                 task.cancel()
             return turns.call_count, round(RUN_SECONDS / ROUND_SECONDS)
@@ -83,7 +83,7 @@
         self.assertLess(turns, rounds + 10)
 
 
-def _part(parts: Any, name: str) -> Any:
+def _nested_attribute(parts: Any, name: str) -> Any:
     for each in name.split("."):
         parts = getattr(parts, each)
     return parts
--- a/pondhatch/cli/tests/test_ports.py
+++ b/pondhatch/cli/tests/test_ports.py
@@ -14,17 +14,17 @@
 
 HOST = "127.0.0.1"
 #: Callers who come back at once: far over twisted's own queue of 50.
-HERD = 500
+CALLERS = 500
 #: Seconds for one to connect. One that finds the queue full has its opening packet dropped,
 #: and is still waiting then.
-CONNECTED_WITHIN = 3.0
+CONNECT_TIMEOUT = 3.0
 
 
 class BacklogTest(unittest.TestCase):
-    def test_a_herd_of_callers_is_taken_while_the_loop_is_busy(self) -> None:
+    def test_many_callers_can_connect_while_the_loop_is_busy(self) -> None:
         reactor = SelectReactor()  # Never run, so it accepts nothing.
         port = listen_to_callers(reactor, CallerEndpoint(HOST), Site(Resource()))
         self.addCleanup(port.stopListening)
         address = (HOST, port.getHost().port)
-        for _ in range(HERD):
-            self.enterContext(socket.create_connection(address, CONNECTED_WITHIN))
+        for _ in range(CALLERS):
+            self.enterContext(socket.create_connection(address, CONNECT_TIMEOUT))
--- a/pondhatch/cli/tests/test_spare_descriptors.py
+++ b/pondhatch/cli/tests/test_spare_descriptors.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from pondhatch.cli import _ports
-from pondhatch.cli._ports import ASK_AGAIN_SECONDS, SPARE_DESCRIPTORS, SpareDescriptors
+from pondhatch.cli._ports import RECHECK_SECONDS, SPARE_DESCRIPTORS, SpareDescriptors
 
 
 class SpareDescriptorsTest(unittest.TestCase):
@@ -22,28 +22,28 @@
         self.can_open = can_open.start()
         self.addCleanup(can_open.stop)
 
-    def asked(self, times: int) -> int:
+    def count_checks(self, times: int) -> int:
         """Ask some times; return how often the system was asked."""
         before = self.can_open.call_count
         for _ in range(times):
-            self.spare.are_there()
+            self.spare.are_available()
         return self.can_open.call_count - before
 
-    def test_the_systems_word_holds_for_a_while(self) -> None:
-        self.assertEqual(self.asked(10), 1)
-        self.now = ASK_AGAIN_SECONDS
-        self.assertEqual(self.asked(10), 1)
+    def test_a_check_is_valid_for_a_while(self) -> None:
+        self.assertEqual(self.count_checks(10), 1)
+        self.now = RECHECK_SECONDS
+        self.assertEqual(self.count_checks(10), 1)
 
-    def test_it_is_asked_before_half_of_what_it_granted_is_taken(self) -> None:
-        self.asked(1)
+    def test_descriptors_are_checked_again_once_half_may_be_used(self) -> None:
+        self.count_checks(1)
         self.connections = SPARE_DESCRIPTORS // 2 - 1
-        self.assertEqual(self.asked(1), 0)
+        self.assertEqual(self.count_checks(1), 0)
         self.connections = SPARE_DESCRIPTORS // 2
-        self.assertEqual(self.asked(1), 1)
+        self.assertEqual(self.count_checks(1), 1)
 
-    def test_a_no_is_asked_again_each_time(self) -> None:
+    def test_a_failed_check_is_repeated_on_each_request(self) -> None:
         self.can_open.return_value = False
-        self.assertEqual(self.asked(3), 3)
-        self.assertFalse(self.spare.are_there())
+        self.assertEqual(self.count_checks(3), 3)
+        self.assertFalse(self.spare.are_available())
         self.can_open.return_value = True
-        self.assertTrue(self.spare.are_there())
+        self.assertTrue(self.spare.are_available())
--- a/pondhatch/transport/tests/test_silent_peers.py
+++ b/pondhatch/transport/tests/test_silent_peers.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from fakes._silent_relay import HOST, SilentRelay
-from pondhatch.cli._ports import listening
+from pondhatch.cli._ports import listen_to_peers
 from pondhatch.configuration import Update
 from pondhatch.membership import Address
 from pondhatch.requests import KeyRecord, NewKey
@@ -34,7 +34,7 @@
 
 class AcceptedTest(unittest.TestCase):
     def test_silence_shows_on_the_side_that_accepted_too(self) -> None:
-        listener = self.enterContext(listening(HOST, 0))
+        listener = self.enterContext(listen_to_peers(HOST, 0))
         self.enterContext(socket.create_connection(listener.getsockname()))
         near = self.enterContext(listener.accept()[0])
         found = [near.getsockopt(level, option) for level, option, _ in OPTIONS]
@@ -45,7 +45,7 @@
     async def asyncSetUp(self) -> None:
         keys: Any = NoKeys()
         server = PeerService(keys, lambda _: NOTHING_NEW, "token").server()
-        listener = listening(HOST, 0)
+        listener = listen_to_peers(HOST, 0)
         await server.start(sock=listener)
         self.addCleanup(server.close)
         port: int = listener.getsockname()[1]
