--- a/pondhatch/cli/_environment.py
+++ b/pondhatch/cli/_environment.py
@@ -48,8 +48,8 @@
     package = PACKAGE_BY_INTERFACE.get(settings.interface)
     if package is not None:
         importlib.import_module(package)
-    dependencies = {HttpClient: client, ServiceDefaults: settings.service_defaults}
-    return cast(Interface, REGISTRY.build(INTERFACE, settings.interface, dependencies))
+    views = {HttpClient: client, ServiceDefaults: settings.service_defaults}
+    return cast(Interface, REGISTRY.build(INTERFACE, settings.interface, views))
 
 
 async def _obtain_agreed_key(platform: Platform) -> bytes:
