--- a/pondhatch/observing/__init__.py
+++ b/pondhatch/observing/__init__.py
@@ -1,4 +1,4 @@
-"""Observing: logs and metrics."""
+"""Observing: logs, metrics and records of what a router decides."""
 
 from pondhatch.observing._line_writer import STANDARD_OUTPUT, LineWriter
 from pondhatch.observing._log_once import LogOnce
--- a/pondhatch/observing/_line_writer.py
+++ b/pondhatch/observing/_line_writer.py
@@ -1,7 +1,8 @@
-"""Lines on standard output that never hold the process up.
+"""Writes lines to standard output without ever blocking the process.
 
-Lines wait in memory and are written a pipe's worth at a time, only where the reader has
-taken what came before. A reader that stops costs lines, which are counted, not requests.
+Lines are buffered in memory. They are written in chunks that fit a pipe, and only while the
+descriptor is writable. A reader that stops reading costs lines, which are counted, but never
+requests.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 import select
 from collections import deque
 
-#: Bytes that a pipe that reports itself writable takes without blocking (POSIX PIPE_BUF).
+#: Bytes that a pipe which is reported as writable accepts without blocking (POSIX PIPE_BUF).
 MAX_WRITE_BYTES = 4096
-#: Bytes of lines that wait for a slow reader; beyond them the oldest are dropped.
+#: Bytes of lines buffered for a slow reader; beyond them the oldest lines are dropped.
 MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class LineWriter:
-    """Writes lines to a file descriptor that may be slow."""
+    """Writes lines to a file descriptor whose reader may be slow."""
 
     def __init__(self, descriptor: int) -> None:
-        #: Lines dropped since the last that told of any.
+        #: Lines dropped since the last line that reported a number of dropped lines.
         self.dropped = 0
         self._descriptor = descriptor
         self._buffered: deque[bytes] = deque()
         self._buffered_bytes = 0
 
     def add(self, line: bytes) -> None:
-        """Take in a line, its newline left out."""
+        """Buffer a line, given without its newline."""
         self._buffered.append(line + b"\n")
         self._buffered_bytes += len(line) + 1
         while self._buffered_bytes > MAX_BUFFERED_BYTES:
@@ -35,13 +36,13 @@
             self.dropped += 1
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much as the descriptor accepts without blocking."""
         while self._buffered and self._is_writable():
             chunk = self._next_chunk()
             try:
                 os.write(self._descriptor, chunk)
             except OSError:
-                # The reader is gone for good; whoever started this process reads no logs.
+                # The reader closed its end, so nothing written from now on would be read.
                 self._buffered.clear()
                 self._buffered_bytes = 0
 
@@ -66,5 +67,5 @@
         return bool(writable)
 
 
-#: Lines of this process.
+#: The writer of this process to its standard output.
 STANDARD_OUTPUT = LineWriter(1)
--- a/pondhatch/observing/_log_once.py
+++ b/pondhatch/observing/_log_once.py
@@ -1,23 +1,23 @@
-"""Telling something once, however often it is come across."""
+"""Logs a condition once, however often it is found."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-#: Things remembered as told. More wrong entries than a fleet of that size has in all, at a
-#: hundred bytes each; beyond them the oldest is forgotten, and may be told again.
+#: Maximum of remembered keys, more than a fleet has invalid entries. Each takes about a hundred
+#: bytes. Beyond the maximum the oldest key is forgotten, so that it may be logged again.
 MAX_REMEMBERED = 4096
 
 
 class LogOnce:
-    """Remembers what was told, so that a log line does not come again with each reading."""
+    """Remembers what was logged, so that repeated reads of an entry do not log it again."""
 
     def __init__(self) -> None:
-        #: A dictionary and no set: it keeps the order in which things were told.
+        #: A dictionary used as a set that keeps the order of insertion.
         self._logged: dict[Hashable, None] = {}
 
     def is_first(self, key: Hashable) -> bool:
-        """Return whether this is to be told, and remember that it was."""
+        """Return whether this key is to be logged, and remember it as logged."""
         if key in self._logged:
             return False
         self._logged[key] = None
--- a/pondhatch/observing/_log_throttle.py
+++ b/pondhatch/observing/_log_throttle.py
@@ -6,14 +6,14 @@
 
 
 class LogThrottle(msgspec.Struct):
-    """Allows one log line in a while, however many requests give cause for it."""
+    """Allows one log line per interval, however many requests would cause one."""
 
-    #: Between two lines.
+    #: Seconds from one line to the next.
     seconds: float
     _allowed_at: float = float("-inf")
 
     def allows(self, now: float) -> bool:
-        """Return whether to write a line now; the next one is due some seconds later."""
+        """Return whether to write a line now, which starts a new interval if so."""
         if now - self._allowed_at < self.seconds:
             return False
         self._allowed_at = now
--- a/pondhatch/observing/_logs.py
+++ b/pondhatch/observing/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences behind the fixed prefix of each part."""
+"""Sets up the log: each message is a short sentence behind the name of the part that logs it."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 def setup_logs(form: str, level: str, process: str) -> None:
-    """Log: "text" to standard error for people, "lines" of JSON to standard output.
+    """Set up the log in a form: "text", "lines" or "json".
 
-    "json" writes loguru's own records, each with all that it knows, to standard error.
+    "text" writes sentences to standard error for people, "lines" writes one JSON object a line
+    to standard output, and "json" writes loguru's complete records to standard error.
     """
     logger.remove()
     logger.configure(extra={"part": "process", "process": process})
@@ -33,7 +34,7 @@
 
 
 def _add_line(message: Message) -> None:
-    """Write a sentence of a part as a line among the decisions."""
+    """Write a log message as a JSON line, among the lines of the records."""
     record = message.record
     line = {
         "at": round(record["time"].timestamp(), 3),
@@ -41,12 +42,12 @@
         "event": "log",
         "level": record["level"].name,
         "part": record["extra"]["part"],
-        # With the traceback of an error, where there is one.
+        # Includes the traceback of an error, where there is one.
         "text": str(message).rstrip(),
     }
     STANDARD_OUTPUT.add(msgspec.json.encode(line))
 
 
 def log_for(part: str) -> Logger:
-    """Return the logger of a part; the part's name stands before each sentence."""
+    """Return the logger of a part, which puts the part's name before each message."""
     return logger.bind(part=part)
--- a/pondhatch/observing/_metrics.py
+++ b/pondhatch/observing/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, and those that are sent to statsd over UDP. docs/OPERATIONS.md lists every name."""
+"""The interface of metrics, and the one to statsd. docs/OPERATIONS.md lists every name."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
         """Record a duration."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
 
 
 class NoMetrics:
-    """Used where no statsd is set."""
+    """Discards every measurement."""
 
     def count(self, name: str, by: int = 1) -> None:
         """Do nothing."""
@@ -32,7 +32,7 @@
 
 
 class CombinedMetrics:
-    """Hands each measure to several."""
+    """Passes each measurement to several backends."""
 
     def __init__(self, *backends: Metrics) -> None:
         self._backends = backends
@@ -48,16 +48,16 @@
             backend.timing(name, seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         for backend in self._backends:
             backend.gauge(name, value)
 
 
 class StatsdMetrics:
-    """Sends each measure as one datagram; a lost one is lost."""
+    """Sends each measurement to statsd as one UDP datagram, without retries."""
 
     def __init__(self, host: str, port: int, prefix: str) -> None:
-        from statsd import StatsClient  # Needed by those alone who have a statsd.
+        from statsd import StatsClient  # Only loaded where statsd is used.
 
         self._client = StatsClient(host=host, port=port, prefix=prefix)
 
@@ -66,9 +66,9 @@
         self._client.incr(name, by)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Record a duration; statsd counts in milliseconds."""
+        """Record a duration, which statsd expects in milliseconds."""
         self._client.timing(name, seconds * 1000)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         self._client.gauge(name, value)
--- a/pondhatch/observing/_prometheus_metrics.py
+++ b/pondhatch/observing/_prometheus_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics that a router keeps and tells as text to whoever asks, in Prometheus' format.
+"""Metrics that are kept in memory and rendered in Prometheus' text format on request.
 
-Names are made of those that the rest of pondhatch counts by: a counter ``requests.CODE`` is
-told as ``pondhatch_requests_total{outcome="CODE"}``, so that codes never make new names.
+Names are derived from the internal ones: the counter ``requests.CODE`` is exposed as
+``pondhatch_requests_total{outcome="CODE"}``, so that new codes do not create new names.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 
 import msgspec
 
-#: Upper bounds of the buckets of durations, in seconds: around the users' objectives of 0.2 to
-#: 0.6 s and their deadlines of 1 to 10 s.
+#: Upper bounds of the histogram buckets, in seconds: they resolve the users' latency objectives of
+#: 0.2 to 0.6 s and their deadlines of 1 to 10 s.
 BUCKET_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.5, 5.0, 10.0)
-#: Begins every name that is told.
+#: Prefix of every exposed name.
 NAME_PREFIX = "pondhatch_"
-#: Label that takes the last part of a counter's name, by the rest of it.
+#: Label whose value is the rest of a counter's name, by the name's first part.
 LABEL_BY_FAMILY = {"requests": "outcome", "refusals": "code", "headers_dropped": "kind"}
 
 
 class Histogram(msgspec.Struct):
-    """Durations by bucket."""
+    """A histogram of durations."""
 
-    #: One more than there are bounds: the last takes what is longer than all.
+    #: Count by bucket; the additional last bucket takes durations above all bounds.
     counts: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BUCKET_BOUNDS) + 1))
-    #: Seconds of all together.
+    #: Sum of all durations, in seconds.
     total: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Take in a duration."""
+        """Add a duration."""
         self.counts[bisect_left(BUCKET_BOUNDS, seconds)] += 1
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Return how many were at most as long as each bound."""
+        """Return the bounds as text, each with the number of durations up to it."""
         bounds = [*(str(bound) for bound in BUCKET_BOUNDS), "+Inf"]
         sums = (float(count) for count in accumulate(self.counts))
         return list(zip(bounds, sums, strict=True))
 
 
 class PrometheusMetrics(msgspec.Struct):
-    """See Metrics; keeps everything until it is asked for."""
+    """Keeps all measurements in memory and renders them as text; see Metrics."""
 
     router: str
     count_by_name: dict[str, int] = msgspec.field(default_factory=dict)
@@ -59,18 +59,18 @@
         self.histogram_by_name.setdefault(name, Histogram()).add(seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         self.gauge_by_name[name] = value
 
     def text(self) -> bytes:
-        """Return all metrics as text."""
-        from prometheus_client import generate_latest  # Not before somebody asks.
+        """Return all metrics in Prometheus' text format."""
+        from prometheus_client import generate_latest  # Only loaded on the first request.
 
         registry: Any = self
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Any]:
-        """Yield the families, as the library's registries do."""
+        """Yield the metric families, like a registry of prometheus_client."""
         yield from self._counters()
         yield from self._histograms()
         yield from self._gauges()
@@ -111,7 +111,7 @@
 
 
 def _exposed_name(name: str) -> str:
-    """Return the name under which a metric is told."""
+    """Return the name under which a metric is exposed."""
     return NAME_PREFIX + name.replace(".", "_").replace("-", "_")
 
 
--- a/pondhatch/observing/_records.py
+++ b/pondhatch/observing/_records.py
@@ -1,4 +1,4 @@
-"""Decisions as one line of JSON each: what was decided, from what, and the outcome."""
+"""Records of ended requests and of changes of state, written as one JSON object a line."""
 
 from __future__ import annotations
 
@@ -16,59 +16,59 @@
 class RequestEnded(
     msgspec.Struct, frozen=True, tag_field="event", tag="request", omit_defaults=True
 ):
-    """A request got its answer or its refusal."""
+    """A request ended, with an answer or a refusal."""
 
-    #: As the caller named it, else this router's name for it.
+    #: The caller's request id, else the one that this router gave it.
     id: str
     account: str
     service: str
-    #: How it ended: "whole", or the code of a refusal or a break.
+    #: "whole", or the code of the refusal or of the broken answer.
     outcome: str
-    #: Milliseconds from its head to the end.
+    #: Milliseconds from the request's headers to its end.
     ms: int
-    #: Key of the context that it shares with others, in hex; empty where it has none.
+    #: Key of the context that it shares with other requests, in hex; empty without one.
     context: str = ""
-    #: Version of the configuration that decided.
+    #: Version of the configuration under which it was routed.
     configuration: int = 0
     #: The upstream that answered.
     upstream: str = ""
     #: Requests in flight there when it was granted, this one included.
     in_flight: int = 0
-    #: The most that its owner would have granted then.
+    #: The upstream's ceiling at that time: the maximum of requests in flight that its owner grants.
     ceiling: int = 0
-    #: Upstreams that did not take it, each with why.
+    #: Upstreams that did not take it, each with the reason.
     passed_over: tuple[tuple[str, str], ...] = ()
-    #: Times that its stream went on at another upstream.
+    #: How often its stream was resumed at another upstream.
     resumes: int = 0
-    #: Milliseconds that it waited for words of engines' owners, lines included.
+    #: Milliseconds that it waited for replies of engines' owners, time in queues included.
     asking_ms: int = 0
-    #: Milliseconds from its head until an engine's answer began; 0 where none did.
+    #: Milliseconds from the request's headers until an engine's answer began; 0 where none did.
     placed_ms: int = 0
-    #: The longest pause between two parts of its answer, in milliseconds.
+    #: The longest pause between two chunks of its answer, in milliseconds.
     pause_ms: int = 0
-    #: Upstreams at which its run was cut, each with whether nothing listened there any more.
+    #: Upstreams at which its run was cut off, each with whether nothing listened there afterwards.
     cut_at: tuple[tuple[str, bool], ...] = ()
-    #: In hex, where a run was cut: alike in all attempts at the same request.
+    #: Digest of the request in hex, equal in all attempts at it; only set where a run was cut off.
     digest: str = ""
-    #: Milliseconds that it would have waited for a place, where it was refused for that.
+    #: Milliseconds that it would have waited for a slot, where it was refused because of that wait.
     predicted_ms: int = 0
 
 
 class StateChange(msgspec.Struct, frozen=True, tag_field="event", tag="belief", omit_defaults=True):
-    """What this router takes to be so has changed."""
+    """Something that this router knows about its fleet has changed."""
 
-    #: "configuration", "upstream", "health" (of an upstream), "notice" (what an upstream said of
-    #: itself in its answers), "hall" (whether it is evacuated),
-    #: "router", "platform", "process",
-    #: "request" (one under which engines ended) or "records" (of these, some were left out).
+    #: The kind of object: "configuration", "upstream", "health" (of an upstream), "notice" (what
+    #: an upstream reported of itself in its answers), "hall" (whether it is evacuated), "router",
+    #: "platform", "process", "request" (one during which engines ended) or "records" (some state
+    #: changes were left out).
     about: str
-    #: Which of them; empty where there is one only.
+    #: The name of the object; empty where there is only one of its kind.
     name: str
-    #: What it is now.
+    #: Its new state.
     now: str
-    #: The version of what it follows from.
+    #: The version of the data that the new state comes from; 0 without one.
     version: int = 0
-    #: What it was before, or what showed it.
+    #: The former state, or the evidence of the new one.
     why: str = ""
 
 
@@ -76,24 +76,24 @@
 
 
 class Records(Protocol):
-    """Takes decisions."""
+    """Receives records."""
 
     def write(self, record: Record) -> None:
-        """Take in one decision."""
+        """Write one record."""
 
 
 class NoRecords:
-    """Keeps none."""
+    """Discards every record."""
 
     def write(self, record: Record) -> None:
         """Do nothing."""
 
 
 class LoggedRecords:
-    """Writes changes of belief as sentences for people; requests are too many for them."""
+    """Logs state changes as sentences for people; ended requests are too many and left out."""
 
     def write(self, record: Record) -> None:
-        """Write one change."""
+        """Log a state change."""
         if isinstance(record, StateChange):
             _log.info("{}", _sentence(record))
 
@@ -106,7 +106,7 @@
 
 
 class LineRecords:
-    """Writes each decision as a line; see Records."""
+    """Writes each record as one line of JSON; see Records."""
 
     def __init__(self, process: str, lines: LineWriter = STANDARD_OUTPUT) -> None:
         self._prefix = b'{"at":%.3f,"router":' + msgspec.json.encode(process) + b","
@@ -114,6 +114,6 @@
         self._encoder = msgspec.json.Encoder()
 
     def write(self, record: Record) -> None:
-        """Write one decision."""
+        """Write one record, preceded by the time and the name of the router."""
         body = self._encoder.encode(record)
         self._lines.add(self._prefix % time.time() + body[1:])
--- a/pondhatch/observing/tests/test_prometheus_metrics.py
+++ b/pondhatch/observing/tests/test_prometheus_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics told as text."""
+"""Metrics rendered in Prometheus' text format."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         self.metrics = PrometheusMetrics("r0")
 
     def value_by_sample(self) -> dict[tuple[str, str], float]:
-        """Return the values by name and by the label that tells them apart."""
+        """Return the exposed values by sample name and by the label other than the router."""
         families = text_string_to_metric_families(self.metrics.text().decode())
         return {
             (sample.name, "".join(v for k, v in sample.labels.items() if k != "router")): value
