--- a/pondhatch/__init__.py
+++ b/pondhatch/__init__.py
@@ -1,7 +1,7 @@
-"""Pondhatch: a router fleet for many returning chats.
+"""Pondhatch: a fleet of routers that send recurring chats to the engines that hold their context.
 
-One program, one kind of process. ``pondhatch run`` starts a router; the other
-subcommands check and apply configuration and show what a router does.
+There is one program and one kind of process: ``pondhatch run`` starts a router. The other
+commands check and apply the configuration, and show the state of a router.
 """
 
 __version__ = "0.1.0"
--- a/pondhatch/__main__.py
+++ b/pondhatch/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line by ``python -m pondhatch``."""
+"""Runs the command line as ``python -m pondhatch``."""
 
 import gc
 import sys
@@ -7,8 +7,8 @@
 
 open_early(sys.argv[1:])
 
-# Importing makes a hundred thousand objects that stay; looking through them for garbage
-# again and again takes a tenth of a router's start. The commands switch it on again.
+# Imports create a hundred thousand objects that are never freed. Repeated garbage collections over
+# them would take a tenth of a router's start time. The commands enable collection again.
 gc.disable()
 
 from pondhatch.cli import main  # noqa: E402
--- a/pondhatch/_early_port.py
+++ b/pondhatch/_early_port.py
@@ -1,11 +1,12 @@
-"""The callers' port, opened before anything else of a router is loaded.
+"""Opens the callers' port before the rest of a router is loaded.
 
-A router takes half a second from its process's start to its first answer, most of it for
-loading its libraries. Where all routers of a data hall were down, the balancer has nobody
-else, and sends callers to those that start; refused, they spend their one retry at once.
-A port that listens from the start has them wait in the system's queue instead.
+A router takes half a second from the start of its process to its first answer, most of it for
+importing libraries. Where all routers of a data hall were down, the balancer has no other router
+and sends callers to those that are starting. Callers whose connection is refused spend their only
+retry at once. With a port that listens from the start, they wait in the kernel's accept queue.
 
-Nothing here imports more than the system's sockets, or it would not be early.
+This module imports nothing but ``socket`` and light standard modules, since any import delays the
+port.
 """
 
 from __future__ import annotations
@@ -14,23 +15,24 @@
 import socket
 from collections.abc import Sequence
 
-#: The one command that has callers.
+#: The command that starts a router, the only one that serves callers.
 RUN_COMMAND = "run"
-#: Names the port on the command line: the settings are read by libraries not yet loaded.
+#: Option with the port: the settings file is parsed by libraries that are not loaded yet.
 LISTEN_OPTION = "--listen"
-#: Connections of callers that may wait to be accepted: as many as Linux lets any port hold by
-#: default, and as a router of the users' sites can open at all. All callers of a power cut
-#: come back within a second, while a starting router is busy; beyond the queue their opening
-#: packets are dropped, and sent again seconds later.
+#: Length of the accept queue of the callers' port: the default limit of Linux, and the number of
+#: connections that a router at the users' sites can open at all. After a power cut all callers
+#: reconnect within a second, while a starting router is busy. Beyond the queue their SYN packets
+#: are dropped and retransmitted seconds later.
 CALLER_BACKLOG = 4096
 
 _opened_by_address: dict[str, socket.socket] = {}
 
 
 def open_early(arguments: Sequence[str]) -> None:
-    """Open the port that the command line names, if it does.
+    """Open the port that the command line names, if any.
 
-    One that cannot be opened is left to whoever opens the router's other ports, which tells why.
+    A port that cannot be opened is left closed: the router tries again when it opens its
+    other ports, and reports the error.
     """
     if arguments[:1] != [RUN_COMMAND] or LISTEN_OPTION not in arguments[:-1]:
         return
@@ -47,7 +49,7 @@
 
 
 def take_early(host: str, port: int) -> socket.socket | None:
-    """Return the port's socket where it was opened early; it is the taker's from now on."""
+    """Return the socket of a port that was opened early, or None; the caller becomes its owner."""
     return _opened_by_address.pop(_key(host, str(port)), None)
 
 
--- a/pondhatch/cli/_announcer.py
+++ b/pondhatch/cli/_announcer.py
@@ -1,4 +1,4 @@
-"""Telling peers at once of something new, and others a little later."""
+"""Announces a change to some random peers at once, and to more of them shortly after."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from pondhatch.router import RouterState
 from pondhatch.transport import GossipPort
 
-#: Seconds from one telling of something new to the next: each reaches four random peers,
-#: and with one alone about two in a hundred routers would have to wait for a ping.
+#: Seconds from one announcement of a change to its repetition. Each announcement reaches four
+#: random peers; without repetitions about 2% of routers would only learn of it by a ping.
 REPEAT_DELAYS = (0.1, 0.2)
 
 
 class Announcer:
-    """Tells some peers of what this router holds now."""
+    """Announces the current state of this router to peers."""
 
     def __init__(self, state: RouterState, gossip_port: GossipPort, tasks: Tasks) -> None:
         self._state = state
@@ -23,7 +23,7 @@
         self._repeat_task: asyncio.Task[None] | None = None
 
     def announce(self) -> None:
-        """Tell some peers now, and others after each pause."""
+        """Announce the state to some peers now, and to others after each delay."""
         self._state.publish()
         self._send()
         if self._repeat_task is not None:
--- a/pondhatch/cli/_change_commands.py
+++ b/pondhatch/cli/_change_commands.py
@@ -1,4 +1,4 @@
-"""The commands that change the configuration, or tell what a change would do."""
+"""The commands that change the configuration, or show what a change would do."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def diff(*files: Path, platform: str, prune: bool = False) -> int:
-    """Show what applying files would change, and every account it touches.
+    """Show what applying files would change, and every account that is affected.
 
     :param files: YAML files, or folders of them
     :param platform: the platform's URL
@@ -61,12 +61,12 @@
     dry_run: bool = False,
     prune: bool = False,
 ) -> int:
-    """Apply files of services, templates and accounts: all of it, or nothing.
+    """Apply files of services, templates and accounts, either completely or not at all.
 
     :param files: YAML files, or folders of them
     :param platform: the platform's URL
-    :param author: who makes the change; kept in its history
-    :param note: why; kept in its history
+    :param author: who makes the change; kept in the history
+    :param note: the reason of the change; kept in the history
     :param dry_run: only show what would change
     :param prune: also remove entries that are in force but not in the files
     """
@@ -84,11 +84,11 @@
 
 
 def undo(version: int, *, platform: str, author: str) -> int:
-    """Take a change back, as a new change that restores what it replaced.
+    """Revert a change by a new change that restores the replaced entries.
 
-    :param version: the version of the change to take back
+    :param version: the version of the change to revert
     :param platform: the platform's URL
-    :param author: who takes it back
+    :param author: who reverts it; kept in the history
     """
 
     async def work(store: Platform, fleet: FleetConfiguration) -> int:
@@ -118,7 +118,7 @@
 
 
 def _inverse_edits(before: FleetConfiguration, undone: Change) -> tuple[Edit, ...]:
-    """Return edits that restore what stood before a change."""
+    """Return edits that restore the entries as they were before a change."""
     return tuple(
         Edit(edit.kind, edit.name, before.value_or_none(edit.kind, edit.name))
         for edit in undone.edits
@@ -126,7 +126,7 @@
 
 
 async def _publish(store: Platform, change: Change, edited: FleetConfiguration) -> int:
-    """Publish a change, print what became of it, and return the exit code."""
+    """Publish a change, print the outcome and return the exit code."""
     outcome = await publish(store, change)
     if isinstance(outcome, Published):
         await _snapshot_if_due(store, edited, outcome.version)
--- a/pondhatch/cli/_commands.py
+++ b/pondhatch/cli/_commands.py
@@ -1,4 +1,4 @@
-"""The subcommands, in the order in which the help lists them."""
+"""The commands, in the order in which the help lists them."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -1,4 +1,4 @@
-"""What a router listens on: peers, gossip, admin, callers, readiness and metrics."""
+"""The ports of a router: for peers, gossip, admin, callers, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class Endpoints(msgspec.Struct, frozen=True):
-    """Opens the ports of one router and serves its parts there."""
+    """Opens the ports of one router and serves requests on them."""
 
-    #: Settings at the start: ports do not change while a router runs.
+    #: Settings at the start, since ports do not change while a router runs.
     settings: Settings
     reactor: Any
     state: RouterState
@@ -43,13 +43,13 @@
     crash_evidence: CrashEvidenceExchange
     statistics: RouterStatistics
     callers: Callers
-    #: What callers may send, by the settings now in force.
+    #: Returns the limits on what callers may send, by the current settings.
     caller_limits: Callable[[], CallerLimits]
-    #: The router's metrics as text.
+    #: Returns the router's metrics as text.
     metrics_text: Callable[[], bytes]
 
     async def open(self) -> None:
-        """Open every port that the settings name, peers first and callers after them."""
+        """Open every port that the settings name: peers, admin, callers, then the optional ones."""
         await self._open_to_peers()
         self._open_to_admins()
         callers_port = self._open_to_callers()
@@ -86,14 +86,14 @@
         self.reactor.listenTCP(endpoint.port, Site(resource), interface=endpoint.host)
 
     def _is_ready(self, callers_port: Any, spare_descriptors: SpareDescriptors) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this router."""
         is_serving = self.state.fleet.version > 0 and not self.state.is_draining()
         return is_serving and bool(callers_port.connected) and spare_descriptors.are_available()
 
     def _open_for_metrics(self, endpoint: MetricsEndpoint) -> None:
-        """Tell metrics as text; a port that is taken costs the metrics, not the router."""
+        """Serve metrics as text; the router runs without them if the port is occupied."""
         page = MetricsPage(endpoint.path, self.metrics_text)
         try:
             self.reactor.listenTCP(endpoint.port, Site(page), interface=endpoint.host)
         except CannotListenError as error:
-            log.error("No metrics are told at {}:{}: {}.", endpoint.host, endpoint.port, error)
+            log.error("Metrics are not served at {}:{}: {}.", endpoint.host, endpoint.port, error)
--- a/pondhatch/cli/_environment.py
+++ b/pondhatch/cli/_environment.py
@@ -1,4 +1,4 @@
-"""What a router is given from outside: its interface, its store, the fleet's key."""
+"""Builds what a router depends on: its interface, its store and the fleet's key."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from pondhatch.store import Platform
 from pondhatch.transport import INTERFACE, HttpClient, Interface
 
-#: Packages whose plug-ins register themselves when they are imported, by interface. Only the
-#: one in use is: what it takes in memory and time to start is its own.
+#: Packages whose plug-ins register themselves on import, by interface. Only the package of the
+#: interface in use is imported, to save the memory and start time of the others.
 PACKAGE_BY_INTERFACE = {
     "openai": "pondhatch.standard",
     "prepared-machines": "pondhatch.platform",
@@ -24,18 +24,18 @@
 
 
 class RouterEnvironment(msgspec.Struct, frozen=True):
-    """What a router is given from outside."""
+    """What a router depends on, as chosen by its settings."""
 
     interface: Interface
     platform: Platform
     client: HttpClient
     fleet_key: bytes
-    #: Whether the key lies at the platform, where the fleet agreed on it, and nowhere else.
+    #: Whether the routers agreed on the key through the platform, the only place that stores it.
     is_key_agreed: bool
 
 
 async def build_environment(settings: Settings, reactor: Any) -> RouterEnvironment:
-    """Return what a router is given; waits until it has the fleet's key."""
+    """Build the environment of a router; waits until the fleet's key is known."""
     client = HttpClient(reactor)
     interface = _build_interface(settings, client)
     platform = interface.store(settings.platform)
@@ -53,5 +53,5 @@
 
 
 async def _obtain_agreed_key(platform: Platform) -> bytes:
-    """Return the key that the fleet agrees on."""
+    """Return the key on which the routers of the fleet agree through the platform."""
     return await obtain_fleet_key(platform, secrets.token_hex(16), random.Random())
--- a/pondhatch/cli/_event_loop.py
+++ b/pondhatch/cli/_event_loop.py
@@ -1,4 +1,4 @@
-"""Runs a command's coroutine on the one loop."""
+"""Runs the coroutine of a command on the reactor."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run_on_reactor(coroutine: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine on the installed reactor; return what it returns, raise what it raises."""
+    """Run a coroutine on the installed reactor; return its result or raise its exception."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
--- a/pondhatch/cli/_explain_command.py
+++ b/pondhatch/cli/_explain_command.py
@@ -1,4 +1,4 @@
-"""The command that tells a request's or a belief's story from routers' lines."""
+"""The command that shows the story of a request or an object from the routers' log lines."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def explain(name: str, *files: Path, json: bool = False) -> int:
-    """Say what became of a request, or of what routers believe, and what was known.
+    """Show how a request ended or how an object's state changed, and what routers knew then.
 
     :param name: a request's id or digest, an upstream, a router, a hall, or a configuration's
         version
-    :param files: files of routers' lines (log: {form: lines}), of as many routers as there are
+    :param files: log files of routers with "log: {form: lines}", of as many routers as possible
     :param json: print one JSON object
     """
     texts: list[str] = []
--- a/pondhatch/cli/_gauge_reporter.py
+++ b/pondhatch/cli/_gauge_reporter.py
@@ -1,4 +1,4 @@
-"""Where a router tells its metrics, and the levels that it tells there now and then."""
+"""Chooses the metrics backends of a router, and periodically sets its gauges there."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from pondhatch.configuration import Settings
 from pondhatch.observing import CombinedMetrics, Metrics, PrometheusMetrics, StatsdMetrics
 
-#: Seconds between two tellings of levels.
+#: Seconds between two reports of the gauges.
 REPORT_SECONDS = 5.0
-#: What has a meaning of its own in statsd's packets, or makes one name of two.
+#: Characters that are syntax in statsd packets, or split a metric name into two parts.
 INVALID_NAME_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
 
 
@@ -30,20 +30,20 @@
 
 
 class GaugeReporter(msgspec.Struct, frozen=True):
-    """Sets a router's levels in its metrics."""
+    """Sets the gauges of a router in its metrics."""
 
     statistics: RouterStatistics
     metrics: Metrics
     prometheus_metrics: PrometheusMetrics
 
     async def run(self) -> None:
-        """Tell levels now and then until cancelled."""
+        """Set the gauges periodically until cancelled."""
         while True:
             await asyncio.sleep(REPORT_SECONDS)
             self._set_gauges()
 
     def text(self) -> bytes:
-        """Return the served metrics as text, with the levels of this moment."""
+        """Return the metrics in Prometheus' text format, with the current gauges."""
         self._set_gauges()
         return self.prometheus_metrics.text()
 
--- a/pondhatch/cli/_hall_commands.py
+++ b/pondhatch/cli/_hall_commands.py
@@ -1,4 +1,4 @@
-"""The commands that evacuate a data hall, and that end that."""
+"""The commands that begin and end the evacuation of a data hall."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 
 def evacuate(hall: str, *, platform: str, dry_run: bool = False) -> int:
-    """Have nothing more sent to a data hall's upstreams; what runs there ends there.
+    """Send no new requests to a data hall's upstreams; requests that run there finish there.
 
-    Shows before, by service, how many upstreams that takes away and how many are left.
+    First shows, by service, how many upstreams this removes and how many are left.
 
     :param hall: the data hall, as upstreams name it
     :param platform: the platform's URL
-    :param dry_run: only show what it would come to
+    :param dry_run: only show the effect
     """
     return _run_set_evacuation(hall, platform, in_force=True, dry_run=dry_run)
 
 
 def reopen(hall: str, *, platform: str, dry_run: bool = False) -> int:
-    """End a data hall's evacuation: its upstreams are used again.
+    """End a data hall's evacuation, so that its upstreams are used again.
 
     :param hall: the data hall, as upstreams name it
     :param platform: the platform's URL
-    :param dry_run: only show what it would come to
+    :param dry_run: only show the effect
     """
     return _run_set_evacuation(hall, platform, in_force=False, dry_run=dry_run)
 
@@ -65,7 +65,10 @@
 
 
 async def set_evacuation(platform: Platform, hall: str, in_force: bool, dry_run: bool) -> int:
-    """Begin or end an evacuation, and print what it comes to; return the exit code."""
+    """Print the effect of beginning or ending an evacuation, then write it unless in a dry run.
+
+    Returns the exit code.
+    """
     listed = await platform.list(UPSTREAM_KIND)
     listed_evacuations = await platform.list(EVACUATION_KIND)
     if isinstance(listed, Unavailable) or isinstance(listed_evacuations, Unavailable):
@@ -96,17 +99,17 @@
 
 
 def _report_write(written: Accepted | Conflict | OutcomeUnknown | Unavailable) -> int:
-    """Print what became of a write; return the exit code."""
+    """Print the outcome of a write; return the exit code."""
     if isinstance(written, Accepted):
         print("accepted; in force at every router within seconds")
         return EXIT_DONE
     if isinstance(written, Conflict):
-        print("somebody else changed it first; nothing of yours was done", file=sys.stderr)
+        print("conflict: another change came first; nothing was done", file=sys.stderr)
         return EXIT_CONFLICT
     if isinstance(written, Unavailable):
         print(f"nothing was done: {written.reason}", file=sys.stderr)
         return EXIT_UNREACHABLE
-    print(f"unknown: it may be in force ({written.reason}); say it again", file=sys.stderr)
+    print(f"unknown: it may be in force ({written.reason}); run the command again", file=sys.stderr)
     return EXIT_UNKNOWN
 
 
@@ -116,7 +119,7 @@
 
 
 def _print_effect(live: list[Upstream], hall: str, closed: frozenset[str], in_force: bool) -> None:
-    """Print, for each service that the hall serves, how many upstreams are left to carry it."""
+    """Print, for each service in the hall, how many upstreams are left to serve it."""
     upstreams_in_hall = Counter(each.service for each in live if each.hall == hall)
     remaining = Counter(each.service for each in live if each.hall not in closed)
     print(f"{hall} is {'evacuated' if in_force else 'open'}:")
--- a/pondhatch/cli/_key_commands.py
+++ b/pondhatch/cli/_key_commands.py
@@ -1,4 +1,4 @@
-"""The command that makes API keys."""
+"""The command that creates API keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def new_key() -> int:
-    """Make an API key: print the key for the caller and the hash for the account."""
+    """Create an API key; print the key for the caller and its hash for the account."""
     key = f"pk-{secrets.token_urlsafe(32)}"
     print(f"key: {key}")
     print(f"hash: {hashlib.sha256(key.encode()).hexdigest()}")
--- a/pondhatch/cli/_main.py
+++ b/pondhatch/cli/_main.py
@@ -1,6 +1,6 @@
 """The command line: ``pondhatch COMMAND``.
 
-Exit codes: 0 done; 1 the input or configuration is wrong, nothing was done;
+Exit codes: 0 done; 1 the input or configuration is invalid, nothing was done;
 2 wrong usage; 3 another change came first, nothing was done; 4 the platform or
 router cannot be reached, nothing was done; 5 the outcome is unknown.
 """
@@ -36,8 +36,8 @@
 def _run_command(arguments: list[str]) -> int:
     open_early(arguments)
     if arguments[:1] == [run.__name__] and len(arguments) > 1 and arguments[1][:1] != "-":
-        # A router that starts is waited for, and lives long: it is spared the other commands and
-        # the library that reads a command line, a tenth of a second and 7 MB.
+        # Callers may wait for a router to start, and it runs for long. Parsing its arguments here
+        # avoids importing the other commands and defopt, which take 0.1 s and 7 MB.
         if len(arguments) == 2:
             return run(Path(arguments[1]))
         if len(arguments) == 4 and arguments[2] == LISTEN_OPTION:
--- a/pondhatch/cli/_router_statistics.py
+++ b/pondhatch/cli/_router_statistics.py
@@ -1,4 +1,4 @@
-"""What a router tells of itself in numbers: levels for statsd, counters for its state dump."""
+"""The statistics of a router: gauges for its metrics and counters for its state dump."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RouterStatistics(msgspec.Struct, frozen=True):
-    """Reads the numbers from a router's parts."""
+    """Reads the statistics from the components of a router."""
 
     state: RouterState
     callers: Callers
@@ -24,7 +24,7 @@
     started_at: float = msgspec.field(default_factory=time.monotonic)
 
     def gauges(self) -> dict[str, int]:
-        """Return what statsd is told now and then, by metric."""
+        """Return the current gauges by metric name."""
         notices = self.state.notices.current(self.state.clock()).values()
         return {
             "routers.known": len(self.state.members()),
@@ -52,7 +52,7 @@
         }
 
     def counters(self) -> dict[str, Any]:
-        """Return the counters that stand in the state dump."""
+        """Return the counters of the state dump."""
         return {
             "uptime_seconds": round(time.monotonic() - self.started_at, 3),
             "requests_in_flight": self.callers.in_flight,
--- a/pondhatch/explaining/__init__.py
+++ b/pondhatch/explaining/__init__.py
@@ -1,4 +1,4 @@
-"""Explaining: from a failed request's id to its cause, by the lines that routers wrote."""
+"""Finds the cause of a failed request in the log lines of all routers."""
 
 from pondhatch.explaining._log_reader import LoggedLine, ParsedLines, causal_order, read_lines
 from pondhatch.explaining._story import Story, StoryLine, explain
--- a/pondhatch/explaining/_log_reader.py
+++ b/pondhatch/explaining/_log_reader.py
@@ -1,4 +1,4 @@
-"""Reading back the lines that routers write; see ``observing``."""
+"""Reads the log lines that routers write; see ``observing``."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class LoggedLine(msgspec.Struct, frozen=True):
-    """One line of one router."""
+    """A record that a router wrote, with its time."""
 
     router: str
-    #: In seconds since 1970, by the router's own clock.
+    #: Seconds since 1970, by the router's own clock.
     at: float
     record: Record
-    #: Its place among all lines that were read.
+    #: Its index among all records that were read.
     number: int
 
 
 class ParsedLines(msgspec.Struct, frozen=True):
-    """What files of lines hold."""
+    """The records of some log files."""
 
     lines: tuple[LoggedLine, ...]
-    #: Lines that are no record of a router, or cannot be read.
+    #: Number of lines that are not a record or cannot be parsed.
     skipped: int
 
 
@@ -38,9 +38,9 @@
 
 
 def read_lines(texts: Iterable[str]) -> ParsedLines:
-    """Return the records in lines of text; what stands before a record's brace is passed over.
+    """Parse the records in lines of text; a prefix before a line's first brace is ignored.
 
-    A line of another kind is counted and left out: files hold log messages as well.
+    Other lines are skipped and counted, since log files hold log messages as well.
     """
     found: list[LoggedLine] = []
     skipped = 0
@@ -65,12 +65,13 @@
 def causal_order(lines: Sequence[LoggedLine]) -> tuple[LoggedLine, ...]:
     """Return lines in an order in which no effect comes before its cause.
 
-    Each router's own lines keep their order. A configuration that a router took from a peer came
-    into force there after it was at the peer: where clocks say otherwise, the router's is behind,
-    and all its later lines move with it.
+    Lines of one router keep their order. A configuration that a router pulled from a peer took
+    effect at the peer first. Where the clocks contradict this, the router's clock is behind, so
+    that line and all later lines of that router are shifted to later times.
     """
     by_clock = sorted(lines, key=lambda line: (line.at, line.number))
-    #: When each router had a version in force: by its own clock until it has been placed.
+    #: When each version took effect at each router: by the router's clock at first, and by the
+    #: adjusted time once the line is processed.
     in_force_at = {
         (line.router, _version(line.record)): line.at
         for line in reversed(by_clock)
@@ -102,7 +103,7 @@
 
 
 def _source_of(record: Record) -> tuple[str, int] | None:
-    """Return the peer that gave a configuration, and its version; None where no peer did."""
+    """Return the peer that a configuration came from and its version; None if from no peer."""
     if not isinstance(record, StateChange) or not _puts_in_force(record):
         return None
     _, found, source = record.why.rpartition(", from ")
--- a/pondhatch/explaining/_story.py
+++ b/pondhatch/explaining/_story.py
@@ -1,4 +1,4 @@
-"""The story of one request, or of one thing that routers believe, from the lines of many."""
+"""The history of a request, or of an object that routers know, from the lines of many routers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from pondhatch.explaining._log_reader import LoggedLine, causal_order
 from pondhatch.observing import RequestEnded, StateChange
 
-#: Seconds before a request's begin and after its end in which what routers came to believe of
-#: the upstreams that it met may explain it: failures are told up to some seconds late.
+#: Seconds before the start and after the end of a request in which state changes of its upstreams
+#: may explain its outcome: failures are detected and reported up to some seconds late.
 BEFORE_SECONDS = 10.0
 AFTER_SECONDS = 3.0
 
-#: What an outcome means, by its code.
+#: Explanation of each outcome, by its code.
 MEANING_BY_OUTCOME = {
     "whole": "its answer was delivered whole",
     "caller-gone": "its caller left first",
@@ -40,7 +40,7 @@
 
 
 class StoryLine(msgspec.Struct, frozen=True):
-    """One line of a story."""
+    """One event of a story, as text."""
 
     router: str
     at: float
@@ -48,20 +48,20 @@
 
 
 class Story(msgspec.Struct, frozen=True):
-    """All that lines say of one name, in order."""
+    """All that the lines tell about one name, in causal order."""
 
     name: str
-    #: What happened.
+    #: The ended requests and the state changes around them.
     events: tuple[StoryLine, ...]
-    #: What the routers that took the request held to be so as it ended.
+    #: What the routers that received the request knew when it ended.
     known: tuple[StoryLine, ...] = ()
 
 
 def explain(name: str, lines: Sequence[LoggedLine]) -> Story:
-    """Return the story of a request by its id or digest, or of what bears a name.
+    """Return the story of a request by its id or digest, or of an object by its name.
 
-    Names are those of upstreams, routers, halls and entries; a number is a configuration's
-    version. Without events the lines say nothing of it.
+    Objects are upstreams, routers, halls and configuration entries; a number is a version of the
+    configuration. A story without events means that no line mentions the name.
     """
     ordered = causal_order(lines)
     requests = [each for each in ordered if _matches_request(each, name)]
@@ -94,7 +94,7 @@
 
 
 def _related_changes(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[LoggedLine]:
-    """Return what routers came to believe of the upstreams that a request met, around its time."""
+    """Return the state changes of a request's upstreams, and of its digest, around its time."""
     ended = end.record
     if not isinstance(ended, RequestEnded):
         return []
@@ -110,7 +110,10 @@
 
 
 def _known_before(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[StoryLine]:
-    """Return what the router that took a request last came to believe before it ended."""
+    """Return the latest state changes before a request's end at the router that received it.
+
+    These are the changes of the request's upstreams, of the configuration and of the platform.
+    """
     ended = end.record
     if not isinstance(ended, RequestEnded):
         return []
--- a/pondhatch/explaining/tests/test_story.py
+++ b/pondhatch/explaining/tests/test_story.py
@@ -1,4 +1,4 @@
-"""Stories of requests and beliefs, from the lines of routers whose clocks differ."""
+"""Stories of requests and state changes, from the lines of routers whose clocks differ."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def line(router: str, at: float, record: Record) -> str:
-    """Return a line as a router writes it."""
+    """Return a line in the format that routers write."""
     body = msgspec.json.encode(record).decode()
     return f'{{"at":{at:.3f},"router":"{router}",{body[1:]}'
 
@@ -55,7 +55,7 @@
         self.assertEqual(self.routers(second, first), [("r1", 1.0), ("r0", 2.0)])
 
     def test_a_pulled_configuration_comes_after_its_source_had_it(self) -> None:
-        """The clock of r1 is four seconds behind; its later lines move with it."""
+        """The clock of r1 is four seconds behind, so all its later lines must be shifted."""
         texts = (
             line("r0", 10.0, in_force(8, "the platform")),
             line("r0", 10.5, LOST),
