--- a/pondhatch/observing/_records.py
+++ b/pondhatch/observing/_records.py
@@ -108,12 +108,12 @@
 class LineRecords:
     """Writes each record as one line of JSON; see Records."""
 
-    def __init__(self, process: str, lines: LineWriter = STANDARD_OUTPUT) -> None:
+    def __init__(self, process: str, writer: LineWriter = STANDARD_OUTPUT) -> None:
         self._prefix = b'{"at":%.3f,"router":' + msgspec.json.encode(process) + b","
-        self._lines = lines
+        self._writer = writer
         self._encoder = msgspec.json.Encoder()
 
     def write(self, record: Record) -> None:
         """Write one record, preceded by the time and the name of the router."""
         body = self._encoder.encode(record)
-        self._lines.add(self._prefix % time.time() + body[1:])
+        self._writer.add(self._prefix % time.time() + body[1:])
--- a/pondhatch/observing/tests/test_line_writer.py
+++ b/pondhatch/observing/tests/test_line_writer.py
@@ -13,7 +13,7 @@
         self.reader, self.descriptor = os.pipe()
         os.set_blocking(self.reader, False)
         self.addCleanup(os.close, self.reader)
-        self.lines = LineWriter(self.descriptor)
+        self.writer = LineWriter(self.descriptor)
         self.is_open = True
         self.addCleanup(lambda: os.close(self.descriptor) if self.is_open else None)
 
@@ -27,7 +27,7 @@
         lines: list[bytes] = []
         rest = b""
         while True:
-            self.lines.flush()
+            self.writer.flush()
             try:
                 rest += os.read(self.reader, 10_000_000)
             except BlockingIOError:
@@ -37,36 +37,36 @@
 
     def test_lines_are_written_whole_and_in_order(self) -> None:
         for index in range(2000):
-            self.lines.add(b"line %d" % index)
+            self.writer.add(b"line %d" % index)
         self.assertEqual(self.read_all(), [b"line %d" % at for at in range(2000)])
 
     def test_nothing_is_written_before_a_flush(self) -> None:
-        self.lines.add(b"one")
+        self.writer.add(b"one")
         self.assertEqual(self.read(), [])
 
     def test_a_line_longer_than_one_write_is_written_whole(self) -> None:
-        self.lines.add(b"x" * 20_000)
-        self.lines.add(b"after")
+        self.writer.add(b"x" * 20_000)
+        self.writer.add(b"after")
         self.assertEqual(self.read_all(), [b"x" * 20_000, b"after"])
 
     def test_lines_dropped_for_a_stopped_reader_are_counted(self) -> None:
         line = b"x" * 999
         line_count = 3 * MAX_BUFFERED_BYTES // 1000
         for index in range(line_count):
-            self.lines.add(line)
+            self.writer.add(line)
             if index % 100 == 0:
-                self.lines.flush()
-        found = self.read_all()
-        dropped = [json.loads(each)["count"] for each in found if each.startswith(b"{")]
-        self.assertEqual(sum(dropped) + found.count(line), line_count)
+                self.writer.flush()
+        lines = self.read_all()
+        dropped = [json.loads(each)["count"] for each in lines if each.startswith(b"{")]
+        self.assertEqual(sum(dropped) + lines.count(line), line_count)
         self.assertGreater(sum(dropped), 0)
 
     def test_a_closed_reader_is_no_error(self) -> None:
         os.close(self.reader)
         self.reader = os.open("/dev/null", os.O_RDONLY)
-        self.lines.add(b"one")
-        self.lines.flush()
-        self.lines.flush()
+        self.writer.add(b"one")
+        self.writer.flush()
+        self.writer.flush()
 
 
 class RecordsTest(unittest.TestCase):
@@ -74,9 +74,9 @@
         reader, descriptor = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, descriptor)
-        lines = LineWriter(descriptor)
-        LineRecords("r0", lines).write(record)
-        lines.flush()
+        writer = LineWriter(descriptor)
+        LineRecords("r0", writer).write(record)
+        writer.flush()
         found: dict[str, object] = json.loads(os.read(reader, 10_000))
         self.assertIsInstance(found.pop("at"), float)
         return found
