--- a/pondhatch/cli/_configuration_task.py
+++ b/pondhatch/cli/_configuration_task.py
@@ -1,4 +1,4 @@
-"""Work on the configuration that the platform holds."""
+"""Runs tasks of commands on the configuration that the platform stores."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from pondhatch.kernel import install_reactor
 from pondhatch.store import Platform
 
-#: What a command does with the platform and the configuration there; results in an exit code.
+#: What a command does with a platform and its configuration; returns the exit code.
 ConfigurationTask = Callable[[Platform, FleetConfiguration], Awaitable[int]]
 
 
 def run_with_configuration(url: str, task: ConfigurationTask) -> int:
-    """Read the configuration at a platform and work on it; return the exit code."""
+    """Read the configuration from a platform and run a task on it; return the exit code."""
     install_reactor()
 
     async def read_and_run() -> int:
--- a/pondhatch/cli/_initial_state.py
+++ b/pondhatch/cli/_initial_state.py
@@ -1,4 +1,4 @@
-"""The state with which a router starts: itself, its seeds and its part of the retries."""
+"""The state of a router at its start: its own entry, its seeds and its retry budgets."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def initial_state(
     settings: Settings, rng: random.Random, connections: PeerConnections, interface: Interface
 ) -> RouterState:
-    """Return the state of a router that knows nobody but its seeds."""
+    """Return the state of a router that knows no other routers than its seeds."""
     seeds = [_parse_address(seed) for seed in settings.seeds]
     load_management = _load_management(settings, interface)
     own_entry = _own_entry(settings, _capacity(settings.vm, load_management))
@@ -53,7 +53,7 @@
 
 
 def _load_management(settings: Settings, interface: Interface) -> LoadManagement:
-    """Return when load is managed, by the settings and the platform's rules in force."""
+    """Return the mode of load management, by the settings and the platform's rules in force."""
     is_requested = interface.asks_for_load_management(settings.rules_in_force or ())
     if settings.load_management == "as-needed" and is_requested:
         return "on"
@@ -61,14 +61,17 @@
 
 
 def _capacity(vm: VmSettings, load_management: LoadManagement) -> float:
-    """Return the capacity to publish: another than the usual one only where load is managed."""
+    """Return the capacity to publish: the usual one unless load is managed."""
     if load_management != "on":
         return USUAL_CAPACITY
     return capacity_of(vm.cpu_quota, vm.cores, vm.link_mbps)
 
 
 def _own_entry(settings: Settings, capacity: float) -> Alive:
-    """Return a router's first word on itself; the time makes it newer than an earlier life's."""
+    """Return a router's own gossip entry.
+
+    Its incarnation is the start time, so that it supersedes entries from before a restart.
+    """
     return Alive(
         router=short_id(settings.name),
         incarnation=time.time_ns() // 1_000_000,
@@ -82,17 +85,17 @@
 
 
 def _retry_allowance(settings: RetrySettings) -> RetryAllowance:
-    """Return what the settings allow; what they leave out keeps its default."""
+    """Return the retry allowance of the settings; unset values keep their defaults."""
     return RetryAllowance(**_without_none(share=settings.share, slack=settings.slack))
 
 
 def _cold_allowance(settings: ColdSettings) -> ColdAllowance:
-    """Return what the settings say that cold upstreams bear."""
+    """Return the load that cold upstreams may get by the settings; unset values keep defaults."""
     return ColdAllowance(**_without_none(overshoot=settings.overshoot, slack=settings.slack))
 
 
 def _without_none(**values: float | None) -> dict[str, float]:
-    """Return the values that are given."""
+    """Return the values that are not None."""
     return {name: value for name, value in values.items() if value is not None}
 
 
--- a/pondhatch/cli/_peer_connections.py
+++ b/pondhatch/cli/_peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections to the other routers: one to each, closed when its router is gone."""
+"""Connections to the other routers: one to each, closed when that router is gone."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeerConnections:
-    """One connection to each router that was spoken to."""
+    """Keeps one connection to each router that was called."""
 
     def __init__(self, token: str, tls: PeerTls | None) -> None:
         self._token = token
@@ -20,7 +20,7 @@
         self._remote_by_name: dict[str, RemotePeer] = {}
 
     def connection_to(self, member: Member) -> RemotePeer:
-        """Return the connection to a router; a new one where its address has changed."""
+        """Return the connection to a router, a new one if its address has changed."""
         known = self._remote_by_name.get(member.name)
         if known is not None and known.address == member.address:
             return known
@@ -31,7 +31,7 @@
         return remote
 
     def close_gone(self, is_gone: Callable[[str], bool]) -> None:
-        """Break off what hangs on a frozen router."""
+        """Close the connections to routers that are gone, so that calls to a frozen one end."""
         gone = [name for name in self._remote_by_name if is_gone(name)]
         for name in gone:
             log.info("Closing the connection to router {}, which is gone.", name)
--- a/pondhatch/cli/_periodic_jobs.py
+++ b/pondhatch/cli/_periodic_jobs.py
@@ -1,4 +1,4 @@
-"""What a router does round after round, each part kept apart from the others."""
+"""Runs the periodic jobs of a router, so that a failing job does not affect the others."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 log = log_for("process")
 
-#: Seconds between rounds of what is due.
+#: Seconds from one round of the jobs to the next.
 ROUND_SECONDS = 0.1
-#: Seconds after which a part that still fails is told again: six lines a minute show that it
-#: lasts, where a line for each round would be 600.
+#: Seconds after which a job that still fails is logged again: six lines a minute show that the
+#: failure lasts, where one line each round would be 600.
 LOG_AGAIN_SECONDS = 10.0
 
 
 class PeriodicJobs(msgspec.Struct):
-    """Runs every part once a round; one that fails neither ends the rounds nor stops the others."""
+    """Runs every job once a round; a failing job ends neither the round nor later ones."""
 
     job_by_name: Mapping[str, Callable[[], None]]
     clock: Callable[[], float]
-    #: When each part that fails was last told of, in the clock's seconds.
+    #: When each failing job was last logged, in seconds of the clock.
     _logged_at_by_name: dict[str, float] = msgspec.field(default_factory=dict)
 
     async def run(self) -> None:
-        """Do what is due until cancelled.
+        """Run rounds until cancelled.
 
-        By timers alone: a sleep wakes a task, which is a second turn of the loop each time, a
-        fourth of all turns that an idle router takes.
+        Rounds are scheduled by timers. A sleep would resume a task in a second iteration of the
+        event loop each time, a quarter of all iterations of an idle router.
         """
         loop = asyncio.get_running_loop()
         timer: asyncio.TimerHandle | None = None
@@ -48,7 +48,7 @@
                 timer.cancel()
 
     def run_once(self) -> None:
-        """Do one round."""
+        """Run every job once."""
         for name, job in self.job_by_name.items():
             try:
                 job()
@@ -62,4 +62,4 @@
         if now - self._logged_at_by_name.get(name, float("-inf")) < LOG_AGAIN_SECONDS:
             return
         self._logged_at_by_name[name] = now
-        log.opt(exception=error).error("Part {} of a round failed: {!r}.", name, error)
+        log.opt(exception=error).error("Periodic job {} failed: {!r}.", name, error)
--- a/pondhatch/cli/_reports.py
+++ b/pondhatch/cli/_reports.py
@@ -1,4 +1,4 @@
-"""What the commands print, and their exit codes."""
+"""Prints the results of commands and defines their exit codes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def print_edits(
     edits: tuple[Edit, ...], before: FleetConfiguration, after: FleetConfiguration
 ) -> None:
-    """Print what edits change, and every account that they touch."""
+    """Print what edits change, and every account that they affect."""
     for edit in edits:
         known = (edit.kind, edit.name) in before.raw_by_entry
         sign = "-" if edit.value is None else "~" if known else "+"
@@ -42,7 +42,7 @@
 
 
 def report_outcome(outcome: PublishOutcome) -> int:
-    """Print what became of a change; return the exit code."""
+    """Print the outcome of a change; return the exit code."""
     if isinstance(outcome, Published):
         print(f"accepted as version {outcome.version}")
         return EXIT_DONE
@@ -51,7 +51,7 @@
         print(f"conflict: {winner.author} made change {winner.version} first:", file=sys.stderr)
         for edit in winner.edits:
             print(f"  {edit.kind} {edit.name}: {edit.value}", file=sys.stderr)
-        print("nothing of yours was applied; look at it and apply again", file=sys.stderr)
+        print("your change was not applied; review the other one and apply again", file=sys.stderr)
         return EXIT_CONFLICT
     if isinstance(outcome, NotWritten):
         print(f"nothing was applied: {outcome.reason}", file=sys.stderr)
--- a/pondhatch/cli/_router_commands.py
+++ b/pondhatch/cli/_router_commands.py
@@ -1,4 +1,4 @@
-"""The commands that ask a running router by its admin port."""
+"""The commands that send requests to the admin port of a running router."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from pondhatch.kernel import as_future, install_reactor
 
 HTTP_OK = 200
-#: Seconds to wait for a router's admin port.
+#: Timeout in seconds for a request to a router's admin port.
 ADMIN_SECONDS = 5
 
 
 def dump(*, admin: str, json: bool = False) -> int:
-    """Show a router's state: members, engines, limits, the last decisions and why.
+    """Show a router's state: members, engines, limits and the last decisions with their reasons.
 
     :param admin: the router's admin address, as "IP:port"
-    :param json: as JSON
+    :param json: print JSON
     """
     content = _get_page(admin, "state.json" if json else "state")
     if content is None:
@@ -29,7 +29,7 @@
 
 
 def where(*, admin: str) -> int:
-    """Show which version of the configuration each router has in force, the slowest first.
+    """Show the version of the configuration in force at each router, the oldest version first.
 
     :param admin: any router's admin address, as "IP:port"
     """
@@ -43,36 +43,36 @@
 
 
 def lift(digest: str, *, admin: str) -> int:
-    """Let a request run again that is held back since engines ended under it, at all routers.
+    """Lift the quarantine of a request that engines ended on, so that all routers run it again.
 
-    :param digest: the request's digest, as the dump and the routers' lines show it
+    :param digest: the request's digest, as shown in the dump and in the routers' log lines
     :param admin: any router's admin address, as "IP:port"
     """
     reply = _call_router(admin, "POST", f"lift/{digest}")
     if reply is None:
         return EXIT_UNREACHABLE
     if reply.status != HTTP_OK:
-        print(f"nothing is held against a request {digest}", file=sys.stderr)
+        print(f"no request {digest} is quarantined", file=sys.stderr)
         return EXIT_INPUT
     print(f"{digest} may run again")
     return EXIT_DONE
 
 
 def _get_page(admin: str, path: str) -> bytes | None:
-    """Return a page of a router's admin port, or None where it cannot be reached."""
+    """Return a page of a router's admin port, or None if it cannot be reached."""
     reply = _call_router(admin, "GET", path)
     return reply.content if reply is not None else None
 
 
 class _AdminReply(msgspec.Struct, frozen=True):
-    """What a router's admin port answered."""
+    """A reply of a router's admin port."""
 
     status: int
     content: bytes
 
 
 def _call_router(admin: str, method: str, path: str) -> _AdminReply | None:
-    """Return what a router's admin port answers, or None where it cannot be reached."""
+    """Send a request to a router's admin port; return the reply, or None if it is unreachable."""
     install_reactor()
 
     async def work() -> _AdminReply | None:
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -1,4 +1,4 @@
-"""One router process: its parts put together, run in rounds and ended."""
+"""The router process: builds its components, runs them and shuts them down."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
     peer_tls,
 )
 
-#: Seconds between looks at the settings file.
+#: Seconds between checks of the settings file for changes.
 SETTINGS_CHECK_SECONDS = 5.0
-#: Signals that ask a router to stop.
+#: Signals that stop a router.
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class RouterProcess:
-    """Owns every part of a router; the reactor must be installed before."""
+    """Owns every component of a router; the reactor must be installed before."""
 
     def __init__(
         self, settings: Settings, reactor: Any, environment: RouterEnvironment, path: Path
@@ -130,7 +130,7 @@
         self._gauge_reporter = GaugeReporter(self._statistics, self._metrics, prometheus_metrics)
 
     async def run(self) -> None:
-        """Serve until a signal asks to stop, then drain."""
+        """Serve until a stop signal, then drain and shut down."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
@@ -144,7 +144,7 @@
         await self._new_shutdown().run()
         self._close()
         for number in STOP_SIGNALS:
-            # From here on the loop no longer listens: a signal that comes again would kill.
+            # Once the loop no longer handles a signal, a repeated one would kill the process.
             loop.remove_signal_handler(number)
             signal.signal(number, signal.SIG_IGN)
 
@@ -160,7 +160,7 @@
         self._tasks.start(self._watch_settings())
 
     def _close(self) -> None:
-        """End what the router runs and holds open to its peers."""
+        """Cancel the tasks, and close the connections and the port for peers."""
         self._tasks.cancel_all()
         self._connections.close_all()
         self._peer_server.close()
@@ -282,14 +282,14 @@
     # -- settings -------------------------------------------------------------
 
     async def _watch_settings(self) -> None:
-        """Look at the settings file now and then: it may change without a signal."""
+        """Check the settings file periodically, since it may change without a signal."""
         while True:
             await asyncio.sleep(SETTINGS_CHECK_SECONDS)
             if self._settings_file.has_changed():
                 self._reload()
 
     def _reload(self) -> None:
-        """Put changed settings in force as far as a running router can."""
+        """Apply those changed settings that a running router can reload."""
         reloaded = self._settings_file.reload(self._settings)
         if reloaded is not None:
             self._settings = reloaded
@@ -297,14 +297,14 @@
 
 
 def _configured_records(settings: Settings) -> Records:
-    """Return where decisions are recorded: as lines for machines, else in the log."""
+    """Return the receiver of records: JSON lines if the log has that form, else the text log."""
     if settings.log.form == "lines":
         return LineRecords(settings.name)
     return LoggedRecords()
 
 
 async def serve(settings: Settings, reactor: Any, path: Path) -> None:
-    """Run a router until it is asked to stop; ``path`` is where its settings are kept."""
+    """Run a router until it is asked to stop; ``path`` is its settings file."""
     process = RouterProcess(settings, reactor, await build_environment(settings, reactor), path)
     enable_garbage_collection()
     await process.run()
--- a/pondhatch/cli/_run_command.py
+++ b/pondhatch/cli/_run_command.py
@@ -16,8 +16,8 @@
     """Run a router until it is asked to stop by SIGTERM or SIGINT.
 
     :param settings: YAML file with the settings of this process
-    :param listen: IP:PORT of the callers' address in the settings, to have that port take
-        connections while the program is still being loaded; callers then wait, and are not
+    :param listen: IP:PORT of the callers' address in the settings; that port then accepts
+        connections while the program is still loading, so that callers wait instead of being
         refused
     """
     loaded = load_settings(settings)
@@ -36,7 +36,7 @@
 
 
 def _check_address(settings: Path, loaded: Settings, listen: str) -> None:
-    """Raise ConfigurationError where the port opened early is not the callers' one."""
+    """Raise ConfigurationError if the address opened early is not that of the callers' port."""
     callers = loaded.callers
     if host_and_port(listen) != (callers.host, callers.port):
         expected = f"expected the address given by {LISTEN_OPTION}, {listen!r}"
--- a/pondhatch/cli/_settings_file.py
+++ b/pondhatch/cli/_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a running router: noticed when it changes, read anew."""
+"""Detects changes of the settings file of a running router, and reloads it."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 log = log_for("settings")
 
-#: Settings that a running router can take in; the others hold from its next start.
+#: Settings that a running router can reload; the others take effect at its next start.
 RELOADABLE = ("limits", "drain", "drain_seconds")
 
 
 class SettingsFile:
-    """One router's settings file."""
+    """The settings file of one router."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._last_content = self._read_content()
 
     def has_changed(self) -> bool:
-        """Return whether the file holds something else than when it was last read."""
+        """Return whether the file's content differs from when it was last read."""
         return self._read_content() != self._last_content
 
     def reload(self, current: Settings) -> Settings | None:
-        """Return the settings in force with what changed; None where the file is wrong."""
+        """Return the current settings with those reloaded from the file; None if it is invalid."""
         self._last_content = self._read_content()
         try:
             read = load_settings(self._path)
@@ -37,7 +37,7 @@
             return None
         reloadable = {name: getattr(read, name) for name in RELOADABLE}
         reloaded = replace(current, **reloadable)
-        notes = [] if reloaded == read else ["others hold from the next start"]
+        notes = [] if reloaded == read else ["others take effect at the next start"]
         log.info("Settings reloaded{}.", "".join(f"; {each}" for each in notes))
         return reloaded
 
--- a/pondhatch/cli/_shutdown.py
+++ b/pondhatch/cli/_shutdown.py
@@ -1,4 +1,4 @@
-"""The stop of a router: it drains, gives its leases up and hands its keys over."""
+"""The shutdown of a router: it drains, releases its leases and hands over its key records."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from pondhatch.router import Authority, GrantExchange, RouterState, StateRecorder
 from pondhatch.transport import Callers
 
-#: Seconds between looks at what still runs while draining.
+#: Seconds between checks whether a step of the shutdown is done.
 POLL_SECONDS = 0.05
-#: Seconds that a stopping router tries to give its leases up; a platform that is out
-#: makes the next router wait for them to lapse.
+#: Maximum of seconds to release the leases. If the platform is unreachable for that long, the next
+#: holder has to wait until they expire.
 STEP_DOWN_SECONDS = 3.0
-#: Seconds for which a draining router goes on being reachable, so that all hear of it.
+#: Minimum of seconds for which a draining router still accepts requests, so that all others
+#: learn that it is draining before it refuses any.
 MIN_ACCEPT_SECONDS = 1.0
 
 
 class Shutdown(msgspec.Struct, frozen=True):
-    """Takes a router out of its fleet, so that nothing it holds is lost."""
+    """Removes a router from its fleet without losing its requests, leases or key records."""
 
     state: RouterState
     callers: Callers
@@ -33,11 +34,11 @@
     grant_exchange: GrantExchange
     announcer: Announcer
     state_recorder: StateRecorder
-    #: The settings now in force.
+    #: Returns the current settings.
     settings: Callable[[], Settings]
 
     async def run(self) -> None:
-        """Leave the fleet; the caller then ends the router's tasks and closes its ports."""
+        """Leave the fleet; the caller then cancels the router's tasks and closes its ports."""
         await self._drain()
         await self._step_down()
         self._record_phase("stopping")
@@ -46,7 +47,7 @@
         self._announce_phase()
 
     async def _drain(self) -> None:
-        """Have callers go elsewhere and wait, for a time, until no request is in flight."""
+        """Announce the drain, stop accepting requests, and wait for those in flight."""
         self._record_phase("draining")
         self.state.phase = Phase.DRAINING
         self._announce_phase()
@@ -61,13 +62,13 @@
             await asyncio.sleep(POLL_SECONDS)
 
     async def _step_down(self) -> None:
-        """Give the leases of services up, so that the next router need not wait for them."""
+        """Wait until the leases of services are released, which spares the next holder a wait."""
         deadline = time.monotonic() + STEP_DOWN_SECONDS
         while self.authority.holds_any_lease() and time.monotonic() < deadline:
             await asyncio.sleep(POLL_SECONDS)
 
     async def _hand_over_keys(self) -> None:
-        """Give the keys held here to those who hold them from now on."""
+        """Send the key records stored here to the routers that hold the keys from now on."""
         for key, record in tuple(self.state.key_table.record_by_key.items()):
             for name in self.state.key_holders(key)[:HOLDERS_PER_KEY]:
                 holder = self.state.key_holder(name)
@@ -78,7 +79,7 @@
         self.state_recorder.record_process(now, f"{self.callers.in_flight} requests in flight")
 
     def _announce_phase(self) -> None:
-        """Tell peers of this router's phase."""
+        """Announce this router's phase to peers."""
         self.state.refresh_members()
         self.grant_exchange.follow_members()
         self.announcer.announce()
--- a/pondhatch/cli/_view_commands.py
+++ b/pondhatch/cli/_view_commands.py
@@ -12,7 +12,7 @@
 
 
 def show(*, platform: str, name: str = "") -> int:
-    """Show the configuration that the platform holds, without keys.
+    """Show the configuration that the platform stores, without keys.
 
     :param platform: the platform's URL
     :param name: show only this account
@@ -32,7 +32,7 @@
 
 
 def history(*, platform: str) -> int:
-    """Show the changes since the last snapshot: who, when, why, what.
+    """Show the changes since the last snapshot: time, author, note and entries.
 
     :param platform: the platform's URL
     """
--- a/pondhatch/cli/tests/test_early_port.py
+++ b/pondhatch/cli/tests/test_early_port.py
@@ -1,9 +1,8 @@
-"""Callers who come while a router is being loaded.
+"""Guards against refusing callers while a router is still being loaded.
 
-The pattern: all routers of a data hall lost power or were killed, and come back together;
-the balancer has nobody else, and every caller comes again. Grounds: a process takes 0.5 to
-0.7 s from its start to its first answer, and a caller that is refused comes back once, at
-once, and then gives up.
+After a power cut all routers of a data hall restart together, so the balancer has no other router
+and every caller reconnects. A router takes 0.5 to 0.7 s from its start to its first answer, while a
+refused caller retries only once, immediately.
 """
 
 from __future__ import annotations
@@ -59,7 +58,7 @@
         open_early(["run", "router.yaml", LISTEN_OPTION, f"{HOST}:{port}"])
         caller = self.enterContext(socket.create_connection((HOST, port), 1.0))
         caller.sendall(b"GET / HTTP/1.1\r\n\r\n")
-        reactor = SelectReactor()  # Never run, so it accepts only what it is told to.
+        reactor = SelectReactor()  # Never run, so it accepts only on doRead().
         listening = listen_to_callers(reactor, CallerEndpoint(HOST, port), Site(Resource()))
         self.addCleanup(listening.stopListening)
         before = len(reactor.getReaders())
@@ -98,7 +97,7 @@
         self.assertIn("127.0.0.1:7001", stderr.getvalue())
 
     def test_the_port_is_open_before_the_program_is_loaded(self) -> None:
-        """Loading ends in an error here; the connection came up before it began."""
+        """Importing pondhatch.cli exits with 7 here, after connecting to the port succeeded."""
         port = free_port()
         script = (
             "import socket, sys\n"
--- a/pondhatch/cli/tests/test_explain_command.py
+++ b/pondhatch/cli/tests/test_explain_command.py
@@ -1,4 +1,4 @@
-"""``pondhatch explain``."""
+"""The command ``pondhatch explain``: its output, and its errors."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/tests/test_gauge_reporter.py
+++ b/pondhatch/cli/tests/test_gauge_reporter.py
@@ -22,7 +22,7 @@
 
 
 class RouterNameTest(unittest.TestCase):
-    """A router's name may be any text; metrics have a grammar of their own."""
+    """A router's name may be any text, so it must be escaped in names and labels of metrics."""
 
     def test_a_name_is_one_part_of_a_metric_sent_to_statsd(self) -> None:
         for name, sent in (("edge.1:2|c", "edge_1_2_c"), ("Boa Viagem", "Boa_Viagem")):
--- a/pondhatch/cli/tests/test_hall_commands.py
+++ b/pondhatch/cli/tests/test_hall_commands.py
@@ -1,4 +1,4 @@
-"""Evacuating a data hall from the command line: what is shown, what is written, what is refused."""
+"""Evacuating a data hall from the command line: output, stored objects and exit codes."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/tests/test_initial_state.py
+++ b/pondhatch/cli/tests/test_initial_state.py
@@ -1,4 +1,4 @@
-"""Guards that a router states a capacity only where it manages load from its start."""
+"""Guards that a router publishes its capacity only with load management on at its start."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/tests/test_periodic_jobs.py
+++ b/pondhatch/cli/tests/test_periodic_jobs.py
@@ -11,7 +11,7 @@
 from pondhatch.cli._periodic_jobs import ROUND_SECONDS, PeriodicJobs
 from pondhatch.cli._router_process import RouterProcess
 
-#: Calls of a round, each a part of its own.
+#: Methods that are called once a round, each by a job of its own.
 JOBS = (
     "state.tick",
     "_state_recorder.record_changes",
@@ -22,7 +22,7 @@
     "state.gossip.tick",
     "state.limits.tick",
 )
-#: Seconds for which the rounds run: about 50 of them.
+#: Seconds for which the jobs run: about 50 rounds.
 RUN_SECONDS = 5.0
 
 
@@ -33,7 +33,7 @@
         self.addCleanup(logger.remove, number)
 
     def run_with(self, failing: str) -> dict[str, int]:
-        """Run a router's rounds, one part of which fails; return how often each was run."""
+        """Run a router's jobs, one of which fails; return how often each was called."""
         parts = mock.MagicMock()
         process: Any = RouterProcess.__new__(RouterProcess)
         process.state = parts.state
@@ -79,7 +79,7 @@
             return turns.call_count, round(RUN_SECONDS / ROUND_SECONDS)
 
         turns, rounds = run_virtually(main())
-        # And some for the start and the end.
+        # The start and the end take some more.
         self.assertLess(turns, rounds + 10)
 
 
--- a/pondhatch/cli/tests/test_ports.py
+++ b/pondhatch/cli/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""The callers' port while nobody accepts for a moment, as after a power cut."""
+"""Guards against an accept queue too short for the callers that reconnect after a power cut."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from pondhatch.configuration import CallerEndpoint
 
 HOST = "127.0.0.1"
-#: Callers who come back at once: far over twisted's own queue of 50.
+#: Callers that reconnect at the same time: far more than twisted's default backlog of 50.
 CALLERS = 500
-#: Seconds for one to connect. One that finds the queue full has its opening packet dropped,
-#: and is still waiting then.
+#: Timeout in seconds for one connection. With a full queue the SYN packet is dropped, so that the
+#: caller is still waiting then.
 CONNECT_TIMEOUT = 3.0
 
 
--- a/pondhatch/cli/tests/test_spare_descriptors.py
+++ b/pondhatch/cli/tests/test_spare_descriptors.py
@@ -1,7 +1,7 @@
-"""The balancer asks each router every second, and what an answer costs is paid by all.
+"""Guards against checking for spare descriptors on each readiness request.
 
-The pattern: hundreds of idle routers, each asked whether it takes work; callers' connections come
-a few at a time, or by the hundred after a power cut.
+The balancer sends one to each of hundreds of idle routers every second. Callers connect a few at a
+time, or by the hundred after a power cut, so that a check must not be reused for too long.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
         self.addCleanup(can_open.stop)
 
     def count_checks(self, times: int) -> int:
-        """Ask some times; return how often the system was asked."""
+        """Call are_available() some times; return how often descriptors were opened to check."""
         before = self.can_open.call_count
         for _ in range(times):
             self.spare.are_available()
