--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -44,7 +44,7 @@
     statistics: RouterStatistics
     callers: Callers
     #: Returns the limits on what callers may send, by the current settings.
-    caller_limits: Callable[[], CallerLimits]
+    limits: Callable[[], CallerLimits]
     #: Returns the router's metrics as text.
     metrics_text: Callable[[], bytes]
 
@@ -76,7 +76,7 @@
 
     def _open_to_callers(self) -> Any:
         resource: Any = self.callers.resource()
-        site = CallerSite(resource, lambda: bounded(self.state, self.caller_limits()))
+        site = CallerSite(resource, lambda: bounded(self.state, self.limits()))
         return listen_to_callers(self.reactor, self.settings.callers, site)
 
     def _open_to_balancer(self, endpoint: ReadyEndpoint, callers_port: Any) -> None:
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -213,7 +213,7 @@
             crash_evidence=self._crash_evidence,
             statistics=self._statistics,
             callers=self._callers,
-            caller_limits=lambda: self._settings.limits,
+            limits=lambda: self._settings.limits,
             metrics_text=self._gauge_reporter.text,
         )
 
--- a/pondhatch/cli/tests/test_early_port.py
+++ b/pondhatch/cli/tests/test_early_port.py
@@ -67,8 +67,8 @@
         self.assertIsNone(take_early(HOST, port))
 
     def test_an_occupied_port_is_not_opened_early(self) -> None:
-        with socket.create_server((HOST, 0)) as taken:
-            port = taken.getsockname()[1]
+        with socket.create_server((HOST, 0)) as occupied:
+            port = occupied.getsockname()[1]
             open_early(["run", "router.yaml", LISTEN_OPTION, f"{HOST}:{port}"])
         self.assertIsNone(take_early(HOST, port))
 
--- a/pondhatch/cli/tests/test_initial_state.py
+++ b/pondhatch/cli/tests/test_initial_state.py
@@ -34,8 +34,8 @@
 class CapacityTest(unittest.TestCase):
     def test_a_capacity_is_published_only_with_load_management_on_at_the_start(self) -> None:
         self.assertEqual(published_capacity(load_management="on"), 0.6)
-        asked = {"load_management": "as-needed", "rules_in_force": ["pressure"]}
-        self.assertEqual(published_capacity(**asked), 0.6)
+        requested_by_rules = {"load_management": "as-needed", "rules_in_force": ["pressure"]}
+        self.assertEqual(published_capacity(**requested_by_rules), 0.6)
         self.assertEqual(published_capacity(load_management="as-needed"), 1.0)
         self.assertEqual(published_capacity(), 1.0)
 
