--- a/pondhatch/cli/_explain_command.py
+++ b/pondhatch/cli/_explain_command.py
@@ -1,4 +1,4 @@
-"""The command that tells a request's or a belief's story from routers' lines."""
+"""The command that shows the story of a request or an object from the routers' log lines."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def explain(name: str, *files: Path, json: bool = False) -> int:
-    """Say what became of a request, or of what routers believe, and what was known.
+    """Show how a request ended or how an object's state changed, and what routers knew then.
 
     :param name: a request's id or digest, an upstream, a router, a hall, or a configuration's
         version
-    :param files: files of routers' lines (log: {form: lines}), of as many routers as there are
+    :param files: log files of routers with "log: {form: lines}", of as many routers as possible
     :param json: print one JSON object
     """
     texts: list[str] = []
@@ -28,23 +28,23 @@
         except OSError as error:
             print(f"{file}: {error.strerror}", file=sys.stderr)
             return EXIT_INPUT
-    found = read_lines(texts)
-    story = explained(name, found.lines)
+    parsed = read_lines(texts)
+    story = explained(name, parsed.lines)
     if not story.events:
-        told = f"{len(found.lines)} lines, {found.skipped} others"
-        print(f"nothing is said of {name!r} in {len(files)} files ({told})", file=sys.stderr)
+        counts = f"{len(parsed.lines)} lines, {parsed.skipped} others"
+        print(f"nothing is said of {name!r} in {len(files)} files ({counts})", file=sys.stderr)
         return EXIT_INPUT
-    print(msgspec.json.encode(story).decode() if json else _as_text(story))
+    print(msgspec.json.encode(story).decode() if json else _format_story(story))
     return EXIT_DONE
 
 
-def _as_text(story: Story) -> str:
-    lines = [f"{_clock(each.at)}  {each.router}: {each.text}" for each in story.events]
+def _format_story(story: Story) -> str:
+    lines = [f"{_format_time(each.at)}  {each.router}: {each.text}" for each in story.events]
     if story.known:
         lines += ["", "What its router held to be so as it ended:"]
-        lines += [f"  since {_clock(each.at)}: {each.text}" for each in story.known]
+        lines += [f"  since {_format_time(each.at)}: {each.text}" for each in story.known]
     return "\n".join(lines)
 
 
-def _clock(at: float) -> str:
+def _format_time(at: float) -> str:
     return f"{time.strftime('%H:%M:%S', time.gmtime(at))}.{int(at % 1 * 1000):03d}"
--- a/pondhatch/cli/_main.py
+++ b/pondhatch/cli/_main.py
@@ -1,6 +1,6 @@
 """The command line: ``pondhatch COMMAND``.
 
-Exit codes: 0 done; 1 the input or configuration is wrong, nothing was done;
+Exit codes: 0 done; 1 the input or configuration is invalid, nothing was done;
 2 wrong usage; 3 another change came first, nothing was done; 4 the platform or
 router cannot be reached, nothing was done; 5 the outcome is unknown.
 """
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from pondhatch import __version__
-from pondhatch._early_port import OPTION, open_early
+from pondhatch._early_port import LISTEN_OPTION, open_early
 from pondhatch.cli._reports import EXIT_INPUT
 from pondhatch.cli._run_command import run
 from pondhatch.configuration import ConfigurationError
@@ -36,11 +36,11 @@
 def _run_command(arguments: list[str]) -> int:
     open_early(arguments)
     if arguments[:1] == [run.__name__] and len(arguments) > 1 and arguments[1][:1] != "-":
-        # A router that starts is waited for, and lives long: it is spared the other commands and
-        # the library that reads a command line, a tenth of a second and 7 MB.
+        # Callers may wait for a router to start, and it runs for long. Parsing its arguments here
+        # avoids importing the other commands and defopt, which take 0.1 s and 7 MB.
         if len(arguments) == 2:
             return run(Path(arguments[1]))
-        if len(arguments) == 4 and arguments[2] == OPTION:
+        if len(arguments) == 4 and arguments[2] == LISTEN_OPTION:
             return run(Path(arguments[1]), listen=arguments[3])
     import defopt
 
--- a/pondhatch/cli/_reports.py
+++ b/pondhatch/cli/_reports.py
@@ -1,4 +1,4 @@
-"""What the commands print, and their exit codes."""
+"""Prints the results of commands and defines their exit codes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def print_edits(
     edits: tuple[Edit, ...], before: FleetConfiguration, after: FleetConfiguration
 ) -> None:
-    """Print what edits change, and every account that they touch."""
+    """Print what edits change, and every account that they affect."""
     for edit in edits:
         known = (edit.kind, edit.name) in before.raw_by_entry
         sign = "-" if edit.value is None else "~" if known else "+"
@@ -41,17 +41,17 @@
         print("nothing to change")
 
 
-def report(outcome: PublishOutcome) -> int:
-    """Print what became of a change; return the exit code."""
+def report_outcome(outcome: PublishOutcome) -> int:
+    """Print the outcome of a change; return the exit code."""
     if isinstance(outcome, Published):
         print(f"accepted as version {outcome.version}")
         return EXIT_DONE
     if isinstance(outcome, LostRace):
-        theirs = outcome.winner
-        print(f"conflict: {theirs.author} made change {theirs.version} first:", file=sys.stderr)
-        for edit in theirs.edits:
+        winner = outcome.winner
+        print(f"conflict: {winner.author} made change {winner.version} first:", file=sys.stderr)
+        for edit in winner.edits:
             print(f"  {edit.kind} {edit.name}: {edit.value}", file=sys.stderr)
-        print("nothing of yours was applied; look at it and apply again", file=sys.stderr)
+        print("your change was not applied; review the other one and apply again", file=sys.stderr)
         return EXIT_CONFLICT
     if isinstance(outcome, NotWritten):
         print(f"nothing was applied: {outcome.reason}", file=sys.stderr)
@@ -67,7 +67,7 @@
     return EXIT_UNKNOWN
 
 
-def unreadable(found: Unavailable | Inconsistent) -> int:
+def report_unreadable(found: Unavailable | Inconsistent) -> int:
     """Print why the configuration cannot be read; return the exit code."""
     print(f"cannot read the configuration: {found.reason}", file=sys.stderr)
     return EXIT_UNREACHABLE if isinstance(found, Unavailable) else EXIT_INPUT
--- a/pondhatch/cli/_router_commands.py
+++ b/pondhatch/cli/_router_commands.py
@@ -1,4 +1,4 @@
-"""The commands that ask a running router by its admin port."""
+"""The commands that send requests to the admin port of a running router."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT, EXIT_UNREACHABLE
 from pondhatch.kernel import as_future, install_reactor
 
-OK = 200
-#: Seconds to wait for a router's admin port.
+HTTP_OK = 200
+#: Timeout in seconds for a request to a router's admin port.
 ADMIN_SECONDS = 5
 
 
 def dump(*, admin: str, json: bool = False) -> int:
-    """Show a router's state: members, engines, limits, the last decisions and why.
+    """Show a router's state: members, engines, limits and the last decisions with their reasons.
 
     :param admin: the router's admin address, as "IP:port"
-    :param json: as JSON
+    :param json: print JSON
     """
-    content = _ask_router(admin, "state.json" if json else "state")
+    content = _get_page(admin, "state.json" if json else "state")
     if content is None:
         return EXIT_UNREACHABLE
     print(content.decode(), end="")
@@ -29,11 +29,11 @@
 
 
 def where(*, admin: str) -> int:
-    """Show which version of the configuration each router has in force, the slowest first.
+    """Show the version of the configuration in force at each router, the oldest version first.
 
     :param admin: any router's admin address, as "IP:port"
     """
-    content = _ask_router(admin, "state.json")
+    content = _get_page(admin, "state.json")
     if content is None:
         return EXIT_UNREACHABLE
     state = msgspec.json.decode(content)
@@ -43,39 +43,39 @@
 
 
 def lift(digest: str, *, admin: str) -> int:
-    """Let a request run again that is held back since engines ended under it, at all routers.
+    """Lift the quarantine of a request that engines ended on, so that all routers run it again.
 
-    :param digest: the request's digest, as the dump and the routers' lines show it
+    :param digest: the request's digest, as shown in the dump and in the routers' log lines
     :param admin: any router's admin address, as "IP:port"
     """
-    answer = _call_router(admin, "POST", f"lift/{digest}")
-    if answer is None:
+    reply = _call_router(admin, "POST", f"lift/{digest}")
+    if reply is None:
         return EXIT_UNREACHABLE
-    if answer.status != OK:
-        print(f"nothing is held against a request {digest}", file=sys.stderr)
+    if reply.status != HTTP_OK:
+        print(f"no request {digest} is quarantined", file=sys.stderr)
         return EXIT_INPUT
     print(f"{digest} may run again")
     return EXIT_DONE
 
 
-def _ask_router(admin: str, path: str) -> bytes | None:
-    """Return a page of a router's admin port, or None where it cannot be reached."""
-    answer = _call_router(admin, "GET", path)
-    return answer.content if answer is not None else None
+def _get_page(admin: str, path: str) -> bytes | None:
+    """Return a page of a router's admin port, or None if it cannot be reached."""
+    reply = _call_router(admin, "GET", path)
+    return reply.content if reply is not None else None
 
 
-class _AdminAnswer(msgspec.Struct, frozen=True):
-    """What a router's admin port answered."""
+class _AdminReply(msgspec.Struct, frozen=True):
+    """A reply of a router's admin port."""
 
     status: int
     content: bytes
 
 
-def _call_router(admin: str, method: str, path: str) -> _AdminAnswer | None:
-    """Return what a router's admin port answers, or None where it cannot be reached."""
+def _call_router(admin: str, method: str, path: str) -> _AdminReply | None:
+    """Send a request to a router's admin port; return the reply, or None if it is unreachable."""
     install_reactor()
 
-    async def work() -> _AdminAnswer | None:
+    async def work() -> _AdminReply | None:
         import treq
 
         url = f"http://{admin}/{path}"
@@ -85,6 +85,6 @@
         except Exception as error:
             print(f"cannot reach {admin}: {error}", file=sys.stderr)
             return None
-        return _AdminAnswer(response.code, content)
+        return _AdminReply(response.code, content)
 
     return run_on_reactor(work())
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_router_statistics.py
@@ -1,4 +1,4 @@
-"""What a router tells of itself in numbers: levels for statsd, counters for its state dump."""
+"""The statistics of a router: gauges for its metrics and counters for its state dump."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from pondhatch.transport import Callers, GossipPort
 
 
-class Figures(msgspec.Struct, frozen=True):
-    """Reads the numbers from a router's parts."""
+class RouterStatistics(msgspec.Struct, frozen=True):
+    """Reads the statistics from the components of a router."""
 
     state: RouterState
     callers: Callers
     gossip_port: GossipPort
-    granting: GrantExchange
+    grant_exchange: GrantExchange
     platform: Platform
     #: When the router started, in seconds of the monotonic clock.
-    started: float = msgspec.field(default_factory=time.monotonic)
+    started_at: float = msgspec.field(default_factory=time.monotonic)
 
-    def levels(self) -> dict[str, int]:
-        """Return what statsd is told now and then, by metric."""
+    def gauges(self) -> dict[str, int]:
+        """Return the current gauges by metric name."""
         notices = self.state.notices.current(self.state.clock()).values()
         return {
             "routers.known": len(self.state.members()),
@@ -46,21 +46,21 @@
                 list(self.state.suspects.quarantined_digests(self.state.clock()))
             ),
             "chats.spilled": len(self.state.spill_locations.engine_by_chat),
-            "queue.refused-in-vain": self.granting.owner.wrongly_refused,
+            "queue.refused-in-vain": self.grant_exchange.owner.wrongly_refused,
             "control.bytes_sent": self.gossip_port.bytes_sent,
             "control.bytes_received": self.gossip_port.bytes_received,
         }
 
     def counters(self) -> dict[str, Any]:
-        """Return the counters that stand in the state dump."""
+        """Return the counters of the state dump."""
         return {
-            "uptime_seconds": round(time.monotonic() - self.started, 3),
+            "uptime_seconds": round(time.monotonic() - self.started_at, 3),
             "requests_in_flight": self.callers.in_flight,
             "gossip_bytes_sent": self.gossip_port.bytes_sent,
             "gossip_bytes_received": self.gossip_port.bytes_received,
-            "grant_packets": self.granting.packet_count,
-            "grants_held": len(self.granting.entry.held_by_number),
-            "grants_given": len(self.granting.owner.leases.by_holder),
+            "grant_packets": self.grant_exchange.packet_count,
+            "grants_held": len(self.grant_exchange.entry.held_by_number),
+            "grants_given": len(self.grant_exchange.owner.leases.by_holder),
             "gossip_unsealed": self.gossip_port.unsealed,
             "platform_calls": getattr(self.platform, "calls", 0),
         }
--- a/pondhatch/cli/_view_commands.py
+++ b/pondhatch/cli/_view_commands.py
@@ -5,14 +5,14 @@
 import sys
 import time
 
-from pondhatch.cli._platform_work import run_on_fleet
+from pondhatch.cli._configuration_task import run_with_configuration
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT
 from pondhatch.configuration import FleetConfiguration
 from pondhatch.store import Platform
 
 
 def show(*, platform: str, name: str = "") -> int:
-    """Show the configuration that the platform holds, without keys.
+    """Show the configuration that the platform stores, without keys.
 
     :param platform: the platform's URL
     :param name: show only this account
@@ -28,11 +28,11 @@
             return EXIT_INPUT
         return EXIT_DONE
 
-    return run_on_fleet(platform, work)
+    return run_with_configuration(platform, work)
 
 
 def history(*, platform: str) -> int:
-    """Show the changes since the last snapshot: who, when, why, what.
+    """Show the changes since the last snapshot: time, author, note and entries.
 
     :param platform: the platform's URL
     """
@@ -44,4 +44,4 @@
             print(f"{change.version}  {at} UTC  {change.author}  {change.note or '-'}: {what}")
         return EXIT_DONE
 
-    return run_on_fleet(platform, work)
+    return run_with_configuration(platform, work)
