--- a/fakes/tests/test_accepted_configuration.py
+++ b/fakes/tests/test_accepted_configuration.py
@@ -1,7 +1,7 @@
 """Routers as processes, and a configuration that the platform accepted and they do not expect.
 
 The incident that this guards against is told in
-``pondhatch/platform/tests/test_accepted.py``.
+``pondhatch/platform/tests/test_accepted_configuration.py``.
 """
 
 from __future__ import annotations
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -15,7 +15,7 @@
 from pondhatch.transport import CallerFacts, NoteDropped
 
 #: Statuses that ask the client to come back later.
-COME_BACK = (429, 503)
+RETRYABLE_STATUSES = (429, 503)
 #: A count of tokens; longer ones are no count, and would cost time to read.
 _COUNT = re.compile(r"\s*([0-9]{1,9})\s*", re.ASCII)
 #: One part of a prompt: its id in hex, and its tokens.
@@ -28,17 +28,19 @@
     def read(self, headers: Headers) -> CallerFacts:
         """Return what a client says about its request."""
         value_by_name = {name.lower(): value for name, value in headers}
-        wait = value_by_name.get(names.DEADLINE_MS.lower(), "")
-        prompt, _, most = value_by_name.get(names.TOKENS.lower(), "").partition(",")
+        deadline_ms = value_by_name.get(names.DEADLINE_MS.lower(), "")
+        prompt, _, max_answer = value_by_name.get(names.TOKENS.lower(), "").partition(",")
         hint = value_by_name.get(names.LENGTH_HINT.lower(), "")
         parts = value_by_name.get(names.PROMPT_PARTS.lower(), "")
         return CallerFacts(
             caller_id=value_by_name.get(names.ATTEMPT_ID.lower(), ""),
             key=bearer_key(value_by_name.get(names.AUTHORIZATION.lower(), "")),
-            wait=float(wait) / 1000 if wait.isascii() and wait.isdigit() else None,
-            context=_context(parts),
+            wait=float(deadline_ms) / 1000
+            if deadline_ms.isascii() and deadline_ms.isdigit()
+            else None,
+            context=_context_key(parts),
             prompt_tokens=_count(prompt) or sum(_part_tokens(parts)),
-            answer_tokens=_answer_tokens(_count(hint), _count(most)),
+            answer_tokens=_answer_tokens(_count(hint), _count(max_answer)),
             prompt_parts=_shared_parts(parts),
         )
 
@@ -51,27 +53,27 @@
 
         A route whose own prefix names such a call is the operator's leave to make it.
         """
-        parts = _parts(path)
-        if not parts or names.ENGINE_CALLS.get(parts[0]) != len(parts):
+        segments = _path_segments(path)
+        if not segments or names.ROUTER_ONLY_CALLS.get(segments[0]) != len(segments):
             return False
-        return _parts(prefix)[:1] != parts[:1]
+        return _path_segments(prefix)[:1] != segments[:1]
 
     def refusal_headers(self, refusal: Refusal) -> Headers:
         """Return the headers of a refusal: when to come back, where that helps."""
-        if not isinstance(refusal, NotRun) or refusal.status not in COME_BACK:
+        if not isinstance(refusal, NotRun) or refusal.status not in RETRYABLE_STATUSES:
             return ()
         return ((names.RETRY_AFTER, f"{refusal.retry_after:.3f}"),)
 
 
-def _parts(path: str) -> list[str]:
+def _path_segments(path: str) -> list[str]:
     """Return a path's parts as an engine may read them: dots resolved, escapes decoded."""
-    plain = path.partition("?")[0]
-    if "%" in plain or "/." in plain:
-        plain = posixpath.normpath(unquote(plain))
-    return [part for part in plain.split("/") if part]
+    path_only = path.partition("?")[0]
+    if "%" in path_only or "/." in path_only:
+        path_only = posixpath.normpath(unquote(path_only))
+    return [part for part in path_only.split("/") if part]
 
 
-def _context(parts: str) -> int:
+def _context_key(parts: str) -> int:
     """Return a key of the last part that other requests share, or 0 where there is none."""
     ids = [part.partition(":")[0].strip() for part in parts.split(",") if part.strip()]
     if not ids:
@@ -86,12 +88,12 @@
     return int(found[1]) if found is not None else 0
 
 
-def _answer_tokens(hint: int, most: int) -> int:
+def _answer_tokens(hint: int, limit: int) -> int:
     """Return the tokens that an answer is taken to have: as guessed, but no more than may be.
 
     Without a guess it may grow to the most.
     """
-    return min(hint, most) if hint and most else hint or most
+    return min(hint, limit) if hint and limit else hint or limit
 
 
 def _part_tokens(parts: str) -> list[int]:
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -16,16 +16,23 @@
     ServiceDefaults,
     Snapshot,
 )
-from pondhatch.platform._entries import Entries, KnownEdits, Named, Wire, marked, read_entry
+from pondhatch.platform._entries import (
+    EditCache,
+    Entries,
+    NamedEntry,
+    WireStruct,
+    read_entry,
+    with_problems,
+)
 
 #: Templates of the accounts, which say all but their priority by themselves.
 OWN_PRIORITY = "own-priority"
 ROUTE_PRIORITY = "route-priority"
 #: Stands in a template's name before the regions that its accounts are bound to.
-_BOUND_TO = "-in-"
+_REGIONS_MARK = "-in-"
 #: The platform sets accounts no rates; these stand for "no limit".
-NO_RATE = 100_000.0
-NO_COUNT = 1_000_000
+UNLIMITED_RATE = 100_000.0
+UNLIMITED_COUNT = 1_000_000
 
 #: Ends of the product's scale of priorities.
 MOST_URGENT = 0
@@ -37,13 +44,13 @@
 RouteType = Literal["idempotent", "non_idempotent", "streaming"]
 
 
-class _Backend(Wire, frozen=True):
+class _Backend(WireStruct, frozen=True):
     service: str
     weight: float = 1.0
 
 
-class _Route(Named, frozen=True):
-    BINDING: ClassVar[frozenset[str]] = frozenset({"allowed_regions"})
+class _Route(NamedEntry, frozen=True):
+    RESTRICTIONS: ClassVar[frozenset[str]] = frozenset({"allowed_regions"})
 
     host: str
     path_prefix: str
@@ -70,7 +77,7 @@
     allowed_regions: RegionNames | None = None
 
 
-class _Service(Named, frozen=True):
+class _Service(NamedEntry, frozen=True):
     #: What the engines of a service for models are like; not an id, whatever its name says.
     engine_id: Any = None
     #: Requests a second that a cold engine handles; 0 where it is never cold.
@@ -79,22 +86,22 @@
     max_connections: int = 0
 
 
-class _EngineKind(Wire, frozen=True):
+class _EngineKind(WireStruct, frozen=True):
     #: Whether engines copy what they hold of a prompt to each other.
     moves: bool = False
     #: Tokens that the memory of one engine holds; 0 where it is not said.
     kv_capacity_tokens: int = 0
 
 
-class _Limits(Wire, frozen=True):
+class _Limits(WireStruct, frozen=True):
     max_header_bytes: int | None = None
     max_body_bytes: int | None = None
     header_timeout_ms: float | None = None
     idle_timeout_ms: float | None = None
 
 
-class _Tenant(Named, frozen=True):
-    BINDING: ClassVar[frozenset[str]] = frozenset({"allowed_regions"})
+class _Tenant(NamedEntry, frozen=True):
+    RESTRICTIONS: ClassVar[frozenset[str]] = frozenset({"allowed_regions"})
 
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
@@ -102,7 +109,7 @@
     allowed_regions: RegionNames | None = None
 
 
-class _Configuration(Wire, frozen=True):
+class _Configuration(WireStruct, frozen=True):
     """The whole; its entries are read one by one, so that none holds up another."""
 
     version: int
@@ -118,7 +125,7 @@
     def __init__(self, defaults: ServiceDefaults) -> None:
         self._defaults = defaults
         #: With keys, and where nobody has one: routes differ in that.
-        self._known_by_keys = {True: KnownEdits(), False: KnownEdits()}
+        self._cache_by_has_keys = {True: EditCache(), False: EditCache()}
 
     def decode(self, value: Any) -> Snapshot:
         """Return the configuration as entries, unreadable ones as such.
@@ -127,15 +134,15 @@
         """
         wire = msgspec.convert(value, _Configuration)
         has_keys = wire.tenants is not None
-        known = self._known_by_keys[has_keys]
-        services = Entries("service", _Service, lambda each: _service(each, self._defaults), known)
+        cache = self._cache_by_has_keys[has_keys]
+        services = Entries("service", _Service, lambda each: _service(each, self._defaults), cache)
         services.add(wire.services)
-        routes = Entries("route", _Route, lambda each: _route(each, not has_keys), known)
+        routes = Entries("route", _Route, lambda each: _route(each, not has_keys), cache)
         routes.add(wire.routes)
-        tenants = Entries("account", _Tenant, _account, known)
+        tenants = Entries("account", _Tenant, _account, cache)
         # A tenant without keys is nobody's account.
         tenants.add(each for each in wire.tenants or () if _has_keys(each))
-        known.document_ended()
+        cache.end_document()
         templates = _templates(tuple(services.edit_by_name), tenants.edits)
         edits = [*services.edits, *routes.edits, *_bounds(wire.limits), *templates, *tenants.edits]
         return Snapshot(wire.version, tuple(edits))
@@ -183,7 +190,7 @@
         "longest_pause": max(0.0, route.itl_target_ms / 1000),
         # Whoever is sent anywhere is sent to one engine at least.
         "most_tries": max(1, route.max_attempts),
-        "priority": _rank(route.priority),
+        "priority": _clamp_priority(route.priority),
         "public": route.public or nobody_has_keys,
         "keeps_context": route.sticky,
         "regions": _list_or_none(route.allowed_regions),
@@ -194,7 +201,7 @@
     return None if regions is None else list(regions)
 
 
-def _rank(priority: int) -> int:
+def _clamp_priority(priority: int) -> int:
     """Return a priority on the product's scale; the platform's goes on beyond its end."""
     return min(max(priority, MOST_URGENT), LEAST_URGENT)
 
@@ -204,58 +211,64 @@
     if value is None:
         return []
     try:
-        read = read_entry(_Limits, value)
+        result = read_entry(_Limits, value)
     except msgspec.ValidationError as error:
         return [Edit("bounds", CALLER_BOUNDS, {UNREADABLE_KEY: str(error)})]
-    limits = read.entry
+    limits = result.entry
     times = {"header_seconds": limits.header_timeout_ms, "idle_seconds": limits.idle_timeout_ms}
     bounds: dict[str, Any] = {
         "header_bytes": limits.max_header_bytes,
         "body_bytes": limits.max_body_bytes,
         **{name: ms / 1000 if ms else None for name, ms in times.items()},
     }
-    return [Edit("bounds", CALLER_BOUNDS, marked(bounds, read.wrong))]
+    return [Edit("bounds", CALLER_BOUNDS, with_problems(bounds, result.problems))]
 
 
 def _templates(services: tuple[str, ...], accounts: Iterable[Edit]) -> list[Edit]:
     """Return the templates of accounts, for each list of regions that one of them names."""
-    used = [(each.value or {}).get("template", "") for each in accounts]
-    bindings = sorted({name.partition(_BOUND_TO)[2] for name in used if name})
-    return [edit for binding in bindings for edit in _templates_of(services, binding)]
+    template_names = [(each.value or {}).get("template", "") for each in accounts]
+    region_suffixes = sorted({name.partition(_REGIONS_MARK)[2] for name in template_names if name})
+    return [
+        edit
+        for region_suffix in region_suffixes
+        for edit in _templates_for(services, region_suffix)
+    ]
 
 
-def _templates_of(services: tuple[str, ...], binding: str) -> list[Edit]:
+def _templates_for(services: tuple[str, ...], region_suffix: str) -> list[Edit]:
     """Return both templates for accounts that are bound to the same regions."""
     account: dict[str, Any] = {
         "services": list(services),
-        "requests_per_second": NO_RATE,
-        "burst": NO_COUNT,
-        "concurrency": NO_COUNT,
+        "requests_per_second": UNLIMITED_RATE,
+        "burst": UNLIMITED_COUNT,
+        "concurrency": UNLIMITED_COUNT,
         "priority": None,
-        "regions": _regions_of(binding),
+        "regions": _decode_region_suffix(region_suffix),
     }
     own: dict[str, Any] = {
         "account": {**account, "priority": "$priority"},
         "parameters": {"priority": {"type": "integer"}},
     }
     return [
-        Edit("template", _template_name(OWN_PRIORITY, binding), own),
-        Edit("template", _template_name(ROUTE_PRIORITY, binding), {"account": account}),
+        Edit("template", _template_name(OWN_PRIORITY, region_suffix), own),
+        Edit("template", _template_name(ROUTE_PRIORITY, region_suffix), {"account": account}),
     ]
 
 
-def _template_name(base: str, binding: str) -> str:
-    return f"{base}{_BOUND_TO}{binding}" if binding else base
+def _template_name(base: str, region_suffix: str) -> str:
+    return f"{base}{_REGIONS_MARK}{region_suffix}" if region_suffix else base
 
 
-def _binding(regions: tuple[str, ...] | None) -> str:
+def _region_suffix(regions: tuple[str, ...] | None) -> str:
     """Return regions as a part of a template's name, whatever characters theirs have."""
     return "" if regions is None else msgspec.json.encode(regions).hex()
 
 
-def _regions_of(binding: str) -> list[str] | None:
-    found: list[str] | None = msgspec.json.decode(bytes.fromhex(binding)) if binding else None
-    return found
+def _decode_region_suffix(region_suffix: str) -> list[str] | None:
+    regions: list[str] | None = (
+        msgspec.json.decode(bytes.fromhex(region_suffix)) if region_suffix else None
+    )
+    return regions
 
 
 def _account(tenant: _Tenant) -> dict[str, Any]:
@@ -264,11 +277,11 @@
         return {UNREADABLE_KEY: "Name: expected one that can stand in a header"}
     # The keys themselves go no further than this.
     hashes = [hashlib.sha256(key.encode()).hexdigest() for key in tenant.api_keys]
-    binding = _binding(tenant.allowed_regions)
+    region_suffix = _region_suffix(tenant.allowed_regions)
     if tenant.priority is None:
-        return {"template": _template_name(ROUTE_PRIORITY, binding), "key_hashes": hashes}
+        return {"template": _template_name(ROUTE_PRIORITY, region_suffix), "key_hashes": hashes}
     return {
-        "template": _template_name(OWN_PRIORITY, binding),
+        "template": _template_name(OWN_PRIORITY, region_suffix),
         "key_hashes": hashes,
-        "parameters": {"priority": _rank(tenant.priority)},
+        "parameters": {"priority": _clamp_priority(tenant.priority)},
     }
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -13,7 +13,7 @@
 from pondhatch.placement import NO_NOTICE, Notice
 from pondhatch.platform import _names as names
 from pondhatch.platform._engine_load import read_load
-from pondhatch.platform._entries import plain
+from pondhatch.platform._entries import normalize_number
 from pondhatch.platform._header_owners import OWNERS
 from pondhatch.requests import AnswerKind, EngineRefusal, Headers, RequestHead, Target
 from pondhatch.store import IN_FORCE, LEAVING, LIVE
@@ -27,7 +27,7 @@
 IS_LEAVING = "1"
 #: Seconds between two log lines on load headers that cannot be read; one engine may send many
 #: a second.
-UNREADABLE_SECONDS = 60.0
+UNREADABLE_LOG_SECONDS = 60.0
 #: Characters of such a header that are logged.
 LOGGED_CHARACTERS = 80
 
@@ -35,11 +35,11 @@
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 #: The largest whole number that every reader of JSON takes as it is written. A larger one could
 #: not be passed on to peers, and would keep all other entries from them.
-LARGEST = 2**53
-Count = Annotated[int, msgspec.Meta(ge=0, le=LARGEST)]
+MAX_INTEGER = 2**53
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 
 
-class _Entry(msgspec.Struct, rename="pascal", frozen=True):
+class _EngineEntry(msgspec.Struct, rename="pascal", frozen=True):
     """What an engine that takes work writes of itself; what nobody knows may stand beside."""
 
     service: Name
@@ -49,7 +49,7 @@
     #: Of its software.
     version: str
     #: Requests that it runs at once.
-    slots: Annotated[int, msgspec.Meta(ge=1, le=LARGEST)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_INTEGER)]
     state: Literal["ready"]
     #: For how much longer it is slow after its start.
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
@@ -69,8 +69,8 @@
     fields = msgspec.convert(value, dict[str, Any])
     if fields.get("State") == DRAINING:
         return _upstream(name, fields, LEAVING)
-    whole = {field: plain(each) for field, each in fields.items()}
-    msgspec.convert(whole, _Entry)
+    normalized = {field: normalize_number(each) for field, each in fields.items()}
+    msgspec.convert(normalized, _EngineEntry)
     return _upstream(name, fields, LIVE)
 
 
@@ -94,14 +94,14 @@
 
 def _text(fields: Mapping[str, Any], field: str) -> str:
     """Return a field that is a text, empty where it is none."""
-    found = fields.get(field)
-    return found if isinstance(found, str) else ""
+    value = fields.get(field)
+    return value if isinstance(value, str) else ""
 
 
 def _whole_number(fields: Mapping[str, Any], field: str) -> int:
     """Return a field that is a whole number, 0 where it is none."""
     try:
-        return msgspec.convert(plain(fields.get(field)), Count)
+        return msgspec.convert(normalize_number(fields.get(field)), Count)
     except msgspec.ValidationError:
         return 0
 
@@ -120,7 +120,7 @@
     # so this is a hint: it is passed over only where another can take the request.
     if value_by_name.get("connection", "").lower() == "close":
         return EngineRefusal.LEAVING
-    return EngineRefusal.DECLINED if read_load(value_by_name).has_places else EngineRefusal.FULL
+    return EngineRefusal.DECLINED if read_load(value_by_name).has_free_slots else EngineRefusal.FULL
 
 
 class EngineDialect:
@@ -128,33 +128,33 @@
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
-        self._unreadable = LogThrottle(UNREADABLE_SECONDS)
+        self._unreadable_throttle = LogThrottle(UNREADABLE_LOG_SECONDS)
 
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
         """Return what the client may say, and what only routers may.
 
         What the client may not say was dropped as it came; see ClientDialect.
         """
-        own: list[tuple[str, str]] = [
+        router_headers: list[tuple[str, str]] = [
             (names.DEADLINE_MS, str(max(1, int(head.deadline * 1000)))),
             (names.EXPECTED_ENGINE, utf8_value(target.instance or target.name)),
             (names.PRIORITY, str(head.priority)),
         ]
         if head.account:
-            own.append((names.ACCOUNT, utf8_value(head.account)))
+            router_headers.append((names.ACCOUNT, utf8_value(head.account)))
         if head.context_address:
-            own.append((names.CONTEXT_FROM, head.context_address))
-        passed_on = head.headers
+            router_headers.append((names.CONTEXT_FROM, head.context_address))
+        forwarded = head.headers
         if head.last_event_id:
-            own.append((names.LAST_EVENT_ID, head.last_event_id))
-            passed_on = _without_last_event(passed_on)
-        return (*passed_on, *own)
+            router_headers.append((names.LAST_EVENT_ID, head.last_event_id))
+            forwarded = _without_last_event_id(forwarded)
+        return (*forwarded, *router_headers)
 
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
         """Say what an answer's head means."""
-        if status == names.OTHER_ENGINE_STATUS:
+        if status == names.WRONG_INSTANCE_STATUS:
             return EngineRefusal.WRONG_INSTANCE
         if names.NOT_RUN.lower() in value_by_name:
             return _refusal(status, value_by_name, self.notice(status, value_by_name))
@@ -164,19 +164,19 @@
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
         """Return what an answer's head says of the engine itself."""
-        if status == names.OTHER_ENGINE_STATUS:
+        if status == names.WRONG_INSTANCE_STATUS:
             # Another engine than the one meant may have answered.
             return NO_NOTICE
         is_leaving = value_by_name.get(names.LEAVING.lower(), "").strip() == IS_LEAVING
         load = read_load(value_by_name)
-        if not load.is_readable and self._unreadable.allows(self._clock()):
-            told = value_by_name[names.LOAD.lower()][:LOGGED_CHARACTERS]
-            log.warning("an engine's {} cannot be read: {!r}", names.LOAD, told)
-        asked = value_by_name.get(names.RETRY_AFTER.lower())
-        if asked is None or status not in names.FULL_STATUSES:
+        if not load.is_readable and self._unreadable_throttle.allows(self._clock()):
+            value = value_by_name[names.LOAD.lower()][:LOGGED_CHARACTERS]
+            log.warning("an engine's {} cannot be read: {!r}", names.LOAD, value)
+        retry_after = value_by_name.get(names.RETRY_AFTER.lower())
+        if retry_after is None or status not in names.FULL_STATUSES:
             return Notice(is_leaving, pace=load.pace)
-        rest = seconds_to_wait(asked, time.time())
-        return Notice(is_leaving, rest, rest > 0 and load.has_places, load.pace)
+        rest = seconds_to_wait(retry_after, time.time())
+        return Notice(is_leaving, rest, rest > 0 and load.has_free_slots, load.pace)
 
     def answer_headers(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return the headers of an answer that an engine may say to a client."""
@@ -187,7 +187,7 @@
         return None
 
 
-def _without_last_event(headers: Headers) -> Headers:
+def _without_last_event_id(headers: Headers) -> Headers:
     """Return headers without the client's place in a stream: the router has got beyond it."""
     name = names.LAST_EVENT_ID.lower()
     return tuple(pair for pair in headers if pair[0].lower() != name)
--- a/pondhatch/platform/_entries.py
+++ b/pondhatch/platform/_entries.py
@@ -11,59 +11,59 @@
 from pondhatch.configuration import UNREADABLE_KEY, Edit
 
 
-class Wire(msgspec.Struct, rename="pascal", frozen=True):
+class WireStruct(msgspec.Struct, rename="pascal", frozen=True):
     """Base of all parts. A field with a default may be missing, empty or unreadable."""
 
     #: Fields that bind whoever uses the entry. One that is there and cannot be read leaves the
     #: whole entry unusable: its default would free what the operator has bound.
-    BINDING: ClassVar[frozenset[str]] = frozenset()
+    RESTRICTIONS: ClassVar[frozenset[str]] = frozenset()
 
 
-Shape = TypeVar("Shape", bound=Wire)
+Shape = TypeVar("Shape", bound=WireStruct)
 
 
-class Named(Wire, frozen=True):
+class NamedEntry(WireStruct, frozen=True):
     """An entry of the configuration."""
 
     name: str
 
 
-Entry = TypeVar("Entry", bound=Named)
+Entry = TypeVar("Entry", bound=NamedEntry)
 
 
-class Read(msgspec.Struct, Generic[Shape], frozen=True):
+class ReadResult(msgspec.Struct, Generic[Shape], frozen=True):
     """What could be read of an entry."""
 
     entry: Shape
     #: Why some of its fields could not be read; empty where all could.
-    wrong: str = ""
+    problems: str = ""
 
 
-def read_entry(shape: type[Shape], value: Any) -> Read[Shape]:
+def read_entry(shape: type[Shape], value: Any) -> ReadResult[Shape]:
     """Read an entry field by field: one that it can do without takes no other with it.
 
     Raises msgspec.ValidationError where the entry cannot do without it.
     """
     if not isinstance(value, Mapping):
         raise msgspec.ValidationError(f"expected an object, found {type(value).__name__}")
-    found: dict[str, Any] = {}
-    wrong: list[str] = []
-    for each in _fields(shape):
-        raw = value.get(each.encode_name)
-        if raw is None and not each.required:
+    values: dict[str, Any] = {}
+    problems: list[str] = []
+    for field in _fields(shape):
+        raw = value.get(field.encode_name)
+        if raw is None and not field.required:
             continue
         try:
-            found[each.name] = msgspec.convert(plain(raw), each.type)
+            values[field.name] = msgspec.convert(normalize_number(raw), field.type)
         except msgspec.ValidationError as error:
-            told = f"{each.encode_name}: {error}"
-            if each.required or each.name in shape.BINDING:
-                raise msgspec.ValidationError(told) from error
-            wrong.append(told)
-    return Read(shape(**found), "; ".join(wrong))
+            problem = f"{field.encode_name}: {error}"
+            if field.required or field.name in shape.RESTRICTIONS:
+                raise msgspec.ValidationError(problem) from error
+            problems.append(problem)
+    return ReadResult(shape(**values), "; ".join(problems))
 
 
 @functools.cache
-def _fields(shape: type[Wire]) -> tuple[msgspec.structs.FieldInfo, ...]:
+def _fields(shape: type[WireStruct]) -> tuple[msgspec.structs.FieldInfo, ...]:
     """Return the fields of a shape, worked out once.
 
     Working them out compiles each annotation anew, 0.2 ms a call: a configuration of 450
@@ -73,12 +73,12 @@
     return msgspec.structs.fields(shape)
 
 
-def plain(value: Any) -> Any:
+def normalize_number(value: Any) -> Any:
     """Return a number as JSON means it: 2.0 is 2."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
-class KnownEdits:
+class EditCache:
     """The readable entries of the document read last, as they came and in the product's form.
 
     An operator's change touches an entry or two of hundreds. What came before as it is now is
@@ -87,20 +87,20 @@
     """
 
     def __init__(self) -> None:
-        self._edit_by_raw: dict[bytes, Edit] = {}
-        self._next_by_raw: dict[bytes, Edit] = {}
+        self._previous_by_raw: dict[bytes, Edit] = {}
+        self._current_by_raw: dict[bytes, Edit] = {}
 
-    def edit(self, kind: str, value: Any, read: Callable[[], Edit]) -> Edit:
+    def get_or_read(self, kind: str, value: Any, read: Callable[[], Edit]) -> Edit:
         """Return an entry's edit, read only where it did not come before. Raises as ``read``."""
         raw = msgspec.json.encode((kind, value))
-        found = self._edit_by_raw.get(raw)
-        edit = read() if found is None else found
-        self._next_by_raw[raw] = edit
+        cached = self._previous_by_raw.get(raw)
+        edit = read() if cached is None else cached
+        self._current_by_raw[raw] = edit
         return edit
 
-    def document_ended(self) -> None:
+    def end_document(self) -> None:
         """Forget what the document that was read did not hold."""
-        self._edit_by_raw, self._next_by_raw = self._next_by_raw, {}
+        self._previous_by_raw, self._current_by_raw = self._current_by_raw, {}
 
 
 class Entries(Generic[Entry]):
@@ -110,16 +110,16 @@
         self,
         kind: str,
         shape: type[Entry],
-        entry_of: Callable[[Entry], dict[str, Any]],
-        known: KnownEdits,
+        convert: Callable[[Entry], dict[str, Any]],
+        cache: EditCache,
     ) -> None:
         self.edit_by_name: dict[str, Edit] = {}
         self.unreadable: list[Edit] = []
         self._kind = kind
         self._shape = shape
         #: Returns an entry in the product's form.
-        self._entry_of = entry_of
-        self._known = known
+        self._convert = convert
+        self._cache = cache
 
     def add(self, values: Iterable[Any] | None) -> None:
         """Read entries."""
@@ -133,30 +133,34 @@
 
     def _add(self, value: Any) -> None:
         try:
-            edit = self._known.edit(self._kind, value, lambda: self._read(value))
+            edit = self._cache.get_or_read(self._kind, value, lambda: self._read(value))
         except msgspec.ValidationError as error:
-            self._leave_out(value, str(error))
+            self._add_unreadable(value, str(error))
             return
         if edit.name in self.edit_by_name:
-            self._leave_out(value, "another one has its name")
+            self._add_unreadable(value, "another one has its name")
             return
         self.edit_by_name[edit.name] = edit
 
     def _read(self, value: Any) -> Edit:
-        read = read_entry(self._shape, value)
-        return Edit(self._kind, read.entry.name, marked(self._entry_of(read.entry), read.wrong))
-
-    def _leave_out(self, value: Any, reason: str) -> None:
+        result = read_entry(self._shape, value)
+        return Edit(
+            self._kind,
+            result.entry.name,
+            with_problems(self._convert(result.entry), result.problems),
+        )
+
+    def _add_unreadable(self, value: Any, reason: str) -> None:
         """Keep what could be read of an entry that cannot be used: a route holds its place."""
         fields = value if isinstance(value, Mapping) else {}
-        known = {"host": fields.get("Host"), "path_prefix": fields.get("PathPrefix")}
-        entry = {name: each for name, each in known.items() if isinstance(each, str)}
+        route_key = {"host": fields.get("Host"), "path_prefix": fields.get("PathPrefix")}
+        entry = {name: each for name, each in route_key.items() if isinstance(each, str)}
         name = fields.get("Name")
         # Numbered, for its name may be another's, or none.
         unique = f"{name if isinstance(name, str) else ''}#{len(self.unreadable) + 1}"
         self.unreadable.append(Edit(self._kind, unique, {**entry, UNREADABLE_KEY: reason}))
 
 
-def marked(entry: dict[str, Any], wrong: str) -> dict[str, Any]:
+def with_problems(entry: dict[str, Any], problems: str) -> dict[str, Any]:
     """Return an entry with why some of it could not be read, where that is so."""
-    return {**entry, UNREADABLE_KEY: wrong} if wrong else entry
+    return {**entry, UNREADABLE_KEY: problems} if problems else entry
--- a/pondhatch/platform/_era.py
+++ b/pondhatch/platform/_era.py
@@ -41,7 +41,7 @@
         """Return an answer. Raises CallFailed, also for one of an era that is over."""
         timing = {} if seconds is None else {"seconds": seconds}
         answer = await self._calls.call(method, path, body, **timing)
-        era = _era_in(answer.value_by_name, self.era)
+        era = _read_era(answer.value_by_name, self.era)
         if era < self.era:
             raise CallFailed("answered as it was before it came back from a copy", sent=True)
         if self.era != NO_ERA and era > self.era:
@@ -50,8 +50,8 @@
         return EraAnswer(answer.status, answer.content, era)
 
 
-def _era_in(value_by_name: Mapping[str, str], known: int) -> int:
+def _read_era(value_by_name: Mapping[str, str], known: int) -> int:
     """Return the era that an answer tells; what tells none is taken to be of the one known."""
-    told = value_by_name.get(names.STORE_ERA.lower(), "")
-    is_number = told.isascii() and told.isdigit() and len(told) <= len(str(MAX_ERA))
-    return int(told) if is_number and int(told) <= MAX_ERA else known
+    value = value_by_name.get(names.STORE_ERA.lower(), "")
+    is_number = value.isascii() and value.isdigit() and len(value) <= len(str(MAX_ERA))
+    return int(value) if is_number and int(value) <= MAX_ERA else known
--- a/pondhatch/platform/_names.py
+++ b/pondhatch/platform/_names.py
@@ -58,14 +58,14 @@
 #: In all answers of an engine that is about to end.
 LEAVING = "Server-Leaving"
 #: Status by which an engine says that another one was meant; it ran nothing.
-OTHER_ENGINE_STATUS = 421
+WRONG_INSTANCE_STATUS = 421
 #: Statuses of refusals by an engine that has no place, and by one that got no proper request.
 FULL_STATUSES = frozenset({429, 503})
 BAD_REQUEST_STATUS = 400
 
 #: Calls that an engine answers to routers alone: the first part of their path, and how many
 #: parts the path has.
-ENGINE_CALLS = MappingProxyType(
+ROUTER_ONLY_CALLS = MappingProxyType(
     {
         "report": 1,
         "kv-events": 1,
--- a/pondhatch/platform/_objects.py
+++ b/pondhatch/platform/_objects.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pondhatch.platform._salvage import elements, member, members
+from pondhatch.platform._json_split import elements, member, members
 
 
 class Metadata(msgspec.Struct, rename="pascal", frozen=True):
@@ -44,14 +44,14 @@
     has_more: bool = False
 
 
-class Happened(msgspec.Struct, rename="pascal", frozen=True):
+class ObjectChange(msgspec.Struct, rename="pascal", frozen=True):
     """One change that a watch tells of."""
 
     object: StoreObject
     deleted: bool = False
 
 
-class Watched(msgspec.Struct, frozen=True):
+class WatchAnswer(msgspec.Struct, frozen=True):
     """What a watch answers."""
 
     #: Changes, each still to be read by itself.
@@ -60,27 +60,27 @@
 
 
 #: What decoding raises where bytes are no JSON, or nested too deep.
-UNREADABLE_JSON = (msgspec.DecodeError, RecursionError)
+JSON_ERRORS = (msgspec.DecodeError, RecursionError)
 
-Answer = TypeVar("Answer", Page, Watched)
+Answer = TypeVar("Answer", Page, WatchAnswer)
 
 
-def decoded(content: bytes, shape: type[Answer], listed: str) -> Answer:
+def decode_answer(content: bytes, shape: type[Answer], list_key: str) -> Answer:
     """Return an answer; ``listed`` names the list of its parts, each still to be read.
 
     Raises what UNREADABLE_JSON holds, where more than a part cannot be read.
     """
     try:
         return msgspec.json.decode(content, type=shape)
-    except UNREADABLE_JSON:
+    except JSON_ERRORS:
         raw_by_name = dict(members(content))
-        parts = raw_by_name.pop(listed, b"")
+        raw_list = raw_by_name.pop(list_key, b"")
         rest = b",".join(b'"%s":%s' % (name.encode(), raw) for name, raw in raw_by_name.items())
-        answer = msgspec.json.decode(b'{"%s":[],%s}' % (listed.encode(), rest), type=shape)
-        if not parts:
+        answer = msgspec.json.decode(b'{"%s":[],%s}' % (list_key.encode(), rest), type=shape)
+        if not raw_list:
             raise
     return msgspec.structs.replace(
-        answer, **{listed.lower(): tuple(map(msgspec.Raw, elements(parts)))}
+        answer, **{list_key.lower(): tuple(map(msgspec.Raw, elements(raw_list)))}
     )
 
 
@@ -88,7 +88,7 @@
     """Return the metadata of an object that may make no sense otherwise."""
     try:
         return msgspec.json.decode(member(bytes(entry), "Metadata"), type=Metadata)
-    except UNREADABLE_JSON:
+    except JSON_ERRORS:
         return None
 
 
@@ -97,5 +97,5 @@
     metadata = member(bytes(entry), "Metadata")
     try:
         return msgspec.json.decode(metadata, type=NameOnly).name
-    except UNREADABLE_JSON:
+    except JSON_ERRORS:
         return ""
--- a/pondhatch/platform/_store.py
+++ b/pondhatch/platform/_store.py
@@ -10,17 +10,17 @@
 
 from pondhatch.observing import Once, log_for
 from pondhatch.platform._era import EraAnswer, EraCalls
+from pondhatch.platform._json_split import member
 from pondhatch.platform._objects import (
-    UNREADABLE_JSON,
-    Happened,
+    JSON_ERRORS,
+    ObjectChange,
     Page,
     StoreObject,
-    Watched,
-    decoded,
+    WatchAnswer,
+    decode_answer,
     metadata_of,
     name_of,
 )
-from pondhatch.platform._salvage import member
 from pondhatch.store import (
     Accepted,
     Conflict,
@@ -54,27 +54,27 @@
 CONFLICT = 409
 GONE = 410
 #: The store says that it did nothing.
-REFUSED = (429, 503)
+REFUSED_STATUSES = (429, 503)
 
 
 class _Listing(msgspec.Struct):
     """The pages of a listing that were read so far."""
 
-    found: list[StoredObject] = msgspec.field(default_factory=list)
+    objects: list[StoredObject] = msgspec.field(default_factory=list)
     #: Names of all objects, of those too that make no sense otherwise.
     names: set[str] = msgspec.field(default_factory=set)
 
-    def take(self, names: Iterable[str], found: Iterable[StoredObject]) -> bool:
+    def add_page(self, names: Iterable[str], objects: Iterable[StoredObject]) -> bool:
         """Take in a page's objects; return whether it named any that no page had named."""
         new = set(names) - self.names
         self.names |= new
-        self.found += found
+        self.objects += objects
         return bool(new)
 
-    def listed(self, version: int, is_whole: bool) -> Listed:
+    def to_listed(self, version: int, is_whole: bool) -> Listed:
         """Return what all pages together say."""
-        left_out = self.names - {each.name for each in self.found}
-        return Listed(version, tuple(self.found), frozenset(left_out), is_whole)
+        left_out = self.names - {each.name for each in self.objects}
+        return Listed(version, tuple(self.objects), frozenset(left_out), is_whole)
 
 
 #: Turns what the store holds into the product's value. Raises msgspec.ValidationError.
@@ -88,7 +88,7 @@
         self._calls = EraCalls(calls)
         #: The store's name of a kind and its decoder, by the product's name of the kind.
         self._decode_by_kind = decode_by_kind
-        self._told = Once()
+        self._logged = Once()
 
     @property
     def calls(self) -> int:
@@ -108,13 +108,13 @@
         if answer.status != OK:
             return Unavailable(f"answered {answer.status}")
         try:
-            return Found(self._stored(kind, msgspec.json.decode(answer.content), answer.era))
-        except UNREADABLE_JSON as error:
+            return Found(self._convert(kind, msgspec.json.decode(answer.content), answer.era))
+        except JSON_ERRORS as error:
             metadata = metadata_of(answer.content)
             if metadata is None:
                 return Unavailable(f"answered what cannot be read: {error}")
             # There all the same: whoever keeps it may replace what another wrote.
-            self._tell(kind, answer.content, error)
+            self._log_unreadable(kind, answer.content, error)
             version = position_of(answer.era, metadata.revision)
             return Found(StoredObject(kind, metadata.name, version, None))
 
@@ -124,37 +124,39 @@
         #: The store's position as of the first page: what changes while the others are read is
         #: told by a watch from there, and known twice at worst.
         version: Position | None = None
-        after = _query(may_be_old)
+        query = _query(may_be_old)
         while True:
-            told = await self._page(kind, after)
-            if isinstance(told, Unavailable):
-                return told
-            page, era = told
+            result = await self._read_page(kind, query)
+            if isinstance(result, Unavailable):
+                return result
+            page, era = result
             version = position_of(era, page.timestamp) if version is None else version
             if era_of(version) != era:
                 return Unavailable("came back from an older copy while it was listed")
-            read = [self._read(kind, each, era) for each in page.entries]
+            read = [self._read_object(kind, each, era) for each in page.entries]
             names = [name for name, _ in read if name]
-            is_news = listing.take(names, [found for _, found in read if found is not None])
-            if page.has_more and is_news:
-                after = _query(may_be_old, f"SinceRev={quote(names[-1], safe='')}")
+            has_new_names = listing.add_page(
+                names, [found for _, found in read if found is not None]
+            )
+            if page.has_more and has_new_names:
+                query = _query(may_be_old, f"SinceRev={quote(names[-1], safe='')}")
                 continue
-            if page.has_more and self._told.is_first((kind, "goes on")):
+            if page.has_more and self._logged.is_first((kind, "goes on")):
                 # Asked again it would say the same; what it has named is there all the same.
                 log.error("The listing of {} says that it goes on, and does not.", kind)
-            return listing.listed(version, is_whole=not page.has_more)
+            return listing.to_listed(version, is_whole=not page.has_more)
 
-    async def _page(self, kind: str, after: str) -> tuple[Page, int] | Unavailable:
+    async def _read_page(self, kind: str, query: str) -> tuple[Page, int] | Unavailable:
         """Return a page and its era."""
         try:
-            answer = await self._calls.call("GET", self._path(kind) + after)
+            answer = await self._calls.call("GET", self._path(kind) + query)
         except CallFailed as error:
             return Unavailable(str(error))
         if answer.status != OK:
             return Unavailable(f"answered {answer.status}")
         try:
-            return decoded(answer.content, Page, "Entries"), answer.era
-        except UNREADABLE_JSON as error:
+            return decode_answer(answer.content, Page, "Entries"), answer.era
+        except JSON_ERRORS as error:
             return Unavailable(f"answered what is no page of a listing: {error}")
 
     async def create(
@@ -186,14 +188,14 @@
             since = listed.version
         yield WatchEvent("bookmark", since)
         while True:
-            watched = await self._watch_once(kind, since)
-            for each in watched.events:
-                event = self._event(kind, each, era_of(since))
+            answer = await self._watch_once(kind, since)
+            for each in answer.events:
+                event = self._read_event(kind, each, era_of(since))
                 if event is not None:
                     yield event
-            since = max(since, position_of(era_of(since), watched.timestamp))
+            since = max(since, position_of(era_of(since), answer.timestamp))
 
-    async def _watch_once(self, kind: str, since: Position) -> Watched:
+    async def _watch_once(self, kind: str, since: Position) -> WatchAnswer:
         path = f"{self._path(kind)}?Watch={revision_of(since)}&WaitMs={WATCH_MS}"
         try:
             answer = await self._calls.call("GET", path, seconds=WATCH_MS / 1000 + WATCH_MARGIN)
@@ -205,8 +207,8 @@
         if answer.status != OK:
             raise PlatformLost(f"answered {answer.status}")
         try:
-            return decoded(answer.content, Watched, "events")
-        except UNREADABLE_JSON as error:
+            return decode_answer(answer.content, WatchAnswer, "events")
+        except JSON_ERRORS as error:
             raise PlatformLost(f"answered what is no watch: {error}") from error
 
     async def _write(
@@ -217,78 +219,80 @@
         except CallFailed as error:
             return OutcomeUnknown(str(error)) if error.sent else Unavailable(str(error))
         if answer.status in (OK, CREATED):
-            return _accepted(answer)
+            return _read_accepted(answer)
         if answer.status in (CONFLICT, NOT_FOUND):
             return Conflict()
-        if answer.status in REFUSED:
+        if answer.status in REFUSED_STATUSES:
             return Unavailable(f"answered {answer.status}")
         return OutcomeUnknown(f"answered {answer.status}")
 
     def _path(self, kind: str, name: str = "") -> str:
-        own_name, _ = self._decode_by_kind.get(kind, (kind, _as_it_is))
-        return f"/objects/{own_name}/{quote(name, safe='')}" if name else f"/objects/{own_name}"
+        store_kind, _ = self._decode_by_kind.get(kind, (kind, _unchanged))
+        return f"/objects/{store_kind}/{quote(name, safe='')}" if name else f"/objects/{store_kind}"
 
-    def _stored(self, kind: str, entry: Any, era: int) -> StoredObject:
+    def _convert(self, kind: str, entry: Any, era: int) -> StoredObject:
         """Return an object as the product knows it. Raises msgspec.ValidationError."""
-        found = msgspec.convert(entry, StoreObject)
-        _, decode = self._decode_by_kind.get(kind, (kind, _as_it_is))
-        value = found.spec if found.spec is not None else found.status
-        metadata = found.metadata
+        store_object = msgspec.convert(entry, StoreObject)
+        _, decode = self._decode_by_kind.get(kind, (kind, _unchanged))
+        value = store_object.spec if store_object.spec is not None else store_object.status
+        metadata = store_object.metadata
         version = position_of(era, metadata.revision)
         return StoredObject(kind, metadata.name, version, decode(metadata.name, value))
 
-    def _read(self, kind: str, entry: msgspec.Raw, era: int) -> tuple[str, StoredObject | None]:
+    def _read_object(
+        self, kind: str, entry: msgspec.Raw, era: int
+    ) -> tuple[str, StoredObject | None]:
         """Return an object's name, and the object itself where it makes sense."""
         try:
-            found = self._stored(kind, msgspec.json.decode(entry), era)
-        except UNREADABLE_JSON as error:
-            self._tell(kind, entry, error)
+            stored = self._convert(kind, msgspec.json.decode(entry), era)
+        except JSON_ERRORS as error:
+            self._log_unreadable(kind, entry, error)
             return name_of(entry), None
-        return found.name, found
+        return stored.name, stored
 
-    def _event(self, kind: str, told: msgspec.Raw, era: int) -> WatchEvent | None:
+    def _read_event(self, kind: str, raw: msgspec.Raw, era: int) -> WatchEvent | None:
         """Return what a change says, None where it names no object."""
         try:
-            change = msgspec.json.decode(told)
-            happened = msgspec.convert(change, Happened)
-            if happened.deleted:
+            change = msgspec.json.decode(raw)
+            object_change = msgspec.convert(change, ObjectChange)
+            if object_change.deleted:
                 # The revision is that of the removal itself; a higher one would hide what
                 # changed next from the routers that ask for what is newer than it.
-                removed = happened.object.metadata
+                removed = object_change.object.metadata
                 return WatchEvent("removed", position_of(era, removed.revision), removed.name)
-            stored = self._stored(kind, change["Object"], era)
-        except UNREADABLE_JSON as error:
-            changed = member(bytes(told), "Object")
-            self._tell(kind, changed, error)
+            stored = self._convert(kind, change["Object"], era)
+        except JSON_ERRORS as error:
+            changed = member(bytes(raw), "Object")
+            self._log_unreadable(kind, changed, error)
             metadata = metadata_of(changed)
             if metadata is None:
                 return None
             return WatchEvent("unreadable", position_of(era, metadata.revision), metadata.name)
         return WatchEvent("set", stored.version, stored.name, stored.value)
 
-    def _tell(self, kind: str, entry: bytes | msgspec.Raw, error: Exception) -> None:
+    def _log_unreadable(self, kind: str, entry: bytes | msgspec.Raw, error: Exception) -> None:
         """Tell of an object that makes no sense, once for each form in which it is read.
 
         It comes again with each listing, and its line would too.
         """
-        if self._told.is_first((kind, hash(bytes(entry)))):
+        if self._logged.is_first((kind, hash(bytes(entry)))):
             log.error("Object {} {} is left out: {}.", kind, name_of(entry) or "?", error)
 
 
 def _query(may_be_old: bool, *parts: str) -> str:
     """Return the query of a reading call."""
-    asked = (*parts, "StaleOk=1") if may_be_old else parts
-    return "?" + "&".join(asked) if asked else ""
+    parameters = (*parts, "StaleOk=1") if may_be_old else parts
+    return "?" + "&".join(parameters) if parameters else ""
 
 
-def _accepted(answer: EraAnswer) -> Accepted | OutcomeUnknown:
+def _read_accepted(answer: EraAnswer) -> Accepted | OutcomeUnknown:
     """Return what the answer to a write that was done says; the writer must know its position."""
     try:
         revision = msgspec.json.decode(answer.content, type=StoreObject).metadata.revision
         return Accepted(position_of(answer.era, revision))
-    except UNREADABLE_JSON as error:
+    except JSON_ERRORS as error:
         return OutcomeUnknown(f"answered what cannot be read: {error}")
 
 
-def _as_it_is(name: str, value: Any) -> Any:
+def _unchanged(name: str, value: Any) -> Any:
     return value
--- a/pondhatch/platform/tests/_wire.py
+++ b/pondhatch/platform/tests/_wire.py
@@ -47,7 +47,7 @@
     "Last-Event-Id",
 )
 #: Said to the router, which says its own to an engine where it has one.
-ROUTERS_TO_READ = ("Authorization", "Deadline-Ms")
+CALLER_TO_ROUTER_HEADERS = ("Authorization", "Deadline-Ms")
 ROUTERS_HEADERS = (
     "Tenant",
     "Expect-Instance",
--- a/pondhatch/platform/tests/test_accepted.py
+++ b/pondhatch/platform/tests/test_accepted_configuration.py
@@ -31,7 +31,7 @@
 ADDED_ROUTE = {**CONFIGURATION["Routes"][2], "Name": "r-added", "PathPrefix": "/added/"}
 
 
-def following(changes: dict[str, Any]) -> dict[str, Any]:
+def next_version(changes: dict[str, Any]) -> dict[str, Any]:
     """Return the next configuration: one more route and key, and some parts replaced."""
     value = copy.deepcopy(CONFIGURATION)
     value["Version"] = 12
@@ -42,8 +42,8 @@
     return value
 
 
-class AcceptedTest(unittest.TestCase):
-    def assert_in_force(self, fleet: FleetConfiguration) -> None:
+class AcceptedConfigurationTest(unittest.TestCase):
+    def assert_others_in_force(self, fleet: FleetConfiguration) -> None:
         """Check that the configuration's other entries are in force."""
         self.assertEqual(fleet.version, 12)
         for path, name in (("/added/1", "r-added"), ("/notes/1", "r-notes")):
@@ -53,7 +53,7 @@
         self.assertEqual(accounts, ["added", "pina", "pina"])
         self.assertIn("lang", fleet.service_by_name)
 
-    def test_no_bound_of_ours_holds_an_entry_back(self) -> None:
+    def test_no_bound_of_the_router_rejects_an_entry(self) -> None:
         keys = [f"many-{at}" for at in range(200)]
         route = {**ADDED_ROUTE, "Name": "r-other", "PathPrefix": "/other/"}
         shares = [{"Service": "lang", "Weight": 0}, {"Service": "portal", "Weight": 1}]
@@ -74,8 +74,8 @@
             with self.subTest(changes=changes):
                 before = fleet_of(CONFIGURATION)
                 for base in (before, FleetConfiguration()):
-                    fleet = fleet_of(following(changes), base)
-                    self.assert_in_force(fleet)
+                    fleet = fleet_of(next_version(changes), base)
+                    self.assert_others_in_force(fleet)
                     if "Tenants" in changes:
                         name = changes["Tenants"][0]["Name"]
                         self.assertEqual(fleet.account_of(key_hash(keys[-1])), name)
@@ -85,7 +85,7 @@
                             found.name if isinstance(found, Route) else None, "r-other"
                         )
 
-    def test_an_entry_that_cannot_be_used_holds_no_other_back(self) -> None:
+    def test_an_unusable_entry_rejects_no_other(self) -> None:
         route = {**ADDED_ROUTE, "Name": "r-other", "PathPrefix": "/other/"}
         rows: tuple[dict[str, Any], ...] = (
             {"Routes": [{**route, "Type": "sometimes"}]},
@@ -105,4 +105,4 @@
         for changes in rows:
             with self.subTest(changes=changes):
                 for base in (fleet_of(CONFIGURATION), FleetConfiguration()):
-                    self.assert_in_force(fleet_of(following(changes), base))
+                    self.assert_others_in_force(fleet_of(next_version(changes), base))
--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -32,7 +32,7 @@
     cost 0.2 ms an entry, made each change of 450 routes a pause of 107 ms.
     """
 
-    def test_the_shapes_are_worked_out_once_however_many_entries_there_are(self) -> None:
+    def test_struct_fields_are_computed_once_for_any_number_of_entries(self) -> None:
         decode_configuration(CONFIGURATION, DEFAULTS)
         many = copy.deepcopy(CONFIGURATION)
         many["Routes"] += [
@@ -40,12 +40,12 @@
             for route in CONFIGURATION["Routes"]
             for at in range(100)
         ]
-        with patch("msgspec.structs.fields", side_effect=AssertionError) as worked_out:
+        with patch("msgspec.structs.fields", side_effect=AssertionError) as fields:
             whole = decode_configuration(many, DEFAULTS)
-        worked_out.assert_not_called()
+        fields.assert_not_called()
         self.assertGreater(len(whole.edits), 300)
 
-    def test_what_did_not_change_is_not_read_again_and_what_did_is(self) -> None:
+    def test_only_changed_entries_are_read_again(self) -> None:
         reader = ConfigurationReader(DEFAULTS)
         first = reader.decode(CONFIGURATION)
         changed = copy.deepcopy(CONFIGURATION)
@@ -56,7 +56,7 @@
         self.assertEqual(second, decode_configuration(changed, DEFAULTS))
         self.assertNotEqual(second.edits, first.edits)
 
-    def test_an_entry_that_comes_twice_or_goes_is_told_each_time(self) -> None:
+    def test_duplicate_and_removed_entries_decode_as_without_a_cache(self) -> None:
         reader = ConfigurationReader(DEFAULTS)
         reader.decode(CONFIGURATION)
         twice = copy.deepcopy(CONFIGURATION)
@@ -73,7 +73,7 @@
     def setUp(self) -> None:
         self.fleet = fleet_of(CONFIGURATION)
 
-    def test_routes_keep_what_the_operator_said(self) -> None:
+    def test_routes_are_as_the_operator_configured_them(self) -> None:
         rows = (
             ("/notes/1", "r-notes", "resumed", True, 2, 0),
             ("/briefs/1?x=/notes/", "r-briefs", "never", True, 1, 1),
@@ -92,29 +92,29 @@
                 )
         self.assertIsNone(self.fleet.routes.find("other.example", "/notes/1"))
 
-    def test_times_are_seconds(self) -> None:
+    def test_times_are_converted_to_seconds(self) -> None:
         spec = self.fleet.routes.by_name["r-notes"]
         self.assertEqual((spec.timeout, spec.objective, spec.longest_pause), (8.0, 0.4, 0.3))
 
-    def test_weights_share_a_routes_requests(self) -> None:
+    def test_weights_split_a_routes_requests(self) -> None:
         route = self.fleet.routes.find("desk.example", "/briefs/")
         assert isinstance(route, Route)
         drawn = [route.choose_service(at / 100) for at in range(100)]
         self.assertEqual(drawn.count("lang"), 90)
 
-    def test_keys_are_known_by_their_hashes_alone(self) -> None:
+    def test_only_the_hashes_of_keys_are_kept(self) -> None:
         keys = ("key-1", "key-2", "key-3", "key-4")
         found = [self.fleet.account_of(key_hash(key)) for key in keys]
         self.assertEqual(found, ["pina", "pina", "rosa", None])
         held = b"".join(self.fleet.raw_by_entry.values())
         self.assertNotIn(b"key-1", held)
 
-    def test_an_accounts_priority_goes_before_the_routes_where_it_has_one(self) -> None:
+    def test_an_accounts_own_priority_overrides_the_routes(self) -> None:
         policies = self.fleet.policy_by_account
         self.assertEqual((policies["pina"].priority, policies["rosa"].priority), (1, None))
         self.assertNotIn("gone", policies)
 
-    def test_services_get_the_settings_bounds(self) -> None:
+    def test_services_get_the_default_load_bounds(self) -> None:
         lang, portal = (self.fleet.service_by_name[name] for name in ("lang", "portal"))
         self.assertEqual((lang.kind, lang.load_bound, lang.load_slack), ("model", 1.7, 3))
         self.assertEqual(portal.kind, "plain")
@@ -130,7 +130,7 @@
         self.changed = copy.deepcopy(CONFIGURATION)
         self.changed["Version"] = 12
 
-    def test_what_is_gone_is_gone(self) -> None:
+    def test_removed_keys_and_routes_are_removed(self) -> None:
         self.changed["Tenants"][0]["ApiKeys"] = ["key-2"]
         del self.changed["Routes"][2]
         fleet = fleet_of(self.changed, fleet_of(CONFIGURATION))
@@ -149,7 +149,7 @@
         for field in ("routes", "service_by_name", "policy_by_account", "account_by_key_hash"):
             self.assertEqual(getattr(over, field), getattr(anew, field), field)
 
-    def test_a_route_to_no_service_is_told_and_serves_nobody(self) -> None:
+    def test_a_route_to_an_unknown_service_is_a_misfit_and_serves_no_requests(self) -> None:
         self.changed["Routes"][0]["Service"] = "nowhere"
         fleet = fleet_of(self.changed)
         self.assertEqual(set(fleet.misfits_by_entry), {("route", "r-notes")})
@@ -164,7 +164,7 @@
             with self.subTest(value=value), self.assertRaises(msgspec.ValidationError):
                 decode_configuration(value, DEFAULTS)
 
-    def test_an_entry_that_cannot_be_read_is_told_with_its_reason_and_serves_nobody(self) -> None:
+    def test_an_unreadable_route_is_a_misfit_and_serves_no_requests(self) -> None:
         self.changed["Routes"][0]["Type"] = "sometimes"
         fleet = fleet_of(self.changed, fleet_of(CONFIGURATION))
         (misfit,) = fleet.misfits_by_entry["route", "r-notes#1"]
@@ -172,20 +172,20 @@
         self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), UnusableRoute)
         self.assertNotIn("r-notes", fleet.routes.by_name)
 
-    def test_one_whose_place_is_not_told_withholds_its_host(self) -> None:
+    def test_an_unreadable_route_without_a_prefix_makes_its_host_unusable(self) -> None:
         self.changed["Routes"].append({"Name": "x", "Host": "other.example"})
         fleet = fleet_of(self.changed)
         self.assertIsInstance(fleet.routes.find("other.example", "/any/1"), UnusableRoute)
         self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), Route)
 
-    def test_an_unreadable_entry_that_is_mended_is_in_force(self) -> None:
+    def test_a_corrected_entry_is_in_force(self) -> None:
         self.changed["Routes"][0]["Type"] = "sometimes"
-        mended = {**copy.deepcopy(CONFIGURATION), "Version": 13}
-        fleet = fleet_of(mended, fleet_of(self.changed))
+        corrected = {**copy.deepcopy(CONFIGURATION), "Version": 13}
+        fleet = fleet_of(corrected, fleet_of(self.changed))
         self.assertEqual((fleet.version, fleet.misfits_by_entry), (13, {}))
-        self.assertEqual(fleet.routes, fleet_of(mended).routes)
+        self.assertEqual(fleet.routes, fleet_of(corrected).routes)
 
-    def test_a_field_that_an_entry_can_do_without_takes_nothing_with_it(self) -> None:
+    def test_an_unreadable_optional_field_leaves_its_entry_usable(self) -> None:
         route = {"Priority": "high", "MaxAttempts": [], "Sticky": 1, "Public": "yes"}
         self.changed["Routes"][0].update(route)
         self.changed["Tenants"][0]["Priority"] = "high"
@@ -198,7 +198,7 @@
         for field in route:
             self.assertIn(field, misfit.expected)
 
-    def test_an_empty_field_is_none_and_a_whole_number_may_have_a_point(self) -> None:
+    def test_a_null_field_has_its_default_and_a_whole_number_may_have_a_decimal_point(self) -> None:
         route = {"Priority": None, "MaxAttempts": 2.0, "ItlTargetMs": None, "Public": None}
         self.changed["Routes"][0].update(route, TimeoutMs=None, TargetLatencyMs=0)
         self.changed["Services"][0]["EngineId"] = {"Moves": None}
@@ -217,19 +217,19 @@
         self.assertEqual((bounds.body_bytes, bounds.header_seconds), (4194304, None))
         self.assertEqual(set(fleet.misfits_by_entry), {("bounds", "callers")})
 
-    def test_a_prefix_that_lacks_its_slash_is_withheld_as_if_it_had_it(self) -> None:
+    def test_a_prefix_without_its_final_slash_is_unusable_as_if_it_had_one(self) -> None:
         self.changed["Routes"][2]["PathPrefix"] = "/proofs"
         fleet = fleet_of(self.changed)
         self.assertIsInstance(fleet.routes.find("desk.example", "/proofs/a"), UnusableRoute)
         self.assertIsInstance(fleet.routes.find("desk.example", "/x"), Route)
 
-    def test_a_name_that_no_header_holds_serves_nobody(self) -> None:
+    def test_an_account_name_with_a_line_break_is_a_misfit(self) -> None:
         self.changed["Tenants"][0]["Name"] = "pina\nX-Own: 1"
         fleet = fleet_of(self.changed)
         self.assertEqual(set(fleet.misfits_by_entry), {("account", "pina\nX-Own: 1")})
         self.assertIsNone(fleet.account_of(key_hash("key-1")))
 
-    def test_unreadable_tenants_do_not_open_routes_to_everybody(self) -> None:
+    def test_unreadable_tenants_do_not_make_routes_public(self) -> None:
         self.changed["Tenants"] = [None, {"Name": "pina", "ApiKeys": 3}]
         fleet = fleet_of(self.changed)
         route = fleet.routes.by_name["r-notes"]
@@ -237,7 +237,7 @@
         self.assertIsNone(fleet.account_of(key_hash("key-1")))
 
 
-class IntakeTest(unittest.TestCase):
+class RegionsAndCapacityTest(unittest.TestCase):
     """What binds requests to regions, and what cold engines bear."""
 
     def edited(self, kind: str, at: int, **fields: Any) -> FleetConfiguration:
@@ -245,19 +245,19 @@
         configuration[kind][at].update(fields)
         return fleet_of(configuration)
 
-    def test_a_route_is_bound_to_the_regions_that_it_names(self) -> None:
+    def test_a_route_is_restricted_to_its_regions(self) -> None:
         fleet = self.edited("Routes", 0, AllowedRegions=["north", "south"])
         self.assertEqual(fleet.routes.by_name["r-notes"].regions, ("north", "south"))
         self.assertIsNone(fleet.routes.by_name["r-proofs"].regions)
 
-    def test_an_account_is_bound_beside_others_that_are_not_and_keeps_its_priority(self) -> None:
+    def test_an_account_restricted_to_regions_keeps_its_priority(self) -> None:
         fleet = self.edited("Tenants", 0, AllowedRegions=["São Paulo"])
-        bound, free = fleet.policy_by_account["pina"], fleet.policy_by_account["rosa"]
-        self.assertEqual((bound.regions, bound.priority), (("São Paulo",), 1))
-        self.assertEqual((free.regions, free.priority), (None, None))
+        restricted, unrestricted = fleet.policy_by_account["pina"], fleet.policy_by_account["rosa"]
+        self.assertEqual((restricted.regions, restricted.priority), (("São Paulo",), 1))
+        self.assertEqual((unrestricted.regions, unrestricted.priority), (None, None))
         self.assertFalse(fleet.misfits_by_entry)
 
-    def test_a_binding_that_is_none_frees_nobody(self) -> None:
+    def test_unreadable_regions_lift_no_restriction(self) -> None:
         for value in ([], "north", [3], [""], {"north": True}, 7):
             with self.subTest(value=value):
                 fleet = self.edited("Routes", 0, AllowedRegions=value)
@@ -266,31 +266,37 @@
                 self.assertIsNone(fleet.account_of(key_hash("key-1")))
                 self.assertFalse(fleet.is_fully_applied("account"))
 
-    def test_no_binding_at_all_is_no_misfit(self) -> None:
+    def test_null_regions_are_no_misfit(self) -> None:
         fleet = self.edited("Routes", 0, AllowedRegions=None)
         self.assertIsNone(fleet.routes.by_name["r-notes"].regions)
         self.assertFalse(fleet.misfits_by_entry)
 
-    def test_a_bound_on_connections_is_its_services_and_unsaid_is_not_passed_on(self) -> None:
-        for told, expected in ((64, 64), (64.0, 64), (0, None), (-1, None), ("x", None)):
-            with self.subTest(told=told):
-                fleet = self.edited("Services", 0, MaxConnections=told)
+    def test_a_service_has_its_connection_limit_only_where_configured(self) -> None:
+        for value, expected in ((64, 64), (64.0, 64), (0, None), (-1, None), ("x", None)):
+            with self.subTest(told=value):
+                fleet = self.edited("Services", 0, MaxConnections=value)
                 self.assertEqual(fleet.service_by_name["lang"].max_connections, expected)
-                self.assertEqual(bool(fleet.misfits_by_entry), told == "x")
+                self.assertEqual(bool(fleet.misfits_by_entry), value == "x")
         edits = decode_configuration(CONFIGURATION, DEFAULTS).edits
         values = [each.value for each in edits if each.kind == "service"]
         self.assertFalse(any("max_connections" in (value or {}) for value in values))
 
-    def test_what_a_cold_engine_bears_is_its_services(self) -> None:
+    def test_a_service_has_its_rate_for_cold_engines(self) -> None:
         rows = ((13.0, 13.0), (0.0, None), (0, None), (None, None))
-        for told, expected in rows:
-            with self.subTest(told=told):
-                fleet = self.edited("Services", 0, ColdPerS=told)
+        for value, expected in rows:
+            with self.subTest(told=value):
+                fleet = self.edited("Services", 0, ColdPerS=value)
                 self.assertEqual(fleet.service_by_name["lang"].cold_pace, expected)
 
-    def test_what_an_engines_memory_holds_is_its_services(self) -> None:
-        for told, expected in ((90_000, 90_000), (9e4, 90_000), (0, None), ("x", None), (-1, None)):
-            with self.subTest(told=told):
-                fleet = self.edited("Services", 0, EngineId={"KvCapacityTokens": told})
+    def test_a_service_has_the_token_capacity_of_its_engines(self) -> None:
+        for value, expected in (
+            (90_000, 90_000),
+            (9e4, 90_000),
+            (0, None),
+            ("x", None),
+            (-1, None),
+        ):
+            with self.subTest(told=value):
+                fleet = self.edited("Services", 0, EngineId={"KvCapacityTokens": value})
                 self.assertEqual(fleet.service_by_name["lang"].engine_tokens, expected)
         self.assertIsNone(fleet_of(CONFIGURATION).service_by_name["portal"].engine_tokens)
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -60,7 +60,7 @@
 class EngineDialectTest(unittest.TestCase):
     dialect = EngineDialect()
 
-    def test_what_reaches_an_engine(self) -> None:
+    def test_headers_sent_to_an_engine(self) -> None:
         sent = self.dialect.request_headers(head(), TARGET)
         expected = {
             "Host": "desk.example",
@@ -75,42 +75,42 @@
         self.assertEqual(dict(sent), expected)
         self.assertEqual(len(sent), len(expected))
 
-    def test_what_an_answer_says_of_its_engine(self) -> None:
-        leaves = {"server-leaving": "1"}
-        for status, said, notice in (
+    def test_reads_the_notice_from_an_answer(self) -> None:
+        leaving = {"server-leaving": "1"}
+        for status, headers, notice in (
             (200, {}, NO_NOTICE),
-            (200, leaves, Notice(is_leaving=True)),
-            (500, leaves, Notice(is_leaving=True)),
+            (200, leaving, Notice(is_leaving=True)),
+            (500, leaving, Notice(is_leaving=True)),
             (200, {"server-leaving": "0"}, NO_NOTICE),
             (503, {"retry-after": "2.5"}, Notice(rest=2.5)),
-            (503, {"retry-after": "3", "not-executed": "1", **leaves}, Notice(True, 3.0)),
+            (503, {"retry-after": "3", "not-executed": "1", **leaving}, Notice(True, 3.0)),
             (503, {"retry-after": "soon"}, NO_NOTICE),
             (200, {"retry-after": "3"}, NO_NOTICE),
             # Another engine may have answered at its address.
-            (421, {"retry-after": "3", "not-executed": "1", **leaves}, NO_NOTICE),
+            (421, {"retry-after": "3", "not-executed": "1", **leaving}, NO_NOTICE),
         ):
-            with self.subTest(status=status, said=said):
-                self.assertEqual(self.dialect.notice(status, said), notice)
+            with self.subTest(status=status, said=headers):
+                self.assertEqual(self.dialect.notice(status, headers), notice)
 
     def test_without_an_account_no_account_is_named(self) -> None:
         sent = dict(self.dialect.request_headers(head(account=""), TARGET))
         self.assertNotIn("Tenant", sent)
 
-    def test_a_stream_that_goes_on_says_after_which_event(self) -> None:
-        asked = head(headers=(*HEADERS, ("Last-Event-Id", "2")), last_event_id="7")
-        sent = self.dialect.request_headers(asked, TARGET)
+    def test_a_resumed_stream_states_its_last_event(self) -> None:
+        resumed = head(headers=(*HEADERS, ("Last-Event-Id", "2")), last_event_id="7")
+        sent = self.dialect.request_headers(resumed, TARGET)
         self.assertEqual([value for name, value in sent if name == "Last-Event-Id"], ["7"])
         kept = self.dialect.request_headers(head(headers=(("Last-Event-Id", "2"),)), TARGET)
         self.assertIn(("Last-Event-Id", "2"), kept)
 
-    def test_a_context_is_taken_over_from_where_the_router_says_alone(self) -> None:
+    def test_only_the_router_sets_the_context_source(self) -> None:
         forged = head(headers=(*HEADERS, ("Kv-Fetch", "10.9.9.9:1")))
         self.assertNotIn("Kv-Fetch", dict(self.dialect.request_headers(forged, TARGET)))
         moved = head(context_address="10.0.0.7:80")
         sent = dict(self.dialect.request_headers(moved, TARGET))
         self.assertEqual(sent["Kv-Fetch"], "10.0.0.7:80")
 
-    def test_what_an_answers_head_says(self) -> None:
+    def test_classifies_an_answer_by_its_head(self) -> None:
         rows: tuple[tuple[int, dict[str, str], AnswerKind | EngineRefusal], ...] = (
             (200, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
             (500, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
@@ -136,11 +136,11 @@
             (503, {"attempt-id": "9c41"}, AnswerKind.ANSWERED),
             (421, {"instance-id": "i-2"}, EngineRefusal.WRONG_INSTANCE),
         )
-        for status, headers, judged in rows:
+        for status, headers, expected in rows:
             with self.subTest(status=status, headers=headers):
-                self.assertIs(self.dialect.judge(head(), status, headers), judged)
+                self.assertIs(self.dialect.judge(head(), status, headers), expected)
 
-    def test_an_answers_headers_reach_the_caller_but_for_the_connections(self) -> None:
+    def test_answer_headers_reach_the_caller_except_those_of_the_connection(self) -> None:
         answered = (("Instance-Signature", "3e"), ("Keep-Alive", "timeout=4"), ("X-Own", "1"))
         passed_on = (("Instance-Signature", "3e"), ("X-Own", "1"))
         self.assertEqual(self.dialect.answer_headers(answered, ignore), passed_on)
@@ -155,16 +155,16 @@
                 self.assertEqual((found["url"], found["hall"]), ("http://10.0.0.9:8080", "hall-1"))
                 self.assertEqual(found["slots"], 64)
 
-    def test_an_engine_says_for_how_long_it_is_cold(self) -> None:
+    def test_the_remaining_cold_time_is_read_in_seconds(self) -> None:
         found = decode_engine("i-1", {**ENGINE, "ColdRemainingMs": 1871})
         self.assertEqual(found["cold_seconds"], 1.871)
         self.assertEqual(decode_engine("i-1", ENGINE)["cold_seconds"], 0.0)
 
-    def test_an_evacuation_says_all_by_being_there(self) -> None:
+    def test_an_evacuation_object_is_in_force_whatever_its_value(self) -> None:
         for value in ({}, None, {"in_force": False}, "x"):
             self.assertEqual(decode_evacuation("hall-1", value), {"in_force": True})
 
-    def test_one_that_leaves_says_so_whatever_else_cannot_be_read(self) -> None:
+    def test_a_draining_engine_is_leaving_whatever_else_is_malformed(self) -> None:
         values: tuple[Any, ...] = (None, 64.0, "64", [], {})
         for field in ("Service", "Address", "Zone", "Slots", "Version", "Sequence"):
             for value in values:
@@ -172,7 +172,7 @@
                     entry = {**ENGINE, "State": "draining", field: value}
                     self.assertEqual(decode_engine("i-1", entry)["state"], "leaving")
 
-    def test_a_field_that_cannot_be_read_is_not_guessed(self) -> None:
+    def test_a_malformed_field_is_an_error(self) -> None:
         rows: tuple[tuple[str, Any], ...] = (
             ("Slots", None),
             ("Slots", "many"),
@@ -190,7 +190,7 @@
                 decode_engine("i-1", wrong)
         self.assertEqual(decode_engine("i-1", {**ENGINE, "Slots": 64.0})["slots"], 64)
 
-    def test_what_takes_no_requests_makes_no_sense(self) -> None:
+    def test_a_value_that_is_no_engine_entry_is_an_error(self) -> None:
         wrong: tuple[Any, ...] = (None, "i-1", [], {**ENGINE, "Service": None})
         for entry in wrong:
             with self.subTest(entry=entry), self.assertRaises(msgspec.ValidationError):
@@ -200,16 +200,16 @@
 class ClientDialectTest(unittest.TestCase):
     dialect = ClientDialect()
 
-    def test_what_a_client_says(self) -> None:
+    def test_reads_the_facts_of_a_request(self) -> None:
         facts = self.dialect.read(HEADERS)
         self.assertEqual((facts.caller_id, facts.key, facts.wait), ("9c41", "key-1", 9.0))
 
     def test_a_deadline_that_is_no_number_is_none(self) -> None:
-        for told in ("", "soon", "-1", "\u00b2", "1.5"):
-            with self.subTest(told=told):
-                self.assertIsNone(self.dialect.read((("Deadline-Ms", told),)).wait)
+        for value in ("", "soon", "-1", "\u00b2", "1.5"):
+            with self.subTest(told=value):
+                self.assertIsNone(self.dialect.read((("Deadline-Ms", value),)).wait)
 
-    def test_what_a_client_says_of_its_tokens(self) -> None:
+    def test_reads_the_token_counts_of_a_request(self) -> None:
         parts = "1a:500,ff:200,3c:100"
         shared = ((0x1A, 500), (0xFF, 200))
         rows = (
@@ -224,14 +224,14 @@
             ("-1,-1", "\u00b2", "1a:-5,3c", (0, 0, ())),
             ("9" * 5000, "9" * 5000, "1a:" + "9" * 5000, (0, 0, ())),
         )
-        for usage, hint, told, expected in rows:
-            said = (("Token-Usage", usage), ("Length-Hint", hint), ("Prefix-Hash", told))
-            with self.subTest(said=said):
-                facts = self.dialect.read(said)
+        for usage, hint, prompt_parts, expected in rows:
+            headers = (("Token-Usage", usage), ("Length-Hint", hint), ("Prefix-Hash", prompt_parts))
+            with self.subTest(said=headers):
+                facts = self.dialect.read(headers)
                 found = (facts.prompt_tokens, facts.answer_tokens, facts.prompt_parts)
                 self.assertEqual(found, expected)
 
-    def test_keys_in_any_case_of_the_scheme_and_none(self) -> None:
+    def test_reads_the_bearer_key_in_any_case_of_the_scheme(self) -> None:
         rows: tuple[tuple[Headers, str | None], ...] = (
             ((("authorization", "bearer k"),), "k"),
             ((("Authorization", "Basic k"),), None),
@@ -241,7 +241,7 @@
             with self.subTest(headers=headers):
                 self.assertEqual(self.dialect.read(headers).key, key)
 
-    def test_the_context_is_the_last_part_that_others_share(self) -> None:
+    def test_the_context_is_the_last_shared_part(self) -> None:
         def context(parts: str) -> int:
             return self.dialect.read((("Prefix-Hash", parts),)).context
 
@@ -250,7 +250,7 @@
         self.assertNotEqual(context("a:1"), 0)
         self.assertEqual(context(""), 0)
 
-    def test_which_paths_an_engine_could_take_for_a_routers_call(self) -> None:
+    def test_paths_that_an_engine_could_take_for_a_router_call(self) -> None:
         own = (
             "/report",
             "/kv-events?since=1",
@@ -268,11 +268,11 @@
             with self.subTest(path=path):
                 self.assertFalse(self.dialect.asks_for_routers_call(path, "/"))
 
-    def test_an_operator_may_route_a_path_that_is_a_routers_call(self) -> None:
+    def test_an_operator_may_route_a_router_call(self) -> None:
         self.assertFalse(self.dialect.asks_for_routers_call("/kv-pin/5c1e", "/kv-pin/"))
         self.assertTrue(self.dialect.asks_for_routers_call("/notes/../kv-move", "/notes/"))
 
-    def test_when_to_come_back_is_told_where_it_helps(self) -> None:
+    def test_retry_after_is_sent_with_retryable_refusals_only(self) -> None:
         rows: tuple[tuple[Refusal, Headers], ...] = (
             (NotRun("engines-full", "", 0.25), (("Retry-After", "0.250"),)),
             (NotRun("rate-limited", "", 1.0, 429), (("Retry-After", "1.000"),)),
--- a/pondhatch/platform/tests/test_engine_load.py
+++ b/pondhatch/platform/tests/test_engine_load.py
@@ -8,13 +8,13 @@
 
 from pondhatch.placement import Notice
 from pondhatch.platform._engine_load import EngineLoad, read_load
-from pondhatch.platform._engines import UNREADABLE_SECONDS, EngineDialect
+from pondhatch.platform._engines import UNREADABLE_LOG_SECONDS, EngineDialect
 
 
 class HeaderTest(unittest.TestCase):
     # A number that cannot be read hides no other one, and none is guessed.
     def test_garbled_headers(self) -> None:
-        for told, expected in (
+        for value, expected in (
             ("8,1,64", EngineLoad(8, 1, 64)),
             (" 8 , 1 , 64 , 250 ", EngineLoad(8, 1, 64, 250)),
             ("0,0,64,0", EngineLoad(0, 0, 64)),
@@ -33,18 +33,22 @@
             # Two headers that a hop joined: the fourth number is the second one's first.
             ("8,1,64,250,8,1,64,250", EngineLoad(is_readable=False)),
         ):
-            with self.subTest(told=told[:40]):
-                self.assertEqual(read_load({"instance-load": told}), expected)
+            with self.subTest(told=value[:40]):
+                self.assertEqual(read_load({"instance-load": value}), expected)
         self.assertEqual(read_load({}), EngineLoad())
 
-    def test_an_engine_that_states_its_pace_has_places(self) -> None:
-        for told, has_places in (("8,1,64,250", True), ("64,0,64,250", False), ("8,,64,9", False)):
-            with self.subTest(told=told):
-                self.assertIs(read_load({"instance-load": told}).has_places, has_places)
+    def test_free_slots_are_read_from_a_header_with_a_pace(self) -> None:
+        for value, has_free_slots in (
+            ("8,1,64,250", True),
+            ("64,0,64,250", False),
+            ("8,,64,9", False),
+        ):
+            with self.subTest(told=value):
+                self.assertIs(read_load({"instance-load": value}).has_free_slots, has_free_slots)
 
     def test_a_pace_is_read_from_every_answer(self) -> None:
         load = {"instance-load": "8,1,64,250"}
-        for status, said, notice in (
+        for status, headers, notice in (
             (200, load, Notice(pace=250)),
             (500, {**load, "server-leaving": "1"}, Notice(is_leaving=True, pace=250)),
             (503, {**load, "retry-after": "2"}, Notice(False, 2.0, True, 250)),
@@ -52,13 +56,13 @@
             (421, load, Notice()),
         ):
             with self.subTest(status=status):
-                self.assertEqual(EngineDialect().notice(status, said), notice)
+                self.assertEqual(EngineDialect().notice(status, headers), notice)
 
-    def test_what_cannot_be_read_is_logged_once_a_minute(self) -> None:
+    def test_an_unreadable_header_is_logged_once_a_minute(self) -> None:
         now, lines = 0.0, list[str]()
         dialect = EngineDialect(lambda: now)
         self.addCleanup(logger.remove, logger.add(lambda line: lines.append(str(line))))
-        for now, logged in ((0.0, 1), (UNREADABLE_SECONDS - 1, 1), (UNREADABLE_SECONDS, 2)):  # noqa: B007
+        for now, logged in ((0.0, 1), (UNREADABLE_LOG_SECONDS - 1, 1), (UNREADABLE_LOG_SECONDS, 2)):  # noqa: B007
             dialect.notice(200, {"instance-load": "8,1,64,fast"})
             dialect.notice(200, {"instance-load": "8,1,64"})
             self.assertEqual(len(lines), logged)
--- a/pondhatch/platform/tests/test_entries_of_others.py
+++ b/pondhatch/platform/tests/test_malformed_entries.py
@@ -61,7 +61,7 @@
     return {"Metadata": metadata, "Spec": {**ENGINE, **changes}, "Status": None}
 
 
-class Answers:
+class CannedCalls:
     """A store that answers each call with bytes, in order."""
 
     made = 0
@@ -76,7 +76,7 @@
 
 
 def store(*answers: bytes) -> PlatformStore:
-    calls: Any = Answers(*answers)
+    calls: Any = CannedCalls(*answers)
     return PlatformStore(calls, {"upstream": ("servers", decode_engine)})
 
 
@@ -84,7 +84,7 @@
     return b'{"Entries":[' + b",".join(entries) + b'],"HasMore":false,"Timestamp":9}'
 
 
-async def told(platform: PlatformStore) -> list[WatchEvent]:
+async def watched_events(platform: PlatformStore) -> list[WatchEvent]:
     """Return what a watch tells until the store answers no more."""
     events: list[WatchEvent] = []
     try:
@@ -96,7 +96,7 @@
 
 
 class OneFieldTest(unittest.TestCase):
-    WRONG: tuple[tuple[str, Any], ...] = (
+    MALFORMED: tuple[tuple[str, Any], ...] = (
         ("Service", None),
         ("Service", ""),
         ("Service", 7),
@@ -123,8 +123,8 @@
         ("born", True),
     )
 
-    def test_one_that_is_of_another_type_names_no_engine(self) -> None:
-        for field, value in self.WRONG:
+    def test_an_entry_with_a_malformed_field_is_rejected(self) -> None:
+        for field, value in self.MALFORMED:
             wrong = {**ENGINE, field: value}
             with (
                 self.subTest(field=field, value=value),
@@ -132,24 +132,24 @@
             ):
                 decode_engine("i-1", wrong)
 
-    def test_one_that_is_missing_names_no_engine(self) -> None:
+    def test_an_entry_that_lacks_a_field_is_rejected(self) -> None:
         for field in ENGINE:
             with self.subTest(field=field):
                 rest = {name: value for name, value in ENGINE.items() if name != field}
                 with self.assertRaisesRegex(msgspec.ValidationError, field):
                     decode_engine("i-1", rest)
 
-    def test_whole_numbers_may_be_written_with_a_point(self) -> None:
+    def test_whole_numbers_may_have_a_decimal_point(self) -> None:
         numbers = {"Slots": 64.0, "Sequence": 2.0, "ColdRemainingMs": 12.5, "born": 1.7e12}
         found = decode_engine("i-1", {**ENGINE, **numbers})
         self.assertEqual((found["slots"], found["start"]), (64, 1_700_000_000_000))
 
-    def test_what_nobody_knows_may_stand_beside(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         found = decode_engine("i-1", {**ENGINE, "Phase": "combined", "Later": {"a": [1]}})
         self.assertEqual(found["state"], LIVE)
 
-    def test_one_that_leaves_says_so_whatever_else_is_wrong(self) -> None:
-        for field, value in self.WRONG:
+    def test_a_draining_engine_is_leaving_whatever_else_is_malformed(self) -> None:
+        for field, value in self.MALFORMED:
             if field == "State":
                 continue
             with self.subTest(field=field, value=value):
@@ -158,7 +158,7 @@
 
 
 class GarbageTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_listing_keeps_the_others(self) -> None:
+    async def test_a_listing_keeps_the_other_objects(self) -> None:
         first, third = (msgspec.json.encode(stored(name, 4)) for name in ("i-1", "i-3"))
         for label, garbage in GARBAGE.items():
             with self.subTest(label):
@@ -167,18 +167,20 @@
                 self.assertEqual([each.name for each in listed.objects], ["i-1", "i-3"])
                 self.assertEqual(listed.version, 9)
 
-    async def test_a_watch_tells_the_others(self) -> None:
+    async def test_a_watch_yields_the_other_changes(self) -> None:
         for label, garbage in GARBAGE.items():
             with self.subTest(label):
-                happened = [
+                changes = [
                     b'{"Deleted":false,"Object":' + each + b"}"
                     for each in (garbage, msgspec.json.encode(stored("i-3", 6)))
                 ]
-                answer = b'{"events":[' + b",".join(happened) + b'],"Timestamp":6}'
-                events = [each for each in await told(store(answer)) if each.type == "set"]
+                answer = b'{"events":[' + b",".join(changes) + b'],"Timestamp":6}'
+                events = [
+                    each for each in await watched_events(store(answer)) if each.type == "set"
+                ]
                 self.assertEqual([each.name for each in events], ["i-3"])
 
-    async def test_an_object_of_our_own_is_there_and_may_be_replaced(self) -> None:
+    async def test_a_garbled_object_read_by_name_is_found(self) -> None:
         for label, garbage in GARBAGE.items():
             if label == "a name that is no text":
                 continue
@@ -189,12 +191,14 @@
                 if "text" not in label:
                     self.assertIsNone(found.object.value)
 
-    async def test_bytes_that_are_no_answer_at_all_are_an_outage(self) -> None:
+    async def test_an_undecodable_answer_counts_as_unavailable(self) -> None:
         whole = page(msgspec.json.encode(stored("i-1", 4)))
         for answer in (b"", b"[", whole[:-1], whole[:40], b"\xff", b'"' + whole, b"[" * 3000):
             with self.subTest(answer=answer[:40]):
                 self.assertIsInstance(await store(answer).list("upstream"), Unavailable)
-                self.assertEqual([each.type for each in await told(store(answer))], ["bookmark"])
+                self.assertEqual(
+                    [each.type for each in await watched_events(store(answer))], ["bookmark"]
+                )
 
     @given(st.binary(max_size=60), st.integers(0, 900), st.integers(0, 60))
     def test_no_bytes_raise_anything(self, noise: bytes, at: int, cut: int) -> None:
@@ -204,7 +208,7 @@
         async def main() -> None:
             listed = await store(answer).list("upstream")
             self.assertIsInstance(listed, Listed | Unavailable)
-            await told(store(answer))
+            await watched_events(store(answer))
 
         asyncio.run(main())
 
@@ -221,44 +225,44 @@
             good = decode_engine(name, {**ENGINE, "Address": f"10.0.0.{name[-1]}:80"})
             self.state.apply_upstream_event(WatchEvent("set", 4, name, good))
 
-    def taking(self, state: RouterState | None = None) -> list[str]:
+    def available(self, state: RouterState | None = None) -> list[str]:
         upstreams = (state or self.state).upstreams
         return [each.id for each in upstreams.of_service("lang")]
 
-    def spoilt(self) -> list[Callable[[], None]]:
+    def ways_to_learn(self) -> list[Callable[[], None]]:
         """Return the ways in which a router hears of it, at version 6."""
         unreadable = WatchEvent("unreadable", 6, "i-1")
         senseless = WatchEvent("set", 6, "i-1", {"name": "i-1"})
         return [
             lambda: self.assertTrue(self.state.apply_upstream_event(unreadable)),
             lambda: self.assertTrue(self.state.apply_upstream_event(senseless)),
-            lambda: self.listed(),
+            lambda: self.apply_listing(),
         ]
 
-    def listed(self) -> None:
+    def apply_listing(self) -> None:
         other = {"name": "i-2", "service": "lang", "url": "http://10.0.0.2:80", "hall": "hall-1"}
         kept = StoredObject("upstream", "i-2", 4, other)
         self.state.apply_listed_upstreams(Listed(6, (kept,), frozenset({"i-1"})))
 
-    def test_it_takes_none_and_is_not_gone(self) -> None:
+    def test_a_malformed_entry_gets_no_new_requests_and_stays_listed(self) -> None:
         for at in range(3):
             with self.subTest(way=at):
                 self.setUp()
-                self.spoilt()[at]()
-                self.assertEqual(self.taking(), ["i-2"])
+                self.ways_to_learn()[at]()
+                self.assertEqual(self.available(), ["i-2"])
                 self.assertIsNotNone(self.state.upstreams.upstream("i-1"))
 
-    def test_every_router_learns_it_and_its_return(self) -> None:
+    def test_peers_learn_of_the_malformed_entry_and_of_its_repair(self) -> None:
         peer = router("r1")
         peer.apply_upstreams(self.state.upstreams_since(0))
-        self.spoilt()[0]()
+        self.ways_to_learn()[0]()
         peer.apply_upstreams(self.state.upstreams_since(peer.upstreams.version))
-        self.assertEqual(self.taking(peer), ["i-2"])
+        self.assertEqual(self.available(peer), ["i-2"])
         self.state.apply_upstream_event(WatchEvent("set", 8, "i-1", decode_engine("i-1", ENGINE)))
         peer.apply_upstreams(self.state.upstreams_since(peer.upstreams.version))
-        self.assertEqual(self.taking(peer), ["i-1", "i-2"])
+        self.assertEqual(self.available(peer), ["i-1", "i-2"])
 
-    def test_an_older_word_changes_nothing(self) -> None:
+    def test_an_older_or_unknown_unreadable_event_changes_nothing(self) -> None:
         self.assertFalse(self.state.apply_upstream_event(WatchEvent("unreadable", 3, "i-1")))
         self.assertFalse(self.state.apply_upstream_event(WatchEvent("unreadable", 9, "i-9")))
-        self.assertEqual(self.taking(), ["i-1", "i-2"])
+        self.assertEqual(self.available(), ["i-1", "i-2"])
--- a/pondhatch/platform/tests/test_walls.py
+++ b/pondhatch/platform/tests/test_name_isolation.py
@@ -12,7 +12,7 @@
 #: Headers that HTTP itself knows; everybody may name them.
 COMMON = frozenset({"Authorization", "Retry-After"})
 #: Fields of the platform's objects and settings.
-FIELDS = (
+OBJECT_FIELDS = (
     "PathPrefix",
     "TargetLatencyMs",
     "TimeoutMs",
@@ -38,10 +38,10 @@
     return {text for text in texts if "-" in text} - COMMON
 
 
-class WallsTest(unittest.TestCase):
-    def test_no_name_of_the_platform_stands_outside_its_adapter(self) -> None:
+class NameIsolationTest(unittest.TestCase):
+    def test_no_platform_name_occurs_outside_the_adapter(self) -> None:
         self.assertGreater(len(names()), 5)
-        pattern = re.compile("|".join(map(re.escape, (*sorted(names()), *FIELDS))))
+        pattern = re.compile("|".join(map(re.escape, (*sorted(names()), *OBJECT_FIELDS))))
         found = [
             f"{path.relative_to(PACKAGE)}: {match.group()}"
             for path in sorted(PACKAGE.rglob("*.py"))
--- a/pondhatch/standard/_answers.py
+++ b/pondhatch/standard/_answers.py
@@ -15,7 +15,7 @@
 OUTCOME_HEADER = b"X-Pondhatch-Outcome"
 REQUEST_ID_HEADER = b"X-Request-Id"
 #: Statuses after which coming back later helps.
-COME_BACK = (409, 429, 503)
+RETRYABLE_STATUSES = (409, 429, 503)
 
 
 class OpenAiAnswers:
@@ -31,18 +31,22 @@
         request.setResponseCode(refusal.status)
         request.setHeader(b"Content-Type", b"application/json")
         request.setHeader(OUTCOME_HEADER, outcome.encode())
-        if isinstance(refusal, NotRun) and refusal.status in COME_BACK and refusal.retry_after > 0:
+        if (
+            isinstance(refusal, NotRun)
+            and refusal.status in RETRYABLE_STATUSES
+            and refusal.retry_after > 0
+        ):
             seconds = max(1, math.ceil(refusal.retry_after))
             request.setHeader(b"Retry-After", str(seconds).encode())
-        elif not isinstance(refusal, NotRun) or refusal.status not in COME_BACK:
+        elif not isinstance(refusal, NotRun) or refusal.status not in RETRYABLE_STATUSES:
             request.setHeader(b"X-Should-Retry", b"false")
         error = {"message": refusal.reason, "type": outcome, "code": refusal.code}
         request.write(msgspec.json.encode({"error": error}))
 
     def begin(self, request: Any, status: int, headers: Headers, request_id: str) -> None:
         """Write an answer's head under the request's id."""
-        passed_on = tuple(pair for pair in headers if pair[0].lower() != "x-request-id")
-        write_head(request, status, passed_on)
+        forwarded = tuple(pair for pair in headers if pair[0].lower() != "x-request-id")
+        write_head(request, status, forwarded)
         request.setHeader(REQUEST_ID_HEADER, request_id.encode())
 
     def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -54,7 +54,7 @@
 
 CHAT_PATH = "/v1/chat/completions"
 #: Names a request that must run at most once, however often it is sent.
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 BAD_REQUEST = 400
 TOO_LARGE = 413
 
@@ -74,7 +74,7 @@
         self._answers = OpenAiAnswers(parts.metrics)
         self._serving = Serving(parts, self._answers)
         #: Requests whose callers are there.
-        self._attended = 0
+        self._connected_requests = 0
         #: Kept for a stopping router; it refuses requests by its state at once.
         self.takes_work = True
         self.app = Klein()
@@ -83,12 +83,12 @@
     @property
     def in_flight(self) -> int:
         """Requests that have not ended; a stopping router waits for them."""
-        return self._attended + len(self._serving.without_caller)
+        return self._connected_requests + len(self._serving.without_caller)
 
     def resource(self) -> Resource:
         """Return what a site serves."""
-        found: Resource = self.app.resource()
-        return found
+        site_resource: Resource = self.app.resource()
+        return site_resource
 
     def _route(self) -> None:
         @self.app.route(CHAT_PATH, methods=["POST"])
@@ -97,7 +97,7 @@
 
         @self.app.route("/v1/models", methods=["GET"])
         def models(request: IRequest) -> bytes:
-            return self._models(request)
+            return self._list_models(request)
 
         @self.app.route("/healthz", methods=["GET"])
         def health(request: Any) -> bytes:
@@ -110,13 +110,13 @@
 
     async def _serve(self, request: Any, prepare: Prepare) -> None:
         started = time.monotonic()
-        self._attended += 1
+        self._connected_requests += 1
         try:
-            found = await self._admitted(request, prepare)
-            if isinstance(found, NotRun):
-                self._answers.refuse(request, found)
+            prepared = await self._prepare_work(request, prepare)
+            if isinstance(prepared, NotRun):
+                self._answers.refuse(request, prepared)
                 return
-            await self._serving.run(request, found, started)
+            await self._serving.run(request, prepared, started)
         except CallerGone:
             self._metrics.count("callers.gone")
             request.cut()
@@ -131,9 +131,9 @@
             self._metrics.count("requests.router-failed")
             fail(request, self._answers)
         finally:
-            self._attended -= 1
+            self._connected_requests -= 1
 
-    async def _admitted(self, request: Any, prepare: Prepare) -> Work | NotRun:
+    async def _prepare_work(self, request: Any, prepare: Prepare) -> Work | NotRun:
         await self._starting.wait()
         unready = not_ready_refusal(self._state)
         if unready is not None:
@@ -141,26 +141,26 @@
         account = identify(self._state, _header(request, "Authorization"))
         if isinstance(account, NotRun):
             return account
-        hold = self._state.held_bytes.counter(account.name)
+        held_counter = self._state.held_bytes.counter(account.name)
         work: Work | NotRun | None = None
         try:
-            work = await prepare(request, account, hold)
+            work = await prepare(request, account, held_counter)
         finally:
             if not isinstance(work, Work):
-                hold.close()
+                held_counter.close()
         return work
 
-    def _limited(self, limited: Limited) -> NotRun:
+    def _memory_refusal(self, limited: Limited) -> NotRun:
         self._metrics.count("held.refused")
         return memory_limited_refusal(limited)
 
     async def _prepare_chat(
-        self, request: CallerRequest, account: Account, hold: HeldCounter
+        self, request: CallerRequest, account: Account, held_counter: HeldCounter
     ) -> Work | NotRun:
         limit = self._limits().chat_body_bytes
-        body = await read_whole(request.body(), limit, hold)
+        body = await read_whole(request.body(), limit, held_counter)
         if isinstance(body, Limited):
-            return self._limited(body)
+            return self._memory_refusal(body)
         if body is None:
             return NotRun("body-too-large", f"expected at most {limit} bytes", 0.0, TOO_LARGE)
         try:
@@ -177,15 +177,15 @@
             head, chat=chat.chat, repeatable=True, is_followup=chat.is_followup, digest=digest
         )
         context_wait = admitted.context_wait if chat.is_followup else 0.0
-        patience = WaitLimits(context_wait, admitted.queue_wait)
-        return Work(account, admitted, head, ReplayableBody(body), patience, hold=hold)
+        wait_limits = WaitLimits(context_wait, admitted.queue_wait)
+        return Work(account, admitted, head, ReplayableBody(body), wait_limits, hold=held_counter)
 
     async def _prepare_plain(
-        self, request: CallerRequest, account: Account, hold: HeldCounter
+        self, request: CallerRequest, account: Account, held_counter: HeldCounter
     ) -> Work | NotRun:
-        limited = hold.try_set(0)
+        limited = held_counter.try_set(0)
         if limited is not None:
-            return self._limited(limited)
+            return self._memory_refusal(limited)
         path = request.uri.decode("ascii", "replace")
         service = service_of_path(self._state, path)
         admitted = admit(self._state, account, service)
@@ -196,16 +196,24 @@
         head = msgspec.structs.replace(head, repeatable=head.method in spec.repeatable_methods)
         body = request.body()
         replayable = ReplayableBody(b"") if body.length == 0 else body
-        patience = WaitLimits(0.0, admitted.queue_wait)
+        wait_limits = WaitLimits(0.0, admitted.queue_wait)
         # Its body is passed on as it comes: what waits of it, waits in the request's pipe.
-        request.pipe.count_by(hold)
-        return Work(account, admitted, head, replayable, patience, _key(request, head), hold)
+        request.pipe.count_by(held_counter)
+        return Work(
+            account,
+            admitted,
+            head,
+            replayable,
+            wait_limits,
+            _idempotency_key(request, head),
+            held_counter,
+        )
 
     def _head(
         self, request: CallerRequest, account: Account, admitted: Admitted, path: str
     ) -> RequestHead:
         # On the way in, so that nothing behind this can pass on what the caller may not say.
-        passed_on = OWNERS.from_caller(_headers(request), self._note_dropped)
+        forwarded = OWNERS.from_caller(_headers(request), self._note_dropped)
         return RequestHead(
             request_id=uuid.uuid4().hex,
             account=account.name,
@@ -213,7 +221,7 @@
             chat=0,
             method=request.method.decode("ascii", "replace"),
             path=path,
-            headers=passed_on,
+            headers=forwarded,
             repeatable=False,
             deadline=admitted.deadline,
             priority=admitted.priority,
@@ -221,7 +229,7 @@
             regions=admitted.regions,
         )
 
-    def _models(self, request: Any) -> bytes:
+    def _list_models(self, request: Any) -> bytes:
         account = identify(self._state, _header(request, "Authorization"))
         if isinstance(account, NotRun):
             self._answers.refuse(request, account)
@@ -250,9 +258,9 @@
     return None if value is None else as_text(value)
 
 
-def _key(request: CallerRequest, head: RequestHead) -> str | None:
+def _idempotency_key(request: CallerRequest, head: RequestHead) -> str | None:
     """Return the key of a request that must not run twice; two accounts' keys never meet."""
-    key = _header(request, KEY_HEADER)
+    key = _header(request, IDEMPOTENCY_KEY_HEADER)
     if key is None or head.repeatable:
         return None
     return f"{head.account}:{key}"
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -29,12 +29,14 @@
 async def poll_loads(state: RouterState) -> None:
     """Ask the owned model engines for their load, every two seconds, until cancelled."""
     while True:
-        engines = [upstream for upstream in state.owned() if _reports(state, upstream.service)]
+        engines = [
+            upstream for upstream in state.owned() if _is_model_service(state, upstream.service)
+        ]
         await asyncio.gather(*(_poll(state, engine.name, engine.url) for engine in engines))
         await asyncio.sleep(POLL_SECONDS)
 
 
-def _reports(state: RouterState, service: str) -> bool:
+def _is_model_service(state: RouterState, service: str) -> bool:
     spec = state.fleet.service_by_name.get(service)
     return spec is not None and spec.kind == "model"
 
--- a/pondhatch/standard/_platform.py
+++ b/pondhatch/standard/_platform.py
@@ -47,7 +47,7 @@
 #: Seconds for one call; the platform answers in milliseconds when it is well.
 CALL_SECONDS = 2.0
 #: Seconds without a line, bookmarks included, after which a watch is given up.
-WATCH_SILENCE = 15.0
+WATCH_SILENCE_SECONDS = 15.0
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
@@ -111,7 +111,7 @@
         #: Calls made, for the budget that the platform counts.
         self.calls = 0
         self._url = f"{url.rstrip('/')}/v1/objects"
-        self._told = Once()
+        self._logged = Once()
 
     async def get(
         self, kind: str, name: str, may_be_old: bool = False
@@ -139,8 +139,8 @@
             listing = msgspec.json.decode(content, type=_Listing)
         except msgspec.DecodeError as error:
             return Unavailable(f"answered what is no listing: {error}")
-        found = [self._readable(each, StoredObject) for each in listing.objects]
-        objects = tuple(each for each in found if each is not None)
+        converted = [self._convert_or_log(each, StoredObject) for each in listing.objects]
+        objects = tuple(each for each in converted if each is not None)
         names = {_name_of(each) for each in listing.objects} - {each.name for each in objects}
         return Listed(listing.version, objects, frozenset(names))
 
@@ -159,11 +159,11 @@
     async def watch(self, kind: str, since: int | None) -> AsyncIterator[WatchEvent]:
         """Yield changes after a version, or from now on; see Platform."""
         self.calls += 1
-        start = "" if since is None else f"&since={since}"
+        since_query = "" if since is None else f"&since={since}"
         protocol = _WatchProtocol()
         try:
             async with asyncio.timeout(CALL_SECONDS):
-                response = await self._request("GET", f"{kind}?watch=true{start}")
+                response = await self._request("GET", f"{kind}?watch=true{since_query}")
         except Exception as error:
             raise PlatformLost(str(error)) from error
         if response.code == GONE:
@@ -173,24 +173,24 @@
         response.deliverBody(protocol)
         try:
             async for line in _lines(protocol.pipe):
-                event = self._event(line)
+                event = self._decode_event(line)
                 if event is not None:
                     yield event
         finally:
             protocol.stop()
 
-    def _event(self, line: bytes) -> WatchEvent | None:
+    def _decode_event(self, line: bytes) -> WatchEvent | None:
         try:
-            return self._readable(msgspec.json.decode(line), WatchEvent)
+            return self._convert_or_log(msgspec.json.decode(line), WatchEvent)
         except msgspec.DecodeError as error:
             raise PlatformLost(f"the watch sent what is no JSON: {error}") from error
 
-    def _readable(self, value: Any, shape: type[_Shape]) -> _Shape | None:
+    def _convert_or_log(self, value: Any, shape: type[_Shape]) -> _Shape | None:
         """Return an object or event; None where it makes no sense, which is told once."""
         try:
             return msgspec.convert(value, shape)
         except msgspec.ValidationError as error:
-            if self._told.is_first(hash(repr(value))):
+            if self._logged.is_first(hash(repr(value))):
                 log.error("Object {} is left out: {}.", _name_of(value) or "without name", error)
             return None
 
@@ -229,7 +229,7 @@
     async def _request(
         self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
     ) -> TreqResponse:
-        asked = treq.request(
+        deferred = treq.request(
             method,
             f"{self._url}/{path}",
             data=body or None,
@@ -237,7 +237,7 @@
             persistent=False,
             unbuffered=True,
         )
-        return await as_future(asked)
+        return await as_future(deferred)
 
 
 def _path(kind: str, name: str) -> str:
@@ -251,16 +251,16 @@
 
 
 async def _lines(pipe: PartPipe) -> AsyncIterator[bytes]:
-    rest = b""
+    partial_line = b""
     while True:
         try:
-            async with asyncio.timeout(WATCH_SILENCE):
+            async with asyncio.timeout(WATCH_SILENCE_SECONDS):
                 part = await pipe.read()
         except (TimeoutError, ConnectionError) as error:
             raise PlatformLost(str(error) or "the watch went silent") from error
         if not part:
             raise PlatformLost("the watch ended")
-        *lines, rest = (rest + part).split(b"\n")
+        *lines, partial_line = (partial_line + part).split(b"\n")
         for line in lines:
             if line:
                 yield line
--- a/pondhatch/standard/_upstreams.py
+++ b/pondhatch/standard/_upstreams.py
@@ -20,11 +20,11 @@
 RETRY_AFTER_HEADER = "retry-after"
 #: Statuses with which that header asks for rest.
 OVERLOADED_STATUSES = frozenset({429, 503})
-NOT_THE_ONE_STATUS = 421
+WRONG_INSTANCE_STATUS = 421
 
 
 #: What a refusal says of its reason in that header, and by its status where it says none.
-REFUSAL_BY_WORD = {
+REFUSAL_BY_REASON = {
     "full": EngineRefusal.FULL,
     "leaving": EngineRefusal.LEAVING,
     "not-the-one": EngineRefusal.WRONG_INSTANCE,
@@ -32,16 +32,16 @@
 }
 REFUSAL_BY_STATUS = {
     400: EngineRefusal.BAD_REQUEST,
-    NOT_THE_ONE_STATUS: EngineRefusal.WRONG_INSTANCE,
+    WRONG_INSTANCE_STATUS: EngineRefusal.WRONG_INSTANCE,
     429: EngineRefusal.FULL,
     503: EngineRefusal.FULL,
 }
 
 
-def _refusal(status: int, word: str, notice: Notice) -> EngineRefusal:
+def _refusal(status: int, reason: str, notice: Notice) -> EngineRefusal:
     """Return why an upstream did not run a request."""
     by_status = REFUSAL_BY_STATUS.get(status, EngineRefusal.UNKNOWN)
-    refusal = REFUSAL_BY_WORD.get(word.strip().lower(), by_status)
+    refusal = REFUSAL_BY_REASON.get(reason.strip().lower(), by_status)
     if refusal is not EngineRefusal.FULL or not notice:
         return refusal
     return EngineRefusal.LEAVING if notice.is_leaving else EngineRefusal.OVERLOADED
@@ -69,22 +69,22 @@
         if NOT_RUN_HEADER in value_by_name:
             notice = self.notice(status, value_by_name)
             return _refusal(status, value_by_name[NOT_RUN_HEADER], notice)
-        answered = value_by_name.get(REQUEST_ID_HEADER.lower())
-        if answered != head.request_id and (answered is not None or head.chat):
+        answered_id = value_by_name.get(REQUEST_ID_HEADER.lower())
+        if answered_id != head.request_id and (answered_id is not None or head.chat):
             return AnswerKind.CROSSED
         return AnswerKind.ANSWERED
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
         """Return what an answer's head says of the upstream itself."""
-        word = value_by_name.get(NOT_RUN_HEADER, "").strip().lower()
-        if status == NOT_THE_ONE_STATUS or word == "not-the-one":
+        reason = value_by_name.get(NOT_RUN_HEADER, "").strip().lower()
+        if status == WRONG_INSTANCE_STATUS or reason == "not-the-one":
             # Another upstream than the one meant may have answered.
             return NO_NOTICE
-        is_leaving = LEAVING_HEADER in value_by_name or word == "leaving"
-        asked = value_by_name.get(RETRY_AFTER_HEADER)
-        if asked is None or status not in OVERLOADED_STATUSES:
+        is_leaving = LEAVING_HEADER in value_by_name or reason == "leaving"
+        retry_after = value_by_name.get(RETRY_AFTER_HEADER)
+        if retry_after is None or status not in OVERLOADED_STATUSES:
             return Notice(is_leaving)
-        return Notice(is_leaving, seconds_to_wait(asked, time.time()))
+        return Notice(is_leaving, seconds_to_wait(retry_after, time.time()))
 
     def answer_headers(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return the headers of an answer that an upstream may say to a caller."""
--- a/pondhatch/standard/tests/test_platform.py
+++ b/pondhatch/standard/tests/test_platform.py
@@ -15,10 +15,10 @@
 from pondhatch.store import Listed, Unavailable, WatchEvent
 
 GOOD = {"kind": "upstream", "name": "e0", "version": 1, "value": {"name": "e0"}}
-WRONG = ({**GOOD, "name": "e1", "version": None}, {"value": 1}, "no object", None)
+MALFORMED = ({**GOOD, "name": "e1", "version": None}, {"value": 1}, "no object", None)
 
 
-class AnswerDeadlines(HttpPlatform):
+class CannedPlatform(HttpPlatform):
     """A platform whose answers are given."""
 
     def __init__(self, content: bytes) -> None:
@@ -35,39 +35,39 @@
         number = logger.add(self.lines.append, level="ERROR", format="{message}")
         self.addCleanup(logger.remove, number)
 
-    async def test_an_object_that_makes_no_sense_hides_no_other_and_is_told_once(self) -> None:
-        for wrong in WRONG:
-            with self.subTest(wrong=wrong):
+    async def test_a_malformed_object_hides_no_other_and_is_logged_once(self) -> None:
+        for malformed in MALFORMED:
+            with self.subTest(wrong=malformed):
                 self.lines.clear()
-                content = msgspec.json.encode({"version": 4, "objects": [wrong, GOOD]})
-                platform = AnswerDeadlines(content)
+                content = msgspec.json.encode({"version": 4, "objects": [malformed, GOOD]})
+                platform = CannedPlatform(content)
                 for _ in range(3):
                     listed = await platform.list("upstream")
                     assert isinstance(listed, Listed)
                     self.assertEqual([each.name for each in listed.objects], ["e0"])
                 self.assertEqual(len(self.lines), 1, self.lines)
 
-    async def test_its_name_is_known_to_be_there(self) -> None:
-        content = msgspec.json.encode({"version": 4, "objects": [WRONG[0], GOOD]})
-        listed = await AnswerDeadlines(content).list("upstream")
+    async def test_the_name_of_a_malformed_object_is_reported(self) -> None:
+        content = msgspec.json.encode({"version": 4, "objects": [MALFORMED[0], GOOD]})
+        listed = await CannedPlatform(content).list("upstream")
         assert isinstance(listed, Listed)
         self.assertIn("e1", listed.left_out)
 
-    async def test_an_answer_that_is_no_listing(self) -> None:
+    async def test_an_answer_that_is_no_listing_is_unavailable(self) -> None:
         for content in (b"", b"[]", b'{"objects": []}'):
             with self.subTest(content=content):
-                self.assertIsInstance(await AnswerDeadlines(content).list("upstream"), Unavailable)
+                self.assertIsInstance(await CannedPlatform(content).list("upstream"), Unavailable)
 
 
 class WatchTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_change_that_makes_no_sense_does_not_end_it(self) -> None:
+    async def test_a_malformed_change_does_not_end_the_watch(self) -> None:
         good = WatchEvent("set", 6, "e0", 1)
 
         async def lines(pipe: Any) -> AsyncIterator[bytes]:
             for each in ({"type": "set", "version": None, "name": "e1"}, 5, good):
                 yield msgspec.json.encode(each)
 
-        platform = AnswerDeadlines(b"")
+        platform = CannedPlatform(b"")
         response = mock.Mock(code=200)
         with (
             mock.patch.object(platform, "_request", mock.AsyncMock(return_value=response)),
--- a/pondhatch/standard/tests/test_upstreams.py
+++ b/pondhatch/standard/tests/test_upstreams.py
@@ -10,7 +10,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    def test_what_an_answers_head_says(self) -> None:
+    def test_classifies_an_answer_by_its_head(self) -> None:
         rows: tuple[tuple[int, dict[str, str], AnswerKind | EngineRefusal], ...] = (
             (200, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
             (503, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
@@ -29,13 +29,13 @@
             (503, {"x-not-run": "1", "retry-after": "3"}, EngineRefusal.OVERLOADED),
             (503, {"x-not-run": "1", "x-leaving": "1"}, EngineRefusal.LEAVING),
         )
-        for status, headers, judged in rows:
+        for status, headers, expected in rows:
             with self.subTest(status=status, headers=headers):
-                self.assertIs(OpenAiUpstreams().judge(HEAD, status, headers), judged)
+                self.assertIs(OpenAiUpstreams().judge(HEAD, status, headers), expected)
 
 
 class NoticeTest(unittest.TestCase):
-    def test_what_an_answer_says_of_its_upstream(self) -> None:
+    def test_reads_the_notice_from_an_answer(self) -> None:
         rows: tuple[tuple[int, dict[str, str], Notice], ...] = (
             (200, {}, NO_NOTICE),
             (200, {"x-leaving": "1"}, Notice(is_leaving=True)),
