--- a/pondhatch/standard/__init__.py
+++ b/pondhatch/standard/__init__.py
@@ -1,4 +1,4 @@
-"""The product's own interface: the OpenAI-compatible API, plain services, its object API."""
+"""The built-in interface: the OpenAI-compatible API, plain services and an HTTP object API."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
         return HttpPlatform(url)
 
     def configuration(self, store: Platform) -> ConfigurationSource:
-        """Return the log of changes."""
+        """Return the change log that holds the configuration."""
         return ChangeLog(store)
 
     def callers(self, parts: CallerParts) -> Callers:
-        """Return what serves the OpenAI-compatible API."""
+        """Return the handler of requests to the OpenAI-compatible API."""
         return OpenAiCallers(parts)
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
-        """Return that no rule of this platform does."""
+        """Return False: no rule of this platform asks for it."""
         return False
 
     def poll_loads(self, state: RouterState) -> Coroutine[Any, Any, None] | None:
-        """Return what asks owned engines for their load."""
+        """Return the coroutine that polls owned engines for their load."""
         return poll_loads(state)
--- a/pondhatch/standard/_answers.py
+++ b/pondhatch/standard/_answers.py
@@ -1,4 +1,4 @@
-"""Answers and refusals in the form of the OpenAI-compatible API."""
+"""Answers and refusals in the format of the OpenAI-compatible API."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 #: Tells a caller whether its request ran: "not-run" or "unknown".
 OUTCOME_HEADER = b"X-Pondhatch-Outcome"
 REQUEST_ID_HEADER = b"X-Request-Id"
-#: Statuses after which coming back later helps.
+#: Statuses after which a later retry may succeed.
 RETRYABLE_STATUSES = (409, 429, 503)
 
 
@@ -44,13 +44,13 @@
         request.write(msgspec.json.encode({"error": error}))
 
     def begin(self, request: Any, status: int, headers: Headers, request_id: str) -> None:
-        """Write an answer's head under the request's id."""
+        """Write an answer's head with the router's request id."""
         forwarded = tuple(pair for pair in headers if pair[0].lower() != "x-request-id")
         write_head(request, status, forwarded)
         request.setHeader(REQUEST_ID_HEADER, request_id.encode())
 
     def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
-        """End a stream by an error event, anything else by a cut connection."""
+        """End a stream with an error event, any other answer by aborting the connection."""
         if stream:
             error = {"message": broken.reason, "type": "unknown", "code": broken.code}
             request.write(b"data: " + msgspec.json.encode({"error": error}) + b"\n\n")
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -1,4 +1,4 @@
-"""What callers speak to: the OpenAI-compatible API and the plain services."""
+"""Handling of callers' requests to the OpenAI-compatible API and to plain services."""
 
 from __future__ import annotations
 
@@ -73,9 +73,9 @@
         self._note_dropped = counting(parts.metrics)
         self._answers = OpenAiAnswers(parts.metrics)
         self._serving = Serving(parts, self._answers)
-        #: Requests whose callers are there.
+        #: Requests whose callers are still connected.
         self._connected_requests = 0
-        #: Kept for a stopping router; it refuses requests by its state at once.
+        #: Cleared by a stopping router. Not read here: the router's state refuses requests at once.
         self.takes_work = True
         self.app = Klein()
         self._route()
@@ -86,7 +86,7 @@
         return self._connected_requests + len(self._serving.without_caller)
 
     def resource(self) -> Resource:
-        """Return what a site serves."""
+        """Return the resource that a site serves."""
         site_resource: Resource = self.app.resource()
         return site_resource
 
@@ -121,13 +121,13 @@
             self._metrics.count("callers.gone")
             request.cut()
         except asyncio.CancelledError:
-            # Whatever answer is open is finished by klein once this returns. Where the caller
-            # is still there, as when this router ends, what was sent must not look whole.
+            # klein finishes an open answer once this returns. If the caller is still connected,
+            # as when this router shuts down, a partial answer must not look complete.
             self._metrics.count("callers.gone")
             request.cut()
             raise
         except Exception:
-            log.exception("A request ended in an error of this router.")
+            log.exception("A request failed with an error of this router.")
             self._metrics.count("requests.router-failed")
             fail(request, self._answers)
         finally:
@@ -197,7 +197,7 @@
         body = request.body()
         replayable = ReplayableBody(b"") if body.length == 0 else body
         wait_limits = WaitLimits(0.0, admitted.queue_wait)
-        # Its body is passed on as it comes: what waits of it, waits in the request's pipe.
+        # The body is forwarded as it arrives, so only what waits in the request's pipe is counted.
         request.pipe.count_by(held_counter)
         return Work(
             account,
@@ -212,7 +212,7 @@
     def _head(
         self, request: CallerRequest, account: Account, admitted: Admitted, path: str
     ) -> RequestHead:
-        # On the way in, so that nothing behind this can pass on what the caller may not say.
+        # Filtered on arrival, so that no later code can forward headers the caller may not set.
         forwarded = OWNERS.from_caller(_headers(request), self._note_dropped)
         return RequestHead(
             request_id=uuid.uuid4().hex,
@@ -253,13 +253,16 @@
 
 
 def _header(request: Any, name: str) -> str | None:
-    """Return a header's value, one character for each of its bytes."""
+    """Return a header's value with one character per byte, None if it is missing."""
     value: bytes | None = request.getHeader(name.encode())
     return None if value is None else as_text(value)
 
 
 def _idempotency_key(request: CallerRequest, head: RequestHead) -> str | None:
-    """Return the key of a request that must not run twice; two accounts' keys never meet."""
+    """Return the idempotency key, prefixed by the account: keys of two accounts never collide.
+
+    None if the request has no key or may be repeated anyway.
+    """
     key = _header(request, IDEMPOTENCY_KEY_HEADER)
     if key is None or head.repeatable:
         return None
--- a/pondhatch/standard/_header_owners.py
+++ b/pondhatch/standard/_header_owners.py
@@ -8,16 +8,16 @@
     {
         "Authorization": Owner.CALLER_TO_ROUTER,
         "Cookie": Owner.CALLER_TO_ROUTER,
-        # Each connection to an upstream says its own.
+        # Each connection to an upstream sets its own.
         "Host": Owner.CALLER_TO_ROUTER,
-        # Many callers' libraries name their requests; here each try has its own name, and an
-        # answer bears the router's.
+        # Many client libraries set it. Here each attempt has its own id, and an answer carries
+        # the router's.
         "X-Request-Id": Owner.CALLER_TO_ROUTER,
         "X-Priority": Owner.ROUTER,
-        # They have an engine go on with a stream, which another caller may have begun.
+        # They make an engine resume a stream, which another caller may have started.
         "X-Resume": Owner.ROUTER,
         "X-Resume-From": Owner.ROUTER,
-        # By them callers tell whether their request ran, and whether an answer is a kept one.
+        # They tell callers whether a request ran, and whether an answer is a replayed one.
         "X-Pondhatch-Outcome": Owner.ROUTER,
         "X-Pondhatch-Replayed": Owner.ROUTER,
         "X-Should-Retry": Owner.UPSTREAM,
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -1,4 +1,4 @@
-"""Asking owned engines for their load."""
+"""Polling of owned engines for their load."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from pondhatch.placement import Notice
 from pondhatch.router import RouterState
 
-#: Seconds between two questions to one engine. Counts of work are exact without them;
-#: they tell of work that another owner granted, and of an engine that is leaving, which
-#: must get no new work within 3 s.
+#: Seconds between two polls of one engine. The owner's own counts are exact without them;
+#: polls reveal work that another owner granted, and an engine that is leaving, to which new
+#: work must stop within 3 s.
 POLL_SECONDS = 2.0
-#: Seconds within which an engine must answer.
+#: Timeout of one poll, in seconds.
 ANSWER_SECONDS = 1.0
 
 
@@ -27,7 +27,7 @@
 
 
 async def poll_loads(state: RouterState) -> None:
-    """Ask the owned model engines for their load, every two seconds, until cancelled."""
+    """Poll the owned model engines for their load, every two seconds, until cancelled."""
     while True:
         engines = [
             upstream for upstream in state.owned() if _is_model_service(state, upstream.service)
--- a/pondhatch/standard/_orders.py
+++ b/pondhatch/standard/_orders.py
@@ -1,8 +1,9 @@
 """Orders to engines over HTTP.
 
-``GET /orders`` answers what an engine holds; ``PUT /orders`` gives it an order:
-200 where it is taken, 409 with the highest number it has seen where the fencing
-number is old, 503 where it did nothing. An engine may ignore the number.
+``GET /orders`` returns an engine's state, ``PUT /orders`` sends it an order. It
+answers 200 if it took the order, 409 with the highest fencing number it has seen
+if the order's number is older, and 503 if it did nothing. An engine may ignore
+the fencing number.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from pondhatch.kernel import as_future
 from pondhatch.standard._platform import NOT_SENT
 
-#: Seconds for a question to an engine.
+#: Timeout of a state query, in seconds.
 STATE_SECONDS = 1.0
 OK = 200
 CONFLICT = 409
@@ -42,16 +43,16 @@
 
 
 class _Refused(msgspec.Struct, frozen=True):
-    """The body of a refusal because of an old number."""
+    """The body of a refusal because of an old fencing number."""
 
     highest: int
 
 
 class HttpEngineOrders:
-    """Engines reached by HTTP; see EngineOrders."""
+    """Sends orders to engines over HTTP; see EngineOrders."""
 
     async def state(self, url: str) -> StateReported | NoReply:
-        """Ask an engine what it holds."""
+        """Query an engine's state."""
         try:
             async with asyncio.timeout(STATE_SECONDS):
                 response = await _request("GET", url)
@@ -65,7 +66,7 @@
     async def order(
         self, url: str, wanted: DesiredState, fencing: int, seconds: float
     ) -> OrderOutcome:
-        """Give one order; given up after so many seconds."""
+        """Send one order, with a timeout in seconds."""
         body = msgspec.json.encode(_Order(wanted, fencing))
         try:
             async with asyncio.timeout(seconds):
@@ -79,7 +80,7 @@
 
 
 async def _request(method: str, url: str, body: bytes | None = None) -> Any:
-    # A connection of its own each time: an order must not wait behind, or be repeated by, a pool.
+    # A new connection each time: a pool may queue an order behind others, or send it twice.
     return await as_future(
         treq.request(method, f"{url}/orders", data=body, persistent=False, unbuffered=True)
     )
--- a/pondhatch/standard/_platform.py
+++ b/pondhatch/standard/_platform.py
@@ -1,8 +1,8 @@
 """The platform's object API over HTTP and JSON.
 
-Objects lie at ``/v1/objects/KIND/NAME``; a write names the version it expects
-in ``If-Match`` (or ``If-None-Match: *`` for a new object), and gets 409 where
-the object is another. ``?watch=true&since=V`` answers a line for each change.
+Objects are at ``/v1/objects/KIND/NAME``. A write states the version it expects in
+``If-Match`` (or ``If-None-Match: *`` for a new object) and gets 409 if the object
+has another. ``?watch=true&since=V`` streams one line for each change.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 
 log = log_for("store")
 
-#: Errors of treq after which certainly nothing was sent.
+#: Errors of treq that guarantee that nothing was sent.
 NOT_SENT = (ConnectError, ConnectTimeout, RequestNotSent)
-#: Seconds for one call; the platform answers in milliseconds when it is well.
+#: Timeout of one call, in seconds; a healthy platform answers within milliseconds.
 CALL_SECONDS = 2.0
 #: Seconds without a line, bookmarks included, after which a watch is given up.
 WATCH_SILENCE_SECONDS = 15.0
@@ -56,7 +56,7 @@
 
 
 class _Listing(msgspec.Struct, frozen=True):
-    """A listing whose objects are still to be read, each by itself."""
+    """A listing whose objects are still to be converted, each by itself."""
 
     version: int
     objects: tuple[Any, ...]
@@ -71,7 +71,7 @@
 
 
 class _WatchProtocol(Protocol):
-    """Receives the lines of a watch into a pipe."""
+    """Writes the body of a watch into a pipe."""
 
     transport: Any
 
@@ -89,7 +89,7 @@
         self.pipe.fail(ConnectionError(reason.getErrorMessage() or "cut"))
 
     def stop(self) -> None:
-        """Close the connection; the platform sees that nobody watches any more."""
+        """Close the connection, which ends the watch at the platform."""
         if self._stopped or self.pipe.ended or self.transport is None:
             return
         self._stopped = True
@@ -105,10 +105,10 @@
 
 
 class HttpPlatform:
-    """The platform reached by HTTP; see Platform."""
+    """A client of the platform's object API over HTTP; see Platform."""
 
     def __init__(self, url: str) -> None:
-        #: Calls made, for the budget that the platform counts.
+        #: Calls made, which count against the platform's budget of calls.
         self.calls = 0
         self._url = f"{url.rstrip('/')}/v1/objects"
         self._logged = Once()
@@ -186,7 +186,7 @@
             raise PlatformLost(f"the watch sent what is no JSON: {error}") from error
 
     def _convert_or_log(self, value: Any, shape: type[_Shape]) -> _Shape | None:
-        """Return an object or event; None where it makes no sense, which is told once."""
+        """Return an object or event, None if it is malformed; each malformed one is logged once."""
         try:
             return msgspec.convert(value, shape)
         except msgspec.ValidationError as error:
@@ -245,7 +245,7 @@
 
 
 def _name_of(value: Any) -> str:
-    """Return the name of an object that may make no sense otherwise, empty where it has none."""
+    """Return the name of a possibly malformed object, empty if it has none."""
     name = value.get("name") if isinstance(value, dict) else None
     return name if isinstance(name, str) else ""
 
--- a/pondhatch/standard/_upstreams.py
+++ b/pondhatch/standard/_upstreams.py
@@ -1,4 +1,4 @@
-"""The dialect of upstreams that serve the OpenAI API and of plain services beside them."""
+"""The headers of upstreams that serve the OpenAI API, and of plain services."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from pondhatch.standard._header_owners import OWNERS
 from pondhatch.transport import NoteDropped, seconds_to_wait
 
-#: Header that binds an answer to its request.
+#: Header that matches an answer to its request.
 REQUEST_ID_HEADER = "X-Request-Id"
 PRIORITY_HEADER = "X-Priority"
-#: Header by which an upstream says that it did not run a request.
+#: Header with which an upstream states that it did not run a request, and why.
 NOT_RUN_HEADER = "x-not-run"
-#: Header of all answers of an upstream that is about to end.
+#: Header in all answers of an upstream that is about to shut down.
 LEAVING_HEADER = "x-leaving"
 RETRY_AFTER_HEADER = "retry-after"
-#: Statuses with which that header asks for rest.
+#: Statuses with which Retry-After asks for a rest, in which the upstream gets no requests.
 OVERLOADED_STATUSES = frozenset({429, 503})
 WRONG_INSTANCE_STATUS = 421
 
 
-#: What a refusal says of its reason in that header, and by its status where it says none.
+#: Refusals by the reason in the not-run header, and by status if it states none of these.
 REFUSAL_BY_REASON = {
     "full": EngineRefusal.FULL,
     "leaving": EngineRefusal.LEAVING,
@@ -51,9 +51,9 @@
     """See UpstreamDialect."""
 
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
-        """Return a request's headers, under the id of this try.
+        """Return a request's headers, with the id of this attempt.
 
-        What the caller may not say was dropped as it came; see OpenAiCallers.
+        Headers that the caller may not set were dropped on arrival; see OpenAiCallers.
         """
         return (
             ("Host", target.url.removeprefix("http://")),
@@ -65,7 +65,7 @@
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
-        """Say what an answer's head means; plain services need not echo the id."""
+        """Classify an answer by its head; plain services need not echo the request id."""
         if NOT_RUN_HEADER in value_by_name:
             notice = self.notice(status, value_by_name)
             return _refusal(status, value_by_name[NOT_RUN_HEADER], notice)
@@ -75,10 +75,10 @@
         return AnswerKind.ANSWERED
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
-        """Return what an answer's head says of the upstream itself."""
+        """Return what an answer's head states about the upstream itself."""
         reason = value_by_name.get(NOT_RUN_HEADER, "").strip().lower()
         if status == WRONG_INSTANCE_STATUS or reason == "not-the-one":
-            # Another upstream than the one meant may have answered.
+            # An upstream other than the intended one may have answered.
             return NO_NOTICE
         is_leaving = LEAVING_HEADER in value_by_name or reason == "leaving"
         retry_after = value_by_name.get(RETRY_AFTER_HEADER)
@@ -87,7 +87,7 @@
         return Notice(is_leaving, seconds_to_wait(retry_after, time.time()))
 
     def answer_headers(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return the headers of an answer that an upstream may say to a caller."""
+        """Return the headers of an answer that an upstream may send to a caller."""
         return OWNERS.from_upstream(headers, note)
 
     def last_event(self, head: RequestHead) -> bytes | None:
--- a/pondhatch/standard/tests/test_platform.py
+++ b/pondhatch/standard/tests/test_platform.py
@@ -1,4 +1,7 @@
-"""What the platform answers over HTTP, where a part of it makes no sense."""
+"""Guards against one malformed object or change in an answer of the platform hiding the others.
+
+Any writer may store such an object, and one that fails to convert must not fail the whole answer.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class CannedPlatform(HttpPlatform):
-    """A platform whose answers are given."""
+    """A platform client that receives the given content in every answer."""
 
     def __init__(self, content: bytes) -> None:
         super().__init__("http://127.0.0.1:1")
--- a/pondhatch/standard/tests/test_upstreams.py
+++ b/pondhatch/standard/tests/test_upstreams.py
@@ -15,12 +15,12 @@
             (200, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
             (503, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
             (200, {"x-request-id": "r.2"}, AnswerKind.CROSSED),
-            # By the reason that is told, whatever the status.
+            # By the stated reason, whatever the status.
             (503, {"x-not-run": "full"}, EngineRefusal.FULL),
             (503, {"x-not-run": "Leaving"}, EngineRefusal.LEAVING),
             (503, {"x-not-run": "not-the-one"}, EngineRefusal.WRONG_INSTANCE),
             (422, {"x-not-run": "bad-request"}, EngineRefusal.BAD_REQUEST),
-            # By the status where none is told.
+            # By the status if no known reason is stated.
             (503, {"x-not-run": "1"}, EngineRefusal.FULL),
             (429, {"x-not-run": "1"}, EngineRefusal.FULL),
             (421, {"x-not-run": "1"}, EngineRefusal.WRONG_INSTANCE),
