--- a/pondhatch/platform/__init__.py
+++ b/pondhatch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' prepared machines: names, formats and calls; decides nothing."""
+"""The adapter to the users' prepared machines: names, formats and calls, but no decisions."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
     DEPENDENCIES: ClassVar[tuple[type[Any], ...]] = (HttpClient, ServiceDefaults)
 
-    #: The platform lists no VMs; routers find each other by objects of their own.
+    #: The platform lists no VMs; routers find each other through objects that they write.
     lists_vms = False
     upstreams = EngineDialect()
     orders = NoOrders()
@@ -52,20 +52,20 @@
         return PlatformStore(calls, decode_by_kind)
 
     def configuration(self, store: Platform) -> ConfigurationSource:
-        """Return where the operator's configuration is read."""
+        """Return the source of the operator's configuration."""
         reader = ConfigurationReader(self.view(ServiceDefaults))
         return ConfigurationDocument(
             store, names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, reader.decode
         )
 
     def callers(self, parts: CallerParts) -> Callers:
-        """Return what serves clients by the operator's routes."""
+        """Return the handler of clients' requests by the operator's routes."""
         return RoutedCallers(parts, ClientDialect())
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
-        """Return whether the rules in force are those of callers that compete for capacity."""
+        """Return whether the rules in force include those for callers competing for capacity."""
         return names.CONTENTION_RULE in rules
 
     def poll_loads(self, state: RouterState) -> Coroutine[Any, Any, None] | None:
-        """Return None: each question would be priced as a health check."""
+        """Return None: the platform would charge each poll as a health check."""
         return None
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -1,4 +1,4 @@
-"""Clients' requests and the answers that the router gives itself."""
+"""The headers of clients' requests, and of answers that the router itself gives."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from pondhatch.router import bearer_key
 from pondhatch.transport import CallerFacts, NoteDropped
 
-#: Statuses that ask the client to come back later.
+#: Statuses that ask the client to retry later.
 RETRYABLE_STATUSES = (429, 503)
-#: A count of tokens; longer ones are no count, and would cost time to read.
+#: A count of tokens; a longer number is invalid, and would take time to convert.
 _COUNT = re.compile(r"\s*([0-9]{1,9})\s*", re.ASCII)
 #: One part of a prompt: its id in hex, and its tokens.
 _PART = re.compile(r"\s*([0-9a-fA-F]{1,64}):([0-9]{1,9})\s*", re.ASCII)
@@ -26,7 +26,7 @@
     """See CallerDialect."""
 
     def read(self, headers: Headers) -> CallerFacts:
-        """Return what a client says about its request."""
+        """Return what a client's headers state about its request."""
         value_by_name = {name.lower(): value for name, value in headers}
         deadline_ms = value_by_name.get(names.DEADLINE_MS.lower(), "")
         prompt, _, max_answer = value_by_name.get(names.TOKENS.lower(), "").partition(",")
@@ -45,13 +45,13 @@
         )
 
     def passed_on(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return those of a client's headers that it may say to an engine."""
+        """Return those of a client's headers that it may send to an engine."""
         return OWNERS.from_caller(headers, note)
 
     def asks_for_routers_call(self, path: str, prefix: str) -> bool:
-        """Return whether an engine could take a path for a call that only routers make.
+        """Return whether an engine could interpret a path as a call that only routers may make.
 
-        A route whose own prefix names such a call is the operator's leave to make it.
+        A route whose own prefix names such a call permits it, as the operator wrote the route.
         """
         segments = _path_segments(path)
         if not segments or names.ROUTER_ONLY_CALLS.get(segments[0]) != len(segments):
@@ -59,14 +59,14 @@
         return _path_segments(prefix)[:1] != segments[:1]
 
     def refusal_headers(self, refusal: Refusal) -> Headers:
-        """Return the headers of a refusal: when to come back, where that helps."""
+        """Return the headers of a refusal: when to retry, if a retry may help."""
         if not isinstance(refusal, NotRun) or refusal.status not in RETRYABLE_STATUSES:
             return ()
         return ((names.RETRY_AFTER, f"{refusal.retry_after:.3f}"),)
 
 
 def _path_segments(path: str) -> list[str]:
-    """Return a path's parts as an engine may read them: dots resolved, escapes decoded."""
+    """Return a path's segments as an engine may read them: dots resolved, escapes decoded."""
     path_only = path.partition("?")[0]
     if "%" in path_only or "/." in path_only:
         path_only = posixpath.normpath(unquote(path_only))
@@ -74,7 +74,7 @@
 
 
 def _context_key(parts: str) -> int:
-    """Return a key of the last part that other requests share, or 0 where there is none."""
+    """Return a hash of the last part that other requests share, or 0 if there is none."""
     ids = [part.partition(":")[0].strip() for part in parts.split(",") if part.strip()]
     if not ids:
         return 0
@@ -83,15 +83,15 @@
 
 
 def _count(text: str) -> int:
-    """Return a count of tokens, or 0 where it cannot be read."""
+    """Return a count of tokens, or 0 if it cannot be read."""
     found = _COUNT.fullmatch(text)
     return int(found[1]) if found is not None else 0
 
 
 def _answer_tokens(hint: int, limit: int) -> int:
-    """Return the tokens that an answer is taken to have: as guessed, but no more than may be.
+    """Return the expected tokens of an answer: the client's estimate, capped at the limit.
 
-    Without a guess it may grow to the most.
+    Without an estimate, the answer may grow to the limit.
     """
     return min(hint, limit) if hint and limit else hint or limit
 
@@ -102,6 +102,6 @@
 
 
 def _shared_parts(parts: str) -> tuple[tuple[int, int], ...]:
-    """Return a prompt's parts but the last, which is the request's own."""
+    """Return a prompt's parts except the last, which no other request shares."""
     found = [_PART.fullmatch(part) for part in parts.split(",")[:-1]]
     return tuple((int(each[1], 16), int(each[2])) for each in found if each is not None)
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -25,12 +25,13 @@
     with_problems,
 )
 
-#: Templates of the accounts, which say all but their priority by themselves.
+#: Account templates. Accounts of the first state their own priority, and those of the second
+#: have the priority of the route.
 OWN_PRIORITY = "own-priority"
 ROUTE_PRIORITY = "route-priority"
-#: Stands in a template's name before the regions that its accounts are bound to.
+#: Precedes, in a template's name, the regions to which its accounts are restricted.
 _REGIONS_MARK = "-in-"
-#: The platform sets accounts no rates; these stand for "no limit".
+#: The platform sets no rates for accounts; these stand for "no limit".
 UNLIMITED_RATE = 100_000.0
 UNLIMITED_COUNT = 1_000_000
 
@@ -38,7 +39,7 @@
 MOST_URGENT = 0
 LEAST_URGENT = 9
 
-#: How often a route's requests may run, by the platform's word for its type.
+#: How often a route's requests may run, by the platform's name of the route's type.
 REPEATS_BY_TYPE = {"idempotent": "any", "non_idempotent": "never", "streaming": "never"}
 STREAMING = "streaming"
 RouteType = Literal["idempotent", "non_idempotent", "streaming"]
@@ -55,41 +56,42 @@
     host: str
     path_prefix: str
     type: RouteType
-    #: The longest that a request may be held; 0 where it is not said.
+    #: Milliseconds for which a request may be held at most; 0 if not configured.
     timeout_ms: float = 0.0
-    #: The first event of a stream, or the whole answer, is due within this; 0 as above.
+    #: Milliseconds within which the first event of a stream, or the whole answer, is due; 0 if
+    #: not configured.
     target_latency_ms: float = 0.0
     priority: int = 5
-    #: The one service, or None where ``backends`` share the requests.
+    #: The only service, or None if ``backends`` share the requests.
     service: str | None = None
     backends: tuple[_Backend, ...] | None = None
-    #: Engines that one request may be sent to.
+    #: Maximum number of engines to which one request is sent.
     max_attempts: int = 1
     #: Whether callers need no key.
     public: bool = False
-    #: Whether prompts share parts, so that the engine matters.
+    #: Whether prompts share parts, so that the choice of engine matters.
     sticky: bool = False
-    #: Whether a broken stream may go on at another engine.
+    #: Whether a broken stream may be resumed at another engine.
     resumable: bool = False
-    #: The longest pause between two events of a stream that is in time.
+    #: Longest pause between two events of a stream that counts as in time, in milliseconds.
     itl_target_ms: float = 0.0
-    #: None where its requests may run anywhere.
+    #: None if its requests may run anywhere.
     allowed_regions: RegionNames | None = None
 
 
 class _Service(NamedEntry, frozen=True):
-    #: What the engines of a service for models are like; not an id, whatever its name says.
+    #: Properties of the engines of a service for models; despite its name, not an id.
     engine_id: Any = None
-    #: Requests a second that a cold engine handles; 0 where it is never cold.
+    #: Requests a second that a cold engine handles; 0 if engines are never cold.
     cold_per_s: float = 0.0
-    #: Connections that the fleet keeps to one engine; 0 where it is not said.
+    #: Maximum number of the fleet's connections to one engine; 0 if not configured.
     max_connections: int = 0
 
 
 class _EngineKind(WireStruct, frozen=True):
-    #: Whether engines copy what they hold of a prompt to each other.
+    #: Whether engines copy the prompt context that they hold to each other.
     moves: bool = False
-    #: Tokens that the memory of one engine holds; 0 where it is not said.
+    #: Tokens that the memory of one engine holds; 0 if not configured.
     kv_capacity_tokens: int = 0
 
 
@@ -105,12 +107,12 @@
 
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
-    #: None where its requests may run anywhere.
+    #: None if its requests may run anywhere.
     allowed_regions: RegionNames | None = None
 
 
 class _Configuration(WireStruct, frozen=True):
-    """The whole; its entries are read one by one, so that none holds up another."""
+    """The whole configuration; its entries are read later, so that none fails another."""
 
     version: int
     routes: tuple[Any, ...] | None = None
@@ -124,13 +126,14 @@
 
     def __init__(self, defaults: ServiceDefaults) -> None:
         self._defaults = defaults
-        #: With keys, and where nobody has one: routes differ in that.
+        #: One cache for configurations with keys and one for those without, in which routes are
+        #: converted differently.
         self._cache_by_has_keys = {True: EditCache(), False: EditCache()}
 
     def decode(self, value: Any) -> Snapshot:
-        """Return the configuration as entries, unreadable ones as such.
+        """Return the configuration as entries, with unreadable ones marked.
 
-        Raises msgspec.ValidationError where the whole is no configuration.
+        Raises msgspec.ValidationError if the value as a whole is no configuration.
         """
         wire = msgspec.convert(value, _Configuration)
         has_keys = wire.tenants is not None
@@ -140,7 +143,7 @@
         routes = Entries("route", _Route, lambda each: _route(each, not has_keys), cache)
         routes.add(wire.routes)
         tenants = Entries("account", _Tenant, _account, cache)
-        # A tenant without keys is nobody's account.
+        # No caller can use the account of a tenant without keys.
         tenants.add(each for each in wire.tenants or () if _has_keys(each))
         cache.end_document()
         templates = _templates(tuple(services.edit_by_name), tenants.edits)
@@ -170,7 +173,7 @@
         "load_slack": defaults.load_slack,
         "shares_context": engines.moves,
         "cold_pace": service.cold_per_s if service.cold_per_s > 0 else None,
-        # Left out where not said: routers that do not know them yet take the service as it is.
+        # Omitted if not configured, so that routers that do not know them yet accept the service.
         **{name: number for name, number in stated.items() if number > 0},
     }
 
@@ -188,7 +191,7 @@
         "streams": streams,
         **{name: ms / 1000 for name, ms in times.items() if ms > 0},
         "longest_pause": max(0.0, route.itl_target_ms / 1000),
-        # Whoever is sent anywhere is sent to one engine at least.
+        # A request that is sent at all is sent to at least one engine.
         "most_tries": max(1, route.max_attempts),
         "priority": _clamp_priority(route.priority),
         "public": route.public or nobody_has_keys,
@@ -202,12 +205,12 @@
 
 
 def _clamp_priority(priority: int) -> int:
-    """Return a priority on the product's scale; the platform's goes on beyond its end."""
+    """Clamp a priority to the product's scale; the platform's scale extends beyond it."""
     return min(max(priority, MOST_URGENT), LEAST_URGENT)
 
 
 def _bounds(value: Any) -> list[Edit]:
-    """Return what callers may send, as far as the operator says so."""
+    """Return the operator's bounds on what callers may send, none if there are none."""
     if value is None:
         return []
     try:
@@ -225,7 +228,7 @@
 
 
 def _templates(services: tuple[str, ...], accounts: Iterable[Edit]) -> list[Edit]:
-    """Return the templates of accounts, for each list of regions that one of them names."""
+    """Return the templates of accounts, a pair for each list of regions that accounts name."""
     template_names = [(each.value or {}).get("template", "") for each in accounts]
     region_suffixes = sorted({name.partition(_REGIONS_MARK)[2] for name in template_names if name})
     return [
@@ -236,7 +239,7 @@
 
 
 def _templates_for(services: tuple[str, ...], region_suffix: str) -> list[Edit]:
-    """Return both templates for accounts that are bound to the same regions."""
+    """Return both templates for accounts that are restricted to the same regions."""
     account: dict[str, Any] = {
         "services": list(services),
         "requests_per_second": UNLIMITED_RATE,
@@ -260,7 +263,7 @@
 
 
 def _region_suffix(regions: tuple[str, ...] | None) -> str:
-    """Return regions as a part of a template's name, whatever characters theirs have."""
+    """Encode regions as the end of a template's name; names of regions may hold any characters."""
     return "" if regions is None else msgspec.json.encode(regions).hex()
 
 
@@ -273,9 +276,9 @@
 
 def _account(tenant: _Tenant) -> dict[str, Any]:
     if not tenant.name.isprintable():
-        # Engines are told it in a header, and no header holds a line break.
+        # The name is sent to engines in a header, which cannot hold a line break.
         return {UNREADABLE_KEY: "Name: expected one that can stand in a header"}
-    # The keys themselves go no further than this.
+    # Only their hashes leave this function, never the keys themselves.
     hashes = [hashlib.sha256(key.encode()).hexdigest() for key in tenant.api_keys]
     region_suffix = _region_suffix(tenant.allowed_regions)
     if tenant.priority is None:
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -1,4 +1,4 @@
-"""Engines: their entries in the store, and the headers that they speak."""
+"""Engines: their entries in the store, and the headers that they send and receive."""
 
 from __future__ import annotations
 
@@ -21,50 +21,49 @@
 
 log = log_for("engines")
 
-#: What an engine that takes no new work says of itself.
+#: State of an engine that takes no new work.
 DRAINING = "draining"
-#: Value of the header of one that is about to end.
+#: Value of the leaving header of an engine that is about to shut down.
 IS_LEAVING = "1"
-#: Seconds between two log lines on load headers that cannot be read; one engine may send many
-#: a second.
+#: Seconds between two log lines on unreadable load headers; one engine may send many a second.
 UNREADABLE_LOG_SECONDS = 60.0
-#: Characters of such a header that are logged.
+#: Number of characters of such a header that are logged.
 LOGGED_CHARACTERS = 80
 
 #: A name of a service, or of anything that must not be empty.
 Name = Annotated[str, msgspec.Meta(min_length=1)]
-#: The largest whole number that every reader of JSON takes as it is written. A larger one could
-#: not be passed on to peers, and would keep all other entries from them.
+#: The largest integer that every JSON decoder reads exactly. A larger one could not be sent to
+#: peers, and would keep all other entries from reaching them.
 MAX_INTEGER = 2**53
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 
 
 class _EngineEntry(msgspec.Struct, rename="pascal", frozen=True):
-    """What an engine that takes work writes of itself; what nobody knows may stand beside."""
+    """The entry that an engine which takes work writes of itself; unknown fields are ignored."""
 
     service: Name
-    #: "IP:port"; where it is none, the list of upstreams sends no requests there.
+    #: "IP:port"; the list of upstreams sends no requests to an address of another form.
     address: Name
     zone: str
-    #: Of its software.
+    #: Version of its software.
     version: str
-    #: Requests that it runs at once.
+    #: Maximum of requests that it runs concurrently.
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_INTEGER)]
     state: Literal["ready"]
-    #: For how much longer it is slow after its start.
+    #: Milliseconds for which it is still slow after its start.
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
-    #: Counts its own entries.
+    #: Counts the entries that the engine has written.
     sequence: Count
-    #: When it started, in milliseconds since 1970; not every platform says so.
+    #: Time of its start, in milliseconds since 1970; not every platform states it.
     born: Count | msgspec.UnsetType = msgspec.field(name="born", default=msgspec.UNSET)
 
 
 def decode_engine(name: str, value: Any) -> dict[str, Any]:
-    """Return an engine's entry as the product's list of upstreams holds it.
+    """Convert an engine's entry to the format of the product's list of upstreams.
 
-    Whoever may write to the store may have written it, so it names an engine only where all of
-    it is as engines write it; but for one that leaves, which must get no new work whatever else
-    it says. Raises msgspec.ValidationError.
+    Anyone with write access to the store may have written it, so it counts as an engine only if
+    all its fields are valid. Only a draining engine may have malformed fields: it must get no new
+    work in any case. Raises msgspec.ValidationError.
     """
     fields = msgspec.convert(value, dict[str, Any])
     if fields.get("State") == DRAINING:
@@ -88,18 +87,18 @@
 
 
 def decode_evacuation(hall: str, value: Any) -> dict[str, Any]:
-    """Return what an object that asks for a hall's evacuation says: all by being there."""
+    """Return the value of a hall's evacuation, which is in force as long as its object exists."""
     return {IN_FORCE: True}
 
 
 def _text(fields: Mapping[str, Any], field: str) -> str:
-    """Return a field that is a text, empty where it is none."""
+    """Return the value of a string field, empty if it is no string."""
     value = fields.get(field)
     return value if isinstance(value, str) else ""
 
 
 def _whole_number(fields: Mapping[str, Any], field: str) -> int:
-    """Return a field that is a whole number, 0 where it is none."""
+    """Return the value of a whole-number field, 0 if it is no such number."""
     try:
         return msgspec.convert(normalize_number(fields.get(field)), Count)
     except msgspec.ValidationError:
@@ -116,8 +115,8 @@
         return EngineRefusal.LEAVING
     if notice.rest > 0:
         return EngineRefusal.OVERLOADED
-    # An engine that is leaving closes its connections, and now and then another one does,
-    # so this is a hint: it is passed over only where another can take the request.
+    # An engine that is leaving closes its connections, but sometimes another one does so too.
+    # So this is only a hint: the engine is skipped only if another one can take the request.
     if value_by_name.get("connection", "").lower() == "close":
         return EngineRefusal.LEAVING
     return EngineRefusal.DECLINED if read_load(value_by_name).has_free_slots else EngineRefusal.FULL
@@ -131,9 +130,9 @@
         self._unreadable_throttle = LogThrottle(UNREADABLE_LOG_SECONDS)
 
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
-        """Return what the client may say, and what only routers may.
+        """Return the client's headers, and those that only routers may set.
 
-        What the client may not say was dropped as it came; see ClientDialect.
+        Headers that the client may not set were dropped on arrival; see ClientDialect.
         """
         router_headers: list[tuple[str, str]] = [
             (names.DEADLINE_MS, str(max(1, int(head.deadline * 1000)))),
@@ -153,7 +152,7 @@
     def judge(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
-        """Say what an answer's head means."""
+        """Classify an answer by its head."""
         if status == names.WRONG_INSTANCE_STATUS:
             return EngineRefusal.WRONG_INSTANCE
         if names.NOT_RUN.lower() in value_by_name:
@@ -163,9 +162,9 @@
         return AnswerKind.ANSWERED
 
     def notice(self, status: int, value_by_name: Mapping[str, str]) -> Notice:
-        """Return what an answer's head says of the engine itself."""
+        """Return what an answer's head states about the engine itself."""
         if status == names.WRONG_INSTANCE_STATUS:
-            # Another engine than the one meant may have answered.
+            # An engine other than the intended one may have answered.
             return NO_NOTICE
         is_leaving = value_by_name.get(names.LEAVING.lower(), "").strip() == IS_LEAVING
         load = read_load(value_by_name)
@@ -179,27 +178,27 @@
         return Notice(is_leaving, rest, rest > 0 and load.has_free_slots, load.pace)
 
     def answer_headers(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return the headers of an answer that an engine may say to a client."""
+        """Return the headers of an answer that an engine may send to a client."""
         return OWNERS.from_upstream(headers, note)
 
     def last_event(self, head: RequestHead) -> bytes | None:
-        """Streams end as answers do; no event marks the end."""
+        """Return None: a stream ends with its answer, and no event marks the end."""
         return None
 
 
 def _without_last_event_id(headers: Headers) -> Headers:
-    """Return headers without the client's place in a stream: the router has got beyond it."""
+    """Return headers without the client's position in a stream, as the router has read further."""
     name = names.LAST_EVENT_ID.lower()
     return tuple(pair for pair in headers if pair[0].lower() != name)
 
 
 class NoOrders:
-    """Engines here are told what to hold by others; see EngineOrders."""
+    """Sends no orders, as others control this platform's engines; see EngineOrders."""
 
     async def state(self, url: str) -> NoReply:
-        """Say that nothing can be asked."""
+        """Return that engines cannot be queried."""
         return NoReply("this platform's engines take no orders from routers")
 
     async def order(self, url: str, wanted: DesiredState, fencing: int, seconds: float) -> NotTaken:
-        """Say that nothing was done."""
+        """Return that the order was not executed."""
         return NotTaken("this platform's engines take no orders from routers")
--- a/pondhatch/platform/_entries.py
+++ b/pondhatch/platform/_entries.py
@@ -1,4 +1,4 @@
-"""Reading entries of the operator's configuration one by one, and each field by field."""
+"""Conversion of the operator's configuration, entry by entry and field by field."""
 
 from __future__ import annotations
 
@@ -12,10 +12,13 @@
 
 
 class WireStruct(msgspec.Struct, rename="pascal", frozen=True):
-    """Base of all parts. A field with a default may be missing, empty or unreadable."""
+    """Base of all parts of the configuration.
 
-    #: Fields that bind whoever uses the entry. One that is there and cannot be read leaves the
-    #: whole entry unusable: its default would free what the operator has bound.
+    A field with a default may be missing, null or unreadable.
+    """
+
+    #: Fields that restrict the use of an entry. If one is present and unreadable, the whole entry
+    #: is unusable: the default would lift what the operator has restricted.
     RESTRICTIONS: ClassVar[frozenset[str]] = frozenset()
 
 
@@ -23,7 +26,7 @@
 
 
 class NamedEntry(WireStruct, frozen=True):
-    """An entry of the configuration."""
+    """An entry of the configuration, identified by its name."""
 
     name: str
 
@@ -35,14 +38,15 @@
     """What could be read of an entry."""
 
     entry: Shape
-    #: Why some of its fields could not be read; empty where all could.
+    #: Why some of its fields could not be read; empty if all could.
     problems: str = ""
 
 
 def read_entry(shape: type[Shape], value: Any) -> ReadResult[Shape]:
-    """Read an entry field by field: one that it can do without takes no other with it.
+    """Read an entry field by field; an unreadable optional field gets its default.
 
-    Raises msgspec.ValidationError where the entry cannot do without it.
+    Raises msgspec.ValidationError if the value is no mapping, or if a required or restricting
+    field cannot be read.
     """
     if not isinstance(value, Mapping):
         raise msgspec.ValidationError(f"expected an object, found {type(value).__name__}")
@@ -64,26 +68,25 @@
 
 @functools.cache
 def _fields(shape: type[WireStruct]) -> tuple[msgspec.structs.FieldInfo, ...]:
-    """Return the fields of a shape, worked out once.
+    """Return the fields of a struct, computed once per type.
 
-    Working them out compiles each annotation anew, 0.2 ms a call: a configuration of 450
-    routes held up everything else at its router for 107 ms, each time it changed, and now
-    for 8 ms (median of 59 decodings, one core).
+    msgspec compiles each annotation anew, 0.2 ms a call. Without the cache, each change of a
+    configuration of 450 routes blocks the router's event loop for 107 ms, with it for 8 ms.
     """
     return msgspec.structs.fields(shape)
 
 
 def normalize_number(value: Any) -> Any:
-    """Return a number as JSON means it: 2.0 is 2."""
+    """Return a whole number as an int, as JSON does not distinguish 2.0 from 2."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
 class EditCache:
-    """The readable entries of the document read last, as they came and in the product's form.
+    """The converted entries of the previous document, by their raw form.
 
-    An operator's change touches an entry or two of hundreds. What came before as it is now is
-    not read again: a change among 450 routes holds its watcher up for 2 ms instead of 8 (median
-    of 59, one core), five times that on a VM that is slowed.
+    An operator's change touches one or two entries of hundreds, and unchanged ones are not read
+    again: a change among 450 routes blocks the event loop for 2 ms instead of 8, and for five
+    times as long on a throttled VM.
     """
 
     def __init__(self) -> None:
@@ -91,7 +94,7 @@
         self._current_by_raw: dict[bytes, Edit] = {}
 
     def get_or_read(self, kind: str, value: Any, read: Callable[[], Edit]) -> Edit:
-        """Return an entry's edit, read only where it did not come before. Raises as ``read``."""
+        """Return an entry's edit, read only if it is not cached. Raises what ``read`` raises."""
         raw = msgspec.json.encode((kind, value))
         cached = self._previous_by_raw.get(raw)
         edit = read() if cached is None else cached
@@ -99,12 +102,12 @@
         return edit
 
     def end_document(self) -> None:
-        """Forget what the document that was read did not hold."""
+        """Drop the entries that the document just read did not hold."""
         self._previous_by_raw, self._current_by_raw = self._current_by_raw, {}
 
 
 class Entries(Generic[Entry]):
-    """The entries of one kind that can be read, by name, and those that cannot."""
+    """The entries of one kind: the readable ones by name, and the unreadable ones."""
 
     def __init__(
         self,
@@ -117,18 +120,18 @@
         self.unreadable: list[Edit] = []
         self._kind = kind
         self._shape = shape
-        #: Returns an entry in the product's form.
+        #: Converts an entry to the product's format.
         self._convert = convert
         self._cache = cache
 
     def add(self, values: Iterable[Any] | None) -> None:
-        """Read entries."""
+        """Read entries and add them."""
         for value in values or ():
             self._add(value)
 
     @property
     def edits(self) -> list[Edit]:
-        """All entries, in the product's form."""
+        """All entries, in the product's format."""
         return [*self.edit_by_name.values(), *self.unreadable]
 
     def _add(self, value: Any) -> None:
@@ -151,16 +154,19 @@
         )
 
     def _add_unreadable(self, value: Any, reason: str) -> None:
-        """Keep what could be read of an entry that cannot be used: a route holds its place."""
+        """Add an unusable entry with its readable host and path prefix.
+
+        An unusable route still claims these, so that no other route gets its requests.
+        """
         fields = value if isinstance(value, Mapping) else {}
         route_key = {"host": fields.get("Host"), "path_prefix": fields.get("PathPrefix")}
         entry = {name: each for name, each in route_key.items() if isinstance(each, str)}
         name = fields.get("Name")
-        # Numbered, for its name may be another's, or none.
+        # Numbered, as the name may be missing or that of another entry.
         unique = f"{name if isinstance(name, str) else ''}#{len(self.unreadable) + 1}"
         self.unreadable.append(Edit(self._kind, unique, {**entry, UNREADABLE_KEY: reason}))
 
 
 def with_problems(entry: dict[str, Any], problems: str) -> dict[str, Any]:
-    """Return an entry with why some of it could not be read, where that is so."""
+    """Return an entry with its reading problems, if there are any."""
     return {**entry, UNREADABLE_KEY: problems} if problems else entry
--- a/pondhatch/platform/_era.py
+++ b/pondhatch/platform/_era.py
@@ -1,4 +1,7 @@
-"""Calls to the store, each answer with the era in which it was given."""
+"""Calls to the store that track its era.
+
+The store's era rises each time it is restored from an older copy.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class EraAnswer(msgspec.Struct, frozen=True):
-    """What the store answered, and in which era."""
+    """An answer of the store, and the era in which it was given."""
 
     status: int
     content: bytes
@@ -23,22 +26,22 @@
 
 
 class EraCalls:
-    """Calls to one store that may come back from an older copy of itself."""
+    """Calls to one store that may be restored from an older copy."""
 
     def __init__(self, calls: StoreCalls) -> None:
-        #: The newest era of any answer.
+        #: The highest era of any answer so far.
         self.era = NO_ERA
         self._calls = calls
 
     @property
     def made(self) -> int:
-        """Calls made, for the rate that the store allows."""
+        """Number of calls made; the store limits their rate."""
         return self._calls.made
 
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float | None = None
     ) -> EraAnswer:
-        """Return an answer. Raises CallFailed, also for one of an era that is over."""
+        """Return an answer. Raises CallFailed, also for an answer of an earlier era."""
         timing = {} if seconds is None else {"seconds": seconds}
         answer = await self._calls.call(method, path, body, **timing)
         era = _read_era(answer.value_by_name, self.era)
@@ -51,7 +54,7 @@
 
 
 def _read_era(value_by_name: Mapping[str, str], known: int) -> int:
-    """Return the era that an answer tells; what tells none is taken to be of the one known."""
+    """Return the era that an answer states, the known one if it states no valid era."""
     value = value_by_name.get(names.STORE_ERA.lower(), "")
     is_number = value.isascii() and value.isdigit() and len(value) <= len(str(MAX_ERA))
     return int(value) if is_number and int(value) <= MAX_ERA else known
--- a/pondhatch/platform/_header_owners.py
+++ b/pondhatch/platform/_header_owners.py
@@ -5,8 +5,8 @@
 from pondhatch.platform import _names as names
 from pondhatch.transport import HeaderOwners, Owner
 
-#: Every header that the platform names stands here; a test goes through them. A name that is
-#: not here is the client's own and passes.
+#: The owner of every header that the platform defines; a test checks that none is missing. A
+#: header that is not listed belongs to the client and is forwarded.
 OWNERS = HeaderOwners(
     {
         names.ATTEMPT_ID: Owner.CALLER,
@@ -14,9 +14,9 @@
         names.TOKENS: Owner.CALLER,
         names.PROMPT_PARTS: Owner.CALLER,
         names.LENGTH_HINT: Owner.CALLER,
-        # A client may take up a stream that broke; the router's own place goes before it.
+        # A client may resume a broken stream; the router's own position takes precedence.
         names.LAST_EVENT_ID: Owner.CALLER,
-        # Replaced by what is left of the time, and by the name of the key's account.
+        # Replaced by the remaining time, and by the name of the key's account.
         names.DEADLINE_MS: Owner.CALLER_TO_ROUTER,
         names.AUTHORIZATION: Owner.CALLER_TO_ROUTER,
         names.ACCOUNT: Owner.ROUTER,
@@ -24,8 +24,8 @@
         names.EXPECTED_WEIGHTS: Owner.ROUTER,
         names.PRIORITY: Owner.ROUTER,
         names.ROLE: Owner.ROUTER,
-        # They ask an engine to keep, reserve, take over or back up memory, which others pay
-        # for; an engine refuses a copy that it does not have.
+        # They ask an engine to keep, reserve, take over or back up memory, at the expense of
+        # others; an engine refuses a copy that it does not have.
         names.KEEP_MS: Owner.ROUTER,
         names.RESERVED: Owner.ROUTER,
         names.CONTEXT_FROM: Owner.ROUTER,
@@ -38,7 +38,7 @@
         names.ENGINE: Owner.UPSTREAM,
         names.LOAD: Owner.UPSTREAM,
         names.WEIGHTS: Owner.UPSTREAM,
-        # The store's own; neither callers nor engines have a say in it.
+        # Set by the store; neither callers nor engines may set it.
         names.STORE_ERA: Owner.ROUTER,
     }
 )
--- a/pondhatch/platform/_json_split.py
+++ b/pondhatch/platform/_json_split.py
@@ -1,9 +1,9 @@
-"""Splitting JSON into its parts where one part keeps the whole from being read.
+"""Splitting of JSON into its items if one of them keeps the whole from being decoded.
 
-Anyone may write an object to the store: bytes that are no text, or tables nested so deep that
-the decoder gives up. Here only brackets and texts are looked at, without recursion, so that
-the other objects of the same answer can still be read. Each function goes through its bytes
-once: a megabyte of brackets and texts alone, the most that an object holds, takes 0.3 s.
+Any writer may store an object that is no valid UTF-8, or nested too deep for the decoder. Only
+brackets and strings are scanned here, without recursion, so that the other objects of the same
+answer can still be decoded. Each function scans its bytes once: a megabyte of nothing but
+brackets and strings, the largest object that the store holds, takes 0.3 s.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 import re
 from collections.abc import Iterator
 
-#: A text, or what begins, ends or divides a list or table. Unrolled, so that a text that does
-#: not end costs no more than its length.
+#: A string, or what begins, ends or separates the items of an array or object. The pattern of
+#: strings is unrolled, so that an unterminated one takes time in proportion to its length.
 _TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|[\[\]{},]', re.DOTALL)
-#: The name of a value of a table.
+#: The key of an object's member.
 _NAME = re.compile(rb'\s*"([^"\\]*)"\s*:\s*')
 
 
 def elements(raw: bytes) -> list[bytes]:
-    """Return the elements of a list as they stand; none where it is none, or does not end."""
+    """Return the raw elements of an array, none if it is no array or does not end."""
     return [part for part in _parts(raw, b"[") if part.strip()] if _ends(raw) else []
 
 
 def members(raw: bytes) -> Iterator[tuple[str, bytes]]:
-    """Yield the names and values of a table as they stand; none where it is none."""
+    """Yield the keys and raw values of an object, none if it is no object."""
     for part in _parts(raw, b"{"):
         found = _NAME.match(part)
         if found is not None:
@@ -32,7 +32,7 @@
 
 
 def member(raw: bytes, name: str) -> bytes:
-    """Return a value of a table as it stands, empty where there is none of that name."""
+    """Return the raw value of an object's key, empty if it has no such key."""
     return next((value for found, value in members(raw) if found == name), b"")
 
 
@@ -41,7 +41,7 @@
 
 
 def _parts(raw: bytes, begin: bytes) -> Iterator[bytes]:
-    """Yield what stands between the commas of the outermost list or table."""
+    """Yield the raw items between the commas of the outermost array or object."""
     if raw.lstrip()[:1] != begin:
         return
     depth = start = 0
--- a/pondhatch/platform/_names.py
+++ b/pondhatch/platform/_names.py
@@ -1,70 +1,71 @@
-"""Names on the wire of the users' prepared machines. Nothing outside this folder knows them.
+"""Wire names of the users' prepared machines. No code outside this folder uses them.
 
-The test of that takes the names from here, so those that are only passed on stand here too.
+A test enforces that with the names listed here, so names that are only forwarded are listed too.
 """
 
 from __future__ import annotations
 
 from types import MappingProxyType
 
-#: Names one attempt of a client; answers repeat it.
+#: Id of one attempt of a client; answers echo it.
 ATTEMPT_ID = "Attempt-Id"
-#: Milliseconds for which the client, or whoever sends, waits for the answer.
+#: Milliseconds for which the sender, a client or a router, waits for the answer.
 DEADLINE_MS = "Deadline-Ms"
-#: Parts of a prompt in order, ID:TOKENS by commas; the last is the request's own.
+#: Parts of a prompt in order, as ID:TOKENS separated by commas; the last one is not shared
+#: with other requests.
 PROMPT_PARTS = "Prefix-Hash"
-#: "IP:port" of an engine from which the one asked takes over what it lacks of the prompt.
+#: "IP:port" of an engine from which the receiving one copies the prompt context that it lacks.
 CONTEXT_FROM = "Kv-Fetch"
-#: Id of the last event that was received of a stream that is to go on.
+#: Id of the last event received of a stream that is to be resumed.
 LAST_EVENT_ID = "Last-Event-Id"
-#: Proves that an engine made the answer; passed on unchanged.
+#: Proves that an engine produced the answer; forwarded unchanged.
 SIGNATURE = "Instance-Signature"
-#: The client account of a request, as the router found it by its key.
+#: The client account of a request, which the router finds by the request's key.
 ACCOUNT = "Tenant"
 #: The only engine that may run the request.
 EXPECTED_ENGINE = "Expect-Instance"
 #: Marks a refusal by an engine that did not run the request.
 NOT_RUN = "Not-Executed"
-#: 0 is let in first, 9 last.
+#: 0 is admitted first, 9 last.
 PRIORITY = "Request-Priority"
-#: The weights that an engine must have to run the request.
+#: Version of the weights that an engine must have to run the request.
 EXPECTED_WEIGHTS = "Expect-Version"
-#: Which part of the work an engine is to do, or does.
+#: The part of the work that an engine is to do, or does.
 ROLE = "Phase"
-#: Milliseconds for which an engine is to keep what it has read.
+#: Milliseconds for which an engine is to keep the prompt context that it has read.
 KEEP_MS = "Pin-Ms"
-#: A slot and memory that were set aside at the engine.
+#: A slot and memory that were reserved at the engine.
 RESERVED = "Hold"
-#: "IP:port" of an engine that is to get copies of what this one makes.
+#: "IP:port" of an engine that is to receive copies of what this one computes.
 BACKUP_TO = "Kv-Backup"
-#: "IP:port/handle" of a copy with which a run goes on.
+#: "IP:port/handle" of a copy from which a run continues.
 CONTINUE_FROM = "Kv-From"
 #: The model of a request.
 MODEL = "Model"
-#: Tokens of the prompt, and most of the answer.
+#: Tokens of the prompt, and the maximum of the answer.
 TOKENS = "Token-Usage"
-#: The client's guess of the answer's length.
+#: The client's estimate of the answer's length, in tokens.
 LENGTH_HINT = "Length-Hint"
-#: An engine's start, by its id.
+#: Id of one start of an engine.
 ENGINE = "Instance-Id"
-#: Requests that an engine runs, those that wait, and its slots.
+#: An engine's running requests, waiting requests and slots; see read_load.
 LOAD = "Instance-Load"
-#: Versions of the weights that made an answer.
+#: Versions of the weights that produced an answer.
 WEIGHTS = "Weight-Versions"
-#: In each answer of the store: how often it came back from an older copy.
+#: In each answer of the store: how often it was restored from an older copy.
 STORE_ERA = "Store-Era"
 AUTHORIZATION = "Authorization"
 RETRY_AFTER = "Retry-After"
-#: In all answers of an engine that is about to end.
+#: In all answers of an engine that is about to shut down.
 LEAVING = "Server-Leaving"
-#: Status by which an engine says that another one was meant; it ran nothing.
+#: Status of an engine's answer to a request for another engine; it did not run the request.
 WRONG_INSTANCE_STATUS = 421
-#: Statuses of refusals by an engine that has no place, and by one that got no proper request.
+#: Statuses of refusals by an engine without free slots, and of an invalid request.
 FULL_STATUSES = frozenset({429, 503})
 BAD_REQUEST_STATUS = 400
 
-#: Calls that an engine answers to routers alone: the first part of their path, and how many
-#: parts the path has.
+#: Calls that an engine accepts from routers only: the first segment of the path, and the number
+#: of its segments.
 ROUTER_ONLY_CALLS = MappingProxyType(
     {
         "report": 1,
@@ -84,5 +85,5 @@
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 
-#: The rules in force where callers compete for too little capacity.
+#: Name of the rules that are in force while callers compete for scarce capacity.
 CONTENTION_RULE = "pressure"
--- a/pondhatch/platform/_objects.py
+++ b/pondhatch/platform/_objects.py
@@ -1,6 +1,6 @@
-"""The shapes of the store's objects and answers, and reading them from bytes.
+"""The types of the store's objects and answers, and their decoding from bytes.
 
-Objects within an answer are read one by one: anyone may have written them.
+Objects within an answer are decoded one by one: any writer may have stored a malformed one.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class Metadata(msgspec.Struct, rename="pascal", frozen=True):
-    """What the store keeps of an object."""
+    """The metadata that the store keeps of an object."""
 
     name: str
-    #: Counts all changes of the store, so a higher one is newer whatever the object.
+    #: Counts all changes of the store, so a higher one is newer, whichever the object.
     revision: int = 0
 
 
 class NameOnly(msgspec.Struct, rename="pascal", frozen=True):
-    """What is needed to know an object by."""
+    """The part of the metadata that identifies an object."""
 
     name: str
 
 
 class StoreObject(msgspec.Struct, rename="pascal", frozen=True):
-    """An object; what its writer says stands in ``spec``, or for some kinds in ``status``."""
+    """An object; its value is in ``spec``, or for some kinds in ``status``."""
 
     metadata: Metadata
     spec: Any = None
@@ -35,40 +35,41 @@
 
 
 class Page(msgspec.Struct, rename="pascal", frozen=True):
-    """A part of a listing."""
+    """One page of a listing."""
 
-    #: Objects, each still to be read by itself.
+    #: Objects, each still to be decoded by itself.
     entries: tuple[msgspec.Raw, ...]
-    #: The store's revision as of which the page was read, not a time.
+    #: The store's revision at which the page was read, not a time.
     timestamp: int
     has_more: bool = False
 
 
 class ObjectChange(msgspec.Struct, rename="pascal", frozen=True):
-    """One change that a watch tells of."""
+    """One change that a watch reports."""
 
     object: StoreObject
     deleted: bool = False
 
 
 class WatchAnswer(msgspec.Struct, frozen=True):
-    """What a watch answers."""
+    """The answer to one call of a watch."""
 
-    #: Changes, each still to be read by itself.
+    #: Changes, each still to be decoded by itself.
     events: tuple[msgspec.Raw, ...]
     timestamp: int = msgspec.field(name="Timestamp")
 
 
-#: What decoding raises where bytes are no JSON, or nested too deep.
+#: What decoding raises if bytes are no valid JSON, or nested too deep.
 JSON_ERRORS = (msgspec.DecodeError, RecursionError)
 
 Answer = TypeVar("Answer", Page, WatchAnswer)
 
 
 def decode_answer(content: bytes, shape: type[Answer], list_key: str) -> Answer:
-    """Return an answer; ``listed`` names the list of its parts, each still to be read.
+    """Decode an answer whose array ``list_key`` holds elements that are decoded later.
 
-    Raises what UNREADABLE_JSON holds, where more than a part cannot be read.
+    An element that is no valid JSON does not fail the answer: the array is then split without
+    decoding it. Raises JSON_ERRORS if anything but an element cannot be decoded.
     """
     try:
         return msgspec.json.decode(content, type=shape)
@@ -85,7 +86,7 @@
 
 
 def metadata_of(entry: bytes | msgspec.Raw) -> Metadata | None:
-    """Return the metadata of an object that may make no sense otherwise."""
+    """Return the metadata of a possibly malformed object, None if it cannot be decoded."""
     try:
         return msgspec.json.decode(member(bytes(entry), "Metadata"), type=Metadata)
     except JSON_ERRORS:
@@ -93,7 +94,7 @@
 
 
 def name_of(entry: bytes | msgspec.Raw) -> str:
-    """Return the name of an object that may make no sense otherwise, empty where it has none."""
+    """Return the name of a possibly malformed object, empty if it has none."""
     metadata = member(bytes(entry), "Metadata")
     try:
         return msgspec.json.decode(metadata, type=NameOnly).name
--- a/pondhatch/platform/_store.py
+++ b/pondhatch/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store of objects, as the product's object API."""
+"""The platform's object store, adapted to the product's Platform interface."""
 
 from __future__ import annotations
 
@@ -42,18 +42,18 @@
 
 log = log_for("store")
 
-#: Milliseconds that a watch waits at the store. A store that went silent is noticed by a
-#: watch that does not end: so this, and not the 30 s that the store allows, bounds how
-#: long a router stays behind once the store is back.
+#: Milliseconds for which the store may hold one call of a watch. A silent store is detected by
+#: a call that times out, so this bounds how long a router stays behind once the store is back.
+#: The store would allow 30 s.
 WATCH_MS = 2000
-#: Seconds beyond that for its answer.
+#: Seconds beyond WATCH_MS within which the answer must arrive.
 WATCH_MARGIN = 0.5
 OK = 200
 CREATED = 201
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
-#: The store says that it did nothing.
+#: Statuses of calls that the store did not execute.
 REFUSED_STATUSES = (429, 503)
 
 
@@ -61,23 +61,24 @@
     """The pages of a listing that were read so far."""
 
     objects: list[StoredObject] = msgspec.field(default_factory=list)
-    #: Names of all objects, of those too that make no sense otherwise.
+    #: Names of all objects, including malformed ones.
     names: set[str] = msgspec.field(default_factory=set)
 
     def add_page(self, names: Iterable[str], objects: Iterable[StoredObject]) -> bool:
-        """Take in a page's objects; return whether it named any that no page had named."""
+        """Add a page's objects; return whether it names any that no earlier page named."""
         new = set(names) - self.names
         self.names |= new
         self.objects += objects
         return bool(new)
 
     def to_listed(self, version: int, is_whole: bool) -> Listed:
-        """Return what all pages together say."""
+        """Return the listing that all pages make up."""
         left_out = self.names - {each.name for each in self.objects}
         return Listed(version, tuple(self.objects), frozenset(left_out), is_whole)
 
 
-#: Turns what the store holds into the product's value. Raises msgspec.ValidationError.
+#: Converts an object's name and stored value to the product's value. Raises
+#: msgspec.ValidationError.
 Decode = Callable[[str, Any], Any]
 
 
@@ -92,7 +93,7 @@
 
     @property
     def calls(self) -> int:
-        """Calls made, for the rate that the store allows."""
+        """Number of calls made; the store limits their rate."""
         return self._calls.made
 
     async def get(
@@ -113,7 +114,7 @@
             metadata = metadata_of(answer.content)
             if metadata is None:
                 return Unavailable(f"answered what cannot be read: {error}")
-            # There all the same: whoever keeps it may replace what another wrote.
+            # The object exists, so its owner may replace what another writer stored.
             self._log_unreadable(kind, answer.content, error)
             version = position_of(answer.era, metadata.revision)
             return Found(StoredObject(kind, metadata.name, version, None))
@@ -121,8 +122,8 @@
     async def list(self, kind: str, may_be_old: bool = False) -> Listed | Unavailable:
         """Read all objects of a kind, page by page."""
         listing = _Listing()
-        #: The store's position as of the first page: what changes while the others are read is
-        #: told by a watch from there, and known twice at worst.
+        #: The store's position at the first page. A watch from there reports what changes while
+        #: the other pages are read, at worst a second time.
         version: Position | None = None
         query = _query(may_be_old)
         while True:
@@ -142,8 +143,8 @@
                 query = _query(may_be_old, f"SinceRev={quote(names[-1], safe='')}")
                 continue
             if page.has_more and self._logged.is_first((kind, "goes on")):
-                # Asked again it would say the same; what it has named is there all the same.
-                log.error("The listing of {} says that it goes on, and does not.", kind)
+                # Another call would return the same page. The objects listed so far do exist.
+                log.error("The listing of {} states that it has more pages, but has none.", kind)
             return listing.to_listed(version, is_whole=not page.has_more)
 
     async def _read_page(self, kind: str, query: str) -> tuple[Page, int] | Unavailable:
@@ -171,7 +172,7 @@
     ) -> Accepted | Conflict | OutcomeUnknown | Unavailable:
         """Replace an object that must still have the given version."""
         if era_of(version) != self._calls.era:
-            # Its number may stand for something else by now.
+            # Since the store was restored, this revision may denote another change.
             return Conflict()
         body = {"Metadata": {"Name": name, "Revision": revision_of(version)}, "Spec": value}
         written = await self._write("PUT", self._path(kind, name), body)
@@ -202,7 +203,7 @@
         except CallFailed as error:
             raise PlatformLost(str(error)) from error
         if answer.status == GONE or (answer.status == OK and answer.era != era_of(since)):
-            # Of another era, it may leave out what was written under numbers given out again.
+            # The store reuses revisions in a new era, so the answer may lack changes.
             raise TooOld(kind)
         if answer.status != OK:
             raise PlatformLost(f"answered {answer.status}")
@@ -231,7 +232,7 @@
         return f"/objects/{store_kind}/{quote(name, safe='')}" if name else f"/objects/{store_kind}"
 
     def _convert(self, kind: str, entry: Any, era: int) -> StoredObject:
-        """Return an object as the product knows it. Raises msgspec.ValidationError."""
+        """Return an object in the product's format. Raises msgspec.ValidationError."""
         store_object = msgspec.convert(entry, StoreObject)
         _, decode = self._decode_by_kind.get(kind, (kind, _unchanged))
         value = store_object.spec if store_object.spec is not None else store_object.status
@@ -242,7 +243,7 @@
     def _read_object(
         self, kind: str, entry: msgspec.Raw, era: int
     ) -> tuple[str, StoredObject | None]:
-        """Return an object's name, and the object itself where it makes sense."""
+        """Return an object's name, and the object itself unless it is malformed."""
         try:
             stored = self._convert(kind, msgspec.json.decode(entry), era)
         except JSON_ERRORS as error:
@@ -251,13 +252,13 @@
         return stored.name, stored
 
     def _read_event(self, kind: str, raw: msgspec.Raw, era: int) -> WatchEvent | None:
-        """Return what a change says, None where it names no object."""
+        """Return the event of a change, None if the change names no object."""
         try:
             change = msgspec.json.decode(raw)
             object_change = msgspec.convert(change, ObjectChange)
             if object_change.deleted:
-                # The revision is that of the removal itself; a higher one would hide what
-                # changed next from the routers that ask for what is newer than it.
+                # The revision is that of the removal itself; a higher one would hide the next
+                # changes from routers that ask for changes since this event.
                 removed = object_change.object.metadata
                 return WatchEvent("removed", position_of(era, removed.revision), removed.name)
             stored = self._convert(kind, change["Object"], era)
@@ -271,22 +272,25 @@
         return WatchEvent("set", stored.version, stored.name, stored.value)
 
     def _log_unreadable(self, kind: str, entry: bytes | msgspec.Raw, error: Exception) -> None:
-        """Tell of an object that makes no sense, once for each form in which it is read.
+        """Log a malformed object, once for each content.
 
-        It comes again with each listing, and its line would too.
+        Each listing contains it again, and would log it again.
         """
         if self._logged.is_first((kind, hash(bytes(entry)))):
             log.error("Object {} {} is left out: {}.", kind, name_of(entry) or "?", error)
 
 
 def _query(may_be_old: bool, *parts: str) -> str:
-    """Return the query of a reading call."""
+    """Return the query string of a read."""
     parameters = (*parts, "StaleOk=1") if may_be_old else parts
     return "?" + "&".join(parameters) if parameters else ""
 
 
 def _read_accepted(answer: EraAnswer) -> Accepted | OutcomeUnknown:
-    """Return what the answer to a write that was done says; the writer must know its position."""
+    """Return the outcome of a successful write.
+
+    It is unknown if the answer states no revision: the writer must know the object's position.
+    """
     try:
         revision = msgspec.json.decode(answer.content, type=StoreObject).metadata.revision
         return Accepted(position_of(answer.era, revision))
--- a/pondhatch/platform/tests/_wire.py
+++ b/pondhatch/platform/tests/_wire.py
@@ -1,4 +1,4 @@
-"""Examples of what the platform sends, made up for the tests."""
+"""Examples of the platform's headers and objects, invented for the tests."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     "Resumable": False,
 }
 
-#: Every header that the platform's pages name, by who may set it.
+#: Every header in the platform's documentation, by who may set it.
 CALLERS_HEADERS = (
     "Attempt-Id",
     "Model",
@@ -46,7 +46,7 @@
     "Length-Hint",
     "Last-Event-Id",
 )
-#: Said to the router, which says its own to an engine where it has one.
+#: Sent to the router, which sends its own value to an engine if it has one.
 CALLER_TO_ROUTER_HEADERS = ("Authorization", "Deadline-Ms")
 ROUTERS_HEADERS = (
     "Tenant",
--- a/pondhatch/platform/tests/test_accepted_configuration.py
+++ b/pondhatch/platform/tests/test_accepted_configuration.py
@@ -1,20 +1,8 @@
-"""What the platform has accepted is in force, whatever one entry of it is like.
+"""Guards against routers rejecting a whole configuration that the platform has accepted.
 
-What was seen: from a certain version on, all routers refused requests by the configuration
-before it, with 404 on added routes and 401 on added keys; when all of them lost power
-half a minute later, none served again, though the platform answered throughout.
-
-How it came about: an operator gave one account a 17th API key. The platform accepted that
-version. Each router read it within 0.1 s, found that its own schema allows an account 16
-keys, and turned the whole configuration away; so with every later one. The routers that
-ran kept the old one, those that started had none.
-
-Cause: routers checked anew what the platform had already accepted, against bounds that only
-they knew, and one entry that did not pass took all others with it.
-
-What proved it: the routers' own lines named the account, the field and the bound, from the
-first version with 17 keys on and at no earlier one, and the version in force stood still
-from there. An account with 17 keys does the same below.
+If routers check it against bounds of their own, such as 16 API keys an account, an account with 17
+keeps that version and all later ones out of force: running routers answer 404 on added routes and
+401 on added keys, and restarted ones, which have no configuration at all, serve nobody.
 """
 
 from __future__ import annotations
--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -25,11 +25,10 @@
 
 
 class ChangeStormTest(unittest.TestCase):
-    """The pattern: the operator changes a configuration of hundreds of routes several times a
-    second, while every router has streams to pass on.
+    """Guards against changes of a large configuration, several a second, that pause all streams.
 
-    Whatever is worked out anew for each entry holds up all of them: the shapes' fields, which
-    cost 0.2 ms an entry, made each change of 450 routes a pause of 107 ms.
+    Work repeated for each entry blocks the event loop: computing the fields of the structs anew,
+    0.2 ms an entry, makes each change of 450 routes a pause of 107 ms.
     """
 
     def test_struct_fields_are_computed_once_for_any_number_of_entries(self) -> None:
@@ -154,7 +153,7 @@
         fleet = fleet_of(self.changed)
         self.assertEqual(set(fleet.misfits_by_entry), {("route", "r-notes")})
         self.assertNotIn("r-notes", fleet.routes.by_name)
-        # Nor does the route of a shorter prefix get its requests.
+        # The route of a shorter prefix does not get its requests either.
         self.assertIsInstance(fleet.routes.find("desk.example", "/notes/1"), UnusableRoute)
         others = {name for name in fleet_of(CONFIGURATION).routes.by_name if name != "r-notes"}
         self.assertEqual(set(fleet.routes.by_name), others)
@@ -238,7 +237,7 @@
 
 
 class RegionsAndCapacityTest(unittest.TestCase):
-    """What binds requests to regions, and what cold engines bear."""
+    """Restrictions to regions, and the capacities of services and their engines."""
 
     def edited(self, kind: str, at: int, **fields: Any) -> FleetConfiguration:
         configuration = copy.deepcopy(CONFIGURATION)
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -36,11 +36,11 @@
 
 
 def ignore(kind: str) -> None:
-    """Note nothing."""
+    """Ignore a dropped header."""
 
 
 def head(headers: Headers = HEADERS, **changes: Any) -> RequestHead:
-    """Return a request's head as the router makes it of what a client sends."""
+    """Return a request's head as the router builds it from a client's headers."""
     plain = RequestHead(
         request_id="own",
         account="pina",
@@ -120,7 +120,7 @@
             (503, {"not-executed": "1", "attempt-id": "9c41"}, EngineRefusal.FULL),
             (503, {"not-executed": "1", "connection": "close"}, EngineRefusal.LEAVING),
             (429, {"not-executed": "1"}, EngineRefusal.FULL),
-            # By its own load it has places, or has none, or says nothing that can be read.
+            # The load that it states shows free slots, or none, or cannot be read.
             (503, {"not-executed": "1", "instance-load": "8,1,64"}, EngineRefusal.DECLINED),
             (429, {"not-executed": "1", "instance-load": "0,0,6"}, EngineRefusal.DECLINED),
             (503, {"not-executed": "1", "instance-load": "64,0,64"}, EngineRefusal.FULL),
@@ -215,7 +215,7 @@
         rows = (
             ("1200,400", "", parts, (1200, 400, shared)),
             ("1200,400", "250", "3c:100", (1200, 250, ())),
-            # No more than the most that it may have, and no less than nothing.
+            # No more than the stated maximum, and never negative.
             ("1200,400", "900", "", (1200, 400, ())),
             ("1200,400", "-9", "", (1200, 400, ())),
             ("", "250", parts, (800, 250, shared)),
--- a/pondhatch/platform/tests/test_engine_load.py
+++ b/pondhatch/platform/tests/test_engine_load.py
@@ -1,4 +1,7 @@
-"""Guards the load header: its fourth number made a refusal count as "full" with places left."""
+"""Guards against misreading the load header.
+
+Unless its fourth number, the pace, is expected, a refusal with slots free counts as "full".
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class HeaderTest(unittest.TestCase):
-    # A number that cannot be read hides no other one, and none is guessed.
+    # An unreadable number hides no other one, and no number is guessed.
     def test_garbled_headers(self) -> None:
         for value, expected in (
             ("8,1,64", EngineLoad(8, 1, 64)),
--- a/pondhatch/platform/tests/test_header_owners.py
+++ b/pondhatch/platform/tests/test_header_owners.py
@@ -1,4 +1,4 @@
-"""Who may say what: callers, routers, engines, one connection."""
+"""Guards against headers that reach engines or callers although their sender may not set them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     **dict.fromkeys(ENGINES_HEADERS, Owner.UPSTREAM),
     **dict.fromkeys(CONNECTIONS_HEADERS, Owner.CONNECTION),
 }
-#: Names in the adapter's list that are no headers.
+#: Values of the adapter's names that are no headers.
 NON_HEADER_NAMES = frozenset({"servers", "evacuations", "config", "main", "pressure"})
 
 
@@ -89,7 +89,7 @@
 
 
 class ListedTest(HeaderOwnersTest):
-    """Names that a message's own `Connection` lists."""
+    """Headers that a message's own `Connection` header lists."""
 
     def test_listed_headers_are_dropped(self) -> None:
         headers = (("X-Hop", "1"), ("Connection", "close, x-HOP"), ("X-Hop", "2"), ("X-Own", "3"))
--- a/pondhatch/platform/tests/test_malformed_entries.py
+++ b/pondhatch/platform/tests/test_malformed_entries.py
@@ -1,9 +1,8 @@
-"""Entries of engines that another writer may have written.
+"""Guards against malformed engine entries, which any writer may have stored.
 
-Such an entry names no engine to use, and hides no other: one field that is missing or of
-another type, a state that nobody knows, bytes that are no text, numbers without end or tables
-a thousand deep. One that was good before and is such now gets no new requests; those that run
-there go on.
+A missing or mistyped field, an unknown state, invalid UTF-8, endless numbers or nesting a thousand
+deep must neither give an engine to use nor hide other entries. An engine whose entry was valid and
+becomes malformed gets no new requests, while those that run there continue.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
 )
 from pondhatch.transport import StoreAnswer
 
-#: Bytes that stand where an entry should, each hiding every other one if it is read at once.
+#: Bytes in place of an entry; each hides all other entries if the answer is decoded as a whole.
 GARBAGE: dict[str, bytes] = {
     "bytes that are no text": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":"\xff\xfe"}',
     "a name that is no text": b'{"Metadata":{"Name":7,"Revision":5},"Spec":{}}',
@@ -85,7 +84,7 @@
 
 
 async def watched_events(platform: PlatformStore) -> list[WatchEvent]:
-    """Return what a watch tells until the store answers no more."""
+    """Return the events of a watch until the store stops answering."""
     events: list[WatchEvent] = []
     try:
         async for event in platform.watch("upstream", 3):
@@ -214,7 +213,7 @@
 
 
 class NoNewRequestsTest(unittest.TestCase):
-    """An entry that was good, and that another writer has spoiled."""
+    """A valid entry that another writer has replaced by a malformed one."""
 
     def setUp(self) -> None:
         self.lines: list[str] = []
@@ -230,7 +229,7 @@
         return [each.id for each in upstreams.of_service("lang")]
 
     def ways_to_learn(self) -> list[Callable[[], None]]:
-        """Return the ways in which a router hears of it, at version 6."""
+        """Return the ways in which a router learns of the malformed entry, at version 6."""
         unreadable = WatchEvent("unreadable", 6, "i-1")
         senseless = WatchEvent("set", 6, "i-1", {"name": "i-1"})
         return [
--- a/pondhatch/platform/tests/test_name_isolation.py
+++ b/pondhatch/platform/tests/test_name_isolation.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its adapter."""
+"""Guards against names of the platform in code outside its adapter."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pondhatch.platform import _names
 
 PACKAGE = Path(__file__).resolve().parents[2]
-#: Headers that HTTP itself knows; everybody may name them.
+#: Headers of HTTP itself, which any code may name.
 COMMON = frozenset({"Authorization", "Retry-After"})
 #: Fields of the platform's objects and settings.
 OBJECT_FIELDS = (
--- a/pondhatch/platform/tests/test_store.py
+++ b/pondhatch/platform/tests/test_store.py
@@ -23,13 +23,13 @@
 )
 from pondhatch.transport import CallFailed, StoreAnswer
 
-#: Status, content and, where the store tells it, its era.
+#: Status, content and, if the store states it, its era.
 Answer = tuple[int, Any] | tuple[int, Any, int] | CallFailed
 SILENCE = CallFailed("silence", sent=True)
 
 
 class CannedCalls:
-    """Answers as told, in order; keeps what was asked."""
+    """Returns the given answers in order, and records the requests."""
 
     made = 0
 
@@ -92,7 +92,7 @@
         assert isinstance(listed, Listed)
         self.assertEqual([each.name for each in listed.objects], ["a", "b", "c"])
         self.assertEqual([path for _, path, _ in calls.requests][1], "/objects/servers?SinceRev=b")
-        # A change to "a" while "c" was read is told by a watch from there.
+        # A watch from there reports a change to "a" that happens while "c" is read.
         self.assertEqual(listed.version, 5)
 
     async def test_stale_reads_are_requested_on_each_page(self) -> None:
@@ -269,7 +269,7 @@
 
 
 class OlderCopyTest(unittest.IsolatedAsyncioTestCase):
-    """The store comes back from a copy: its era rises, its revisions go back."""
+    """The store is restored from an older copy: its era rises, its revisions go back."""
 
     async def read_version(self, found: PlatformStore) -> int:
         read = await found.get("upstream", "a")
