--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -272,7 +272,7 @@
 
     def test_a_service_has_its_connection_limit_only_where_configured(self) -> None:
         for value, expected in ((64, 64), (64.0, 64), (0, None), (-1, None), ("x", None)):
-            with self.subTest(told=value):
+            with self.subTest(value=value):
                 fleet = self.edited("Services", 0, MaxConnections=value)
                 self.assertEqual(fleet.service_by_name["lang"].max_connections, expected)
                 self.assertEqual(bool(fleet.misfits_by_entry), value == "x")
@@ -283,7 +283,7 @@
     def test_a_service_has_its_rate_for_cold_engines(self) -> None:
         rows = ((13.0, 13.0), (0.0, None), (0, None), (None, None))
         for value, expected in rows:
-            with self.subTest(told=value):
+            with self.subTest(value=value):
                 fleet = self.edited("Services", 0, ColdPerS=value)
                 self.assertEqual(fleet.service_by_name["lang"].cold_pace, expected)
 
@@ -295,7 +295,7 @@
             ("x", None),
             (-1, None),
         ):
-            with self.subTest(told=value):
+            with self.subTest(value=value):
                 fleet = self.edited("Services", 0, EngineId={"KvCapacityTokens": value})
                 self.assertEqual(fleet.service_by_name["lang"].engine_tokens, expected)
         self.assertIsNone(fleet_of(CONFIGURATION).service_by_name["portal"].engine_tokens)
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -89,7 +89,7 @@
             # Another engine may have answered at its address.
             (421, {"retry-after": "3", "not-executed": "1", **leaving}, NO_NOTICE),
         ):
-            with self.subTest(status=status, said=headers):
+            with self.subTest(status=status, headers=headers):
                 self.assertEqual(self.dialect.notice(status, headers), notice)
 
     def test_without_an_account_no_account_is_named(self) -> None:
@@ -206,7 +206,7 @@
 
     def test_a_deadline_that_is_no_number_is_none(self) -> None:
         for value in ("", "soon", "-1", "\u00b2", "1.5"):
-            with self.subTest(told=value):
+            with self.subTest(value=value):
                 self.assertIsNone(self.dialect.read((("Deadline-Ms", value),)).wait)
 
     def test_reads_the_token_counts_of_a_request(self) -> None:
@@ -226,7 +226,7 @@
         )
         for usage, hint, prompt_parts, expected in rows:
             headers = (("Token-Usage", usage), ("Length-Hint", hint), ("Prefix-Hash", prompt_parts))
-            with self.subTest(said=headers):
+            with self.subTest(headers=headers):
                 facts = self.dialect.read(headers)
                 found = (facts.prompt_tokens, facts.answer_tokens, facts.prompt_parts)
                 self.assertEqual(found, expected)
--- a/pondhatch/platform/tests/test_engine_load.py
+++ b/pondhatch/platform/tests/test_engine_load.py
@@ -36,7 +36,7 @@
             # Two headers that a hop joined: the fourth number is the second one's first.
             ("8,1,64,250,8,1,64,250", EngineLoad(is_readable=False)),
         ):
-            with self.subTest(told=value[:40]):
+            with self.subTest(value=value[:40]):
                 self.assertEqual(read_load({"instance-load": value}), expected)
         self.assertEqual(read_load({}), EngineLoad())
 
@@ -46,7 +46,7 @@
             ("64,0,64,250", False),
             ("8,,64,9", False),
         ):
-            with self.subTest(told=value):
+            with self.subTest(value=value):
                 self.assertIs(read_load({"instance-load": value}).has_free_slots, has_free_slots)
 
     def test_a_pace_is_read_from_every_answer(self) -> None:
