--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -84,8 +84,8 @@
 
 def _count(text: str) -> int:
     """Return a count of tokens, or 0 if it cannot be read."""
-    found = _COUNT.fullmatch(text)
-    return int(found[1]) if found is not None else 0
+    match = _COUNT.fullmatch(text)
+    return int(match[1]) if match is not None else 0
 
 
 def _answer_tokens(hint: int, limit: int) -> int:
@@ -98,10 +98,10 @@
 
 def _part_tokens(parts: str) -> list[int]:
     """Return the tokens of each part of a prompt that can be read."""
-    return [int(found[2]) for part in parts.split(",") if (found := _PART.fullmatch(part))]
+    return [int(match[2]) for part in parts.split(",") if (match := _PART.fullmatch(part))]
 
 
 def _shared_parts(parts: str) -> tuple[tuple[int, int], ...]:
     """Return a prompt's parts except the last, which no other request shares."""
-    found = [_PART.fullmatch(part) for part in parts.split(",")[:-1]]
-    return tuple((int(each[1], 16), int(each[2])) for each in found if each is not None)
+    matches = [_PART.fullmatch(part) for part in parts.split(",")[:-1]]
+    return tuple((int(match[1], 16), int(match[2])) for match in matches if match is not None)
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -248,12 +248,12 @@
         "priority": None,
         "regions": _decode_region_suffix(region_suffix),
     }
-    own: dict[str, Any] = {
+    own_priority: dict[str, Any] = {
         "account": {**account, "priority": "$priority"},
         "parameters": {"priority": {"type": "integer"}},
     }
     return [
-        Edit("template", _template_name(OWN_PRIORITY, region_suffix), own),
+        Edit("template", _template_name(OWN_PRIORITY, region_suffix), own_priority),
         Edit("template", _template_name(ROUTE_PRIORITY, region_suffix), {"account": account}),
     ]
 
--- a/pondhatch/platform/_json_split.py
+++ b/pondhatch/platform/_json_split.py
@@ -15,46 +15,46 @@
 #: strings is unrolled, so that an unterminated one takes time in proportion to its length.
 _TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|[\[\]{},]', re.DOTALL)
 #: The key of an object's member.
-_NAME = re.compile(rb'\s*"([^"\\]*)"\s*:\s*')
+_KEY = re.compile(rb'\s*"([^"\\]*)"\s*:\s*')
 
 
 def elements(raw: bytes) -> list[bytes]:
     """Return the raw elements of an array, none if it is no array or does not end."""
-    return [part for part in _parts(raw, b"[") if part.strip()] if _ends(raw) else []
+    return [part for part in _raw_items(raw, b"[") if part.strip()] if _is_closed_array(raw) else []
 
 
 def members(raw: bytes) -> Iterator[tuple[str, bytes]]:
     """Yield the keys and raw values of an object, none if it is no object."""
-    for part in _parts(raw, b"{"):
-        found = _NAME.match(part)
-        if found is not None:
-            yield found.group(1).decode(errors="replace"), part[found.end() :]
+    for part in _raw_items(raw, b"{"):
+        match = _KEY.match(part)
+        if match is not None:
+            yield match.group(1).decode(errors="replace"), part[match.end() :]
 
 
-def member(raw: bytes, name: str) -> bytes:
+def member(raw: bytes, wanted_key: str) -> bytes:
     """Return the raw value of an object's key, empty if it has no such key."""
-    return next((value for found, value in members(raw) if found == name), b"")
+    return next((value for key, value in members(raw) if key == wanted_key), b"")
 
 
-def _ends(raw: bytes) -> bool:
+def _is_closed_array(raw: bytes) -> bool:
     return raw.rstrip()[-1:] == b"]"
 
 
-def _parts(raw: bytes, begin: bytes) -> Iterator[bytes]:
+def _raw_items(raw: bytes, opening: bytes) -> Iterator[bytes]:
     """Yield the raw items between the commas of the outermost array or object."""
-    if raw.lstrip()[:1] != begin:
+    if raw.lstrip()[:1] != opening:
         return
     depth = start = 0
-    for found in _TOKEN.finditer(raw):
-        token = found.group()
+    for match in _TOKEN.finditer(raw):
+        token = match.group()
         if token in (b"[", b"{"):
             depth += 1
-            start = found.end() if depth == 1 else start
+            start = match.end() if depth == 1 else start
         elif token in (b"]", b"}"):
             depth -= 1
             if depth == 0:
-                yield raw[start : found.start()]
+                yield raw[start : match.start()]
                 return
         elif token == b"," and depth == 1:
-            yield raw[start : found.start()]
-            start = found.end()
+            yield raw[start : match.start()]
+            start = match.end()
--- a/pondhatch/platform/_objects.py
+++ b/pondhatch/platform/_objects.py
@@ -76,8 +76,12 @@
     except JSON_ERRORS:
         raw_by_name = dict(members(content))
         raw_list = raw_by_name.pop(list_key, b"")
-        rest = b",".join(b'"%s":%s' % (name.encode(), raw) for name, raw in raw_by_name.items())
-        answer = msgspec.json.decode(b'{"%s":[],%s}' % (list_key.encode(), rest), type=shape)
+        other_members = b",".join(
+            b'"%s":%s' % (name.encode(), raw) for name, raw in raw_by_name.items()
+        )
+        answer = msgspec.json.decode(
+            b'{"%s":[],%s}' % (list_key.encode(), other_members), type=shape
+        )
         if not raw_list:
             raise
     return msgspec.structs.replace(
--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -118,7 +118,7 @@
         self.assertEqual((lang.kind, lang.load_bound, lang.load_slack), ("model", 1.7, 3))
         self.assertEqual(portal.kind, "plain")
 
-    def test_bounds_on_callers(self) -> None:
+    def test_reads_the_bounds_on_callers(self) -> None:
         bounds = self.fleet.caller_bounds
         assert bounds is not None
         self.assertEqual((bounds.header_bytes, bounds.header_seconds), (16384, 3.0))
--- a/pondhatch/platform/tests/test_engine_load.py
+++ b/pondhatch/platform/tests/test_engine_load.py
@@ -16,7 +16,7 @@
 
 class HeaderTest(unittest.TestCase):
     # An unreadable number hides no other one, and no number is guessed.
-    def test_garbled_headers(self) -> None:
+    def test_reads_the_valid_numbers_of_a_garbled_header(self) -> None:
         for value, expected in (
             ("8,1,64", EngineLoad(8, 1, 64)),
             (" 8 , 1 , 64 , 250 ", EngineLoad(8, 1, 64, 250)),
