--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -1,4 +1,4 @@
-"""Clients' requests and the answers that the router gives itself."""
+"""The headers of clients' requests, and of answers that the router itself gives."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from pondhatch.router import bearer_key
 from pondhatch.transport import CallerFacts, NoteDropped
 
-#: Statuses that ask the client to come back later.
-COME_BACK = (429, 503)
-#: A count of tokens; longer ones are no count, and would cost time to read.
+#: Statuses that ask the client to retry later.
+RETRYABLE_STATUSES = (429, 503)
+#: A count of tokens; a longer number is invalid, and would take time to convert.
 _COUNT = re.compile(r"\s*([0-9]{1,9})\s*", re.ASCII)
 #: One part of a prompt: its id in hex, and its tokens.
 _PART = re.compile(r"\s*([0-9a-fA-F]{1,64}):([0-9]{1,9})\s*", re.ASCII)
@@ -26,53 +26,55 @@
     """See CallerDialect."""
 
     def read(self, headers: Headers) -> CallerFacts:
-        """Return what a client says about its request."""
+        """Return what a client's headers state about its request."""
         value_by_name = {name.lower(): value for name, value in headers}
-        wait = value_by_name.get(names.DEADLINE_MS.lower(), "")
-        prompt, _, most = value_by_name.get(names.TOKENS.lower(), "").partition(",")
+        deadline_ms = value_by_name.get(names.DEADLINE_MS.lower(), "")
+        prompt, _, max_answer = value_by_name.get(names.TOKENS.lower(), "").partition(",")
         hint = value_by_name.get(names.LENGTH_HINT.lower(), "")
         parts = value_by_name.get(names.PROMPT_PARTS.lower(), "")
         return CallerFacts(
             caller_id=value_by_name.get(names.ATTEMPT_ID.lower(), ""),
             key=bearer_key(value_by_name.get(names.AUTHORIZATION.lower(), "")),
-            wait=float(wait) / 1000 if wait.isascii() and wait.isdigit() else None,
-            context=_context(parts),
+            wait=float(deadline_ms) / 1000
+            if deadline_ms.isascii() and deadline_ms.isdigit()
+            else None,
+            context=_context_key(parts),
             prompt_tokens=_count(prompt) or sum(_part_tokens(parts)),
-            answer_tokens=_answer_tokens(_count(hint), _count(most)),
+            answer_tokens=_answer_tokens(_count(hint), _count(max_answer)),
             prompt_parts=_shared_parts(parts),
         )
 
     def passed_on(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return those of a client's headers that it may say to an engine."""
+        """Return those of a client's headers that it may send to an engine."""
         return OWNERS.from_caller(headers, note)
 
     def asks_for_routers_call(self, path: str, prefix: str) -> bool:
-        """Return whether an engine could take a path for a call that only routers make.
+        """Return whether an engine could interpret a path as a call that only routers may make.
 
-        A route whose own prefix names such a call is the operator's leave to make it.
+        A route whose own prefix names such a call permits it, as the operator wrote the route.
         """
-        parts = _parts(path)
-        if not parts or names.ENGINE_CALLS.get(parts[0]) != len(parts):
+        segments = _path_segments(path)
+        if not segments or names.ROUTER_ONLY_CALLS.get(segments[0]) != len(segments):
             return False
-        return _parts(prefix)[:1] != parts[:1]
+        return _path_segments(prefix)[:1] != segments[:1]
 
     def refusal_headers(self, refusal: Refusal) -> Headers:
-        """Return the headers of a refusal: when to come back, where that helps."""
-        if not isinstance(refusal, NotRun) or refusal.status not in COME_BACK:
+        """Return the headers of a refusal: when to retry, if a retry may help."""
+        if not isinstance(refusal, NotRun) or refusal.status not in RETRYABLE_STATUSES:
             return ()
         return ((names.RETRY_AFTER, f"{refusal.retry_after:.3f}"),)
 
 
-def _parts(path: str) -> list[str]:
-    """Return a path's parts as an engine may read them: dots resolved, escapes decoded."""
-    plain = path.partition("?")[0]
-    if "%" in plain or "/." in plain:
-        plain = posixpath.normpath(unquote(plain))
-    return [part for part in plain.split("/") if part]
+def _path_segments(path: str) -> list[str]:
+    """Return a path's segments as an engine may read them: dots resolved, escapes decoded."""
+    path_only = path.partition("?")[0]
+    if "%" in path_only or "/." in path_only:
+        path_only = posixpath.normpath(unquote(path_only))
+    return [part for part in path_only.split("/") if part]
 
 
-def _context(parts: str) -> int:
-    """Return a key of the last part that other requests share, or 0 where there is none."""
+def _context_key(parts: str) -> int:
+    """Return a hash of the last part that other requests share, or 0 if there is none."""
     ids = [part.partition(":")[0].strip() for part in parts.split(",") if part.strip()]
     if not ids:
         return 0
@@ -81,25 +83,25 @@
 
 
 def _count(text: str) -> int:
-    """Return a count of tokens, or 0 where it cannot be read."""
-    found = _COUNT.fullmatch(text)
-    return int(found[1]) if found is not None else 0
+    """Return a count of tokens, or 0 if it cannot be read."""
+    match = _COUNT.fullmatch(text)
+    return int(match[1]) if match is not None else 0
 
 
-def _answer_tokens(hint: int, most: int) -> int:
-    """Return the tokens that an answer is taken to have: as guessed, but no more than may be.
+def _answer_tokens(hint: int, limit: int) -> int:
+    """Return the expected tokens of an answer: the client's estimate, capped at the limit.
 
-    Without a guess it may grow to the most.
+    Without an estimate, the answer may grow to the limit.
     """
-    return min(hint, most) if hint and most else hint or most
+    return min(hint, limit) if hint and limit else hint or limit
 
 
 def _part_tokens(parts: str) -> list[int]:
     """Return the tokens of each part of a prompt that can be read."""
-    return [int(found[2]) for part in parts.split(",") if (found := _PART.fullmatch(part))]
+    return [int(match[2]) for part in parts.split(",") if (match := _PART.fullmatch(part))]
 
 
 def _shared_parts(parts: str) -> tuple[tuple[int, int], ...]:
-    """Return a prompt's parts but the last, which is the request's own."""
-    found = [_PART.fullmatch(part) for part in parts.split(",")[:-1]]
-    return tuple((int(each[1], 16), int(each[2])) for each in found if each is not None)
+    """Return a prompt's parts except the last, which no other request shares."""
+    matches = [_PART.fullmatch(part) for part in parts.split(",")[:-1]]
+    return tuple((int(match[1], 16), int(match[2])) for match in matches if match is not None)
--- a/pondhatch/platform/_objects.py
+++ b/pondhatch/platform/_objects.py
@@ -1,6 +1,6 @@
-"""The shapes of the store's objects and answers, and reading them from bytes.
+"""The types of the store's objects and answers, and their decoding from bytes.
 
-Objects within an answer are read one by one: anyone may have written them.
+Objects within an answer are decoded one by one: any writer may have stored a malformed one.
 """
 
 from __future__ import annotations
@@ -9,25 +9,25 @@
 
 import msgspec
 
-from pondhatch.platform._salvage import elements, member, members
+from pondhatch.platform._json_split import elements, member, members
 
 
 class Metadata(msgspec.Struct, rename="pascal", frozen=True):
-    """What the store keeps of an object."""
+    """The metadata that the store keeps of an object."""
 
     name: str
-    #: Counts all changes of the store, so a higher one is newer whatever the object.
+    #: Counts all changes of the store, so a higher one is newer, whichever the object.
     revision: int = 0
 
 
 class NameOnly(msgspec.Struct, rename="pascal", frozen=True):
-    """What is needed to know an object by."""
+    """The part of the metadata that identifies an object."""
 
     name: str
 
 
 class StoreObject(msgspec.Struct, rename="pascal", frozen=True):
-    """An object; what its writer says stands in ``spec``, or for some kinds in ``status``."""
+    """An object; its value is in ``spec``, or for some kinds in ``status``."""
 
     metadata: Metadata
     spec: Any = None
@@ -35,67 +35,72 @@
 
 
 class Page(msgspec.Struct, rename="pascal", frozen=True):
-    """A part of a listing."""
+    """One page of a listing."""
 
-    #: Objects, each still to be read by itself.
+    #: Objects, each still to be decoded by itself.
     entries: tuple[msgspec.Raw, ...]
-    #: The store's revision as of which the page was read, not a time.
+    #: The store's revision at which the page was read, not a time.
     timestamp: int
     has_more: bool = False
 
 
-class Happened(msgspec.Struct, rename="pascal", frozen=True):
-    """One change that a watch tells of."""
+class ObjectChange(msgspec.Struct, rename="pascal", frozen=True):
+    """One change that a watch reports."""
 
     object: StoreObject
     deleted: bool = False
 
 
-class Watched(msgspec.Struct, frozen=True):
-    """What a watch answers."""
+class WatchAnswer(msgspec.Struct, frozen=True):
+    """The answer to one call of a watch."""
 
-    #: Changes, each still to be read by itself.
+    #: Changes, each still to be decoded by itself.
     events: tuple[msgspec.Raw, ...]
     timestamp: int = msgspec.field(name="Timestamp")
 
 
-#: What decoding raises where bytes are no JSON, or nested too deep.
-UNREADABLE_JSON = (msgspec.DecodeError, RecursionError)
+#: What decoding raises if bytes are no valid JSON, or nested too deep.
+JSON_ERRORS = (msgspec.DecodeError, RecursionError)
 
-Answer = TypeVar("Answer", Page, Watched)
+Answer = TypeVar("Answer", Page, WatchAnswer)
 
 
-def decoded(content: bytes, shape: type[Answer], listed: str) -> Answer:
-    """Return an answer; ``listed`` names the list of its parts, each still to be read.
+def decode_answer(content: bytes, shape: type[Answer], list_key: str) -> Answer:
+    """Decode an answer whose array ``list_key`` holds elements that are decoded later.
 
-    Raises what UNREADABLE_JSON holds, where more than a part cannot be read.
+    An element that is no valid JSON does not fail the answer: the array is then split without
+    decoding it. Raises JSON_ERRORS if anything but an element cannot be decoded.
     """
     try:
         return msgspec.json.decode(content, type=shape)
-    except UNREADABLE_JSON:
+    except JSON_ERRORS:
         raw_by_name = dict(members(content))
-        parts = raw_by_name.pop(listed, b"")
-        rest = b",".join(b'"%s":%s' % (name.encode(), raw) for name, raw in raw_by_name.items())
-        answer = msgspec.json.decode(b'{"%s":[],%s}' % (listed.encode(), rest), type=shape)
-        if not parts:
+        raw_list = raw_by_name.pop(list_key, b"")
+        other_members = b",".join(
+            b'"%s":%s' % (name.encode(), raw) for name, raw in raw_by_name.items()
+        )
+        answer = msgspec.json.decode(
+            b'{"%s":[],%s}' % (list_key.encode(), other_members), type=shape
+        )
+        if not raw_list:
             raise
     return msgspec.structs.replace(
-        answer, **{listed.lower(): tuple(map(msgspec.Raw, elements(parts)))}
+        answer, **{list_key.lower(): tuple(map(msgspec.Raw, elements(raw_list)))}
     )
 
 
 def metadata_of(entry: bytes | msgspec.Raw) -> Metadata | None:
-    """Return the metadata of an object that may make no sense otherwise."""
+    """Return the metadata of a possibly malformed object, None if it cannot be decoded."""
     try:
         return msgspec.json.decode(member(bytes(entry), "Metadata"), type=Metadata)
-    except UNREADABLE_JSON:
+    except JSON_ERRORS:
         return None
 
 
 def name_of(entry: bytes | msgspec.Raw) -> str:
-    """Return the name of an object that may make no sense otherwise, empty where it has none."""
+    """Return the name of a possibly malformed object, empty if it has none."""
     metadata = member(bytes(entry), "Metadata")
     try:
         return msgspec.json.decode(metadata, type=NameOnly).name
-    except UNREADABLE_JSON:
+    except JSON_ERRORS:
         return ""
