--- a/fakes/tests/test_silent_connections.py
+++ b/fakes/tests/test_silent_connections.py
@@ -13,7 +13,7 @@
 from fakes._silent_relay import HOST, SilentRelay
 from fakes.tests.test_prepared_machines import KEY, WHOLE_STREAM, Answer, MachinesCase
 from pondhatch.platform.tests._wire import CONFIGURATION
-from pondhatch.transport._http_client import HEARD_SECONDS
+from pondhatch.transport._http_client import MAX_SILENT_SECONDS
 
 #: Seconds within which silence must show: far over the router's own bounds, which are 2 to
 #: 2.5 s, and far under the minutes after which the system gives a connection up by itself.
@@ -92,7 +92,7 @@
         for _ in range(4):
             self.assertEqual(self.ask(self.router, "/proofs/a", b"x").status, 200)
         self.silence_engines()
-        time.sleep(HEARD_SECONDS + 0.1)
+        time.sleep(MAX_SILENT_SECONDS + 0.1)
         for _ in range(4):
             self.assertEqual(self.ask(self.router, "/proofs/a", b"x").status, 200)
 
--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -23,7 +23,7 @@
     MetricsPage,
     PeerTls,
     Readiness,
-    bounded,
+    effective_caller_limits,
 )
 
 log = log_for("process")
@@ -73,7 +73,7 @@
 
     def _open_to_callers(self) -> Any:
         resource: Any = self.callers.resource()
-        site = CallerSite(resource, lambda: bounded(self.state, self.limits()))
+        site = CallerSite(resource, lambda: effective_caller_limits(self.state, self.limits()))
         return listen_to_callers(self.reactor, self.settings.callers, site)
 
     def _open_to_balancer(self, endpoint: ReadyEndpoint, callers_port: Any) -> None:
--- a/pondhatch/cli/_figures.py
+++ b/pondhatch/cli/_figures.py
@@ -61,6 +61,6 @@
             "grant_packets": self.granting.packet_count,
             "grants_held": len(self.granting.entry.held_by_number),
             "grants_given": len(self.granting.owner.leases.by_holder),
-            "gossip_unsealed": self.gossip_port.unsealed,
+            "gossip_unsealed": self.gossip_port.invalid_seals,
             "platform_calls": getattr(self.platform, "calls", 0),
         }
--- a/pondhatch/cli/_ports.py
+++ b/pondhatch/cli/_ports.py
@@ -11,7 +11,7 @@
 
 from pondhatch._early_port import CALLER_BACKLOG, take_early
 from pondhatch.configuration import CallerEndpoint
-from pondhatch.transport import show_silence
+from pondhatch.transport import detect_dead_peer
 
 #: Connections of peers that may wait to be accepted.
 PEER_BACKLOG = 128
@@ -27,7 +27,7 @@
     """Return a listening socket; the loop would look the IP number up in a thread."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.create_server((host, port), family=family, backlog=PEER_BACKLOG)
-    show_silence(listener)  # On the connections that it accepts: silent ones hold descriptors.
+    detect_dead_peer(listener)  # On the connections that it accepts: silent ones hold descriptors.
     return listener
 
 
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -184,7 +184,7 @@
         return self._interface.callers(
             CallerParts(
                 state=self.state,
-                ways=Collaborators(
+                collaborators=Collaborators(
                     self._granting.entry,
                     upstreams,
                     self._crash_guarding,
@@ -195,7 +195,7 @@
                 records=self._records,
                 tasks=self._tasks,
                 rng=self._rng,
-                starting=StartupWait(self.state),
+                startup_wait=StartupWait(self.state),
             )
         )
 
--- a/pondhatch/cli/_stopping.py
+++ b/pondhatch/cli/_stopping.py
@@ -53,7 +53,7 @@
         begun = time.monotonic()
         drain = self.settings().drain
         await asyncio.sleep(max(DRAIN_NOTICE, drain.accept_seconds))
-        self.callers.takes_work = False
+        self.callers.accepts_requests = False
         whole = drain.whole_seconds
         seconds = self.settings().drain_seconds if whole is None else whole
         deadline = begun + seconds
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -35,18 +35,18 @@
         return CallerFacts(
             caller_id=value_by_name.get(names.ATTEMPT_ID.lower(), ""),
             key=bearer_key(value_by_name.get(names.AUTHORIZATION.lower(), "")),
-            wait=float(wait) / 1000 if wait.isascii() and wait.isdigit() else None,
-            context=_context(parts),
+            max_wait=float(wait) / 1000 if wait.isascii() and wait.isdigit() else None,
+            context_key=_context(parts),
             prompt_tokens=_count(prompt) or sum(_part_tokens(parts)),
             answer_tokens=_answer_tokens(_count(hint), _count(most)),
             prompt_parts=_shared_parts(parts),
         )
 
-    def passed_on(self, headers: Headers, note: NoteDropped) -> Headers:
+    def forwarded_headers(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return those of a client's headers that it may say to an engine."""
         return OWNERS.from_caller(headers, note)
 
-    def asks_for_routers_call(self, path: str, prefix: str) -> bool:
+    def is_router_only_call(self, path: str, prefix: str) -> bool:
         """Return whether an engine could take a path for a call that only routers make.
 
         A route whose own prefix names such a call is the operator's leave to make it.
--- a/pondhatch/platform/_era.py
+++ b/pondhatch/platform/_era.py
@@ -33,7 +33,7 @@
     @property
     def made(self) -> int:
         """Calls made, for the rate that the store allows."""
-        return self._calls.made
+        return self._calls.calls_made
 
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float | None = None
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -48,7 +48,7 @@
         chat=0,
         method="POST",
         path="/notes/1",
-        headers=ClientDialect().passed_on(headers, ignore),
+        headers=ClientDialect().forwarded_headers(headers, ignore),
         repeatable=False,
         deadline=2.5,
         priority=3,
@@ -202,12 +202,12 @@
 
     def test_what_a_client_says(self) -> None:
         facts = self.dialect.read(HEADERS)
-        self.assertEqual((facts.caller_id, facts.key, facts.wait), ("9c41", "key-1", 9.0))
+        self.assertEqual((facts.caller_id, facts.key, facts.max_wait), ("9c41", "key-1", 9.0))
 
     def test_a_deadline_that_is_no_number_is_none(self) -> None:
         for told in ("", "soon", "-1", "\u00b2", "1.5"):
             with self.subTest(told=told):
-                self.assertIsNone(self.dialect.read((("Deadline-Ms", told),)).wait)
+                self.assertIsNone(self.dialect.read((("Deadline-Ms", told),)).max_wait)
 
     def test_what_a_client_says_of_its_tokens(self) -> None:
         parts = "1a:500,ff:200,3c:100"
@@ -243,7 +243,7 @@
 
     def test_the_context_is_the_last_part_that_others_share(self) -> None:
         def context(parts: str) -> int:
-            return self.dialect.read((("Prefix-Hash", parts),)).context
+            return self.dialect.read((("Prefix-Hash", parts),)).context_key
 
         self.assertEqual(context("a:1,b:2,c:3"), context("x:9,b:2,d:4"))
         self.assertNotEqual(context("a:1,b:2,c:3"), context("a:1,e:2,c:3"))
@@ -263,14 +263,14 @@
         )
         for path in own:
             with self.subTest(path=path):
-                self.assertTrue(self.dialect.asks_for_routers_call(path, "/"))
+                self.assertTrue(self.dialect.is_router_only_call(path, "/"))
         for path in ("/", "/x", "/report/2f", "/kv-pin", "/notes/report", "/a?b=/report", "/a%2e"):
             with self.subTest(path=path):
-                self.assertFalse(self.dialect.asks_for_routers_call(path, "/"))
+                self.assertFalse(self.dialect.is_router_only_call(path, "/"))
 
     def test_an_operator_may_route_a_path_that_is_a_routers_call(self) -> None:
-        self.assertFalse(self.dialect.asks_for_routers_call("/kv-pin/5c1e", "/kv-pin/"))
-        self.assertTrue(self.dialect.asks_for_routers_call("/notes/../kv-move", "/notes/"))
+        self.assertFalse(self.dialect.is_router_only_call("/kv-pin/5c1e", "/kv-pin/"))
+        self.assertTrue(self.dialect.is_router_only_call("/notes/../kv-move", "/notes/"))
 
     def test_when_to_come_back_is_told_where_it_helps(self) -> None:
         rows: tuple[tuple[Refusal, Headers], ...] = (
--- a/pondhatch/platform/tests/test_entries_of_others.py
+++ b/pondhatch/platform/tests/test_entries_of_others.py
@@ -64,7 +64,7 @@
 class Answers:
     """A store that answers each call with bytes, in order."""
 
-    made = 0
+    calls_made = 0
 
     def __init__(self, *answers: bytes) -> None:
         self._answers = list(answers)
--- a/pondhatch/platform/tests/test_header_owners.py
+++ b/pondhatch/platform/tests/test_header_owners.py
@@ -34,7 +34,7 @@
         self.noted: list[str] = []
 
     def to_engine(self, *headers: tuple[str, str]) -> Headers:
-        return ClientDialect().passed_on(headers, self.noted.append)
+        return ClientDialect().forwarded_headers(headers, self.noted.append)
 
     def to_caller(self, *headers: tuple[str, str]) -> Headers:
         return EngineDialect().answer_headers(headers, self.noted.append)
--- a/pondhatch/platform/tests/test_store.py
+++ b/pondhatch/platform/tests/test_store.py
@@ -31,7 +31,7 @@
 class Calls:
     """Answers as told, in order; keeps what was asked."""
 
-    made = 0
+    calls_made = 0
 
     def __init__(self, answers: Sequence[Answer]) -> None:
         self._answers = list(answers)
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -21,7 +21,7 @@
 from pondhatch.router import RouterState
 from pondhatch.router.tests.test_sync import meet, new_peer_sync, router
 from pondhatch.store import UpstreamUpdate
-from pondhatch.transport._wire import PACKED_FROM, MessagePackCodec, PullReply
+from pondhatch.transport._wire import MIN_COMPRESSED_BYTES, MessagePackCodec, PullReply
 
 #: Routes of a large configuration.
 ROUTES = 1700
@@ -80,7 +80,7 @@
     def test_the_update_is_as_small_as_the_change(self) -> None:
         reply = PullReply(self.update(), UpstreamUpdate(1, (), whole=False))
         encoded = MessagePackCodec().encode(reply, PullReply)
-        self.assertLess(len(encoded), PACKED_FROM)
+        self.assertLess(len(encoded), MIN_COMPRESSED_BYTES)
 
     def test_the_receiver_compares_only_what_changed(self) -> None:
         update = self.update()
--- a/pondhatch/standard/_answers.py
+++ b/pondhatch/standard/_answers.py
@@ -9,7 +9,7 @@
 
 from pondhatch.observing import Metrics
 from pondhatch.requests import Broken, Headers, NotRun, Refusal
-from pondhatch.transport import cut, write_head
+from pondhatch.transport import abort_connection, write_head
 
 #: Tells a caller whether its request ran: "not-run" or "unknown".
 OUTCOME_HEADER = b"X-Pondhatch-Outcome"
@@ -51,4 +51,4 @@
             error = {"message": broken.reason, "type": "unknown", "code": broken.code}
             request.write(b"data: " + msgspec.json.encode({"error": error}) + b"\n\n")
             return
-        cut(request)
+        abort_connection(request)
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -40,14 +40,14 @@
 from pondhatch.standard._answers import OpenAiAnswers
 from pondhatch.standard._header_owners import OWNERS
 from pondhatch.transport import (
+    AdmittedRequest,
     CallerParts,
     CallerRequest,
     Serving,
-    Work,
     as_text,
-    counting,
-    fail,
+    dropped_header_counter,
     read_whole,
+    refuse_after_failure,
 )
 
 log = log_for("callers")
@@ -59,7 +59,7 @@
 TOO_LARGE = 413
 
 
-Prepare = Callable[[CallerRequest, Account, HeldCounter], Awaitable[Work | NotRun]]
+Prepare = Callable[[CallerRequest, Account, HeldCounter], Awaitable[AdmittedRequest | NotRun]]
 
 
 class OpenAiCallers:
@@ -67,23 +67,23 @@
 
     def __init__(self, parts: CallerParts) -> None:
         self._state = parts.state
-        self._starting = parts.starting
+        self._starting = parts.startup_wait
         self._limits = parts.limits
         self._metrics = parts.metrics
-        self._note_dropped = counting(parts.metrics)
+        self._note_dropped = dropped_header_counter(parts.metrics)
         self._answers = OpenAiAnswers(parts.metrics)
         self._serving = Serving(parts, self._answers)
         #: Requests whose callers are there.
         self._attended = 0
         #: Kept for a stopping router; it refuses requests by its state at once.
-        self.takes_work = True
+        self.accepts_requests = True
         self.app = Klein()
         self._route()
 
     @property
     def in_flight(self) -> int:
         """Requests that have not ended; a stopping router waits for them."""
-        return self._attended + len(self._serving.without_caller)
+        return self._attended + len(self._serving.detached_tasks)
 
     def resource(self) -> Resource:
         """Return what a site serves."""
@@ -119,21 +119,21 @@
             await self._serving.run(request, found, started)
         except CallerGone:
             self._metrics.count("callers.gone")
-            request.cut()
+            request.abort()
         except asyncio.CancelledError:
             # Whatever answer is open is finished by klein once this returns. Where the caller
             # is still there, as when this router ends, what was sent must not look whole.
             self._metrics.count("callers.gone")
-            request.cut()
+            request.abort()
             raise
         except Exception:
             log.exception("A request ended in an error of this router.")
             self._metrics.count("requests.router-failed")
-            fail(request, self._answers)
+            refuse_after_failure(request, self._answers)
         finally:
             self._attended -= 1
 
-    async def _admitted(self, request: Any, prepare: Prepare) -> Work | NotRun:
+    async def _admitted(self, request: Any, prepare: Prepare) -> AdmittedRequest | NotRun:
         await self._starting.wait()
         unready = not_ready_refusal(self._state)
         if unready is not None:
@@ -142,11 +142,11 @@
         if isinstance(account, NotRun):
             return account
         hold = self._state.held_bytes.counter(account.name)
-        work: Work | NotRun | None = None
+        work: AdmittedRequest | NotRun | None = None
         try:
             work = await prepare(request, account, hold)
         finally:
-            if not isinstance(work, Work):
+            if not isinstance(work, AdmittedRequest):
                 hold.close()
         return work
 
@@ -156,7 +156,7 @@
 
     async def _prepare_chat(
         self, request: CallerRequest, account: Account, hold: HeldCounter
-    ) -> Work | NotRun:
+    ) -> AdmittedRequest | NotRun:
         limit = self._limits().chat_body_bytes
         body = await read_whole(request.body(), limit, hold)
         if isinstance(body, Limited):
@@ -178,11 +178,13 @@
         )
         context_wait = admitted.context_wait if chat.is_followup else 0.0
         patience = WaitLimits(context_wait, admitted.queue_wait)
-        return Work(account, admitted, head, ReplayableBody(body), patience, hold=hold)
+        return AdmittedRequest(
+            account, admitted, head, ReplayableBody(body), patience, body_counter=hold
+        )
 
     async def _prepare_plain(
         self, request: CallerRequest, account: Account, hold: HeldCounter
-    ) -> Work | NotRun:
+    ) -> AdmittedRequest | NotRun:
         limited = hold.try_set(0)
         if limited is not None:
             return self._limited(limited)
@@ -198,8 +200,10 @@
         replayable = ReplayableBody(b"") if body.length == 0 else body
         patience = WaitLimits(0.0, admitted.queue_wait)
         # Its body is passed on as it comes: what waits of it, waits in the request's pipe.
-        request.pipe.count_by(hold)
-        return Work(account, admitted, head, replayable, patience, _key(request, head), hold)
+        request.pipe.use_counter(hold)
+        return AdmittedRequest(
+            account, admitted, head, replayable, patience, _key(request, head), hold
+        )
 
     def _head(
         self, request: CallerRequest, account: Account, admitted: Admitted, path: str
--- a/pondhatch/transport/__init__.py
+++ b/pondhatch/transport/__init__.py
@@ -1,13 +1,19 @@
 """Transport: twisted, klein, treq, grpclib and UDP. Bytes only, no decisions."""
 
-from pondhatch.transport._admin import Admin, readable
-from pondhatch.transport._answers import cut, fail, write_head
+from pondhatch.transport._admin import Admin, format_dump
+from pondhatch.transport._answers import abort_connection, refuse_after_failure, write_head
 from pondhatch.transport._caller_body import read_whole
 from pondhatch.transport._caller_channel import CallerSite
 from pondhatch.transport._caller_dialect import CallerDialect, CallerFacts
 from pondhatch.transport._caller_request import CallerRequest
+from pondhatch.transport._dead_peers import detect_dead_peer
 from pondhatch.transport._gossip import GossipPort
-from pondhatch.transport._header_owners import HeaderOwners, NoteDropped, Owner, counting
+from pondhatch.transport._header_owners import (
+    HeaderOwners,
+    NoteDropped,
+    Owner,
+    dropped_header_counter,
+)
 from pondhatch.transport._headers import as_text, utf8_value
 from pondhatch.transport._http_client import HttpClient
 from pondhatch.transport._interface import INTERFACE, CallerParts, Callers, Interface
@@ -19,24 +25,23 @@
 from pondhatch.transport._remote_peer import RemotePeer
 from pondhatch.transport._resolver import install_numeric_resolver
 from pondhatch.transport._retry_after import seconds_to_wait
-from pondhatch.transport._routed_callers import RoutedCallers, bounded
-from pondhatch.transport._serving import Serving, Work
-from pondhatch.transport._silence import show_silence
+from pondhatch.transport._routed_callers import RoutedCallers, effective_caller_limits
+from pondhatch.transport._serving import AdmittedRequest, Serving
 from pondhatch.transport._store_calls import CallFailed, StoreAnswer, StoreCalls
 from pondhatch.transport._upstreams import HttpUpstreams
 from pondhatch.transport._wire import PullReply, PullRequest
 
 __all__ = [
     "MetricsPage",
-    "cut",
+    "abort_connection",
     "write_head",
     "CallerParts",
     "CallerRequest",
     "Callers",
     "PartPipe",
     "Serving",
-    "Work",
-    "fail",
+    "AdmittedRequest",
+    "refuse_after_failure",
     "read_whole",
     "CallFailed",
     "CallerDialect",
@@ -54,8 +59,8 @@
     "RoutedCallers",
     "StoreAnswer",
     "StoreCalls",
-    "bounded",
-    "counting",
+    "effective_caller_limits",
+    "dropped_header_counter",
     "Admin",
     "CallerSite",
     "GossipPort",
@@ -66,8 +71,8 @@
     "PullRequest",
     "RemotePeer",
     "fleet_token",
-    "show_silence",
+    "detect_dead_peer",
     "install_numeric_resolver",
     "peer_tls",
-    "readable",
+    "format_dump",
 ]
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -17,7 +17,7 @@
 LIFT_PATH = b"/lift/"
 
 
-def readable(dump: Dump) -> str:
+def format_dump(dump: Dump) -> str:
     """Return a dump as text for people."""
     lines = []
     for key, value in dump.items():
@@ -25,19 +25,19 @@
             lines.append(f"{key}: {value}")
             continue
         lines.append(f"{key}: {len(value)}")
-        lines.extend("  " + _row(row) for row in value)
+        lines.extend("  " + _format_row(row) for row in value)
     return "\n".join(lines) + "\n"
 
 
-def _row(row: Dump) -> str:
+def _format_row(row: Dump) -> str:
     if "request_id" not in row:
         return "  ".join(f"{key}={value}" for key, value in row.items())
     at = time.strftime("%H:%M:%S", time.gmtime(row["at"]))
-    passed = "; ".join(f"{engine}: {why}" for engine, why in row["passed_over"])
+    passed_over = "; ".join(f"{engine}: {why}" for engine, why in row["passed_over"])
     engine = row["engine"] or "no engine"
-    told = f"{at} {row['account']} -> {row['service']}: {engine}, {row['outcome']}"
-    told += f" after {row['seconds']} s"
-    return f"{told}; passed over {passed}" if passed else told
+    text = f"{at} {row['account']} -> {row['service']}: {engine}, {row['outcome']}"
+    text += f" after {row['seconds']} s"
+    return f"{text}; passed over {passed_over}" if passed_over else text
 
 
 class Admin(Resource):
@@ -65,7 +65,7 @@
             return msgspec.json.encode(self._dump())
         if request.path == b"/state":
             request.setHeader(b"Content-Type", b"text/plain; charset=utf-8")
-            return readable(self._dump()).encode()
+            return format_dump(self._dump()).encode()
         if request.path.startswith(LIFT_PATH):
             return self._answer_lift(request)
         request.setResponseCode(NOT_FOUND)
--- a/pondhatch/transport/_answers.py
+++ b/pondhatch/transport/_answers.py
@@ -37,16 +37,16 @@
         request.responseHeaders.addRawHeader(raw_name, raw_value)
 
 
-def cut(request: Any) -> None:
+def abort_connection(request: Any) -> None:
     """Cut a caller's connection, so that what it got does not look whole."""
     if request.channel is not None:
         request.channel.forceAbortClient()
 
 
-def fail(request: Any, answers: Answers) -> None:
+def refuse_after_failure(request: Any, answers: Answers) -> None:
     """End a request that failed in this router: what it had done by then is not known."""
     if request.startedWriting:
-        cut(request)
+        abort_connection(request)
         return
     reason = "the router failed while it served this request"
     answers.refuse(request, Unknown("router-failed", reason, ROUTER_FAILED))
--- a/pondhatch/transport/_caller_body.py
+++ b/pondhatch/transport/_caller_body.py
@@ -19,7 +19,7 @@
 
 
 async def read_whole(
-    body: CallerBody, limit: int, hold: HeldCounter = UNCOUNTED
+    body: CallerBody, limit: int, counter: HeldCounter = UNCOUNTED
 ) -> bytes | Limited | None:
     """Return a body, or None where it is larger than the limit.
 
@@ -28,7 +28,7 @@
     """
     if body.length is not None and body.length > limit:
         return None
-    limited = hold.try_set(body.length or 0)
+    limited = counter.try_set(body.length or 0)
     if limited is not None:
         return limited
     parts: list[bytes] = []
@@ -38,7 +38,7 @@
         size += len(part)
         if size > limit:
             return None
-        limited = hold.try_set(size) if body.length is None else None
+        limited = counter.try_set(size) if body.length is None else None
         if limited is not None:
             return limited
     return b"".join(parts)
--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -25,7 +25,7 @@
 LINGER_SECONDS = 1.0
 #: Seconds between two looks whether a caller that is not read from has left. Half a second
 #: after a close nothing of its request may be at work; this leaves most of it to the engine.
-UNREAD_LOOK_SECONDS = 0.1
+CLOSE_CHECK_SECONDS = 0.1
 HEAD_TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 HEAD_TOO_LARGE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
@@ -35,9 +35,9 @@
 
 #: Bytes that HTTP allows in no header, beside those that twisted turns away itself: vertical
 #: tab and form feed, at which some programs end a line.
-NEVER_IN_HEADERS = b"\x0b\x0c"
+FORBIDDEN_HEADER_BYTES = b"\x0b\x0c"
 #: The last byte that a request's target may hold; twisted lets some beyond it through.
-LAST_IN_TARGETS = 0x7E
+MAX_TARGET_BYTE = 0x7E
 
 
 class CallerChannel(HTTPChannel):
@@ -52,26 +52,26 @@
     _idle_seconds = 0.0
     _head_timer: Any = None
     #: Runs while the caller is not read from.
-    _unread_timer: Any = None
-    _is_cut = False
+    _close_check_timer: Any = None
+    _is_closing = False
     #: Set once the connection was given up; it is lost only a turn of the loop later.
     is_aborted = False
 
     def connectionMade(self) -> None:
         """Start the clock for the first request."""
         super().connectionMade()
-        self._count_idle_time()
+        self._restart_idle_timer()
 
     def dataReceived(self, data: bytes) -> None:
         """Take in bytes, unless the connection is only waiting to be closed."""
-        if self._is_cut:
+        if self._is_closing:
             return
         if self._head_timer is None and not self.requests:
             self._begin_head()
         super().dataReceived(data)
         if self._dataBuffer:
             # Requests sent ahead: where they are large, twisted reads no more for now.
-            self._look_for_close()
+            self._check_for_close()
 
     def lineReceived(self, line: bytes) -> None:
         """Take in a line of a head, unless the head is too large with it."""
@@ -86,7 +86,7 @@
 
     def headerReceived(self, line: bytes) -> bool:
         """Take in a header, unless no engine could be sent it."""
-        if line.translate(None, NEVER_IN_HEADERS) != line:
+        if line.translate(None, FORBIDDEN_HEADER_BYTES) != line:
             self._respondToBadRequestAndDisconnect()
             return False
         return bool(super().headerReceived(line))
@@ -95,7 +95,7 @@
         """Stop the clock: the head is there. One that no engine could be sent is refused."""
         self._stop_head_timer()
         target: Any = self._path
-        if max(target) > LAST_IN_TARGETS:
+        if max(target) > MAX_TARGET_BYTE:
             self._respondToBadRequestAndDisconnect()
             return
         super().allHeadersReceived()
@@ -103,7 +103,7 @@
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
         """Stop the clock with the connection."""
         self._stop_head_timer()
-        self._stop_looking()
+        self._stop_close_checks()
         super().connectionLost(reason)
 
     def writeSequence(self, iovec: Iterable[bytes]) -> None:
@@ -115,7 +115,7 @@
         if self.is_aborted:
             return
         data = b"".join(iovec)
-        sent = self.transport.writeSomeData(data) if self._nothing_waits() else 0
+        sent = self.transport.writeSomeData(data) if self._is_buffer_empty() else 0
         # A failure is told as an exception returned, and met again on the usual way.
         sent = sent if isinstance(sent, int) and sent > 0 else 0
         if sent < len(data):
@@ -136,7 +136,7 @@
         self.is_aborted = True
         super().forceAbortClient()
 
-    def _nothing_waits(self) -> bool:
+    def _is_buffer_empty(self) -> bool:
         """Return whether this is a plain connection whose buffer is empty."""
         transport = self.transport
         if not isinstance(transport, Connection) or transport.disconnecting:
@@ -145,73 +145,73 @@
 
     def requestDone(self, request: Any) -> None:
         """Wait for the next request, for as long as is in force now."""
-        self._stop_looking()
+        self._stop_close_checks()
         self._savedTimeOut = self._idle_seconds = self.limits().idle_seconds
         super().requestDone(request)
 
     def resetTimeout(self) -> None:
         """Count the idle time anew where it counts at all, by the bound in force."""
         if self.timeOut is not None:
-            self._count_idle_time()
+            self._restart_idle_timer()
 
     def timeoutConnection(self) -> None:
         """Close an idle connection, unless the bound was raised while it stood idle."""
-        longer = self.limits().idle_seconds - self._idle_seconds
-        if longer > 0:
-            self._idle_seconds += longer
-            self.setTimeout(longer)
+        extra_seconds = self.limits().idle_seconds - self._idle_seconds
+        if extra_seconds > 0:
+            self._idle_seconds += extra_seconds
+            self.setTimeout(extra_seconds)
             return
         super().timeoutConnection()
 
-    def _count_idle_time(self) -> None:
+    def _restart_idle_timer(self) -> None:
         self._idle_seconds = self.limits().idle_seconds
         self.setTimeout(self._idle_seconds)
 
-    def pause_caller(self) -> None:
+    def pause_reading(self) -> None:
         """Read no more from the caller; it is not the one who idles."""
         self.setTimeout(None)
         self.transport.pauseProducing()
-        self._look_for_close()
+        self._check_for_close()
 
-    def resume_caller(self) -> None:
+    def resume_reading(self) -> None:
         """Read from the caller again.
 
         The pause left no idle time to go back to, so it is taken from what is in force. While a
         request that has come in full is served, the caller is not the one who idles.
         """
-        self._stop_looking()
+        self._stop_close_checks()
         if not self._handlingRequest:
-            self._count_idle_time()
+            self._restart_idle_timer()
         self.transport.resumeProducing()
 
-    def cut(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no more requests; close soon after the answer."""
         self.persistent = False
-        self._is_cut = True
-        self._stop_looking()
+        self._is_closing = True
+        self._stop_close_checks()
         self.transport.resumeProducing()
 
     def loseConnection(self) -> None:
         """Close, after a while where the caller is still sending."""
-        if self._is_cut:
+        if self._is_closing:
             self.callLater(LINGER_SECONDS, super().loseConnection)
             return
         super().loseConnection()
 
-    def _look_for_close(self) -> None:
+    def _check_for_close(self) -> None:
         """Give a caller up that closes its connection while it is not read from.
 
         A close is told to those who read. Without this, a request whose large body waits for
         a grant, or for an engine that takes no more of it, would go on without its caller.
         """
-        self._stop_looking()
+        self._stop_close_checks()
         if _is_closed(self.transport):
             self.forceAbortClient()
             return
-        self._unread_timer = self.callLater(UNREAD_LOOK_SECONDS, self._look_for_close)
+        self._close_check_timer = self.callLater(CLOSE_CHECK_SECONDS, self._check_for_close)
 
-    def _stop_looking(self) -> None:
-        timer, self._unread_timer = self._unread_timer, None
+    def _stop_close_checks(self) -> None:
+        timer, self._close_check_timer = self._close_check_timer, None
         if timer is not None and timer.active():
             timer.cancel()
 
@@ -230,7 +230,7 @@
         self._stop_head_timer()
         self.clearLineBuffer()
         self.transport.write(HEAD_TOO_LARGE)
-        self.cut()
+        self.stop_accepting()
         self.loseConnection()
 
     def _head_too_slow(self) -> None:
--- a/pondhatch/transport/_caller_dialect.py
+++ b/pondhatch/transport/_caller_dialect.py
@@ -18,9 +18,9 @@
     #: Its API key, or None where it shows none.
     key: str | None
     #: Seconds that it waits for the answer, or None where it does not say.
-    wait: float | None
+    max_wait: float | None
     #: 64-bit key of the context that the request shares with others; 0 for none.
-    context: int
+    context_key: int
     #: Tokens of its prompt, and those that its answer is taken to have; 0 where not said.
     prompt_tokens: int = 0
     answer_tokens: int = 0
@@ -34,10 +34,10 @@
     def read(self, headers: Headers) -> CallerFacts:
         """Return what a caller says about its request."""
 
-    def passed_on(self, headers: Headers, note: NoteDropped) -> Headers:
+    def forwarded_headers(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return those of a caller's headers that it may say to an upstream."""
 
-    def asks_for_routers_call(self, path: str, prefix: str) -> bool:
+    def is_router_only_call(self, path: str, prefix: str) -> bool:
         """Return whether an upstream could take a path for a call that only routers make.
 
         ``prefix`` is the one of the route that the path takes.
--- a/pondhatch/transport/_caller_request.py
+++ b/pondhatch/transport/_caller_request.py
@@ -31,8 +31,8 @@
     def gotLength(self, length: int | None) -> None:
         """Begin to handle the request; its body follows through the pipe."""
         self.content = io.BytesIO()
-        begin = (self.channel._command, self.channel._path, self.channel._version)
-        self.channel.callLater(0, self._begin, length, *begin)
+        request_line = (self.channel._command, self.channel._path, self.channel._version)
+        self.channel.callLater(0, self._start_handling, length, *request_line)
 
     def body(self) -> CallerBody:
         """Return the body to be read."""
@@ -56,20 +56,22 @@
         if not self.pipe.ended and self.channel is not None:
             if not self.startedWriting:
                 self.responseHeaders.setRawHeaders(b"Connection", [b"close"])
-            self.channel.cut()
+            self.channel.stop_accepting()
         super().finish()
 
     def is_open(self) -> bool:
         """Return whether its answer may still be written or ended."""
-        there = self.channel is not None and not self._disconnected
-        return there and not self.finished and not self.channel.is_aborted
+        is_connected = self.channel is not None and not self._disconnected
+        return is_connected and not self.finished and not self.channel.is_aborted
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Cut the connection: the answer will not be whole."""
         if self.is_open():
             self.channel.forceAbortClient()
 
-    def _begin(self, length: int | None, command: bytes, path: bytes, version: bytes) -> None:
+    def _start_handling(
+        self, length: int | None, command: bytes, path: bytes, version: bytes
+    ) -> None:
         if self.channel is None or self._disconnected:
             return
         self._length = length
@@ -80,8 +82,8 @@
 
     def _pause_body(self) -> None:
         if self.channel is not None:
-            self.channel.pause_caller()
+            self.channel.pause_reading()
 
     def _resume_body(self) -> None:
         if self.channel is not None:
-            self.channel.resume_caller()
+            self.channel.resume_reading()
--- a/pondhatch/transport/_caller_writer.py
+++ b/pondhatch/transport/_caller_writer.py
@@ -16,12 +16,12 @@
     At most one part waits here, beyond the transport's own buffer of 64 KB.
     """
 
-    def __init__(self, request: CallerRequest, hold: HeldCounter = UNCOUNTED) -> None:
+    def __init__(self, request: CallerRequest, counter: HeldCounter = UNCOUNTED) -> None:
         self._request = request
         #: Counts what the connection holds while the caller is slow.
-        self._hold = hold
-        self._flowing = asyncio.Event()
-        self._flowing.set()
+        self._counter = counter
+        self._writable = asyncio.Event()
+        self._writable.set()
         self._gone = False
         if not self.is_gone:
             request.registerProducer(self, True)
@@ -36,32 +36,32 @@
         if self.is_gone:
             raise CallerGone("the caller closed its connection")
         self._request.write(part)
-        if self._flowing.is_set():
+        if self._writable.is_set():
             return True
-        self._hold.set(unsent_bytes(self._request.transport))
+        self._counter.set(unsent_bytes(self._request.transport))
         return False
 
     async def ready(self) -> None:
         """Wait until the caller has taken what came before."""
-        await self._flowing.wait()
+        await self._writable.wait()
 
     def close(self) -> None:
         """Stop being told of the caller's pace, and count no more of what waits for it."""
-        self._hold.close()
+        self._counter.close()
         if not self._request._disconnected and not self._request.finished:
             self._request.unregisterProducer()
 
     def pauseProducing(self) -> None:
         """Called by the connection when its buffer is full."""
-        self._flowing.clear()
+        self._writable.clear()
 
     def resumeProducing(self) -> None:
         """Called by the connection when its buffer has drained."""
-        self._hold.set(0)
-        self._flowing.set()
+        self._counter.set(0)
+        self._writable.set()
 
     def stopProducing(self) -> None:
         """Called by the connection when the caller is gone."""
         self._gone = True
-        self._hold.close()
-        self._flowing.set()
+        self._counter.close()
+        self._writable.set()
--- a/pondhatch/transport/_silence.py
+++ b/pondhatch/transport/_dead_peers.py
@@ -30,7 +30,7 @@
 )
 
 
-def show_silence(connection: Any) -> None:
+def detect_dead_peer(connection: Any) -> None:
     """Have a socket lost within seconds of its falling silent, idle or not.
 
     A listening socket hands the options on to the connections that it accepts.
--- a/pondhatch/transport/_gossip.py
+++ b/pondhatch/transport/_gossip.py
@@ -30,17 +30,17 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         #: Packets dropped because their seal did not fit.
-        self.unsealed = 0
+        self.invalid_seals = 0
         self._seal = seal
         self._receive = receive
-        self._told = Once()
+        self._logged_errors = Once()
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Take in a packet; answers go back to where it came from."""
         self.bytes_received += len(datagram) + HEADER_BYTES
         payload = self._seal.verify(datagram)
         if payload is None:
-            self.unsealed += 1
+            self.invalid_seals += 1
             return
         self.send(self._receive(payload, Address(addr[0], addr[1])))
 
@@ -57,9 +57,9 @@
                 # The network's own failures pass, and are as frequent as packets.
                 continue
             except UNSENDABLE as error:
-                self._tell(datagram.to, error)
+                self._log_unsendable(datagram.to, error)
 
-    def _tell(self, to: Address, error: Exception) -> None:
+    def _log_unsendable(self, to: Address, error: Exception) -> None:
         """Tell once of each address to which nothing can be sent."""
-        if self._told.is_first((to, type(error))):
+        if self._logged_errors.is_first((to, type(error))):
             log.error("Nothing is sent to {} port {}: {}.", to.host, to.port, error)
--- a/pondhatch/transport/_header_owners.py
+++ b/pondhatch/transport/_header_owners.py
@@ -33,36 +33,36 @@
 
 
 #: Kinds of dropped headers that are counted: a caller's copy of what only routers may set;
-ROUTERS = "router"
+DROPPED_ROUTERS = "router"
 #: a caller's copy of what only upstreams may say;
-UPSTREAMS = "upstream"
+DROPPED_UPSTREAMS = "upstream"
 #: what its sender's own `Connection` lists;
-LISTED = "listed"
+DROPPED_LISTED = "listed"
 #: what an upstream's answer says in the place of the router.
-ANSWERS = "answer"
+DROPPED_FROM_ANSWERS = "answer"
 #: Ends here as it should, in nearly every message; not counted.
-_ENDS_HERE = ""
+_NOT_COUNTED = ""
 
 _KIND_FROM_CALLERS = {
-    Owner.CALLER_TO_ROUTER: _ENDS_HERE,
-    Owner.ROUTER: ROUTERS,
-    Owner.UPSTREAM: UPSTREAMS,
-    Owner.FRAMING: _ENDS_HERE,
-    Owner.CONNECTION: _ENDS_HERE,
+    Owner.CALLER_TO_ROUTER: _NOT_COUNTED,
+    Owner.ROUTER: DROPPED_ROUTERS,
+    Owner.UPSTREAM: DROPPED_UPSTREAMS,
+    Owner.FRAMING: _NOT_COUNTED,
+    Owner.CONNECTION: _NOT_COUNTED,
 }
 _KIND_FROM_UPSTREAMS = {
-    Owner.CALLER_TO_ROUTER: _ENDS_HERE,
-    Owner.ROUTER: ANSWERS,
-    Owner.CONNECTION: _ENDS_HERE,
+    Owner.CALLER_TO_ROUTER: _NOT_COUNTED,
+    Owner.ROUTER: DROPPED_FROM_ANSWERS,
+    Owner.CONNECTION: _NOT_COUNTED,
 }
 
-_LISTING = "connection"
+_CONNECTION_HEADER = "connection"
 #: Options of `Connection` that name no header.
 _PLAIN_OPTIONS = frozenset({"close", ""})
 
 #: What HTTP itself says, whatever the interface. What a body is goes with the body: it must
 #: not get lost because `Connection` lists it.
-_HTTP: Mapping[str, Owner] = {
+_HTTP_OWNERS: Mapping[str, Owner] = {
     **dict.fromkeys(HOP_HEADERS, Owner.CONNECTION),
     "expect": Owner.CONNECTION,
     "content-length": Owner.FRAMING,
@@ -75,7 +75,7 @@
 NoteDropped = Callable[[str], None]
 
 
-def counting(metrics: Metrics) -> NoteDropped:
+def dropped_header_counter(metrics: Metrics) -> NoteDropped:
     """Return what counts dropped headers by kind: a line for each would help a flood along."""
     return lambda kind: metrics.count(f"headers_dropped.{kind}")
 
@@ -85,7 +85,7 @@
 
     def __init__(self, owner_by_name: Mapping[str, Owner]) -> None:
         own = {name.lower(): owner for name, owner in owner_by_name.items()}
-        self.owner_by_name: Mapping[str, Owner] = MappingProxyType({**_HTTP, **own})
+        self.owner_by_name: Mapping[str, Owner] = MappingProxyType({**_HTTP_OWNERS, **own})
         self._not_listable = _PLAIN_OPTIONS.union(self.owner_by_name)
         # By name, so that a header costs one look-up; a name without an entry goes on.
         self._from_callers = self._kinds(_KIND_FROM_CALLERS)
@@ -93,41 +93,41 @@
 
     def from_caller(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return what of a caller's headers goes on to an upstream."""
-        return self._passed_on(headers, self._from_callers, note)
+        return self._forward(headers, self._from_callers, note)
 
     def from_upstream(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return what of an answer's headers goes on to its caller."""
-        return self._passed_on(headers, self._from_upstreams, note)
+        return self._forward(headers, self._from_upstreams, note)
 
     def _kinds(self, kind_by_owner: Mapping[Owner, str]) -> Mapping[str, str]:
         owned = self.owner_by_name.items()
         return {name: kind_by_owner[owner] for name, owner in owned if owner in kind_by_owner}
 
-    def _passed_on(
+    def _forward(
         self, headers: Headers, kind_by_name: Mapping[str, str], note: NoteDropped
     ) -> Headers:
-        passed_on: list[tuple[str, str]] = []
+        forwarded: list[tuple[str, str]] = []
         listed: set[str] = set()
         for pair in headers:
             name = pair[0].lower()
             kind = kind_by_name.get(name)
             if kind is None:
-                passed_on.append(pair)
+                forwarded.append(pair)
             elif kind:
                 note(kind)
-            elif name == _LISTING:
-                listed.update(self._unowned(pair[1]))
-        return self._unlisted(passed_on, listed, note) if listed else tuple(passed_on)
+            elif name == _CONNECTION_HEADER:
+                listed.update(self._listed_names(pair[1]))
+        return self._drop_listed(forwarded, listed, note) if listed else tuple(forwarded)
 
-    def _unowned(self, options: str) -> Iterable[str]:
+    def _listed_names(self, options: str) -> Iterable[str]:
         """Return the names that `Connection` lists and no table knows: the table goes first."""
         names = (option.strip().lower() for option in options.split(","))
         return [each for each in names if each not in self._not_listable]
 
-    def _unlisted(
+    def _drop_listed(
         self, headers: list[tuple[str, str]], listed: set[str], note: NoteDropped
     ) -> Headers:
         kept = tuple(pair for pair in headers if pair[0].lower() not in listed)
         for _ in range(len(headers) - len(kept)):
-            note(LISTED)
+            note(DROPPED_LISTED)
         return kept
--- a/pondhatch/transport/_headers.py
+++ b/pondhatch/transport/_headers.py
@@ -9,9 +9,9 @@
 from pondhatch.requests import Headers
 
 #: Encoding that has one character for each byte.
-ONE_FOR_EACH = "latin-1"
+BYTE_ENCODING = "latin-1"
 #: What HTTP drops around a header's value.
-BLANKS = " \t"
+WHITESPACE = " \t"
 
 #: They are never passed on from one connection to another.
 HOP_HEADERS = frozenset(
@@ -31,14 +31,14 @@
 
 def utf8_value(text: str) -> str:
     """Return a text of our own as a header's value: its bytes in UTF-8."""
-    return text.encode().decode(ONE_FOR_EACH).strip(BLANKS)
+    return text.encode().decode(BYTE_ENCODING).strip(WHITESPACE)
 
 
 def as_text(raw: bytes) -> str:
     """Return a header's bytes as they are kept between two connections."""
-    return raw.decode(ONE_FOR_EACH)
+    return raw.decode(BYTE_ENCODING)
 
 
 def as_bytes(headers: Headers) -> list[tuple[bytes, bytes]]:
     """Return headers as they go over the wire."""
-    return [(name.encode(ONE_FOR_EACH), value.encode(ONE_FOR_EACH)) for name, value in headers]
+    return [(name.encode(BYTE_ENCODING), value.encode(BYTE_ENCODING)) for name, value in headers]
--- a/pondhatch/transport/_http_client.py
+++ b/pondhatch/transport/_http_client.py
@@ -20,9 +20,9 @@
 from pondhatch.limits import HeldCounter
 from pondhatch.observing import Metrics, NoMetrics
 from pondhatch.requests import BodySource
-from pondhatch.transport._http_connection import Connection, Exchange, uncounted
+from pondhatch.transport._http_connection import Connection, Exchange, no_counter
 from pondhatch.transport._http_heads import Request, ResponseHead
-from pondhatch.transport._reuse import HEARD_SECONDS as HEARD_SECONDS
+from pondhatch.transport._reuse import MAX_SILENT_SECONDS as MAX_SILENT_SECONDS
 from pondhatch.transport._reuse import ReuseRules
 
 #: Seconds to wait for a connection.
@@ -58,49 +58,49 @@
         return cls(host.strip("[]"), number)
 
 
-class _Connecting(ClientFactory):
+class _ConnectFactory(ClientFactory):
     """Makes one connection, or says why not."""
 
     noisy = False
 
-    def __init__(self, closed: Callable[[Connection], None], to_upstream: bool) -> None:
-        self.made: asyncio.Future[Connection] = asyncio.get_running_loop().create_future()
-        self._closed = closed
+    def __init__(self, on_closed: Callable[[Connection], None], to_upstream: bool) -> None:
+        self.connected: asyncio.Future[Connection] = asyncio.get_running_loop().create_future()
+        self._on_closed = on_closed
         self._to_upstream = to_upstream
 
     def buildProtocol(self, addr: Any) -> Connection:
-        connection = _Announcing(self._closed)
-        connection.announce = self._announce
+        connection = _AnnouncingConnection(self._on_closed)
+        connection.on_connected = self._set_connection
         connection.to_upstream = self._to_upstream
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._not_made(reason)
+        self._fail(reason)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
         """Called also for a connection that was lost before it could be announced."""
-        self._not_made(reason)
+        self._fail(reason)
 
-    def _not_made(self, reason: Failure) -> None:
-        if not self.made.done():
-            self.made.set_exception(NotSent(reason.getErrorMessage()))
-            self.made.exception()  # Whoever waits gets it; nobody may be waiting any more.
+    def _fail(self, reason: Failure) -> None:
+        if not self.connected.done():
+            self.connected.set_exception(NotSent(reason.getErrorMessage()))
+            self.connected.exception()  # Whoever waits gets it; nobody may be waiting any more.
 
-    def _announce(self, connection: Connection) -> None:
-        if self.made.done():
+    def _set_connection(self, connection: Connection) -> None:
+        if self.connected.done():
             connection.abort()
             return
-        self.made.set_result(connection)
+        self.connected.set_result(connection)
 
 
-class _Announcing(Connection):
+class _AnnouncingConnection(Connection):
     """A connection that says when it is there."""
 
-    announce: Callable[[Connection], None]
+    on_connected: Callable[[Connection], None]
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.announce(self)
+        self.on_connected(self)
 
 
 class _CloseAtOnce(Protocol):
@@ -121,25 +121,25 @@
         self.refused: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._set(reason.check(Refused) is not None)
+        self._resolve(reason.check(Refused) is not None)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        self._set(False)
+        self._resolve(False)
 
-    def _set(self, refused: bool) -> None:
+    def _resolve(self, refused: bool) -> None:
         if not self.refused.done():
             self.refused.set_result(refused)
 
 
-def _any(_: ResponseHead) -> bool:
+def _always(_: ResponseHead) -> bool:
     return True
 
 
-def _ignore(_: ResponseHead) -> None:
+def _ignore_head(_: ResponseHead) -> None:
     return None
 
 
-def _allow() -> None:
+def _no_check() -> None:
     return None
 
 
@@ -151,17 +151,17 @@
     """What whoever sends a request decides, or wants to know, of its exchange."""
 
     #: Returns whether an answer with this head leaves its connection fit for another exchange.
-    trusts: Callable[[ResponseHead], bool] = _any
+    may_reuse: Callable[[ResponseHead], bool] = _always
     #: Takes in an answer's head as it comes, whether or not anybody still waits for it.
-    heard: Callable[[ResponseHead], None] = _ignore
+    on_head: Callable[[ResponseHead], None] = _ignore_head
     #: Called right before the first byte goes out; what it raises keeps the request from going.
-    check: Callable[[], None] = _allow
+    before_send: Callable[[], None] = _no_check
     #: Returns what counts bytes of the exchange that wait here for either side.
-    new_counter: Callable[[], HeldCounter] = uncounted
+    new_counter: Callable[[], HeldCounter] = no_counter
     #: Whether it goes to an upstream, rather than to the platform.
     to_upstream: bool = False
     #: Idle connections kept to its address at most.
-    most_idle: int = IDLE_CONNECTIONS
+    max_idle: int = IDLE_CONNECTIONS
 
 
 NO_HOOKS = Hooks()
@@ -174,9 +174,9 @@
         self._reactor = reactor
         self._connect_seconds = connect_seconds
         self._idle_by_address: dict[Address, list[Connection]] = {}
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self._probe_by_address: dict[Address, _ListenProbe] = {}
-        self._rules = ReuseRules()
+        self._reuse_rules = ReuseRules()
         self._load_managed: Callable[[], bool] = _never
         self._metrics: Metrics = NoMetrics()
 
@@ -197,7 +197,7 @@
         request: Request,
         body: BodySource,
         repeatable: bool,
-        fresh: bool = False,
+        needs_new_connection: bool = False,
         hooks: Hooks = NO_HOOKS,
     ) -> Exchange:
         """Send a request once; return the exchange, whose head is still to come.
@@ -206,17 +206,17 @@
         long it keeps an idle one, and the connection is sure to be open; see ReuseRules. Raises
         NotSent; the exchange's head raises what reading the body raises.
         """
-        connection = None if fresh else self._take(address, repeatable)
+        connection = None if needs_new_connection else self._take_idle(address, repeatable)
         is_new = connection is None
         if connection is None:
             connection = await self._connect(address, hooks.to_upstream)
         if hooks.to_upstream:
             self._metrics.count("connections.opened" if is_new else "connections.reused")
-        keep = functools.partial(self._keep, address, most_idle=hooks.most_idle)
-        exchange = Exchange(connection, keep, hooks.trusts, hooks.heard, hooks.new_counter)
+        keep = functools.partial(self._keep_idle, address, max_idle=hooks.max_idle)
+        exchange = Exchange(connection, keep, hooks.may_reuse, hooks.on_head, hooks.new_counter)
         try:
             # The connection may have taken a while, in which much may have been heard.
-            hooks.check()
+            hooks.before_send()
             exchange.send(request, body)
         except BaseException:
             # Nobody else knows of the connection: left open, it would hold a place at the
@@ -225,7 +225,7 @@
             raise
         return exchange
 
-    def _take(self, address: Address, repeatable: bool) -> Connection | None:
+    def _take_idle(self, address: Address, repeatable: bool) -> Connection | None:
         """Return an idle connection that is sure enough to be open, the newest first."""
         idle = self._idle_by_address.get(address)
         now = asyncio.get_running_loop().time()
@@ -235,7 +235,7 @@
                 connection.abort()
                 continue
             managed = self._is_managed(connection)
-            if repeatable or self._rules.is_sure(connection, now, managed):
+            if repeatable or self._reuse_rules.is_safe(connection, now, managed):
                 return connection
             idle.append(connection)
             return None
@@ -246,15 +246,15 @@
         return self._load_managed() and connection.to_upstream
 
     def _usable_until(self, connection: Connection) -> float:
-        return self._rules.usable_until(connection, self._is_managed(connection))
+        return self._reuse_rules.usable_until(connection, self._is_managed(connection))
 
     async def _connect(self, address: Address, to_upstream: bool) -> Connection:
-        connecting = _Connecting(self._closed, to_upstream)
+        factory = _ConnectFactory(self._connection_closed, to_upstream)
         connector = self._reactor.connectTCP(
-            address.host, address.port, connecting, timeout=self._connect_seconds
+            address.host, address.port, factory, timeout=self._connect_seconds
         )
         try:
-            connection = await connecting.made
+            connection = await factory.connected
         except asyncio.CancelledError:
             connector.disconnect()
             raise
@@ -276,43 +276,43 @@
             self._reactor.connectTCP(address.host, address.port, probe, timeout=PROBE_SECONDS)
         return await asyncio.shield(probe.refused)
 
-    def distrust(self, address: Address, since: float) -> None:
+    def close_stale(self, address: Address, since: float) -> None:
         """Close the idle connections to an address on which nothing came since a moment.
 
         They may be as silent as the one that told of it: each would cost a request its time.
         """
         for connection in tuple(self._idle_by_address.get(address, ())):
-            if connection.heard_at < since:
+            if connection.last_received_at < since:
                 connection.abort()
 
-    def _keep(
-        self, address: Address, connection: Connection, most_idle: int = IDLE_CONNECTIONS
+    def _keep_idle(
+        self, address: Address, connection: Connection, max_idle: int = IDLE_CONNECTIONS
     ) -> None:
         idle = self._idle_by_address.setdefault(address, [])
         idle.append(connection)
-        while len(idle) > most_idle:
+        while len(idle) > max_idle:
             idle.pop(0).abort()
-        if self._sweeping is None:
+        if self._sweep_timer is None:
             loop = asyncio.get_running_loop()
-            self._sweeping = loop.call_later(SWEEP_SECONDS, self._sweep)
+            self._sweep_timer = loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def _sweep(self) -> None:
         """Close what stayed idle too long: an upstream that went away closes nothing itself."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        every = [each for idle in self._idle_by_address.values() for each in idle]
-        for connection in every:
+        connections = [each for idle in self._idle_by_address.values() for each in idle]
+        for connection in connections:
             if self._usable_until(connection) <= now:
                 connection.abort()
-        left = any(self._usable_until(connection) > now for connection in every)
-        self._sweeping = loop.call_later(SWEEP_SECONDS, self._sweep) if left else None
+        has_usable = any(self._usable_until(connection) > now for connection in connections)
+        self._sweep_timer = loop.call_later(SWEEP_SECONDS, self._sweep) if has_usable else None
 
-    def _closed(self, connection: Connection) -> None:
+    def _connection_closed(self, connection: Connection) -> None:
         if connection.was_lost and connection.to_upstream:
-            self._rules.note_loss(asyncio.get_running_loop().time())
-        self._lost(connection)
+            self._reuse_rules.note_loss(asyncio.get_running_loop().time())
+        self._forget(connection)
 
-    def _lost(self, connection: Connection) -> None:
+    def _forget(self, connection: Connection) -> None:
         for address, idle in tuple(self._idle_by_address.items()):
             if connection in idle:
                 idle.remove(connection)
@@ -320,13 +320,13 @@
                     del self._idle_by_address[address]
                 return
         if connection.fell_silent:
-            self._distrust_all(connection.quiet_since())
+            self._close_all_stale(connection.last_active_at())
 
-    def _distrust_all(self, since: float) -> None:
+    def _close_all_stale(self, since: float) -> None:
         """Close every idle connection on which nothing came since a moment.
 
         What silenced one connection that had worked may have silenced all, to every address:
         the second try must not wait on another of them. Busy ones were heard since and stay.
         """
         for address in tuple(self._idle_by_address):
-            self.distrust(address, since)
+            self.close_stale(address, since)
--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -18,19 +18,19 @@
 
 from pondhatch.limits import UNCOUNTED, HeldCounter
 from pondhatch.requests import BodySource, ReplayableBody
+from pondhatch.transport._dead_peers import UNACKNOWLEDGED_MS, detect_dead_peer
 from pondhatch.transport._headers import as_bytes
-from pondhatch.transport._http_heads import Request, ResponseHead, framing, response_head
+from pondhatch.transport._http_heads import Request, ResponseHead, framing_header, response_head
 from pondhatch.transport._parts import PartPipe
-from pondhatch.transport._silence import UNACKNOWLEDGED_MS, show_silence
 from pondhatch.transport._unsent import unsent_bytes
 
 #: Seconds for which an idle connection is kept where the other side does not say.
 IDLE_SECONDS = 30.0
 #: Share of the time that the other side states for which an idle connection is used:
 #: beyond it, a request could cross the other side's close.
-STATED_SHARE = 0.5
+STATED_IDLE_SHARE = 0.5
 #: Bytes of an answer's head that are taken in at most.
-HEAD_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 
 
 class ConnectionBroken(ConnectionError):
@@ -42,11 +42,11 @@
 
     transport: Any
 
-    def __init__(self, closed: Callable[[Connection], None]) -> None:
+    def __init__(self, on_closed: Callable[[Connection], None]) -> None:
         #: Until when it may be taken again, in the loop's seconds.
         self.usable_until = float("-inf")
         #: Whether the other side stated how long it keeps an idle connection.
-        self.states_idle_time = False
+        self.has_stated_idle = False
         #: Seconds for which it does; 0 where it did not say.
         self.stated_idle = 0.0
         #: When its last exchange ended, in the loop's seconds.
@@ -56,17 +56,17 @@
         self.is_open = False
         #: When bytes last came on it, and when its last request was written, in the loop's
         #: seconds.
-        self.heard_at = float("-inf")
-        self.asked_at = float("-inf")
+        self.last_received_at = float("-inf")
+        self.last_request_at = float("-inf")
         #: Set where it had worked and was lost, neither closed in order nor given up here.
         self.was_lost = False
         #: Set where it was lost so after a while without a word.
         self.fell_silent = False
         #: Cleared while the other side takes no more of a request's body.
-        self._flowing = asyncio.Event()
-        self._flowing.set()
-        self._closed = closed
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
+        self._writable = asyncio.Event()
+        self._writable.set()
+        self._on_closed = on_closed
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._exchange: Exchange | None = None
 
     def connectionMade(self) -> None:
@@ -74,19 +74,19 @@
         self.is_open = True
         handle = self.transport.getHandle()
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        show_silence(handle)
+        detect_dead_peer(handle)
 
     def begin(self, exchange: Exchange, request: Request, length: int | None) -> None:
         """Write a request's head; its body follows by ``send_body`` or ``send_whole_body``."""
         self._exchange = exchange
-        self.asked_at = asyncio.get_running_loop().time()
-        framed = framing(request.method, length)
+        self.last_request_at = asyncio.get_running_loop().time()
+        framed = framing_header(request.method, length)
         headers = request.headers if framed is None else (*request.headers, framed)
         # As bytes: from text h11 takes ASCII alone, while values may hold any other byte.
         head = h11.Request(method=request.method, target=request.target, headers=as_bytes(headers))
         self._write(head)
 
-    async def send_body(self, body: BodySource, hold: HeldCounter = UNCOUNTED) -> None:
+    async def send_body(self, body: BodySource, counter: HeldCounter = UNCOUNTED) -> None:
         """Write a body as it comes, no faster than the other side takes it.
 
         ``hold`` counts what the connection holds meanwhile.
@@ -97,12 +97,12 @@
             while left != 0 and (part := await body.read()):
                 self._write(h11.Data(data=part))
                 left = left - len(part) if left is not None else None
-                if not self._flowing.is_set():
-                    hold.set(unsent_bytes(self.transport))
-                    await self._flowing.wait()
-                    hold.set(0)
+                if not self._writable.is_set():
+                    counter.set(unsent_bytes(self.transport))
+                    await self._writable.wait()
+                    counter.set(0)
         finally:
-            hold.close()
+            counter.close()
             self.transport.unregisterProducer()
         self._end_body()
 
@@ -118,11 +118,11 @@
 
     def pauseProducing(self) -> None:
         """Called by the connection when its buffer is full."""
-        self._flowing.clear()
+        self._writable.clear()
 
     def resumeProducing(self) -> None:
         """Called by the connection when its buffer has drained."""
-        self._flowing.set()
+        self._writable.set()
 
     def stopProducing(self) -> None:
         """Called by the connection when it is lost; whoever sends is cancelled elsewhere."""
@@ -138,7 +138,7 @@
         if self._exchange is None:
             self.abort()
             return
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         try:
             self._http.receive_data(data)
             self._read_events()
@@ -147,13 +147,13 @@
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008
         """End the exchange: whole only where an orderly close is its end."""
-        given_up = not self.is_open
-        closed = reason.check(ConnectionDone) is not None
+        was_aborted = not self.is_open
+        was_closed = reason.check(ConnectionDone) is not None
         self.is_open = False
-        self._flowing.set()
-        self.was_lost = not given_up and not closed and self.heard_at > float("-inf")
+        self._writable.set()
+        self.was_lost = not was_aborted and not was_closed and self.last_received_at > float("-inf")
         self.fell_silent = self.was_lost and self._is_silent()
-        self._closed(self)
+        self._on_closed(self)
         if self._exchange is None:
             return
         if reason.check(ConnectionDone) is not None:
@@ -164,9 +164,9 @@
                 pass  # The answer is not whole; told below with the connection's own reason.
         self._fail(ConnectionBroken(reason.getErrorMessage()))
 
-    def quiet_since(self) -> float:
+    def last_active_at(self) -> float:
         """Return when it was last used, by either side, in the loop's seconds."""
-        return max(self.heard_at, self.asked_at)
+        return max(self.last_received_at, self.last_request_at)
 
     def _is_silent(self) -> bool:
         """Return whether its exchange stood for as long as bytes may go unacknowledged.
@@ -176,7 +176,7 @@
         """
         if self._exchange is None:
             return False
-        waited = asyncio.get_running_loop().time() - self.quiet_since()
+        waited = asyncio.get_running_loop().time() - self.last_active_at()
         return waited >= UNACKNOWLEDGED_MS / 1000
 
     def pause(self) -> None:
@@ -203,7 +203,7 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 break
             if isinstance(event, h11.Response):
-                exchange.opened(response_head(event))
+                exchange.receive_head(response_head(event))
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
@@ -221,29 +221,31 @@
         surplus = bool(self._http.trailing_data[0])
         if clean and not surplus and self.is_open:
             self._http.start_next_cycle()
-            idle = exchange.answered.stated_idle() if exchange.answered is not None else None
-            self.states_idle_time = idle is not None
-            self.stated_idle = idle or 0.0
+            stated_idle = (
+                exchange.response.stated_idle_seconds() if exchange.response is not None else None
+            )
+            self.has_stated_idle = stated_idle is not None
+            self.stated_idle = stated_idle or 0.0
             self.idle_since = asyncio.get_running_loop().time()
-            kept = IDLE_SECONDS if idle is None else idle * STATED_SHARE
-            self.usable_until = self.idle_since + kept
-            exchange.ended(self)
+            kept_seconds = IDLE_SECONDS if stated_idle is None else stated_idle * STATED_IDLE_SHARE
+            self.usable_until = self.idle_since + kept_seconds
+            exchange.complete(self)
         else:
-            exchange.ended(None)
+            exchange.complete(None)
             self.abort()
 
     def _fail(self, error: ConnectionError) -> None:
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
-            exchange.failed(error)
+            exchange.fail(error)
         self.abort()
 
 
-def _ignore(_: ResponseHead) -> None:
+def _ignore_head(_: ResponseHead) -> None:
     return None
 
 
-def uncounted() -> HeldCounter:
+def no_counter() -> HeldCounter:
     """Return what counts nothing, for exchanges on behalf of no account."""
     return UNCOUNTED
 
@@ -254,27 +256,27 @@
     def __init__(
         self,
         connection: Connection,
-        keep: Callable[[Connection], None],
-        trusts: Callable[[ResponseHead], bool],
-        heard: Callable[[ResponseHead], None] = _ignore,
-        new_counter: Callable[[], HeldCounter] = uncounted,
+        keep_idle: Callable[[Connection], None],
+        may_reuse: Callable[[ResponseHead], bool],
+        on_head: Callable[[ResponseHead], None] = _ignore_head,
+        new_counter: Callable[[], HeldCounter] = no_counter,
     ) -> None:
         #: For whoever waits, and who may cancel it in the same turn of the loop in which the
         #: answer comes; what came is asked of ``answered``.
         self.head: asyncio.Future[ResponseHead] = asyncio.get_running_loop().create_future()
-        self.answered: ResponseHead | None = None
+        self.response: ResponseHead | None = None
         self.pipe = PartPipe(connection.pause, connection.resume)
-        self.pipe.count_by(new_counter())
+        self.pipe.use_counter(new_counter())
         self.connection = connection
-        self._keep = keep
+        self._keep_idle = keep_idle
         #: Whether an answer with this head leaves its connection fit for another exchange.
-        self._trusts = trusts
+        self._may_reuse = may_reuse
         #: Takes in the head as it comes, whether or not anybody still waits for it.
-        self._heard = heard
+        self._on_head = on_head
         #: Returns what counts bytes that wait for the other side, or for whoever reads its answer.
-        self._new_hold = new_counter
-        self._is_over = False
-        self._sending: asyncio.Task[None] | None = None
+        self._new_counter = new_counter
+        self._is_finished = False
+        self._send_task: asyncio.Task[None] | None = None
 
     def send(self, request: Request, body: BodySource) -> None:
         """Write the request; a body that is still to come is sent as it comes."""
@@ -282,11 +284,11 @@
         if isinstance(body, ReplayableBody):
             self.connection.send_whole_body(body.content)
             return
-        self._sending = asyncio.ensure_future(self._send(body))
+        self._send_task = asyncio.ensure_future(self._send(body))
 
     async def _send(self, body: BodySource) -> None:
         try:
-            await self.connection.send_body(body, self._new_hold())
+            await self.connection.send_body(body, self._new_counter())
         except Exception as error:
             # Whoever waits for the answer learns why there will be none.
             if not self.head.done():
@@ -294,27 +296,27 @@
                 self.head.exception()
             self.cancel()
 
-    def opened(self, head: ResponseHead) -> None:
+    def receive_head(self, head: ResponseHead) -> None:
         """Take in the answer's head."""
-        self.answered = head
-        self._heard(head)
+        self.response = head
+        self._on_head(head)
         if not self.head.done():
             self.head.set_result(head)
 
-    def ended(self, reusable: Connection | None) -> None:
+    def complete(self, reusable: Connection | None) -> None:
         """Note that the answer is whole; the connection may carry another exchange."""
-        self._over()
+        self._finish()
         self.pipe.end()
         if reusable is None:
             return
-        if self.answered is not None and self._trusts(self.answered):
-            self._keep(reusable)
+        if self.response is not None and self._may_reuse(self.response):
+            self._keep_idle(reusable)
         else:
             reusable.abort()
 
-    def failed(self, error: ConnectionError) -> None:
+    def fail(self, error: ConnectionError) -> None:
         """Note that no more will come."""
-        self._over()
+        self._finish()
         if not self.head.done():
             self.head.set_exception(error)
             self.head.exception()  # Whoever waits gets it; nobody may be waiting any more.
@@ -325,12 +327,12 @@
 
         Safe to call twice.
         """
-        self.pipe.give_up()
-        if not self._is_over:
-            self._over()
+        self.pipe.stop_counting()
+        if not self._is_finished:
+            self._finish()
             self.connection.abort()
 
-    def _over(self) -> None:
-        self._is_over = True
-        if self._sending is not None and self._sending is not asyncio.current_task():
-            self._sending.cancel()
+    def _finish(self) -> None:
+        self._is_finished = True
+        if self._send_task is not None and self._send_task is not asyncio.current_task():
+            self._send_task.cancel()
--- a/pondhatch/transport/_http_heads.py
+++ b/pondhatch/transport/_http_heads.py
@@ -31,7 +31,7 @@
     #: The last value of each, by name in lower case.
     value_by_name: dict[str, str]
 
-    def stated_idle(self) -> float | None:
+    def stated_idle_seconds(self) -> float | None:
         """Return for how many seconds the other side keeps the connection, if it says so."""
         stated = self.value_by_name.get("keep-alive", "")
         for field in stated.split(","):
@@ -41,7 +41,7 @@
         return None
 
 
-def framing(method: str, length: int | None) -> tuple[str, str] | None:
+def framing_header(method: str, length: int | None) -> tuple[str, str] | None:
     """Return the header that frames a request's body, or None where it has none."""
     if length is None:
         return ("Transfer-Encoding", "chunked")
--- a/pondhatch/transport/_interface.py
+++ b/pondhatch/transport/_interface.py
@@ -29,7 +29,7 @@
     """What serving callers takes."""
 
     state: RouterState
-    ways: Collaborators
+    collaborators: Collaborators
     #: What callers may send, by the settings in force.
     limits: Callable[[], CallerLimits]
     metrics: Metrics
@@ -37,14 +37,14 @@
     tasks: Tasks
     rng: random.Random
     #: Holds requests for a moment while the router starts.
-    starting: StartupWait
+    startup_wait: StartupWait
 
 
 class Callers(Protocol):
     """Serves callers' requests."""
 
     #: Whether a stopping router still takes requests.
-    takes_work: bool
+    accepts_requests: bool
 
     @property
     def in_flight(self) -> int:
--- a/pondhatch/transport/_parts.py
+++ b/pondhatch/transport/_parts.py
@@ -16,7 +16,7 @@
 HIGH_WATER = 64 * 1024
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
@@ -28,11 +28,11 @@
     """
 
     def __init__(
-        self, pause: Callable[[], None] = _nothing, resume: Callable[[], None] = _nothing
+        self, pause: Callable[[], None] = _do_nothing, resume: Callable[[], None] = _do_nothing
     ) -> None:
         self.ended = False
         #: Counts what waits here for whoever reads.
-        self._hold: HeldCounter = UNCOUNTED
+        self._counter: HeldCounter = UNCOUNTED
         self._pause = pause
         self._resume = resume
         self._parts: list[bytes] = []
@@ -43,24 +43,24 @@
         #: Takes parts as they come, while nothing waits here.
         self._sink: PartSink | None = None
 
-    def count_by(self, hold: HeldCounter) -> None:
+    def use_counter(self, counter: HeldCounter) -> None:
         """Have what waits here counted from now on; it counts until the hold is closed."""
-        self._hold = hold
-        hold.set(self._size)
+        self._counter = counter
+        counter.set(self._size)
 
-    def give_up(self) -> None:
+    def stop_counting(self) -> None:
         """Note that nobody reads what waits here any more: it counts no longer."""
-        self._hold.close()
+        self._counter.close()
 
     def put(self, part: bytes) -> None:
         """Take in a part; pauses the source where too much waits."""
         if self._sink is not None:
-            self._hand_on(self._sink, part)
+            self._forward(self._sink, part)
             return
         self._parts.append(part)
         self._size += len(part)
-        self._hold.set(self._size)
-        if not self._paused and (self._size > HIGH_WATER or self._hold.is_slowed()):
+        self._counter.set(self._size)
+        if not self._paused and (self._size > HIGH_WATER or self._counter.is_slowed()):
             self._paused = True
             self._pause()
         self._wake()
@@ -79,58 +79,58 @@
     async def read(self) -> bytes:
         """Return everything that waits, or b"" at the end; raises the source's error."""
         while not self._parts:
-            if self._over():
+            if self._has_ended():
                 return b""
-            await self._woken()
+            await self._wait_for_wake()
         return self._take()
 
-    async def pour(self, sink: PartSink) -> None:
+    async def stream_to(self, sink: PartSink) -> None:
         """Hand every part to a sink, to the end; raises the source's error, or the sink's."""
         try:
-            while self._parts or not self._over():
+            while self._parts or not self._has_ended():
                 if self._parts:
-                    flowing = sink.write(self._take())
+                    is_ready = sink.write(self._take())
                 else:
                     self._sink = sink
-                    await self._woken()
-                    flowing = self._sink is not None
+                    await self._wait_for_wake()
+                    is_ready = self._sink is not None
                     self._sink = None
-                if not flowing:
+                if not is_ready:
                     await sink.ready()
         finally:
             self._sink = None
 
-    def _hand_on(self, sink: PartSink, part: bytes) -> None:
+    def _forward(self, sink: PartSink, part: bytes) -> None:
         """Give a part to the sink; one that is slow, or fails, gets no more from here."""
         try:
-            flowing = sink.write(part)
+            is_ready = sink.write(part)
         except Exception as error:
             self._sink = None
             waiter, self._waiter = self._waiter, None
             if waiter is not None and not waiter.done():
                 waiter.set_exception(error)
             return
-        if not flowing:
+        if not is_ready:
             self._sink = None
             self._wake()
 
-    def _over(self) -> bool:
+    def _has_ended(self) -> bool:
         """Return whether the source has ended; raises its error."""
         if self._error is not None:
             raise self._error
         return self.ended
 
     def _take(self) -> bytes:
-        whole = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
+        data = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
         self._parts.clear()
         self._size = 0
-        self._hold.set(0)
+        self._counter.set(0)
         if self._paused:
             self._paused = False
             self._resume()
-        return whole
+        return data
 
-    async def _woken(self) -> None:
+    async def _wait_for_wake(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
         await self._waiter
 
--- a/pondhatch/transport/_peer_service.py
+++ b/pondhatch/transport/_peer_service.py
@@ -36,8 +36,8 @@
         """Return the handlers by method, as grpclib asks for them."""
         unary = Cardinality.UNARY_UNARY
         return {
-            wire.CLAIM_METHOD: Handler(self._claim, unary, wire.KeyNote, wire.ClaimReply),
-            wire.SETTLE_METHOD: Handler(self._settle, unary, wire.KeyNote, wire.Empty),
+            wire.CLAIM_METHOD: Handler(self._claim, unary, wire.KeyedRecord, wire.ClaimReply),
+            wire.SETTLE_METHOD: Handler(self._settle, unary, wire.KeyedRecord, wire.Empty),
             wire.RELEASE_METHOD: Handler(self._release, unary, wire.KeyRelease, wire.Empty),
             wire.PULL_METHOD: Handler(self._answer_pull, unary, wire.PullRequest, wire.PullReply),
         }
@@ -49,30 +49,30 @@
         return server
 
     async def _check_token(self, event: RecvRequest) -> None:
-        shown = event.metadata.get(wire.TOKEN_METADATA, "")
-        if not isinstance(shown, str) or not hmac.compare_digest(shown, self._token):
+        token = event.metadata.get(wire.TOKEN_METADATA, "")
+        if not isinstance(token, str) or not hmac.compare_digest(token, self._token):
             raise GRPCError(Status.UNAUTHENTICATED, "the fleet key does not fit")
 
-    async def _claim(self, stream: ServerStream[wire.KeyNote, wire.ClaimReply]) -> None:
-        note = await stream.recv_message()
-        claim = await self._keys.claim(note.key, note.record) if note is not None else None
+    async def _claim(self, stream: ServerStream[wire.KeyedRecord, wire.ClaimReply]) -> None:
+        message = await stream.recv_message()
+        claim = await self._keys.claim(message.key, message.record) if message is not None else None
         if claim is not None:
             known = claim.record if isinstance(claim, UsedKey) else None
             await stream.send_message(wire.ClaimReply(known))
 
-    async def _settle(self, stream: ServerStream[wire.KeyNote, wire.Empty]) -> None:
-        note = await stream.recv_message()
-        if note is not None:
-            await self._keys.settle(note.key, note.record)
+    async def _settle(self, stream: ServerStream[wire.KeyedRecord, wire.Empty]) -> None:
+        message = await stream.recv_message()
+        if message is not None:
+            await self._keys.settle(message.key, message.record)
         await stream.send_message(wire.Empty())
 
     async def _release(self, stream: ServerStream[wire.KeyRelease, wire.Empty]) -> None:
-        note = await stream.recv_message()
-        if note is not None:
-            await self._keys.release(note.key, note.request_id)
+        message = await stream.recv_message()
+        if message is not None:
+            await self._keys.release(message.key, message.request_id)
         await stream.send_message(wire.Empty())
 
     async def _answer_pull(self, stream: ServerStream[Any, Any]) -> None:
-        asked = await stream.recv_message()
-        if asked is not None:
-            await stream.send_message(self._pull(asked))
+        request = await stream.recv_message()
+        if request is not None:
+            await stream.send_message(self._pull(request))
--- a/pondhatch/transport/_remote_peer.py
+++ b/pondhatch/transport/_remote_peer.py
@@ -12,7 +12,7 @@
 from pondhatch.membership import Address
 from pondhatch.requests import Claim, KeyRecord, NewKey, UsedKey
 from pondhatch.transport import _wire as wire
-from pondhatch.transport._silence import show_silence
+from pondhatch.transport._dead_peers import detect_dead_peer
 
 #: Seconds to wait for a peer's reply. A peer that gives none has its connection made anew:
 #: one that a middle box swallows is acknowledged, and so shows by nothing else.
@@ -26,7 +26,7 @@
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        show_silence(transport.get_extra_info("socket"))
+        detect_dead_peer(transport.get_extra_info("socket"))
 
 
 class _Channel(Channel):
@@ -36,7 +36,7 @@
         return _Protocol(Handler(), self._config, self._h2_config)
 
 
-class _Calls:
+class _PeerCalls:
     """A channel to one peer and the calls made over it."""
 
     def __init__(self, address: Address, tls: ssl.SSLContext | None) -> None:
@@ -45,9 +45,11 @@
             self.channel, wire.PULL_METHOD, wire.PullRequest, wire.PullReply
         )
         self.claim = UnaryUnaryMethod(
-            self.channel, wire.CLAIM_METHOD, wire.KeyNote, wire.ClaimReply
+            self.channel, wire.CLAIM_METHOD, wire.KeyedRecord, wire.ClaimReply
+        )
+        self.settle = UnaryUnaryMethod(
+            self.channel, wire.SETTLE_METHOD, wire.KeyedRecord, wire.Empty
         )
-        self.settle = UnaryUnaryMethod(self.channel, wire.SETTLE_METHOD, wire.KeyNote, wire.Empty)
         self.release = UnaryUnaryMethod(
             self.channel, wire.RELEASE_METHOD, wire.KeyRelease, wire.Empty
         )
@@ -67,26 +69,26 @@
         self.address = address
         self._metadata = {wire.TOKEN_METADATA: token}
         self._tls = tls
-        self._calls = _Calls(address, tls)
+        self._calls = _PeerCalls(address, tls)
 
     async def pull(
         self, configuration: int, upstreams: int, takes_difference: bool = True
     ) -> wire.PullReply | None:
         """Return what the peer has beyond these versions, or None where it is lost."""
-        asked = wire.PullRequest(configuration, upstreams, takes_difference)
-        reply: wire.PullReply | None = await self._call("pull", asked)
+        request = wire.PullRequest(configuration, upstreams, takes_difference)
+        reply: wire.PullReply | None = await self._call("pull", request)
         return reply
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
         """Claim a key at the peer; see KeyHolder."""
-        reply = await self._call("claim", wire.KeyNote(key, record))
+        reply = await self._call("claim", wire.KeyedRecord(key, record))
         if reply is None:
             return None
         return NewKey() if reply.known is None else UsedKey(reply.known)
 
     async def settle(self, key: str, record: KeyRecord) -> None:
         """Record at the peer what became of a request; see KeyHolder."""
-        await self._call("settle", wire.KeyNote(key, record))
+        await self._call("settle", wire.KeyedRecord(key, record))
 
     async def release(self, key: str, request_id: str) -> None:
         """Forget a claim at the peer; see KeyHolder."""
@@ -99,16 +101,16 @@
             method = getattr(calls, name)
             return await method(message, timeout=CALL_SECONDS, metadata=self._metadata)
         except TimeoutError:
-            self._renew(calls)
+            self._reconnect(calls)
             return None
         except PEER_LOST:
             return None
 
-    def _renew(self, silent: _Calls) -> None:
+    def _reconnect(self, silent: _PeerCalls) -> None:
         """Have the next call use a new connection, unless another call has seen to that."""
         if self._calls is not silent:
             return
-        self._calls = _Calls(self.address, self._tls)
+        self._calls = _PeerCalls(self.address, self._tls)
         silent.channel.close()
 
     def close(self) -> None:
--- a/pondhatch/transport/_reuse.py
+++ b/pondhatch/transport/_reuse.py
@@ -10,12 +10,12 @@
 
 from typing import Protocol
 
-from pondhatch.transport._http_connection import STATED_SHARE
+from pondhatch.transport._http_connection import STATED_IDLE_SHARE
 
 #: Seconds since its last bytes within which a kept connection carries a request that may not
 #: be repeated: lost on a silent connection it would be lost for good, while a new connection
 #: costs a round trip. Busy addresses use theirs far more often, so they keep theirs.
-HEARD_SECONDS = 0.5
+MAX_SILENT_SECONDS = 0.5
 #: Share of the time that the other side states for which an idle connection is used while load
 #: is managed, and the seconds that are left of it for a request on its way: a path between data
 #: halls takes some hundredths of a second, a busy router some tenths.
@@ -26,17 +26,17 @@
 STRICT_SECONDS = 3.0
 
 
-class KeptConnection(Protocol):
+class IdleConnection(Protocol):
     """What the rules read of an idle connection."""
 
     #: Until when it may be taken while load is not managed, in the loop's seconds.
     usable_until: float
     #: Whether the other side stated how long it keeps an idle connection, and for how long.
-    states_idle_time: bool
+    has_stated_idle: bool
     stated_idle: float
     #: When its last exchange ended, and when bytes last came on it, in the loop's seconds.
     idle_since: float
-    heard_at: float
+    last_received_at: float
 
 
 class ReuseRules:
@@ -53,24 +53,24 @@
         """Return whether a connection was lost lately, so that the others may be dead as well."""
         return now - self._lost_at < STRICT_SECONDS
 
-    def usable_until(self, connection: KeptConnection, managed: bool) -> float:
+    def usable_until(self, connection: IdleConnection, managed: bool) -> float:
         """Return until when an idle connection may be taken at all."""
-        if not managed or not connection.states_idle_time:
+        if not managed or not connection.has_stated_idle:
             return connection.usable_until
-        return connection.idle_since + managed_seconds(connection.stated_idle)
+        return connection.idle_since + managed_idle_seconds(connection.stated_idle)
 
-    def is_sure(self, connection: KeptConnection, now: float, managed: bool) -> bool:
+    def is_safe(self, connection: IdleConnection, now: float, managed: bool) -> bool:
         """Return whether a request that may not be repeated may go on a kept connection."""
-        if not connection.states_idle_time:
+        if not connection.has_stated_idle:
             return False
         if managed and not self.is_strict(now):
             return now < self.usable_until(connection, managed)
-        return now - connection.heard_at <= HEARD_SECONDS
+        return now - connection.last_received_at <= MAX_SILENT_SECONDS
 
 
-def managed_seconds(stated: float) -> float:
+def managed_idle_seconds(stated: float) -> float:
     """Return for how long an idle connection is used of the time that the other side states.
 
     Short times leave no margin; of them no less is used than while load is not managed.
     """
-    return max(stated * STATED_SHARE, stated * MANAGED_SHARE - MANAGED_MARGIN)
+    return max(stated * STATED_IDLE_SHARE, stated * MANAGED_SHARE - MANAGED_MARGIN)
--- a/pondhatch/transport/_routed_answers.py
+++ b/pondhatch/transport/_routed_answers.py
@@ -7,7 +7,7 @@
 
 from pondhatch.observing import Metrics
 from pondhatch.requests import Broken, Headers, Refusal
-from pondhatch.transport._answers import cut, write_head
+from pondhatch.transport._answers import abort_connection, write_head
 from pondhatch.transport._caller_dialect import CallerDialect
 
 
@@ -15,12 +15,12 @@
     """Answers passed on unchanged, refusals by status alone; see Answers."""
 
     def __init__(
-        self, dialect: CallerDialect, metrics: Metrics, stopping: Callable[[], bool]
+        self, dialect: CallerDialect, metrics: Metrics, is_stopping: Callable[[], bool]
     ) -> None:
         self._dialect = dialect
         self._metrics = metrics
         #: Whether this router is stopping, so that connections end with their answer.
-        self._stopping = stopping
+        self._is_stopping = is_stopping
 
     def refuse(self, request: Any, refusal: Refusal) -> None:
         """Write a refusal."""
@@ -38,9 +38,9 @@
 
     def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
         """Cut the connection: nothing else tells that an answer is not whole."""
-        cut(request)
+        abort_connection(request)
 
     def _close_if_stopping(self, request: Any) -> None:
-        if self._stopping():
+        if self._is_stopping():
             request.setHeader(b"Connection", b"close")
             request.channel.persistent = False
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -38,14 +38,14 @@
     not_ready_refusal,
     unknown_entry_refusal,
 )
-from pondhatch.transport._answers import fail
+from pondhatch.transport._answers import refuse_after_failure
 from pondhatch.transport._caller_channel import CallerRequest, drain, read_whole
 from pondhatch.transport._caller_dialect import CallerDialect, CallerFacts
-from pondhatch.transport._header_owners import counting
+from pondhatch.transport._header_owners import dropped_header_counter
 from pondhatch.transport._headers import as_text
 from pondhatch.transport._interface import CallerParts
 from pondhatch.transport._routed_answers import RoutedAnswers
-from pondhatch.transport._serving import CALLER_GONE, Serving, Work
+from pondhatch.transport._serving import CALLER_GONE, AdmittedRequest, Serving
 
 log = log_for("callers")
 
@@ -54,7 +54,7 @@
 TOO_LARGE = 413
 #: Bytes of a refused request's body that are read and dropped, so that its connection can
 #: be used again; beyond them it is closed.
-UNWANTED_BYTES = 256 * 1024
+MAX_DRAINED_BYTES = 256 * 1024
 
 
 class RoutedCallers(Resource):
@@ -67,16 +67,16 @@
         #: Requests that have not ended; a stopping router waits for them.
         self.in_flight = 0
         #: Whether a stopping router still takes requests.
-        self.takes_work = True
+        self.accepts_requests = True
         self._state = parts.state
         self._dialect = dialect
         self._limits = parts.limits
         self._metrics = parts.metrics
-        self._note_dropped = counting(parts.metrics)
+        self._note_dropped = dropped_header_counter(parts.metrics)
         self._records = parts.records
         self._rng = parts.rng
         self._tasks = parts.tasks
-        self._starting = parts.starting
+        self._startup_wait = parts.startup_wait
         self._answers = RoutedAnswers(dialect, parts.metrics, parts.state.is_draining)
         self._serving = Serving(parts, self._answers)
 
@@ -91,35 +91,37 @@
         return NOT_DONE_YET
 
     async def _serve(self, request: CallerRequest) -> None:
-        started = time.monotonic()
+        started_at = time.monotonic()
         self.in_flight += 1
         try:
-            work = await self._read(request, started)
+            work = await self._read_request(request, started_at)
             if isinstance(work, NotRun):
                 self._answers.refuse(request, work)
-                self._note_unserved(request, work.code, started)
+                self._record_unserved(request, work.code, started_at)
             else:
-                await self._serving.run(request, work, started)
+                await self._serving.run(request, work, started_at)
         except CallerGone:
             self._metrics.count("callers.gone")
-            request.cut()
+            request.abort()
         except asyncio.CancelledError:
             # The caller left, or this router ends before the answer did: what was sent of
             # it must not look whole.
             self._metrics.count("callers.gone")
-            request.cut()
+            request.abort()
             raise
         except Exception:
             log.exception("A request ended in an error of this router.")
             self._metrics.count("requests.router-failed")
-            fail(request, self._answers)
+            refuse_after_failure(request, self._answers)
             _finish(request)
         else:
             _finish(request)
         finally:
             self.in_flight -= 1
 
-    async def _read(self, request: CallerRequest, started: float) -> Work | NotRun:
+    async def _read_request(
+        self, request: CallerRequest, started_at: float
+    ) -> AdmittedRequest | NotRun:
         """Return what is to be done with a request, or its refusal, once its body is read."""
         try:
             work = await self._prepare(request)
@@ -127,7 +129,7 @@
                 await self._drop_body(request, work)
         except (CallerGone, asyncio.CancelledError):
             # Without a record, what its caller gave up looks like a request that was lost.
-            self._note_unserved(request, CALLER_GONE.code, started)
+            self._record_unserved(request, CALLER_GONE.code, started_at)
             raise
         return work
 
@@ -137,11 +139,11 @@
         What is refused for memory, and too large for that, is refused before its body comes.
         """
         body = request.body()
-        is_large = body.length is not None and body.length > UNWANTED_BYTES
+        is_large = body.length is not None and body.length > MAX_DRAINED_BYTES
         if refusal.code != MEMORY_LIMITED or not is_large:
-            await drain(body, UNWANTED_BYTES)
+            await drain(body, MAX_DRAINED_BYTES)
 
-    def _note_unserved(self, request: CallerRequest, outcome: str, started: float) -> None:
+    def _record_unserved(self, request: CallerRequest, outcome: str, started_at: float) -> None:
         """Leave a decision on a request for which no engine was chosen."""
         facts = self._dialect.read(_headers(request))
         self._records.note(
@@ -150,61 +152,65 @@
                 account="",
                 service="",
                 outcome=outcome,
-                ms=round((time.monotonic() - started) * 1000),
+                ms=round((time.monotonic() - started_at) * 1000),
                 configuration=self._state.fleet.version,
             )
         )
 
-    async def _prepare(self, request: CallerRequest) -> Work | NotRun:
-        await self._starting.wait()
+    async def _prepare(self, request: CallerRequest) -> AdmittedRequest | NotRun:
+        await self._startup_wait.wait()
         headers = _headers(request)
         facts = self._dialect.read(headers)
-        wanted = self._wanted(request, facts)
-        if isinstance(wanted, NotRun):
-            return wanted
-        _, account = wanted
-        hold = self._state.held_bytes.counter(account.name)
-        work: Work | NotRun | None = None
+        found = self._route_and_account(request, facts)
+        if isinstance(found, NotRun):
+            return found
+        _, account = found
+        counter = self._state.held_bytes.counter(account.name)
+        work: AdmittedRequest | NotRun | None = None
         try:
-            work = await self._with_body(request, facts, headers, hold)
+            work = await self._read_and_admit(request, facts, headers, counter)
         finally:
-            if not isinstance(work, Work):
-                hold.close()
+            if not isinstance(work, AdmittedRequest):
+                counter.close()
         return work
 
-    async def _with_body(
-        self, request: CallerRequest, facts: CallerFacts, headers: Headers, hold: HeldCounter
-    ) -> Work | NotRun:
+    async def _read_and_admit(
+        self, request: CallerRequest, facts: CallerFacts, headers: Headers, counter: HeldCounter
+    ) -> AdmittedRequest | NotRun:
         """Read a request's body and count it in; ``hold`` counts the body."""
-        most = self._most_body_bytes()
-        body = await read_whole(request.body(), most, hold)
+        max_bytes = self._max_body_bytes()
+        body = await read_whole(request.body(), max_bytes, counter)
         if body is None:
-            wrong = NotRun("body-too-large", f"expected at most {most} bytes", 0.0, TOO_LARGE)
-            return unknown_entry_refusal(self._state, "bounds", wrong)
+            refusal = NotRun(
+                "body-too-large", f"expected at most {max_bytes} bytes", 0.0, TOO_LARGE
+            )
+            return unknown_entry_refusal(self._state, "bounds", refusal)
         if isinstance(body, Limited):
             self._metrics.count("held.refused")
             return memory_limited_refusal(body)
         # The configuration may have changed while the body came.
-        wanted = self._wanted(request, facts)
-        if isinstance(wanted, NotRun):
-            return wanted
-        route, account = wanted
-        work = self._admitted(request, route, account, facts, headers, ReplayableBody(body))
-        return work if isinstance(work, NotRun) else replace(work, hold=hold)
-
-    def _wanted(self, request: CallerRequest, facts: CallerFacts) -> tuple[Route, Account] | NotRun:
+        found = self._route_and_account(request, facts)
+        if isinstance(found, NotRun):
+            return found
+        route, account = found
+        work = self._admit(request, route, account, facts, headers, ReplayableBody(body))
+        return work if isinstance(work, NotRun) else replace(work, body_counter=counter)
+
+    def _route_and_account(
+        self, request: CallerRequest, facts: CallerFacts
+    ) -> tuple[Route, Account] | NotRun:
         """Return a request's route and account by the configuration in force."""
-        route = self._route(request)
+        route = self._find_route(request)
         if isinstance(route, NotRun):
             return route
         account = ANONYMOUS if route.spec.public else identify_key(self._state, facts.key)
         return account if isinstance(account, NotRun) else (route, account)
 
-    def _route(self, request: CallerRequest) -> Route | NotRun:
-        unready = not_ready_refusal(self._state)
-        if unready is not None:
-            return unready
-        if not self.takes_work:
+    def _find_route(self, request: CallerRequest) -> Route | NotRun:
+        refusal = not_ready_refusal(self._state)
+        if refusal is not None:
+            return refusal
+        if not self.accepts_requests:
             return NotRun("stopping", "this router is stopping; ask another", 0.0)
         host = _host(request)
         path = request.uri.decode("latin-1")
@@ -214,17 +220,17 @@
         if route is None:
             return unknown_entry_refusal(self._state, "route", NO_ROUTE)
         # A route for all paths of a host is no leave to have engines move or free memory.
-        forbidden = self._dialect.asks_for_routers_call(path, route.spec.path_prefix)
-        if forbidden and self._leads_to_engines(route):
+        is_reserved = self._dialect.is_router_only_call(path, route.spec.path_prefix)
+        if is_reserved and self._targets_models(route):
             return NO_ROUTE
         return route
 
-    def _leads_to_engines(self, route: Route) -> bool:
+    def _targets_models(self, route: Route) -> bool:
         """Return whether a route leads to a model service; plain ones have paths of their own."""
         services = self._state.fleet.service_by_name
         return any(services[target.service].kind == "model" for target in route.spec.targets)
 
-    def _admitted(
+    def _admit(
         self,
         request: CallerRequest,
         route: Route,
@@ -232,24 +238,24 @@
         facts: CallerFacts,
         headers: Headers,
         body: ReplayableBody,
-    ) -> Work | NotRun:
+    ) -> AdmittedRequest | NotRun:
         service = route.choose_service(self._rng.random())
-        admitted = admit_routed(self._state, account, route.spec, service, facts.wait)
+        admitted = admit_routed(self._state, account, route.spec, service, facts.max_wait)
         if isinstance(admitted, NotRun):
             return admitted
         # On the way in, so that nothing behind this can pass on what the caller may not say.
-        passed_on = self._dialect.passed_on(headers, self._note_dropped)
-        head = _head(request, route.spec, account, admitted, facts, passed_on, body)
+        forwarded = self._dialect.forwarded_headers(headers, self._note_dropped)
+        head = _head(request, route.spec, account, admitted, facts, forwarded, body)
         context_wait = admitted.context_wait if head.is_followup else 0.0
         spec = route.spec
         deadlines = answer_deadlines(spec.objective, spec.streams, spec.longest_pause)
-        patience = WaitLimits(context_wait, admitted.queue_wait, deadlines)
-        return Work(account, admitted, head, body, patience)
+        wait_limits = WaitLimits(context_wait, admitted.queue_wait, deadlines)
+        return AdmittedRequest(account, admitted, head, body, wait_limits)
 
-    def _most_body_bytes(self) -> int:
-        own = self._limits().chat_body_bytes
+    def _max_body_bytes(self) -> int:
+        settings = self._limits().chat_body_bytes
         bounds = self._state.fleet.caller_bounds
-        return own if bounds is None else _or(bounds.body_bytes, own)
+        return settings if bounds is None else _value_or(bounds.body_bytes, settings)
 
 
 def _finish(request: CallerRequest) -> None:
@@ -289,7 +295,7 @@
     headers: Headers,
     body: ReplayableBody,
 ) -> RequestHead:
-    context = facts.context if route.keeps_context else 0
+    context = facts.context_key if route.keeps_context else 0
     method, path = request.method.decode("latin-1"), request.uri.decode("latin-1")
     return RequestHead(
         request_id=uuid.uuid4().hex,
@@ -315,18 +321,18 @@
     )
 
 
-def bounded(state: RouterState, own: CallerLimits) -> CallerLimits:
+def effective_caller_limits(state: RouterState, settings: CallerLimits) -> CallerLimits:
     """Return what callers may send: what the configuration in force says, else the settings."""
     bounds = state.fleet.caller_bounds
     if bounds is None:
-        return own
+        return settings
     return CallerLimits(
-        chat_body_bytes=own.chat_body_bytes,
-        header_bytes=_or(bounds.header_bytes, own.header_bytes),
-        header_seconds=_or(bounds.header_seconds, own.header_seconds),
-        idle_seconds=_or(bounds.idle_seconds, own.idle_seconds),
+        chat_body_bytes=settings.chat_body_bytes,
+        header_bytes=_value_or(bounds.header_bytes, settings.header_bytes),
+        header_seconds=_value_or(bounds.header_seconds, settings.header_seconds),
+        idle_seconds=_value_or(bounds.idle_seconds, settings.idle_seconds),
     )
 
 
-def _or(value: Number | None, otherwise: Number) -> Number:
+def _value_or(value: Number | None, otherwise: Number) -> Number:
     return otherwise if value is None else value
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_serving.py
@@ -43,24 +43,24 @@
 
 log = log_for("callers")
 
-Ended = Whole | Broken | Refusal
+ServedOutcome = Whole | Broken | Refusal
 
 #: What becomes of a request whose caller leaves, unless something else became of it before.
 CALLER_GONE = Unknown("caller-gone", "the caller went away")
 
 
-class Work(msgspec.Struct, frozen=True):
+class AdmittedRequest(msgspec.Struct, frozen=True):
     """A request that was counted in, ready to be placed."""
 
     account: Account
     admitted: Admitted
     head: RequestHead
     body: BodySource
-    patience: WaitLimits
+    wait_limits: WaitLimits
     #: Idempotency key of a request that must not run twice, made the account's own.
     key: str | None = None
     #: Counts its body until it has ended.
-    hold: HeldCounter = UNCOUNTED
+    body_counter: HeldCounter = UNCOUNTED
 
 
 class AnswerCopy(msgspec.Struct):
@@ -82,15 +82,15 @@
         return b"".join(self.parts) if self.size <= MAX_KEPT_BODY else None
 
 
-class _Spans(msgspec.Struct):
+class _Timings(msgspec.Struct):
     """Where a request's time went, in seconds."""
 
     #: From its head to its end.
-    whole: float = 0.0
+    total: float = 0.0
     #: From its head until an engine's answer began.
     placed: float = 0.0
     #: The longest pause between two parts of the answer.
-    pause: float = 0.0
+    longest_pause: float = 0.0
 
 
 def _milliseconds(seconds: float) -> int:
@@ -115,116 +115,118 @@
 
     def __init__(self, parts: CallerParts, answers: Answers) -> None:
         self._state = parts.state
-        self._ways = parts.ways
+        self._collaborators = parts.collaborators
         self._metrics = parts.metrics
         self._tasks = parts.tasks
         self._records = parts.records
         self._answers = answers
         #: Keyed requests that go on though their callers left.
-        self.without_caller: set[asyncio.Task[None]] = set()
+        self.detached_tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, request: CallerRequest, work: Work, started: float) -> None:
+    async def run(self, request: CallerRequest, work: AdmittedRequest, started_at: float) -> None:
         """Serve one request; a caller that leaves cancels it, unless it has a key."""
         if work.key is None:
             try:
-                await self._serve(request, work, started)
+                await self._serve(request, work, started_at)
             finally:
-                work.hold.close()
+                work.body_counter.close()
             return
-        serving = self._tasks.start(self._serve(request, work, started))
+        task = self._tasks.start(self._serve(request, work, started_at))
         # Not in the task itself: one that is cancelled before its first step runs no cleanup.
-        serving.add_done_callback(lambda _: work.hold.close())
+        task.add_done_callback(lambda _: work.body_counter.close())
         try:
-            await asyncio.shield(serving)
+            await asyncio.shield(task)
         except asyncio.CancelledError:
-            self._go_on(serving, request)
+            self._detach(task, request)
             raise
 
-    def _go_on(self, serving: asyncio.Task[None], request: CallerRequest) -> None:
+    def _detach(self, task: asyncio.Task[None], request: CallerRequest) -> None:
         """Let a keyed request run to its end, for the caller to ask for the answer again.
 
         Cut off, its outcome would be unknown, and its key of no more use to its caller.
         """
         if not request.pipe.ended:
-            serving.cancel()  # The rest of its body will not come.
-        self.without_caller.add(serving)
-        serving.add_done_callback(self.without_caller.discard)
+            task.cancel()  # The rest of its body will not come.
+        self.detached_tasks.add(task)
+        task.add_done_callback(self.detached_tasks.discard)
 
-    async def _serve(self, request: CallerRequest, work: Work, started: float) -> None:
+    async def _serve(
+        self, request: CallerRequest, work: AdmittedRequest, started_at: float
+    ) -> None:
         """Serve one request to its end; its account's count ends with it."""
         try:
             if work.key is not None:
-                await self._run_keyed(request, work, work.key, started)
+                await self._run_keyed(request, work, work.key, started_at)
             else:
-                await self._run(request, work, started, AnswerCopy())
+                await self._run(request, work, started_at, AnswerCopy())
         finally:
             if work.account is not ANONYMOUS:
                 self._state.limits.end_request(work.account.name)
 
     async def _run_keyed(
-        self, request: CallerRequest, work: Work, key: str, started: float
+        self, request: CallerRequest, work: AdmittedRequest, key: str, started_at: float
     ) -> None:
         """Run a request under its key, or answer as the first one with that key was."""
         head = work.head
         digest = f"{head.method} {head.path} {work.body.length}"
         record = KeyRecord(digest, self._state.name, head.request_id)
         keyed = KeyedRun(self._state, key, record, work.head.regions)
-        begun = await keyed.begin()
-        if isinstance(begun, UsedKey) and begun.record.digest == digest and begun.record.answer:
-            replay(request, self._answers, begun.record.answer, head.request_id)
+        claim = await keyed.begin()
+        if isinstance(claim, UsedKey) and claim.record.digest == digest and claim.record.answer:
+            replay(request, self._answers, claim.record.answer, head.request_id)
             return
-        if not isinstance(begun, NewKey):
-            refusal = begun if isinstance(begun, NotRun) else used_key_refusal(begun, record)
+        if not isinstance(claim, NewKey):
+            refusal = claim if isinstance(claim, NotRun) else used_key_refusal(claim, record)
             self._answers.refuse(request, refusal)
             return
         copy = AnswerCopy()
-        ended: Ended = CALLER_GONE
+        outcome: ServedOutcome = CALLER_GONE
         try:
-            ended = await self._run(request, work, started, copy)
+            outcome = await self._run(request, work, started_at, copy)
         finally:
-            self._tasks.start(_end_keyed(keyed, ended, copy))
+            self._tasks.start(_finish_keyed(keyed, outcome, copy))
 
     async def _run(
-        self, request: CallerRequest, work: Work, started: float, copy: AnswerCopy
-    ) -> Ended:
-        deadline = started + work.admitted.deadline
-        walk = Dispatch(
+        self, request: CallerRequest, work: AdmittedRequest, started_at: float, copy: AnswerCopy
+    ) -> ServedOutcome:
+        deadline = started_at + work.admitted.deadline
+        dispatch = Dispatch(
             self._state,
-            self._ways,
+            self._collaborators,
             self._state.retry_budgets.for_service(work.head.service),
             work.head,
             work.body,
             lambda: deadline - time.monotonic(),
-            work.patience,
+            work.wait_limits,
         )
-        ended: Ended = CALLER_GONE
-        spans = _Spans()
+        outcome: ServedOutcome = CALLER_GONE
+        timings = _Timings()
         try:
-            reply = await walk.run()
+            reply = await dispatch.run()
             if isinstance(reply, Placed):
-                spans.placed = time.monotonic() - started
-                self._metrics.timing("requests.placed", spans.placed)
-                ended = await self._relay(request, work, walk, reply, copy, spans)
+                timings.placed = time.monotonic() - started_at
+                self._metrics.timing("requests.placed", timings.placed)
+                outcome = await self._relay(request, work, dispatch, reply, copy, timings)
             else:
-                ended = reply.refusal
+                outcome = reply.refusal
                 self._answers.refuse(request, reply.refusal)
-            if isinstance(ended, Whole):
-                walk.note_completed(copy.status)
+            if isinstance(outcome, Whole):
+                dispatch.note_completed(copy.status)
         finally:
-            walk.close()
-            spans.whole = time.monotonic() - started
-            self._note(work, walk, ended, spans)
-        return ended
+            dispatch.close()
+            timings.total = time.monotonic() - started_at
+            self._record_outcome(work, dispatch, outcome, timings)
+        return outcome
 
     async def _relay(
         self,
         request: CallerRequest,
-        work: Work,
-        walk: Dispatch,
+        work: AdmittedRequest,
+        dispatch: Dispatch,
         placed: Placed,
         copy: AnswerCopy,
-        spans: _Spans,
-    ) -> Ended:
+        timings: _Timings,
+    ) -> ServedOutcome:
         """Pass the answer on."""
 
         def begin(answer: AnswerStream) -> None:
@@ -233,12 +235,12 @@
 
         writer = CallerWriter(request, self._state.held_bytes.counter(work.account.name))
         sink = _CopyingSink(copy, writer) if work.key else writer
-        delivery = Delivery(walk, placed, sink, begin)
+        delivery = Delivery(dispatch, placed, sink, begin)
         try:
             delivered = await delivery.run()
         finally:
             writer.close()
-            spans.pause = delivery.longest_pause
+            timings.longest_pause = delivery.longest_pause
         if delivered.resumes:
             self._metrics.count("answers.resumed", delivered.resumes)
         if isinstance(delivered.outcome, Unknown):
@@ -248,82 +250,88 @@
             self._answers.end_broken(request, delivered.outcome, is_event_stream(copy.headers))
         return delivered.outcome
 
-    def _note(self, work: Work, walk: Dispatch, ended: Ended, spans: _Spans) -> None:
-        outcome = "whole" if isinstance(ended, Whole) else ended.code
-        self._metrics.count(f"requests.{outcome}")
-        self._metrics.timing("requests.whole", spans.whole)
-        self._count_queued(walk)
-        self._note_decision(work, walk, outcome, spans.whole)
-        self._note_record(work, walk, outcome, spans)
-
-    def _count_queued(self, walk: Dispatch) -> None:
+    def _record_outcome(
+        self, work: AdmittedRequest, dispatch: Dispatch, outcome: ServedOutcome, timings: _Timings
+    ) -> None:
+        code = "whole" if isinstance(outcome, Whole) else outcome.code
+        self._metrics.count(f"requests.{code}")
+        self._metrics.timing("requests.whole", timings.total)
+        self._count_queue_outcome(dispatch)
+        self._record_decision(work, dispatch, code, timings.total)
+        self._write_record(work, dispatch, code, timings)
+
+    def _count_queue_outcome(self, dispatch: Dispatch) -> None:
         """Count what came of a wait at full engines."""
-        if walk.queue_result.outcome is QueueOutcome.NONE:
+        if dispatch.queue_result.outcome is QueueOutcome.NONE:
             return
-        self._metrics.timing("queue.waited", walk.queue_wait_seconds)
-        if walk.queue_result.outcome is QueueOutcome.REFUSED:
+        self._metrics.timing("queue.waited", dispatch.queue_wait_seconds)
+        if dispatch.queue_result.outcome is QueueOutcome.REFUSED:
             self._metrics.count("queue.refused-at-arrival")
-        if walk.queue_result.outcome is QueueOutcome.TIMED_OUT:
+        if dispatch.queue_result.outcome is QueueOutcome.TIMED_OUT:
             self._metrics.count("queue.kept-in-vain")
 
-    def _note_decision(self, work: Work, walk: Dispatch, outcome: str, seconds: float) -> None:
+    def _record_decision(
+        self, work: AdmittedRequest, dispatch: Dispatch, code: str, seconds: float
+    ) -> None:
         """Keep the decision for the state dump."""
         self._state.decisions.append(
             RoutingDecision(
                 request_id=work.head.request_id,
                 account=work.account.name,
                 service=work.head.service,
-                engine=walk.engine,
-                passed_over=_passed_over(walk),
-                outcome=outcome,
+                engine=dispatch.engine,
+                passed_over=_passed_over(dispatch),
+                outcome=code,
                 seconds=round(seconds, 4),
                 at=time.time(),
             )
         )
 
-    def _note_record(self, work: Work, walk: Dispatch, outcome: str, spans: _Spans) -> None:
+    def _write_record(
+        self, work: AdmittedRequest, dispatch: Dispatch, code: str, timings: _Timings
+    ) -> None:
         """Leave the decision's line."""
         self._records.note(
             RequestEnded(
                 id=work.head.caller_id or work.head.request_id,
                 account=work.account.name,
                 service=work.head.service,
-                outcome=outcome,
-                ms=_milliseconds(spans.whole),
-                asking_ms=_milliseconds(walk.grant_wait_seconds),
-                placed_ms=_milliseconds(spans.placed),
-                pause_ms=_milliseconds(spans.pause),
+                outcome=code,
+                ms=_milliseconds(timings.total),
+                asking_ms=_milliseconds(dispatch.grant_wait_seconds),
+                placed_ms=_milliseconds(timings.placed),
+                pause_ms=_milliseconds(timings.longest_pause),
                 context=f"{work.head.chat:x}" if work.head.chat else "",
                 configuration=self._state.fleet.version,
-                upstream=walk.engine or "",
-                in_flight=walk.last_grant.in_flight,
-                ceiling=walk.last_grant.ceiling,
-                passed_over=_passed_over(walk),
-                resumes=walk.resumes,
-                cut_at=tuple(walk.cut_at),
-                digest=f"{work.head.digest:x}" if _tells_digest(walk, outcome) else "",
-                predicted_ms=walk.queue_result.predicted_ms,
+                upstream=dispatch.engine or "",
+                in_flight=dispatch.last_grant.in_flight,
+                ceiling=dispatch.last_grant.ceiling,
+                passed_over=_passed_over(dispatch),
+                resumes=dispatch.resumes,
+                cut_at=tuple(dispatch.cut_at),
+                digest=f"{work.head.digest:x}" if _needs_digest(dispatch, code) else "",
+                predicted_ms=dispatch.queue_result.predicted_ms,
             )
         )
 
 
-def _passed_over(walk: Dispatch) -> tuple[tuple[str, str], ...]:
+def _passed_over(dispatch: Dispatch) -> tuple[tuple[str, str], ...]:
     """Return the engines that did not take a request, each with why."""
-    closed = () if walk.closed_home is None else (walk.closed_home,)
-    return (*closed, *walk.plan.refusals)
+    closed = () if dispatch.closed_home is None else (dispatch.closed_home,)
+    return (*closed, *dispatch.plan.refusals)
 
 
-def _tells_digest(walk: Dispatch, outcome: str) -> bool:
+def _needs_digest(dispatch: Dispatch, code: str) -> bool:
     """Return whether a request's other attempts are of interest to whoever reads its line."""
-    return bool(walk.cut_at) or outcome == QUARANTINED.code
+    return bool(dispatch.cut_at) or code == QUARANTINED.code
 
 
-async def _end_keyed(keyed: KeyedRun, ended: Ended, copy: AnswerCopy) -> None:
+async def _finish_keyed(keyed: KeyedRun, outcome: ServedOutcome, copy: AnswerCopy) -> None:
     """Tell the key's holders what became of its request."""
-    if isinstance(ended, NotRun):
+    if isinstance(outcome, NotRun):
         await keyed.release_claims()
         return
-    if not isinstance(ended, Whole):
+    if not isinstance(outcome, Whole):
         await keyed.record_unknown()
         return
     body = copy.body()
--- a/pondhatch/transport/_store_calls.py
+++ b/pondhatch/transport/_store_calls.py
@@ -46,20 +46,20 @@
 
     def __init__(self, client: HttpClient, url: str) -> None:
         #: Calls made, for the rate that the store allows.
-        self.made = 0
+        self.calls_made = 0
         self._client = client
         self._address = Address.of_url(url)
-        self._pace = RateLimiter(CALLS_PER_SECOND, CALLS_AT_ONCE)
+        self._rate_limiter = RateLimiter(CALLS_PER_SECOND, CALLS_AT_ONCE)
 
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float = CALL_SECONDS
     ) -> StoreAnswer:
         """Return an answer. Raises CallFailed."""
-        wait = self._pace.reserve(asyncio.get_running_loop().time())
+        wait = self._rate_limiter.reserve(asyncio.get_running_loop().time())
         if wait > 0:
             await asyncio.sleep(wait)
-        self.made += 1
-        begun = asyncio.get_running_loop().time()
+        self.calls_made += 1
+        started_at = asyncio.get_running_loop().time()
         exchange: Exchange | None = None
         headers: Headers = (("Host", f"{self._address.host}:{self._address.port}"),)
         if body:
@@ -71,23 +71,23 @@
                     self._address, request, ReplayableBody(body), repeatable=method == "GET"
                 )
                 head = await exchange.head
-                return StoreAnswer(head.status, await _whole(exchange), head.value_by_name)
+                return StoreAnswer(head.status, await _read_content(exchange), head.value_by_name)
         except NotSent as error:
             raise CallFailed(f"cannot reach the platform: {error}", sent=False) from error
         except TimeoutError as error:
             # Its connection may be one of many that fell silent together: without this, each
             # of them would cost another call its whole time.
-            self._client.distrust(self._address, begun)
+            self._client.close_stale(self._address, started_at)
             raise CallFailed(f"no answer in {seconds} s", sent=exchange is not None) from error
         except ConnectionError as error:
-            self._client.distrust(self._address, begun)
+            self._client.close_stale(self._address, started_at)
             raise CallFailed(str(error), sent=True) from error
         finally:
             if exchange is not None:
                 exchange.cancel()
 
 
-async def _whole(exchange: Exchange) -> bytes:
+async def _read_content(exchange: Exchange) -> bytes:
     parts: list[bytes] = []
     while part := await exchange.pipe.read():
         parts.append(part)
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -30,7 +30,7 @@
     is_event_stream,
     new_try,
 )
-from pondhatch.transport._header_owners import counting
+from pondhatch.transport._header_owners import dropped_header_counter
 from pondhatch.transport._http_client import (
     IDLE_CONNECTIONS,
     Address,
@@ -46,7 +46,7 @@
 TAIL_BYTES = 64
 #: URLs of which the address is kept: those of twice the upstreams of the size to design for.
 #: Reading one costs more than the rest of a look for a kept connection.
-URLS_KEPT = 4096
+MAX_CACHED_URLS = 4096
 
 
 class _TailSink:
@@ -62,7 +62,7 @@
         return self._sink.write(part)
 
 
-class _ClosedMeanwhile(Exception):
+class _UpstreamClosed(Exception):
     """The upstream was closed to a request while a connection to it was opened."""
 
     def __init__(self, refusal: NotRun) -> None:
@@ -78,14 +78,14 @@
         exchange: Exchange,
         status: int,
         headers: Headers,
-        tried: Try,
+        attempt: Try,
         deadline: float,
         last_event: bytes | None,
     ) -> None:
         self.status: int = status
         self.headers = headers
         self._exchange = exchange
-        self._try = tried
+        self._attempt = attempt
         #: The event without which the answer is not whole.
         self._last_event = last_event
         self._has_expired = False
@@ -94,15 +94,15 @@
 
     async def stream_to(self, sink: PartSink) -> None:
         """Hand every part to a sink; see AnswerStream."""
-        watched = _TailSink(sink) if self._last_event is not None else None
+        tail_sink = _TailSink(sink) if self._last_event is not None else None
         try:
-            await self._exchange.pipe.pour(watched or sink)
+            await self._exchange.pipe.stream_to(tail_sink or sink)
         except ConnectionError as error:
             raise self._lost(str(error), was_cut=not self._has_expired) from error
-        if watched is not None and self._last_event and self._last_event not in watched.tail:
+        if tail_sink is not None and self._last_event and self._last_event not in tail_sink.tail:
             raise self._lost("the stream ended without its last event")
         self._timer.cancel()
-        self._try.ended()
+        self._attempt.ended()
 
     def cancel(self) -> None:
         """Close the connection unless the answer was read to its end."""
@@ -115,7 +115,7 @@
         self._exchange.cancel()
 
     def _lost(self, reason: str, was_cut: bool = False) -> AnswerLost:
-        outcome = self._try.lost(reason)
+        outcome = self._attempt.lost(reason)
         if not isinstance(outcome, Broken):
             raise TypeError(f"an answer cannot be lost as {outcome}")
         return AnswerLost(replace(outcome, connection_lost=was_cut))
@@ -137,13 +137,13 @@
         self._held = held or HeldBytes()
         self._dialect = dialect
         self._view = view or NoUpstreamView()
-        self._note_dropped = counting(metrics or NoMetrics())
+        self._note_dropped = dropped_header_counter(metrics or NoMetrics())
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
     ) -> AnswerStarted | NotRun | Unknown:
         """Send a request once; see Upstreams."""
-        tried = new_try(target.name)
+        attempt = new_try(target.name)
         deadline = asyncio.get_running_loop().time() + head.deadline
         request = Request(head.method, head.path, self._dialect.request_headers(head, target))
         exchange: Exchange | None = None
@@ -158,33 +158,33 @@
                     reusable,
                     head.needs_new_connection,
                     Hooks(
-                        trusts=lambda answered: (
+                        may_reuse=lambda answered: (
                             self._judge(head, answered) is not AnswerKind.CROSSED
                         ),
-                        heard=lambda answered: self._hear(target, answered),
-                        check=lambda: self._check(target, head),
+                        on_head=lambda answered: self._receive_notice(target, answered),
+                        before_send=lambda: self._check_open(target, head),
                         new_counter=lambda: self._held.counter(head.account),
                         to_upstream=True,
-                        most_idle=_most_idle(target),
+                        max_idle=_max_idle(target),
                     ),
                 )
-                tried.sent()
-                answered = await exchange.head
+                attempt.sent()
+                response = await exchange.head
         except NotSent as error:
-            return _refusal(tried, str(error))
-        except _ClosedMeanwhile as closed:
+            return _refusal(attempt, str(error))
+        except _UpstreamClosed as closed:
             return closed.refusal
         except TimeoutError:
-            return self._gave_up(exchange, tried, "no answer before the deadline")
+            return self._abandon(exchange, attempt, "no answer before the deadline")
         except ConnectionError as error:
-            lost = self._gave_up(exchange, tried, str(error))
+            lost = self._abandon(exchange, attempt, str(error))
             return replace(lost, connection_lost=True) if isinstance(lost, Unknown) else lost
         except BaseException:
             if exchange is not None:
                 exchange.cancel()
             raise
         try:
-            return self._opened(exchange, answered, head, tried, deadline)
+            return self._start_answer(exchange, response, head, attempt, deadline)
         except BaseException:
             # Nobody but this call knows of the exchange yet.
             exchange.cancel()
@@ -206,53 +206,53 @@
             return False
         return await self.client.is_refused(address)
 
-    def _check(self, target: Target, head: RequestHead) -> None:
+    def _check_open(self, target: Target, head: RequestHead) -> None:
         """Raise _ClosedMeanwhile where a request may not be sent to its upstream any more."""
         refusal = self._view.closed(target.name, head)
         if refusal is not None:
-            raise _ClosedMeanwhile(refusal)
+            raise _UpstreamClosed(refusal)
 
-    def _hear(self, target: Target, answered: ResponseHead) -> None:
+    def _receive_notice(self, target: Target, response: ResponseHead) -> None:
         """Take in what an answer says of its upstream, whatever it says of the request."""
-        notice = self._dialect.notice(answered.status, answered.value_by_name)
+        notice = self._dialect.notice(response.status, response.value_by_name)
         if notice or notice.pace:
             self._view.receive_notice(target.name, notice)
 
-    def _judge(self, head: RequestHead, answered: ResponseHead) -> AnswerKind | EngineRefusal:
-        return self._dialect.judge(head, answered.status, answered.value_by_name)
+    def _judge(self, head: RequestHead, response: ResponseHead) -> AnswerKind | EngineRefusal:
+        return self._dialect.judge(head, response.status, response.value_by_name)
 
-    def _gave_up(self, exchange: Exchange | None, tried: Try, reason: str) -> NotRun | Unknown:
+    def _abandon(self, exchange: Exchange | None, attempt: Try, reason: str) -> NotRun | Unknown:
         if exchange is not None:
             exchange.cancel()
-        return _refusal(tried, reason)
+        return _refusal(attempt, reason)
 
-    def _opened(
+    def _start_answer(
         self,
         exchange: Exchange,
-        answered: ResponseHead,
+        response: ResponseHead,
         head: RequestHead,
-        tried: Try,
+        attempt: Try,
         deadline: float,
     ) -> AnswerStarted | NotRun | Unknown:
-        judged = self._judge(head, answered)
-        if judged is AnswerKind.CROSSED:
-            tried.crossed()
+        kind = self._judge(head, response)
+        if kind is AnswerKind.CROSSED:
+            attempt.crossed()
             exchange.cancel()
-            return _refusal(tried, "the answer belongs to another request")
-        if isinstance(judged, EngineRefusal):
-            tried.refused(judged)
+            return _refusal(attempt, "the answer belongs to another request")
+        if isinstance(kind, EngineRefusal):
+            attempt.refused(kind)
             exchange.cancel()
-            return _refusal(tried, f"answered {answered.status}")
-        tried.head()
-        headers = self._dialect.answer_headers(answered.headers, self._note_dropped)
-        streams = answered.status == OK and is_event_stream(headers)
+            return _refusal(attempt, f"answered {response.status}")
+        attempt.head()
+        headers = self._dialect.answer_headers(response.headers, self._note_dropped)
+        streams = response.status == OK and is_event_stream(headers)
         last_event = self._dialect.last_event(head) if streams else None
         return AnswerStarted(
-            UpstreamAnswer(exchange, answered.status, headers, tried, deadline, last_event)
+            UpstreamAnswer(exchange, response.status, headers, attempt, deadline, last_event)
         )
 
 
-def _most_idle(target: Target) -> int:
+def _max_idle(target: Target) -> int:
     """Return how many idle connections are kept to an upstream at most."""
     return (
         IDLE_CONNECTIONS
@@ -261,7 +261,7 @@
     )
 
 
-@functools.lru_cache(maxsize=URLS_KEPT)
+@functools.lru_cache(maxsize=MAX_CACHED_URLS)
 def _address_of(url: str) -> Address:
     """Return where an upstream is reached. Raises NotSent where its URL does not say."""
     found = host_and_port(url.removeprefix("http://").rstrip("/"))
@@ -271,8 +271,8 @@
     return Address(*found)
 
 
-def _refusal(tried: Try, reason: str) -> NotRun | Unknown:
-    outcome = tried.lost(reason)
+def _refusal(attempt: Try, reason: str) -> NotRun | Unknown:
+    outcome = attempt.lost(reason)
     if not isinstance(outcome, NotRun | Unknown):
         raise TypeError(f"a request without an answer cannot end as {outcome}")
     return outcome
--- a/pondhatch/transport/_wire.py
+++ b/pondhatch/transport/_wire.py
@@ -22,7 +22,7 @@
 TOKEN_METADATA = "pondhatch-fleet"
 
 
-class KeyNote(msgspec.Struct, frozen=True):
+class KeyedRecord(msgspec.Struct, frozen=True):
     """A key and its record: to be claimed or settled."""
 
     key: str
@@ -72,32 +72,32 @@
 
 #: Bytes from which a message is packed: a configuration of 1,700 routes, 0.2 MB and more,
 #: shrinks to a tenth; plain, it took too long to 62 routers on links of 10 Mbit/s.
-PACKED_FROM = 4096
+MIN_COMPRESSED_BYTES = 4096
 #: zlib's fastest level; slower ones save little more on names that repeat.
-PACKING_LEVEL = 1
+COMPRESSION_LEVEL = 1
 #: Bytes of an unpacked message at most; no configuration comes near.
-MOST_UNPACKED = 64 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 #: First byte of a message: whether the rest is packed.
-PLAIN, PACKED = b"\x00", b"\x01"
+PLAIN, COMPRESSED = b"\x00", b"\x01"
 
 
-def packed(raw: bytes) -> bytes:
+def compress(raw: bytes) -> bytes:
     """Return a message as it travels."""
-    if len(raw) < PACKED_FROM:
+    if len(raw) < MIN_COMPRESSED_BYTES:
         return PLAIN + raw
-    return PACKED + zlib.compress(raw, PACKING_LEVEL)
+    return COMPRESSED + zlib.compress(raw, COMPRESSION_LEVEL)
 
 
-def unpacked(data: bytes) -> bytes:
+def decompress(data: bytes) -> bytes:
     """Return a message as it was encoded. Raises msgspec.DecodeError."""
     if data[:1] == PLAIN:
         return data[1:]
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        raw = unpacking.decompress(data[1:], MOST_UNPACKED)
+        raw = decompressor.decompress(data[1:], MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(f"cannot be unpacked: {error}") from error
-    if data[:1] != PACKED or not unpacking.eof:
+    if data[:1] != COMPRESSED or not decompressor.eof:
         raise msgspec.DecodeError("neither plain nor packed whole")
     return raw
 
@@ -112,8 +112,8 @@
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         """Return a message's bytes."""
-        return packed(self._encoder.encode(message))
+        return compress(self._encoder.encode(message))
 
     def decode(self, data: bytes, message_type: Any) -> Any:
         """Return the message in bytes. Raises msgspec.DecodeError."""
-        return _decoder(message_type).decode(unpacked(data))
+        return _decoder(message_type).decode(decompress(data))
--- a/pondhatch/transport/tests/test_caller_channel.py
+++ b/pondhatch/transport/tests/test_caller_channel.py
@@ -18,7 +18,7 @@
 
 
 class CallerRequestTest(unittest.TestCase):
-    def test_a_caller_that_is_lost_before_its_head_was_whole(self) -> None:
+    def test_losing_the_caller_before_the_head_is_complete_raises_nothing(self) -> None:
         request = CallerRequest(DummyChannel(), False)
         request.connectionLost(Failure(ConnectionLost()))
 
@@ -26,18 +26,18 @@
 class SlowSink:
     """A sink whose caller stops reading after some bytes, and may go away."""
 
-    def __init__(self, room: int = 1_000_000, gone_after: int = 1_000_000) -> None:
+    def __init__(self, capacity: int = 1_000_000, gone_after: int = 1_000_000) -> None:
         self.received = b""
         self.flowing = asyncio.Event()
         self.flowing.set()
-        self._room = room
+        self._capacity = capacity
         self._gone_after = gone_after
 
     def write(self, part: bytes) -> bool:
         if len(self.received) >= self._gone_after:
             raise CallerGone("gone")
         self.received += part
-        if len(self.received) > self._room:
+        if len(self.received) > self._capacity:
             self.flowing.clear()
         return self.flowing.is_set()
 
@@ -45,40 +45,40 @@
         await self.flowing.wait()
 
 
-class PourTest(unittest.IsolatedAsyncioTestCase):
-    async def pouring(self, pipe: PartPipe, sink: SlowSink) -> asyncio.Task[None]:
-        task = asyncio.ensure_future(pipe.pour(sink))
+class StreamToTest(unittest.IsolatedAsyncioTestCase):
+    async def start_streaming(self, pipe: PartPipe, sink: SlowSink) -> asyncio.Task[None]:
+        task = asyncio.ensure_future(pipe.stream_to(sink))
         await asyncio.sleep(0)
         return task
 
-    async def test_parts_are_handed_on_within_the_call_that_brings_them(self) -> None:
+    async def test_parts_reach_the_sink_within_the_put_call(self) -> None:
         pipe, sink = PartPipe(), SlowSink()
         pipe.put(b"before ")
-        task = await self.pouring(pipe, sink)
+        task = await self.start_streaming(pipe, sink)
         pipe.put(b"after")
         self.assertEqual(sink.received, b"before after")
         pipe.end()
         await task
 
-    async def test_a_slow_sink_gets_no_more_until_it_is_ready_and_then_all_in_order(self) -> None:
-        told: list[str] = []
-        pipe = PartPipe(lambda: told.append("pause"), lambda: told.append("resume"))
-        sink = SlowSink(room=2)
-        task = await self.pouring(pipe, sink)
+    async def test_a_slow_sink_gets_the_remaining_parts_in_order_once_ready(self) -> None:
+        calls: list[str] = []
+        pipe = PartPipe(lambda: calls.append("pause"), lambda: calls.append("resume"))
+        sink = SlowSink(capacity=2)
+        task = await self.start_streaming(pipe, sink)
         for part in (b"abc", b"d", b"e", b"x" * HIGH_WATER):
             pipe.put(part)
         await asyncio.sleep(0)
-        self.assertEqual((sink.received, told), (b"abc", ["pause"]))
-        sink._room = 10_000_000
+        self.assertEqual((sink.received, calls), (b"abc", ["pause"]))
+        sink._capacity = 10_000_000
         sink.flowing.set()
         pipe.end()
         await task
         self.assertEqual(sink.received, b"abcde" + b"x" * HIGH_WATER)
-        self.assertEqual(told, ["pause", "resume"])
+        self.assertEqual(calls, ["pause", "resume"])
 
-    async def test_a_callers_loss_ends_the_pouring(self) -> None:
+    async def test_losing_the_caller_ends_the_stream(self) -> None:
         pipe, sink = PartPipe(), SlowSink(gone_after=1)
-        task = await self.pouring(pipe, sink)
+        task = await self.start_streaming(pipe, sink)
         pipe.put(b"a")
         pipe.put(b"b")
         with self.assertRaises(CallerGone):
@@ -86,9 +86,9 @@
         pipe.put(b"c")
         self.assertEqual(sink.received, b"a")
 
-    async def test_the_sources_error_comes_after_what_it_sent(self) -> None:
+    async def test_a_source_error_is_raised_after_the_received_parts(self) -> None:
         pipe, sink = PartPipe(), SlowSink()
-        task = await self.pouring(pipe, sink)
+        task = await self.start_streaming(pipe, sink)
         pipe.put(b"a")
         pipe.fail(ConnectionError("cut"))
         with self.assertRaises(ConnectionError):
@@ -97,7 +97,7 @@
 
 
 class EagerWriteTest(unittest.IsolatedAsyncioTestCase):
-    async def test_bytes_keep_their_order_over_a_connection_that_takes_them_slowly(self) -> None:
+    async def test_bytes_keep_their_order_on_a_slow_connection(self) -> None:
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
         new_channel: Any = CallerChannel
@@ -143,18 +143,18 @@
 
 
 class PartPipeTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_source_is_paused_at_the_mark_and_resumed_when_read(self) -> None:
-        told: list[str] = []
-        pipe = PartPipe(lambda: told.append("pause"), lambda: told.append("resume"))
+    async def test_the_source_is_paused_at_the_high_water_mark_and_resumed_by_a_read(self) -> None:
+        calls: list[str] = []
+        pipe = PartPipe(lambda: calls.append("pause"), lambda: calls.append("resume"))
         pipe.put(b"x" * HIGH_WATER)
-        self.assertEqual(told, [])
+        self.assertEqual(calls, [])
         pipe.put(b"y")
         pipe.put(b"z")
-        self.assertEqual(told, ["pause"])
+        self.assertEqual(calls, ["pause"])
         self.assertEqual(len(await pipe.read()), HIGH_WATER + 2)
-        self.assertEqual(told, ["pause", "resume"])
+        self.assertEqual(calls, ["pause", "resume"])
 
-    async def test_what_came_is_read_before_the_error(self) -> None:
+    async def test_received_parts_are_read_before_the_error(self) -> None:
         pipe = PartPipe()
         pipe.put(b"part")
         pipe.fail(ConnectionError("cut"))
@@ -162,7 +162,7 @@
         with self.assertRaises(ConnectionError):
             await pipe.read()
 
-    async def test_an_end_is_not_overtaken_by_an_error(self) -> None:
+    async def test_an_error_after_the_end_is_ignored(self) -> None:
         pipe = PartPipe()
         reader = asyncio.ensure_future(pipe.read())
         await asyncio.sleep(0)
--- a/pondhatch/transport/tests/test_caller_heads.py
+++ b/pondhatch/transport/tests/test_caller_heads.py
@@ -14,10 +14,10 @@
 from pondhatch.transport.tests.test_routed_callers import Transport
 
 #: Bytes of twisted's own bounds, on a line and on a head.
-TWISTEDS_BYTES = 16384
+TWISTED_DEFAULT_BYTES = 16384
 #: Headers of twisted's own bound.
-TWISTEDS_HEADERS = 500
-OPERATORS_BYTES = 4 * TWISTEDS_BYTES
+TWISTED_DEFAULT_HEADERS = 500
+CONFIGURED_BYTES = 4 * TWISTED_DEFAULT_BYTES
 
 
 class Echo(Resource):
@@ -36,7 +36,7 @@
 
 class CallerHeadsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.limits = CallerLimits(header_bytes=OPERATORS_BYTES)
+        self.limits = CallerLimits(header_bytes=CONFIGURED_BYTES)
         self.clock = Clock()
         echo: Any = Echo()  # type: ignore[no-untyped-call]
         site: Any = CallerSite(echo, lambda: self.limits)
@@ -45,58 +45,58 @@
         self.wire = Transport()  # type: ignore[no-untyped-call]
         self.channel.makeConnection(self.wire)
 
-    def send(self, *headers: str, part: int = OPERATORS_BYTES) -> bytes:
+    def send(self, *headers: str, part: int = CONFIGURED_BYTES) -> bytes:
         """Send a request in parts; return what was answered."""
         raw = "\r\n".join(("GET /x HTTP/1.1", "Host: desk.example", *headers, "", "")).encode()
         for at in range(0, len(raw), part):
             self.channel.dataReceived(raw[at : at + part])
         self.clock.advance(0)
-        told: bytes = self.wire.value()  # type: ignore[no-untyped-call]
+        response: bytes = self.wire.value()  # type: ignore[no-untyped-call]
         self.wire.clear()  # type: ignore[no-untyped-call]
-        return told
+        return response
 
-    def assert_served(self, told: bytes) -> None:
-        self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
+    def assert_served(self, response: bytes) -> None:
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
         self.assertFalse(self.wire.disconnecting)
 
-    def assert_refused(self, told: bytes) -> None:
-        self.assertTrue(told.startswith(b"HTTP/1.1 431"), told)
-        self.assertEqual(told.count(b"HTTP/1.1"), 1, told)
-        self.assertIn(b"Connection: close", told)
+    def assert_refused(self, response: bytes) -> None:
+        self.assertTrue(response.startswith(b"HTTP/1.1 431"), response)
+        self.assertEqual(response.count(b"HTTP/1.1"), 1, response)
+        self.assertIn(b"Connection: close", response)
         self.clock.advance(LINGER_SECONDS)
         self.assertTrue(self.wire.disconnecting)
 
-    def test_one_long_line_within_the_bound(self) -> None:
-        for part in (OPERATORS_BYTES, 1000):
+    def test_one_long_line_within_the_limit_is_accepted(self) -> None:
+        for part in (CONFIGURED_BYTES, 1000):
             with self.subTest(part=part):
-                long = "X-Long: " + "a" * (OPERATORS_BYTES - 1000)
+                long = "X-Long: " + "a" * (CONFIGURED_BYTES - 1000)
                 self.assert_served(self.send(long, part=part))
 
-    def test_many_headers_within_the_bound(self) -> None:
-        many = [f"X-{at}: 1" for at in range(TWISTEDS_HEADERS + 100)]
+    def test_many_headers_within_the_limit_are_accepted(self) -> None:
+        many = [f"X-{at}: 1" for at in range(TWISTED_DEFAULT_HEADERS + 100)]
         self.assert_served(self.send(*many))
 
-    def test_a_head_beyond_the_bound_gets_an_answer(self) -> None:
-        long = "X-Long: " + "a" * OPERATORS_BYTES
-        many = [f"X-{at}: {'a' * 1000}" for at in range(OPERATORS_BYTES // 1000 + 1)]
+    def test_a_head_beyond_the_limit_is_refused_with_one_response(self) -> None:
+        long = "X-Long: " + "a" * CONFIGURED_BYTES
+        many = [f"X-{at}: {'a' * 1000}" for at in range(CONFIGURED_BYTES // 1000 + 1)]
         for headers in ([long], many):
-            for part in (2 * OPERATORS_BYTES, 1000):
+            for part in (2 * CONFIGURED_BYTES, 1000):
                 with self.subTest(headers=len(headers), part=part):
                     self.setUp()
                     self.assert_refused(self.send(*headers, part=part))
 
-    def test_a_kept_connection_is_held_to_the_bound_in_force(self) -> None:
-        long = "X-Long: " + "a" * OPERATORS_BYTES
+    def test_a_reused_connection_follows_the_limit_in_force(self) -> None:
+        long = "X-Long: " + "a" * CONFIGURED_BYTES
         self.assert_served(self.send())
-        self.limits = CallerLimits(header_bytes=2 * OPERATORS_BYTES)
+        self.limits = CallerLimits(header_bytes=2 * CONFIGURED_BYTES)
         self.assert_served(self.send(long))
         self.limits = CallerLimits(header_bytes=1024)
         self.assert_refused(self.send(long))
 
-    def test_a_head_that_began_is_held_to_the_bound_of_its_beginning(self) -> None:
+    def test_a_started_head_keeps_the_limit_of_its_first_bytes(self) -> None:
         self.channel.dataReceived(b"GET /x HTTP/1.1\r\nHost: desk.example\r\n")
         self.limits = CallerLimits(header_bytes=1024)
         self.channel.dataReceived(b"X-Long: " + b"a" * 2048 + b"\r\n\r\n")
         self.clock.advance(0)
-        told: bytes = self.wire.value()  # type: ignore[no-untyped-call]
-        self.assert_served(told)
+        response: bytes = self.wire.value()  # type: ignore[no-untyped-call]
+        self.assert_served(response)
--- a/pondhatch/transport/tests/test_caller_idle.py
+++ b/pondhatch/transport/tests/test_caller_idle.py
@@ -13,7 +13,7 @@
 from pondhatch.transport._parts import HIGH_WATER
 from pondhatch.transport.tests.test_routed_callers import (
     Answer,
-    Endless,
+    EndlessAnswer,
     RoutedCallersTest,
     Transport,
 )
@@ -22,7 +22,7 @@
 #: Seconds by which the tests' clock goes on.
 STEP_SECONDS = 0.05
 #: Bytes of a body after which the caller is not read from for a moment.
-PAUSING = 2 * HIGH_WATER
+PAUSING_BYTES = 2 * HIGH_WATER
 UNFRAMED: Headers = (("Instance-Signature", "3e"),)
 HEAD = b"POST /x HTTP/1.1\r\nHost: desk.example\r\n"
 
@@ -30,7 +30,7 @@
 class CallerIdleTest(RoutedCallersTest):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.idle(IDLE_SECONDS)
+        self.set_idle_limit(IDLE_SECONDS)
         resource: Any = self.callers.resource()
         self.site: Any = CallerSite(resource, lambda: self.limits)
         self.connect()
@@ -41,10 +41,10 @@
         self.wire = Transport()  # type: ignore[no-untyped-call]
         self.channel.makeConnection(self.wire)
 
-    def idle(self, seconds: float) -> None:
+    def set_idle_limit(self, seconds: float) -> None:
         self.limits = replace(CallerLimits(), idle_seconds=seconds)
 
-    def closes_after(self, seconds: float) -> None:
+    def assert_closes_after(self, seconds: float) -> None:
         """Expect that the connection is closed then, and not before."""
         # In steps: what is begun at a step's end counts from there.
         self.clock.pump([STEP_SECONDS] * round((seconds - 0.1) / STEP_SECONDS))
@@ -54,60 +54,62 @@
 
     async def serve(self, body: bytes = b"") -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
-        told = await self.ask("POST /x HTTP/1.1", body=body)
-        self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
+        response = await self.ask("POST /x HTTP/1.1", body=body)
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
 
 
 class PauseTest(CallerIdleTest):
     """A long body pauses the reading from its caller, and with it the idle time."""
 
-    async def test_after_a_paused_body_a_connection_is_closed_when_idle(self) -> None:
-        for body in (b"a" * PAUSING, b""):
+    async def test_a_connection_closes_when_idle_after_a_paused_body(self) -> None:
+        for body in (b"a" * PAUSING_BYTES, b""):
             with self.subTest(size=len(body)):
                 self.connect()
                 await self.serve(body)
-                self.closes_after(IDLE_SECONDS)
+                self.assert_closes_after(IDLE_SECONDS)
 
-    async def test_so_is_one_whose_body_stands_still_after_a_pause(self) -> None:
-        await self.send(HEAD + f"Content-Length: {2 * PAUSING}\r\n\r\n".encode() + b"a" * PAUSING)
-        self.closes_after(IDLE_SECONDS)
+    async def test_a_connection_closes_when_its_body_stalls_after_a_pause(self) -> None:
+        await self.send(
+            HEAD + f"Content-Length: {2 * PAUSING_BYTES}\r\n\r\n".encode() + b"a" * PAUSING_BYTES
+        )
+        self.assert_closes_after(IDLE_SECONDS)
 
-    async def test_an_answer_under_way_is_not_idle(self) -> None:
-        self.upstreams.replies = [AnswerStarted(Endless((b"ye",), headers=UNFRAMED))]
-        await self.ask("POST /x HTTP/1.1", body=b"a" * PAUSING)
+    async def test_a_connection_with_an_unfinished_answer_is_not_idle(self) -> None:
+        self.upstreams.replies = [AnswerStarted(EndlessAnswer((b"ye",), headers=UNFRAMED))]
+        await self.ask("POST /x HTTP/1.1", body=b"a" * PAUSING_BYTES)
         self.clock.advance(10 * IDLE_SECONDS)
         self.assertFalse(self.wire.disconnecting)
 
 
 class InForceTest(CallerIdleTest):
-    async def test_a_connection_takes_the_bound_in_force_when_it_begins(self) -> None:
+    async def test_a_new_connection_takes_the_limit_in_force(self) -> None:
         for seconds in (2 * IDLE_SECONDS, 1.45, 0.4):
             with self.subTest(seconds=seconds):
-                self.idle(seconds)
+                self.set_idle_limit(seconds)
                 self.connect()
-                self.closes_after(seconds)
+                self.assert_closes_after(seconds)
 
-    async def test_a_kept_one_takes_a_later_bound_with_its_next_request(self) -> None:
+    async def test_a_reused_connection_takes_a_new_limit_with_its_next_request(self) -> None:
         for seconds in (2 * IDLE_SECONDS, IDLE_SECONDS / 2):
             with self.subTest(seconds=seconds):
-                self.idle(IDLE_SECONDS)
+                self.set_idle_limit(IDLE_SECONDS)
                 self.connect()
                 await self.serve()
-                self.idle(seconds)
+                self.set_idle_limit(seconds)
                 await self.serve()
-                self.closes_after(seconds)
+                self.assert_closes_after(seconds)
 
-    async def test_a_bound_that_is_raised_holds_for_what_stands_idle(self) -> None:
+    async def test_a_raised_limit_applies_to_an_idle_connection(self) -> None:
         await self.serve()
         self.clock.advance(IDLE_SECONDS / 2)
-        self.idle(2 * IDLE_SECONDS)
-        self.closes_after(1.5 * IDLE_SECONDS)
+        self.set_idle_limit(2 * IDLE_SECONDS)
+        self.assert_closes_after(1.5 * IDLE_SECONDS)
 
-    async def test_after_such_a_rest_the_whole_time_counts_again(self) -> None:
+    async def test_after_an_extension_the_full_idle_time_counts_again(self) -> None:
         await self.serve()
-        self.idle(1.2 * IDLE_SECONDS)
+        self.set_idle_limit(1.2 * IDLE_SECONDS)
         self.clock.advance(1.1 * IDLE_SECONDS)
         await self.send(HEAD)
         self.limits = replace(self.limits, header_seconds=600.0)
         await self.send(b"Content-Length: 9\r\n\r\na")
-        self.closes_after(1.2 * IDLE_SECONDS)
+        self.assert_closes_after(1.2 * IDLE_SECONDS)
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -31,17 +31,17 @@
 from pondhatch.transport._http_client import Address, Hooks
 from pondhatch.transport._http_connection import Connection
 from pondhatch.transport._http_heads import Request
-from pondhatch.transport._reuse import HEARD_SECONDS, STRICT_SECONDS, ReuseRules
+from pondhatch.transport._reuse import MAX_SILENT_SECONDS, STRICT_SECONDS, ReuseRules
 from pondhatch.transport.tests import test_http_client as upstream
 from pondhatch.transport.tests.test_routed_callers import Grants, state_of
 
 ADDRESS = Address("10.0.0.1", 80)
 ENGINES = 33
 #: Requests a second of each of 25 routers, where 430 come to all.
-PACE = 17.0
+REQUESTS_PER_SECOND = 17.0
 ANSWER = b"HTTP/1.1 200 OK\r\n%s\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok"
 #: Seconds after which the system gives up a connection whose path fell silent.
-NOTICED = 2.0
+SILENCE_DETECTED_SECONDS = 2.0
 
 
 class Engine(upstream.Transport):
@@ -76,7 +76,7 @@
 class Router:
     """One router's walk and connections, before engines that are played."""
 
-    def __init__(self, switch: Any = "on", most_connections: int = 0) -> None:
+    def __init__(self, load_management: Any = "on", most_connections: int = 0) -> None:
         services = [
             {**each, "MaxConnections": most_connections} for each in CONFIGURATION["Services"]
         ]
@@ -85,7 +85,7 @@
             entry = Upstream(f"i-{at}", "lang", f"http://10.0.0.{at}:80", "hall-1")
             self.state.upstreams.set(entry, at + 1)
         self.state.invalidate_upstream_caches()
-        self.state.load_management = switch
+        self.state.load_management = load_management
         self.metrics = ServedMetrics("r0")
         self.client = HttpClient(self)
         self.client.configure(self.state.is_load_managed, self.metrics)
@@ -105,26 +105,30 @@
         head = RequestHead(
             attempt, "a", "lang", 0, "POST", "/", headers, False, 5.0, 5, caller_id=attempt
         )
-        ways = Collaborators(Grants(), self.upstreams, preference=self.preference)
-        walk = Dispatch(self.state, ways, RetryBudget(), head, ReplayableBody(b"x"), lambda: 5.0)
-        ended = await walk.run()
-        if isinstance(ended, Placed):
-            await ended.reply.answer.stream_to(_Sink())
-        return ended
+        collaborators = Collaborators(Grants(), self.upstreams, preference=self.preference)
+        dispatch = Dispatch(
+            self.state, collaborators, RetryBudget(), head, ReplayableBody(b"x"), lambda: 5.0
+        )
+        result = await dispatch.run()
+        if isinstance(result, Placed):
+            await result.reply.answer.stream_to(_Sink())
+        return result
 
     def counts(self) -> tuple[int, int]:
         """Return how many connections were opened, and used again."""
         count = self.metrics.count_by_name
         return count.get("connections.opened", 0), count.get("connections.reused", 0)
 
-    def open_now(self) -> list[Engine]:
+    def open_engines(self) -> list[Engine]:
         return [each for each in self.engines if not each.aborted]
 
     def fall_silent(self) -> None:
         """Lose every connection without a word; the system notices after a while."""
-        for each in self.open_now():
+        for each in self.open_engines():
             each.is_silent = True
-            asyncio.get_running_loop().call_later(NOTICED, each.lose, ConnectionLost())
+            asyncio.get_running_loop().call_later(
+                SILENCE_DETECTED_SECONDS, each.lose, ConnectionLost()
+            )
 
 
 class _Sink:
@@ -139,8 +143,8 @@
     return (("Host", "desk.example"), ("Attempt-Id", str(number)))
 
 
-async def _play(
-    router: Router, seconds: float, seed: int, first: int = 0, pace: float = PACE
+async def _send_requests(
+    router: Router, seconds: float, seed: int, first: int = 0, rate: float = REQUESTS_PER_SECOND
 ) -> list[Any]:
     """Send requests at a router's pace for some seconds; return what became of each."""
     rng, loop = random.Random(seed), asyncio.get_running_loop()
@@ -148,36 +152,36 @@
     tasks: list[asyncio.Future[Any]] = []
     while loop.time() < until:
         tasks.append(asyncio.ensure_future(router.ask(first + len(tasks))))
-        await asyncio.sleep(rng.expovariate(pace))
+        await asyncio.sleep(rng.expovariate(rate))
     return await asyncio.gather(*tasks)
 
 
-class SeldomUsedTest(unittest.TestCase):
-    def test_one_request_in_ten_opens_a_connection_at_most(self) -> None:
+class SparseTrafficTest(unittest.TestCase):
+    def test_at_most_one_request_in_ten_opens_a_connection(self) -> None:
         async def main() -> tuple[int, int]:
             router = Router()
-            await _play(router, 90.0, seed=1)
+            await _send_requests(router, 90.0, seed=1)
             return router.counts()
 
         opened, reused = run_virtually(main())
         self.assertGreater(opened + reused, 1000)
         self.assertLess(opened, (opened + reused) / 10)
 
-    def test_engines_with_a_connection_come_first_where_pairs_talk_yet_less(self) -> None:
+    def test_engines_with_an_idle_connection_are_preferred(self) -> None:
         async def main(preference: EnginePreference | None) -> int:
             router = Router()
             router.preference = preference or router.preference
-            await _play(router, 90.0, seed=1, pace=PACE / 4)
+            await _send_requests(router, 90.0, seed=1, rate=REQUESTS_PER_SECOND / 4)
             return router.counts()[0]
 
         opened = run_virtually(main(None))
         self.assertLess(opened, run_virtually(main(NoPreference())) / 2)
 
-    def test_while_load_is_not_managed_the_last_bytes_decide(self) -> None:
+    def test_without_load_management_reuse_depends_on_the_last_bytes(self) -> None:
         async def main() -> tuple[int, int]:
             router = Router("off")
             router.state.pace_read_at = 0.0
-            await _play(router, 10.0, seed=1)
+            await _send_requests(router, 10.0, seed=1)
             return router.counts()
 
         opened, reused = run_virtually(main())
@@ -187,13 +191,15 @@
 class SilentlyLostTest(unittest.TestCase):
     """Every connection is lost without a word halfway through."""
 
-    def test_a_request_is_sent_once_and_doubt_lasts_while_probes_run(self) -> None:
+    def test_requests_are_sent_once_and_reuse_stays_strict_while_probes_run(self) -> None:
         async def main() -> None:
             router = Router()
-            before = await _play(router, 12.0, seed=2)
+            before = await _send_requests(router, 12.0, seed=2)
             router.fall_silent()
-            silent = router.open_now()
-            lost = await _play(router, NOTICED + 0.1, seed=3, first=10_000)
+            silent = router.open_engines()
+            lost = await _send_requests(
+                router, SILENCE_DETECTED_SECONDS + 0.1, seed=3, first=10_000
+            )
             self.assertEqual(set(router.sent.values()), {1})
             self.assertEqual(len(router.sent), len(before) + len(lost))
             refused = [each.refusal for each in lost if isinstance(each, Refused)]
@@ -202,44 +208,49 @@
             self.assertTrue(all(each.aborted for each in silent))
 
             opened, _ = router.counts()
-            await _play(router, STRICT_SECONDS - NOTICED, seed=4, first=20_000)
-            opened_in_doubt = router.counts()[0] - opened
-            self.assertGreater(opened_in_doubt, 0.5 * PACE * (STRICT_SECONDS - NOTICED))
-            await asyncio.sleep(NOTICED)
+            await _send_requests(
+                router, STRICT_SECONDS - SILENCE_DETECTED_SECONDS, seed=4, first=20_000
+            )
+            opened_while_strict = router.counts()[0] - opened
+            self.assertGreater(
+                opened_while_strict,
+                0.5 * REQUESTS_PER_SECOND * (STRICT_SECONDS - SILENCE_DETECTED_SECONDS),
+            )
+            await asyncio.sleep(SILENCE_DETECTED_SECONDS)
             opened, reused = router.counts()
-            await _play(router, 10.0, seed=5, first=30_000)
+            await _send_requests(router, 10.0, seed=5, first=30_000)
             opened, reused = router.counts()[0] - opened, router.counts()[1] - reused
             self.assertLess(opened, (opened + reused) / 4)
 
         run_virtually(main())
 
 
-class BoundTest(unittest.TestCase):
+class IdleLimitTest(unittest.TestCase):
     """Guards engines against connections that stay open after a burst."""
 
-    def idle_after_burst(self, switch: str, routers: int) -> int:
+    def idle_after_burst(self, load_management: str, routers: int) -> int:
         """Return the most connections that stay open to one engine."""
 
         async def main() -> int:
-            router = Router(switch, most_connections=100)
+            router = Router(load_management, most_connections=100)
             router.state._live_routers = tuple(f"r{at}" for at in range(routers))
             await asyncio.gather(*(router.ask(number) for number in range(600)))
             return max(len(idle) for idle in router.client._idle_by_address.values())
 
         return run_virtually(main())
 
-    def test_a_router_keeps_its_share_and_two_at_least(self) -> None:
+    def test_a_router_keeps_its_share_but_at_least_two(self) -> None:
         self.assertEqual(self.idle_after_burst("on", 25), 4)
         self.assertEqual(self.idle_after_burst("on", 470), 2)
 
-    def test_while_load_is_not_managed_nothing_is_shared_out(self) -> None:
+    def test_without_load_management_the_limit_is_not_divided(self) -> None:
         self.assertGreater(self.idle_after_burst("off", 470), 10)
 
 
 class LossTest(unittest.TestCase):
     """Which ends of a connection put the others in doubt."""
 
-    def doubts(self, reason: Exception | None, to_upstream: bool = True) -> bool:
+    def is_strict_after(self, reason: Exception | None, to_upstream: bool = True) -> bool:
         async def main() -> bool:
             router = Router()
             request = Request("POST", "/", _headers(1))
@@ -248,43 +259,45 @@
             await (await sending).head
             await asyncio.sleep(1.0)
             if reason is None:
-                router.client.distrust(ADDRESS, 10.0)
+                router.client.close_stale(ADDRESS, 10.0)
             else:
                 router.engines[0].lose(reason)
-            return router.client._rules.is_strict(asyncio.get_running_loop().time())
+            return router.client._reuse_rules.is_strict(asyncio.get_running_loop().time())
 
         return run_virtually(main())
 
-    def test_a_reset_of_an_upstreams_connection_does(self) -> None:
-        self.assertTrue(self.doubts(ConnectionLost()))
+    def test_a_reset_upstream_connection_makes_reuse_strict(self) -> None:
+        self.assertTrue(self.is_strict_after(ConnectionLost()))
 
-    def test_nothing_else_does(self) -> None:
-        self.assertFalse(self.doubts(ConnectionDone()))
-        self.assertFalse(self.doubts(None))
-        self.assertFalse(self.doubts(ConnectionLost(), to_upstream=False))
+    def test_other_ends_leave_reuse_unchanged(self) -> None:
+        self.assertFalse(self.is_strict_after(ConnectionDone()))
+        self.assertFalse(self.is_strict_after(None))
+        self.assertFalse(self.is_strict_after(ConnectionLost(), to_upstream=False))
 
 
 class RulesTest(unittest.TestCase):
     """Guards the edges of the time for which a connection is sure, second by second."""
 
-    def kept(self, stated: float) -> Connection:
+    def idle_connection(self, stated: float) -> Connection:
         connection = Connection(lambda _: None)
-        connection.states_idle_time, connection.stated_idle = stated > 0, stated
-        connection.idle_since = connection.heard_at = 100.0
+        connection.has_stated_idle, connection.stated_idle = stated > 0, stated
+        connection.idle_since = connection.last_received_at = 100.0
         connection.usable_until = 100.0 + stated / 2
         return connection
 
-    def test_it_follows_what_is_stated_and_leaves_a_second_of_it(self) -> None:
+    def test_reuse_follows_the_stated_time_less_a_margin_of_one_second(self) -> None:
         for stated, seconds in ((10.0, 8.0), (4.0, 2.6), (2.0, 1.0), (1.0, 0.5), (0.0, 0.0)):
             with self.subTest(stated=stated):
-                rules, kept = ReuseRules(), self.kept(stated)
-                self.assertEqual(rules.is_sure(kept, 100.0 + seconds - 0.01, True), stated > 0)
-                self.assertFalse(rules.is_sure(kept, 100.0 + seconds + 0.01, True))
-
-    def test_after_a_loss_the_last_bytes_decide_for_a_while(self) -> None:
-        rules, kept = ReuseRules(), self.kept(60.0)
+                rules, connection = ReuseRules(), self.idle_connection(stated)
+                self.assertEqual(
+                    rules.is_safe(connection, 100.0 + seconds - 0.01, True), stated > 0
+                )
+                self.assertFalse(rules.is_safe(connection, 100.0 + seconds + 0.01, True))
+
+    def test_after_a_loss_reuse_depends_on_the_last_bytes_for_a_while(self) -> None:
+        rules, connection = ReuseRules(), self.idle_connection(60.0)
         rules.note_loss(99.0)
-        self.assertTrue(rules.is_sure(kept, 100.0 + HEARD_SECONDS, True))
-        self.assertFalse(rules.is_sure(kept, 100.1 + HEARD_SECONDS, True))
-        self.assertTrue(rules.is_sure(kept, 99.0 + STRICT_SECONDS, True))
-        self.assertFalse(rules.is_sure(kept, 99.0 + STRICT_SECONDS, False))
+        self.assertTrue(rules.is_safe(connection, 100.0 + MAX_SILENT_SECONDS, True))
+        self.assertFalse(rules.is_safe(connection, 100.1 + MAX_SILENT_SECONDS, True))
+        self.assertTrue(rules.is_safe(connection, 99.0 + STRICT_SECONDS, True))
+        self.assertFalse(rules.is_safe(connection, 99.0 + STRICT_SECONDS, False))
--- a/pondhatch/transport/tests/test_ended_upstreams.py
+++ b/pondhatch/transport/tests/test_ended_upstreams.py
@@ -33,32 +33,32 @@
         self.reactor = Reactor()
         self.client = HttpClient(self.reactor)
 
-    async def asked(self) -> asyncio.Task[bool]:
-        asking = asyncio.ensure_future(self.client.is_refused(ENGINE))
+    async def start_probe(self) -> asyncio.Task[bool]:
+        probe = asyncio.ensure_future(self.client.is_refused(ENGINE))
         await asyncio.sleep(0)
-        return asking
+        return probe
 
     def fail(self, error: Any = None) -> None:  # type: ignore[override]
         self.reactor.factories[-1].clientConnectionFailed(CONNECTOR, Failure(error))
 
     async def test_only_a_refused_connection_shows_that_nothing_listens(self) -> None:
         for error, ended in ((ConnectionRefusedError(), True), (TimeoutError(), False)):
-            asking = await self.asked()
+            probe = await self.start_probe()
             self.fail(error)
-            self.assertEqual(await asking, ended)
+            self.assertEqual(await probe, ended)
 
     async def test_an_upstream_that_takes_connections_has_not_ended(self) -> None:
-        asking = await self.asked()
+        probe = await self.start_probe()
         self.reactor.factories[-1].clientConnectionLost(CONNECTOR, Failure(ConnectionLost()))
-        self.assertFalse(await asking)
+        self.assertFalse(await probe)
 
-    async def test_all_that_ask_at_once_share_a_connection_and_later_ones_do_not(self) -> None:
-        asking = [await self.asked() for _ in range(3)]
+    async def test_concurrent_probes_share_a_connection_and_later_ones_do_not(self) -> None:
+        probe = [await self.start_probe() for _ in range(3)]
         self.assertEqual(len(self.reactor.factories), 1)
-        asking.pop().cancel()
+        probe.pop().cancel()
         await asyncio.sleep(0)
         self.fail(ConnectionRefusedError())
-        self.assertEqual(await asyncio.gather(*asking), [True, True])
-        await self.asked()
+        self.assertEqual(await asyncio.gather(*probe), [True, True])
+        await self.start_probe()
         self.assertEqual(len(self.reactor.factories), 2)
         self.assertEqual(self.reactor.timeouts, [PROBE_SECONDS] * 2)
--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -12,7 +12,7 @@
 from pondhatch.transport.tests.test_routed_callers import (
     KEY,
     Answer,
-    Endless,
+    EndlessAnswer,
     Grants,
     RoutedCallersTest,
 )
@@ -28,18 +28,18 @@
 
     def __init__(self, holds_from: int) -> None:
         super().__init__()
-        self.asked = 0
-        self.told = asyncio.Event()
+        self.request_count = 0
+        self.may_reply = asyncio.Event()
         self._holds_from = holds_from
 
     async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
-        self.asked += 1
-        if self.asked >= self._holds_from:
-            await self.told.wait()
+        self.request_count += 1
+        if self.request_count >= self._holds_from:
+            await self.may_reply.wait()
         return await super().ask(owner, question, bearable)
 
 
-class Watched(Endless):
+class CancellableAnswer(EndlessAnswer):
     """An answer whose rest does not come, and that tells whether it was given up."""
 
     cancelled = False
@@ -63,7 +63,7 @@
     async def leave(self) -> None:
         self.channel.connectionLost(Failure(ConnectionLost()))
         await self.settle()
-        self.held.told.set()
+        self.held.may_reply.set()
         await self.settle()
 
     def assert_given_up(self, *released: EndReason) -> None:
@@ -74,7 +74,7 @@
         found = [msgspec.to_builtins(record) for record in self.noted.records]
         self.assertEqual([(each["id"], each["outcome"]) for each in found], [GONE])
 
-    async def test_while_its_body_comes(self) -> None:
+    async def test_leaving_while_the_body_is_received(self) -> None:
         for key in (KEY, "X-Without: a key, so that it is refused once it has come"):
             with self.subTest(key=key):
                 await self.asyncSetUp()
@@ -84,14 +84,14 @@
                 await self.leave()
                 self.assert_given_up()
 
-    async def test_waiting_for_a_grant(self) -> None:
+    async def test_leaving_while_waiting_for_a_grant(self) -> None:
         await self.hold_grants(1)
         await self.ask("GET /x HTTP/1.1")
-        self.assertEqual(self.held.asked, 1)
+        self.assertEqual(self.held.request_count, 1)
         await self.leave()
         self.assert_given_up()
 
-    async def test_sent_whether_it_may_be_repeated_or_not(self) -> None:
+    async def test_leaving_after_the_request_was_sent(self) -> None:
         for line in ("GET /x HTTP/1.1", "POST /proofs/a HTTP/1.1"):
             with self.subTest(line=line):
                 await self.asyncSetUp()
@@ -100,28 +100,28 @@
                 await self.leave()
                 self.assert_given_up(EndReason.NEUTRAL)
 
-    async def test_before_the_first_part_and_in_the_middle(self) -> None:
+    async def test_leaving_before_and_during_the_answer(self) -> None:
         for parts in ((), (b"ye",)):
             with self.subTest(parts=parts):
                 await self.asyncSetUp()
-                answer = Watched(parts)
+                answer = CancellableAnswer(parts)
                 self.upstreams.replies = [AnswerStarted(answer)]
                 await self.ask("GET /x HTTP/1.1")
                 await self.leave()
                 self.assertTrue(answer.cancelled)
                 self.assert_given_up(EndReason.NEUTRAL)
 
-    async def test_between_two_tries(self) -> None:
+    async def test_leaving_between_two_attempts(self) -> None:
         await self.hold_grants(2)
         self.upstreams.replies = [AnswerStarted(Answer((), whole=False))]
         await self.ask("GET /x HTTP/1.1")
-        self.assertEqual(self.held.asked, 2)
+        self.assertEqual(self.held.request_count, 2)
         await self.leave()
         self.assert_given_up(EndReason.CONNECTION_FAILED)
 
-    async def test_resumed(self) -> None:
+    async def test_leaving_during_a_resumed_answer(self) -> None:
         cut = Answer((EVENT,), whole=False, headers=STREAM)
-        resumed = Watched((EVENT,), headers=STREAM)
+        resumed = CancellableAnswer((EVENT,), headers=STREAM)
         self.upstreams.replies = [AnswerStarted(cut), AnswerStarted(resumed)]
         await self.ask("POST /notes/a HTTP/1.1", KEY, body=b"abc")
         await self.leave()
--- a/pondhatch/transport/tests/test_gossip_port.py
+++ b/pondhatch/transport/tests/test_gossip_port.py
@@ -11,9 +11,9 @@
 from pondhatch.membership import Address, Datagram, Seal
 from pondhatch.transport import GossipPort
 
-WELL = Address("127.0.0.1", 9)
+VALID_ADDRESS = Address("127.0.0.1", 9)
 #: None of them can be sent to from a socket of IPv4.
-WRONG = (Address("there.example", 9), Address("::1", 9), Address("127.0.0.1", 99999))
+UNSENDABLE_ADDRESSES = (Address("there.example", 9), Address("::1", 9), Address("127.0.0.1", 99999))
 #: Beyond what a UDP packet holds, 65,507 bytes.
 TOO_LONG = b"a" * 70_000
 
@@ -37,12 +37,15 @@
 
         self.write = write
 
-    def test_one_keeps_no_other_from_being_sent_and_is_told_once(self) -> None:
-        for wrong in (*(Datagram(to, b"a") for to in WRONG), Datagram(WELL, TOO_LONG)):
+    def test_an_unsendable_packet_does_not_block_others_and_is_logged_once(self) -> None:
+        for wrong in (
+            *(Datagram(to, b"a") for to in UNSENDABLE_ADDRESSES),
+            Datagram(VALID_ADDRESS, TOO_LONG),
+        ):
             with self.subTest(to=wrong.to, bytes=len(wrong.payload)):
                 self.lines.clear()
                 self.sent.clear()
                 for _ in range(3):
-                    self.port.send([wrong, Datagram(WELL, b"a")])
-                self.assertEqual(self.sent, [(WELL.host, WELL.port)] * 3)
+                    self.port.send([wrong, Datagram(VALID_ADDRESS, b"a")])
+                self.assertEqual(self.sent, [(VALID_ADDRESS.host, VALID_ADDRESS.port)] * 3)
                 self.assertEqual(len(self.lines), 1, self.lines)
--- a/pondhatch/transport/tests/test_header_bytes.py
+++ b/pondhatch/transport/tests/test_header_bytes.py
@@ -56,15 +56,15 @@
 
 
 class HeaderBytesTest(HttpRoutedTest):
-    async def test_a_callers_reach_the_engine_as_they_came(self) -> None:
+    async def test_caller_headers_reach_the_engine_unchanged(self) -> None:
         for value in VALUES:
             with self.subTest(value=value):
                 await self.asyncSetUp()
-                told = await self.begin(b"GET /x HTTP/1.1", b"X-Own: " + value)
-                self.assertEqual(told, b"")
+                response = await self.begin(b"GET /x HTTP/1.1", b"X-Own: " + value)
+                self.assertEqual(response, b"")
                 self.assertIn(b"\r\nX-Own: " + value + b"\r\n", self.reactor.sent())
 
-    async def test_an_engines_reach_the_caller_as_they_came(self) -> None:
+    async def test_engine_headers_reach_the_caller_unchanged(self) -> None:
         for value in VALUES:
             with self.subTest(value=value):
                 await self.asyncSetUp()
@@ -74,11 +74,11 @@
                     b"X-Own: " + value + b"\r\n\r\nok"
                 )
                 await self.settle()
-                told = self.written()
-                self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
-                self.assertIn(b"\r\nX-Own: " + value + b"\r\n", told)
+                response = self.written()
+                self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
+                self.assertIn(b"\r\nX-Own: " + value + b"\r\n", response)
 
-    async def test_an_accounts_name_reaches_the_engine_in_utf8(self) -> None:
+    async def test_the_account_name_reaches_the_engine_in_utf8(self) -> None:
         for version, name in enumerate(("São", "東京", "pina", " a ")):
             with self.subTest(name=name):
                 await self.asyncSetUp()
@@ -91,11 +91,11 @@
                 expected = b"\r\nTenant: " + name.strip().encode() + b"\r\n"
                 self.assertIn(expected, self.reactor.sent())
 
-    async def test_a_host_that_is_no_text_has_no_route(self) -> None:
+    async def test_an_undecodable_host_has_no_route(self) -> None:
         await self.send(b"GET /x HTTP/1.1\r\nHost: \xff\r\n\r\n")
         await asyncio.sleep(0)
-        told = self.written()
-        self.assertTrue(told.startswith(b"HTTP/1.1 404"), told)
+        response = self.written()
+        self.assertTrue(response.startswith(b"HTTP/1.1 404"), response)
 
 
 class KeysTest(HttpRoutedTest):
@@ -109,13 +109,13 @@
             b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer " + key.encode()
         )
 
-    async def test_a_key_of_any_characters_finds_its_account(self) -> None:
+    async def test_a_key_may_hold_any_characters(self) -> None:
         # The last two end in bytes that are blanks in other encodings.
         for key in ("key-1", "kéy", "鍵", "voilà", "k\u0085"):
             with self.subTest(key=key):
                 self.assertEqual(await self.served(key), b"")
                 self.assertIn(b"\r\nTenant: pina\r\n", self.reactor.sent())
 
-    async def test_a_key_that_is_no_text_is_unknown(self) -> None:
-        told = await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer \xff\xfe")
-        self.assertTrue(told.startswith(b"HTTP/1.1 401"), told)
+    async def test_an_undecodable_key_is_unknown(self) -> None:
+        response = await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer \xff\xfe")
+        self.assertTrue(response.startswith(b"HTTP/1.1 401"), response)
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -100,7 +100,7 @@
     def is_paused(self, at: int) -> bool:
         return bool(self.reactor.wires[at].producerState == "paused")
 
-    async def served(self, key: str) -> bytes:
+    async def status_of_request(self, key: str) -> bytes:
         """Return the status that a caller gets who reads at once."""
         before = len(self.reactor.connections)
         await self.ask_engine(key)
@@ -108,8 +108,8 @@
             answer = b"HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nContent-Length: 2\r\n\r\nok"
             self.reactor.connections[-1].dataReceived(answer)
             await self.settle()
-        self.told = self.written()
-        return self.told.split(b" ")[1]
+        self.response = self.written()
+        return self.response.split(b" ")[1]
 
     async def lose(self, connection: Any) -> None:
         connection.connectionLost(Failure(ConnectionLost()))
@@ -123,16 +123,16 @@
     for anybody.
     """
 
-    async def test_only_the_account_that_holds_most_is_limited(self) -> None:
+    async def test_only_the_account_that_holds_the_most_is_limited(self) -> None:
         self.held.bound = 3 * (FIRST + NEXT)
         others = await self.read_slowly(ROSA)
         engines = [await self.read_slowly(PINA) for _ in range(2)]
         self.assertGreaterEqual(self.held.total, self.held.bound)
         metrics = self.callers._metrics = mock.Mock()
-        self.assertEqual(await self.served(PINA), b"429")
-        self.assertIn(b"Retry-After: 1.000", self.told)
+        self.assertEqual(await self.status_of_request(PINA), b"429")
+        self.assertIn(b"Retry-After: 1.000", self.response)
         metrics.count.assert_called_once_with("held.refused")
-        self.assertEqual(await self.served(ROSA), b"200")
+        self.assertEqual(await self.status_of_request(ROSA), b"200")
         for at in (others, *engines):
             await self.send_next(at)
         self.assertEqual([self.is_paused(at) for at in engines], [True, True])
@@ -141,19 +141,19 @@
         await self.read_all()
         self.assertEqual((self.held.total, self.held.bytes_by_account), (0, {}))
         self.assertFalse(any(map(self.is_paused, engines)))
-        self.assertEqual(await self.served(PINA), b"200")
+        self.assertEqual(await self.status_of_request(PINA), b"200")
 
-    async def test_without_a_bound_nobody_is(self) -> None:
+    async def test_without_a_bound_no_account_is_limited(self) -> None:
         engines = [await self.read_slowly(PINA) for _ in range(9)]
         await self.send_next(engines[0])
         self.assertFalse(self.is_paused(engines[0]))
-        self.assertEqual(await self.served(PINA), b"200")
+        self.assertEqual(await self.status_of_request(PINA), b"200")
 
 
-class GivenBackTest(HeldTest):
+class ReleasedBytesTest(HeldTest):
     """Callers leave and engines die while bytes are held: none of them stays counted."""
 
-    async def test_halfway_through_answers(self) -> None:
+    async def test_bytes_are_released_when_an_answer_breaks_off(self) -> None:
         for _ in range(4):
             await self.read_slowly(PINA)
         self.assertGreater(self.held.total, 4 * (FIRST + NEXT))
@@ -167,7 +167,7 @@
         self.assertEqual((self.held.total, self.callers.in_flight), (0, 0))
         self.assertTrue(all(wire.aborted for _, wire in self.slow[2:]))
 
-    async def test_while_a_body_comes_or_waits_for_its_engine(self) -> None:
+    async def test_bytes_are_released_when_a_request_body_is_lost(self) -> None:
         for sent, length in ((b"abc", 6), (b"abcdef", 6)):
             for leaves in (True, False):
                 with self.subTest(sent=sent, leaves=leaves):
@@ -196,27 +196,27 @@
         await self.send("\r\n".join(lines).encode() + body)
         return self.written()
 
-    async def test_one_that_is_too_large_now_is_refused_before_it_comes(self) -> None:
+    async def test_a_body_too_large_for_the_bound_is_refused_before_it_is_read(self) -> None:
         self.held.change("pina", 3000)
-        told = await self.begin_body(f"Content-Length: {1024 * 1024}")
-        self.assertTrue(told.startswith(b"HTTP/1.1 429"), told)
-        self.assertIn(b"connection: close", told.lower())
+        response = await self.begin_body(f"Content-Length: {1024 * 1024}")
+        self.assertTrue(response.startswith(b"HTTP/1.1 429"), response)
+        self.assertIn(b"connection: close", response.lower())
         self.assertEqual(self.held.bytes_by_account["pina"], 3000)
 
-    async def test_one_of_unstated_length_is_held_as_it_comes(self) -> None:
+    async def test_a_body_of_unknown_length_is_counted_as_it_is_received(self) -> None:
         self.held.change("pina", 1500)
         await self.begin_body("Transfer-Encoding: chunked", CHUNK)
         self.assertEqual(self.held.bytes_by_account["pina"], 2524)
         await self.send(CHUNK + b"0\r\n\r\n")
-        told = self.written()
-        self.assertTrue(told.startswith(b"HTTP/1.1 429"), told)
+        response = self.written()
+        self.assertTrue(response.startswith(b"HTTP/1.1 429"), response)
         self.assertEqual(self.held.bytes_by_account["pina"], 1500)
 
 
 class StreamedBodiesTest(OpenAiCallersTest):
     """Bodies that are passed on as they come."""
 
-    async def test_what_an_engine_does_not_take_is_counted_until_its_caller_leaves(self) -> None:
+    async def test_unsent_body_bytes_count_until_the_caller_leaves(self) -> None:
         self.upstreams.hold = asyncio.Event()
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Content-Length: {9 * HIGH_WATER}\r\n\r\n".encode() + b"abc")
@@ -226,7 +226,7 @@
         await self.lose()
         self.assertEqual(self.state.held_bytes.total, 0)
 
-    async def test_one_with_a_key_is_counted_until_its_run_ends(self) -> None:
+    async def test_the_body_of_a_keyed_request_counts_until_its_run_ends(self) -> None:
         self.upstreams.hold = asyncio.Event()
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
@@ -239,7 +239,7 @@
         await self.settle()
         self.assertEqual(self.state.held_bytes.total, 0)
 
-    async def test_what_waits_in_an_engines_connection_is_counted_until_it_is_lost(self) -> None:
+    async def test_bytes_buffered_for_an_engine_count_until_the_connection_is_lost(self) -> None:
         held, wire = HeldBytes(), SlowWire()
         connection: Any = Connection(lambda _: None)
         connection.makeConnection(wire)
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -11,7 +11,7 @@
 from pondhatch.requests import CallerGone, ReplayableBody
 from pondhatch.transport._http_connection import (
     IDLE_SECONDS,
-    STATED_SHARE,
+    STATED_IDLE_SHARE,
     Connection,
     ConnectionBroken,
     Exchange,
@@ -43,12 +43,12 @@
 class Wire:
     """One connection and what became of it."""
 
-    def __init__(self, trusts: bool = True) -> None:
+    def __init__(self, may_reuse: bool = True) -> None:
         self.transport = Transport()  # type: ignore[no-untyped-call]
         self.connection = Connection(lambda _: None)
         self.connection.makeConnection(self.transport)  # type: ignore[no-untyped-call]
         self.kept: list[Connection] = []
-        self._trusts = trusts
+        self._may_reuse = may_reuse
 
     def begin(self, request: Request = GET, body: Any = None) -> Exchange:
         exchange = Exchange(self.connection, self.kept.append, self._judge)
@@ -59,7 +59,7 @@
         self.connection.connectionLost(Failure(reason))
 
     def _judge(self, _: ResponseHead) -> bool:
-        return self._trusts
+        return self._may_reuse
 
 
 async def content(exchange: Exchange) -> bytes:
@@ -69,8 +69,8 @@
     return b"".join(parts)
 
 
-class WholeAnswerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_whole_answers_come_out_whole_and_leave_the_connection(self) -> None:
+class CompleteAnswerTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_complete_answer_is_read_and_its_connection_kept(self) -> None:
         chunked = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"
         )
@@ -85,7 +85,7 @@
                     self.assertEqual(await content(exchange), b"hello")
                     self.assertEqual(wire.kept, [wire.connection])
 
-    async def test_two_exchanges_follow_each_other(self) -> None:
+    async def test_a_connection_carries_two_exchanges_in_turn(self) -> None:
         wire = Wire()
         for _ in range(2):
             exchange = wire.begin()
@@ -93,7 +93,7 @@
             self.assertEqual(await content(exchange), b"hello")
         self.assertEqual(wire.kept, [wire.connection] * 2)
 
-    async def test_an_answer_without_length_ends_with_an_orderly_close_alone(self) -> None:
+    async def test_an_answer_without_length_is_complete_only_after_an_orderly_close(self) -> None:
         raw = b"HTTP/1.1 200 OK\r\n\r\nhello"
         wire = Wire()
         exchange = wire.begin()
@@ -108,11 +108,11 @@
         with self.assertRaises(ConnectionBroken):
             await content(exchange)
 
-    async def test_how_long_an_idle_connection_is_used_follows_what_is_stated(self) -> None:
+    async def test_the_stated_idle_time_bounds_the_reuse_of_a_connection(self) -> None:
         stated = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4, max=9\r\nContent-Length: 0\r\n\r\n"
         silent = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         for raw, seconds, states in (
-            (stated, 4 * STATED_SHARE, True),
+            (stated, 4 * STATED_IDLE_SHARE, True),
             (silent, IDLE_SECONDS, False),
         ):
             with self.subTest(raw=raw):
@@ -121,11 +121,11 @@
                 wire.connection.dataReceived(raw)
                 left = wire.connection.usable_until - asyncio.get_running_loop().time()
                 self.assertAlmostEqual(left, seconds, delta=0.5)
-                self.assertEqual(wire.connection.states_idle_time, states)
+                self.assertEqual(wire.connection.has_stated_idle, states)
 
 
-class SpoiltConnectionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_ends_early_is_never_whole(self) -> None:
+class UnusableConnectionTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_truncated_answer_is_never_complete(self) -> None:
         starts = (
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n",
@@ -141,7 +141,7 @@
                     with self.assertRaises(ConnectionBroken):
                         await content(exchange)
 
-    async def test_bytes_that_form_no_answer_end_it(self) -> None:
+    async def test_a_malformed_response_closes_the_connection(self) -> None:
         wire = Wire()
         exchange = wire.begin()
         wire.connection.dataReceived(b"\x00\x01 no answer\r\n\r\n")
@@ -149,7 +149,7 @@
             await exchange.head
         self.assertTrue(wire.transport.aborted)
 
-    async def test_surplus_bytes_belong_to_no_request(self) -> None:
+    async def test_surplus_bytes_close_the_connection(self) -> None:
         wire = Wire()
         exchange = wire.begin()
         wire.connection.dataReceived(WHOLE + WHOLE)
@@ -157,7 +157,7 @@
         self.assertEqual(wire.kept, [])
         self.assertTrue(wire.transport.aborted)
 
-    async def test_bytes_on_an_idle_connection_end_it(self) -> None:
+    async def test_bytes_on_an_idle_connection_close_it(self) -> None:
         wire = Wire()
         wire.begin()
         wire.connection.dataReceived(WHOLE)
@@ -173,14 +173,14 @@
         )
         self.assertEqual(wire.kept, [])
 
-    async def test_an_answer_that_is_not_trusted_ends_its_connection(self) -> None:
-        wire = Wire(trusts=False)
+    async def test_a_connection_that_may_not_be_reused_is_closed(self) -> None:
+        wire = Wire(may_reuse=False)
         wire.begin()
         wire.connection.dataReceived(WHOLE)
         self.assertEqual(wire.kept, [])
         self.assertTrue(wire.transport.aborted)
 
-    async def test_a_whole_answer_is_not_cut_by_a_late_cancel(self) -> None:
+    async def test_a_late_cancel_does_not_close_the_connection_of_a_complete_answer(self) -> None:
         wire = Wire()
         exchange = wire.begin()
         wire.connection.dataReceived(WHOLE)
@@ -189,32 +189,32 @@
 
 
 class BodyTest(unittest.IsolatedAsyncioTestCase):
-    async def test_it_ends_with_the_bodys_length_and_waits_for_no_end_mark(self) -> None:
+    async def test_a_body_of_known_length_is_not_read_beyond_it(self) -> None:
         wire = Wire()
         wire.begin(POST, Body())
         await asyncio.sleep(0)
         written: bytes = wire.transport.value()  # type: ignore[no-untyped-call]
         self.assertTrue(written.endswith(b"Content-Length: 6\r\n\r\nabcabc"))
 
-    async def test_a_lost_sender_fails_the_exchange_and_cuts_the_connection(self) -> None:
+    async def test_losing_the_sender_fails_the_exchange_and_aborts_the_connection(self) -> None:
         wire = Wire()
-        exchange = wire.begin(POST, Lost())
+        exchange = wire.begin(POST, LostSenderBody())
         with self.assertRaises(CallerGone):
             await exchange.head
         self.assertTrue(wire.transport.aborted)
 
-    async def test_after_a_cancel_nobody_reads_on(self) -> None:
+    async def test_cancelling_stops_reading_the_body(self) -> None:
         wire = Wire()
-        body = Stalled()
+        body = StalledBody()
         exchange = wire.begin(POST, body)
         await asyncio.sleep(0)
         exchange.cancel()
         await asyncio.sleep(0)
         self.assertTrue(body.cancelled)
 
-    async def test_an_answer_before_the_body_has_come_spoils_the_connection(self) -> None:
+    async def test_an_answer_before_the_end_of_the_body_closes_the_connection(self) -> None:
         wire = Wire()
-        body = Stalled()
+        body = StalledBody()
         exchange = wire.begin(POST, body)
         await asyncio.sleep(0)
         wire.connection.dataReceived(WHOLE)
@@ -224,9 +224,9 @@
         self.assertEqual(wire.kept, [])
         self.assertTrue(wire.transport.aborted)
 
-    async def test_a_slow_upstream_stops_the_reading_of_the_body(self) -> None:
+    async def test_a_slow_upstream_pauses_reading_the_body(self) -> None:
         wire = Wire()
-        body = Endless()
+        body = EndlessBody()
         wire.begin(POST, body)
         wire.connection.pauseProducing()
         for _ in range(5):
@@ -256,7 +256,7 @@
         return b"abc"
 
 
-class Endless:
+class EndlessBody:
     """A body that never ends."""
 
     length: int | None = None
@@ -270,7 +270,7 @@
         return b"x"
 
 
-class Stalled:
+class StalledBody:
     """A body whose sender stands still."""
 
     length: int | None = 6
@@ -287,7 +287,7 @@
         return b""
 
 
-class Lost:
+class LostSenderBody:
     """A body whose sender is lost."""
 
     length: int | None = 6
--- a/pondhatch/transport/tests/test_idle_connections.py
+++ b/pondhatch/transport/tests/test_idle_connections.py
@@ -25,29 +25,29 @@
     def abort(self) -> None:
         self.aborted = True
         connection: Any = self
-        self._client._lost(connection)
+        self._client._forget(connection)
 
 
 class IdleConnectionsTest(unittest.TestCase):
-    def swept(self, *idle_seconds: float) -> tuple[list[bool], HttpClient]:
+    def sweep(self, *idle_seconds: float) -> tuple[list[bool], HttpClient]:
         """Return which of some connections are closed after a sweep's time."""
 
         async def main() -> tuple[list[bool], HttpClient]:
             client = HttpClient(None)
             idle: list[Any] = [Idle(client, seconds) for seconds in idle_seconds]
             for each in idle:
-                client._keep(ADDRESS, each)
+                client._keep_idle(ADDRESS, each)
             await asyncio.sleep(SWEEP_SECONDS + 0.1)
             return [each.aborted for each in idle], client
 
         return run_virtually(main())
 
-    def test_those_that_may_no_longer_be_used_are_closed(self) -> None:
-        aborted, client = self.swept(SWEEP_SECONDS / 2, SWEEP_SECONDS * 3)
+    def test_expired_connections_are_closed(self) -> None:
+        aborted, client = self.sweep(SWEEP_SECONDS / 2, SWEEP_SECONDS * 3)
         self.assertEqual(aborted, [True, False])
         self.assertEqual(len(client._idle_by_address[ADDRESS]), 1)
 
-    def test_once_none_is_left_nobody_looks(self) -> None:
-        _, client = self.swept(SWEEP_SECONDS / 2)
+    def test_the_sweep_stops_when_no_connection_is_left(self) -> None:
+        _, client = self.sweep(SWEEP_SECONDS / 2)
         self.assertEqual(client._idle_by_address, {})
-        self.assertIsNone(client._sweeping)
+        self.assertIsNone(client._sweep_timer)
