--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -37,11 +37,11 @@
     (),
 )
 #: Seconds within which what is to end at once must have ended.
-SOON = 0.5
+DEADLINE_SECONDS = 0.5
 
 
 class UnwritableTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_that_cannot_be_written_leaves_no_connection(self) -> None:
+    async def test_a_request_that_cannot_be_written_leaves_no_open_connection(self) -> None:
         for headers in UNWRITABLE:
             with self.subTest(headers=headers):
                 reactor = Reactor()
@@ -50,7 +50,7 @@
                     await client.send(ADDRESS, Request("GET", "/", headers), NOTHING, False)
                 self.assertEqual((len(reactor.wires), reactor.left_open()), (1, 0))
 
-    async def test_nor_one_that_was_kept(self) -> None:
+    async def test_a_reused_connection_is_closed_too(self) -> None:
         reactor = Reactor()
         client = HttpClient(reactor)
         await client.send(ADDRESS, GET, NOTHING, True)
@@ -61,15 +61,15 @@
 
 
 class AccountsNameTest(HttpRoutedTest):
-    async def test_an_accounts_name_that_no_header_can_hold_leaves_no_connection(self) -> None:
+    async def test_an_account_name_invalid_in_headers_leaves_no_open_connection(self) -> None:
         accounts = [{"Name": "a\nb", "ApiKeys": ["k"]}]
         put_in_force(self.state, {**CONFIGURATION, "Version": 9, "Tenants": accounts})
-        told = await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer k")
-        self.assertTrue(told.startswith(b"HTTP/1.1 5"), told)
+        response = await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer k")
+        self.assertTrue(response.startswith(b"HTTP/1.1 5"), response)
         self.assertEqual((self.reactor.sent(), self.reactor.left_open()), (b"", 0))
 
 
-class LostAtOnce(Reactor):
+class LostOnConnectReactor(Reactor):
     """Its connections are reset in the turn of the loop in which they are made."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
@@ -77,7 +77,7 @@
         self.connections[-1].connectionLost(Failure(ConnectionLost()))
 
 
-class NeverMade(Reactor):
+class FailedSetupReactor(Reactor):
     """Its connections fail while they are set up, as twisted tells it."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
@@ -88,16 +88,16 @@
 
 
 class LostBeforeSentTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_connection_that_is_lost_as_it_is_made_was_not_sent_on(self) -> None:
-        for reactor in (LostAtOnce(), NeverMade()):
+    async def test_a_connection_lost_while_connecting_raises_not_sent(self) -> None:
+        for reactor in (LostOnConnectReactor(), FailedSetupReactor()):
             with self.subTest(reactor=type(reactor).__name__):
                 sending = HttpClient(reactor).send(ADDRESS, GET, NOTHING, False)
                 with self.assertRaises(NotSent):
-                    await asyncio.wait_for(sending, SOON)
+                    await asyncio.wait_for(sending, DEADLINE_SECONDS)
 
 
-class GivenUpTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_answer_that_comes_as_its_request_is_given_up(self) -> None:
+class CancelledExchangeTest(unittest.IsolatedAsyncioTestCase):
+    async def test_an_answer_received_during_a_cancel_keeps_its_connection(self) -> None:
         wire = Wire()
         exchange = wire.begin()
         exchange.head.cancel()
@@ -108,7 +108,7 @@
         self.assertFalse(wire.transport.aborted)
 
 
-class Failing(EngineDialect):
+class FailingDialect(EngineDialect):
     """Fails at the answer's headers."""
 
     def judge(self, head: RequestHead, status: int, value_by_name: Mapping[str, str]) -> AnswerKind:
@@ -118,10 +118,10 @@
         raise RuntimeError("a fault")
 
 
-class HandingOverTest(unittest.IsolatedAsyncioTestCase):
+class AnswerHeadErrorTest(unittest.IsolatedAsyncioTestCase):
     async def test_an_error_at_an_answers_head_closes_its_connection(self) -> None:
         reactor = Reactor()
-        upstreams = HttpUpstreams(HttpClient(reactor), Failing())
+        upstreams = HttpUpstreams(HttpClient(reactor), FailingDialect())
         head = msgspec.structs.replace(_HEAD, headers=(("Host", "upstream"),))
         target = Target("i-1", "http://10.0.0.1:80", OPEN, 1.5, 3, 64)
         sending = asyncio.ensure_future(upstreams.send(target, head, NOTHING))
@@ -149,7 +149,7 @@
 class MalformedHeadTest(HttpRoutedTest):
     """Heads that twisted takes and no upstream can be sent are refused before any is chosen."""
 
-    async def test_they_are_told_so(self) -> None:
+    async def test_malformed_heads_are_refused_with_400(self) -> None:
         rows = (
             (b"GET /x HTTP/1.1", b"X-Own: a\x0bb"),
             (b"GET /x HTTP/1.1", b"X-Own: a\x0cb"),
@@ -160,17 +160,17 @@
             for more in ((), (b"X-Last: 1",)):
                 with self.subTest(line=line, header=header, more=more):
                     await self.asyncSetUp()
-                    told = await self.begin(line, header, *more)
-                    self.assertTrue(told.startswith(b"HTTP/1.1 400"), told)
-                    self.assertEqual(told.count(b"HTTP/1.1"), 1, told)
+                    response = await self.begin(line, header, *more)
+                    self.assertTrue(response.startswith(b"HTTP/1.1 400"), response)
+                    self.assertEqual(response.count(b"HTTP/1.1"), 1, response)
                     self.assertTrue(self.wire.disconnecting)
                     self.assertEqual(self.reactor.connections, [])
 
 
-class NoAddressTest(HttpRoutedTest):
+class InvalidAddressTest(HttpRoutedTest):
     """An engine whose entry has no address costs no request that another can run."""
 
-    async def test_its_requests_go_to_another(self) -> None:
+    async def test_its_requests_go_to_another_engine(self) -> None:
         for at, url in enumerate(("http://nowhere", "http://10.0.0.9:0", "http://10.0.0.9:70000")):
             for engine in ("i-2", "i-3"):
                 with self.subTest(url=url, engine=engine):
@@ -179,17 +179,17 @@
                     entry = Upstream(engine, "portal", url, "hall-1")
                     self.state.upstreams.set(entry, revision)
                     self.state.invalidate_upstream_caches()
-                    told = await self.begin(b"GET /x HTTP/1.1")
-                    self.assertEqual(told, b"")
+                    response = await self.begin(b"GET /x HTTP/1.1")
+                    self.assertEqual(response, b"")
                     self.assertIn(b"GET /x HTTP/1.1", self.reactor.sent())
                     whole = Upstream(engine, "portal", "http://10.0.0.9:80", "hall-1")
                     self.state.upstreams.set(whole, revision + 5)
                     self.state.invalidate_upstream_caches()
 
-    async def test_where_none_has_one_it_is_refused_as_not_run(self) -> None:
+    async def test_a_request_is_refused_as_not_run_if_no_engine_has_an_address(self) -> None:
         for engine in ("i-2", "i-3"):
             entry = Upstream(engine, "portal", "http://nowhere", "hall-1")
             self.state.upstreams.set(entry, 100 + int(engine[-1]))
         self.state.invalidate_upstream_caches()
-        told = await self.begin(b"GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 503"), told)
+        response = await self.begin(b"GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 503"), response)
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -22,8 +22,8 @@
 from pondhatch.transport._interface import CallerParts
 from pondhatch.transport.tests.test_routed_callers import (
     Answer,
-    Endless,
-    Raising,
+    EndlessAnswer,
+    RaisingAnswer,
     RoutedCallersTest,
     Transport,
 )
@@ -77,7 +77,7 @@
         self.wire = Transport()  # type: ignore[no-untyped-call]
         self.channel.makeConnection(self.wire)
 
-    async def get(self, key: str = KEYS[0]) -> bytes:
+    async def send_get(self, key: str = KEYS[0]) -> bytes:
         return await self.ask("GET /portal/x HTTP/1.1", f"Authorization: Bearer {key}")
 
     async def cancel_all(self) -> bytes:
@@ -89,52 +89,52 @@
 
 
 class KeysTest(OpenAiCallersTest):
-    async def test_a_key_of_any_characters_finds_its_account(self) -> None:
+    async def test_a_key_may_hold_any_characters(self) -> None:
         for key in KEYS:
             with self.subTest(key=key):
                 self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
-                told = await self.get(key)
-                self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
+                response = await self.send_get(key)
+                self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
 
-    async def test_a_key_that_is_no_text_is_unknown(self) -> None:
+    async def test_an_undecodable_key_is_unknown(self) -> None:
         await self.send(
             b"GET /portal/x HTTP/1.1\r\nHost: desk.example\r\nAuthorization: Bearer \xff\r\n\r\n"
         )
-        told = self.written()
-        self.assertTrue(told.startswith(b"HTTP/1.1 401"), told)
+        response = self.written()
+        self.assertTrue(response.startswith(b"HTTP/1.1 401"), response)
 
 
 class EndingTest(OpenAiCallersTest):
     """klein finishes whatever answer is open once its request's coroutine has returned."""
 
-    def assert_cut(self, told: bytes) -> None:
-        self.assertNotIn(LAST_CHUNK, told)
+    def assert_cut(self, response: bytes) -> None:
+        self.assertNotIn(LAST_CHUNK, response)
         self.assertTrue(self.wire.aborted)
 
-    async def test_an_answer_under_way_is_cut_as_the_router_ends(self) -> None:
-        self.upstreams.replies = [AnswerStarted(Endless((b"ye",), headers=UNFRAMED))]
-        told = await self.get()
-        self.assertTrue(told.endswith(b"2\r\nye\r\n"), told)
+    async def test_an_unfinished_answer_is_cut_when_the_router_ends(self) -> None:
+        self.upstreams.replies = [AnswerStarted(EndlessAnswer((b"ye",), headers=UNFRAMED))]
+        response = await self.send_get()
+        self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
         self.assert_cut(await self.cancel_all())
 
-    async def test_one_that_has_not_begun_is_cut_without_a_word(self) -> None:
+    async def test_a_request_without_an_answer_is_cut_when_the_router_ends(self) -> None:
         self.upstreams.hold = asyncio.Event()
-        await self.get()
-        told = await self.cancel_all()
-        self.assertEqual(told, b"")
-        self.assert_cut(told)
+        await self.send_get()
+        response = await self.cancel_all()
+        self.assertEqual(response, b"")
+        self.assert_cut(response)
 
-    async def test_an_error_midway_cuts_the_answer(self) -> None:
+    async def test_an_error_during_the_answer_cuts_it(self) -> None:
         for error in (CallerGone("gone"), RuntimeError("a fault"), ConnectionError("lost")):
             with self.subTest(error=error):
                 await self.asyncSetUp()
-                self.upstreams.replies = [AnswerStarted(Raising(error))]
-                self.assert_cut(await self.get())
+                self.upstreams.replies = [AnswerStarted(RaisingAnswer(error))]
+                self.assert_cut(await self.send_get())
 
-    async def test_a_whole_answer_gets_its_end(self) -> None:
+    async def test_a_complete_answer_is_terminated(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",), headers=UNFRAMED))]
-        told = await self.get()
-        self.assertTrue(told.endswith(LAST_CHUNK), told)
+        response = await self.send_get()
+        self.assertTrue(response.endswith(LAST_CHUNK), response)
         self.assertFalse(self.wire.aborted)
 
 
@@ -156,7 +156,7 @@
         self.channel.connectionLost(Failure(ConnectionLost()))
         await self.settle()
 
-    async def asked_again(self) -> bytes:
+    async def retry_with_key(self) -> bytes:
         """Return what a caller gets that comes back with the same key."""
         self.connect()
         return await self.post()
@@ -164,7 +164,7 @@
     def key_states(self) -> list[str]:
         return [record.state for record in self.state.key_table.record_by_key.values()]
 
-    async def test_it_goes_on_and_its_answer_is_there_when_it_is_asked_for_again(self) -> None:
+    async def test_a_keyed_request_finishes_without_its_caller_and_is_replayed(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"ye", b"s!"), headers=UNFRAMED))]
         await self.post()
         await self.leave()
@@ -175,13 +175,13 @@
         await self.settle()
         self.assertEqual((self.grants.released, self.openai.in_flight), ([EndReason.ANSWERED], 0))
         self.assertEqual(self.key_states(), ["done"])
-        told = await self.asked_again()
-        self.assertIn(b"yes!", told)
-        self.assertIn(b"X-Pondhatch-Replayed: true", told)
+        response = await self.retry_with_key()
+        self.assertIn(b"yes!", response)
+        self.assertIn(b"X-Pondhatch-Replayed: true", response)
         self.assertEqual(len(self.upstreams.sent), 1)
 
-    async def test_in_the_middle_of_its_answer_too(self) -> None:
-        answer = Endless((b"ye",), headers=UNFRAMED)
+    async def test_a_caller_leaving_during_the_answer_gets_it_replayed(self) -> None:
+        answer = EndlessAnswer((b"ye",), headers=UNFRAMED)
         self.upstreams.replies = [AnswerStarted(answer)]
         self.upstreams.hold = None
         self.assertTrue((await self.post()).endswith(b"2\r\nye\r\n"))
@@ -190,16 +190,16 @@
         answer.rest.set_result(b"s!")
         await self.settle()
         self.assertEqual(self.key_states(), ["done"])
-        self.assertIn(b"yes!", await self.asked_again())
+        self.assertIn(b"yes!", await self.retry_with_key())
 
-    async def test_one_whose_body_is_not_whole_ends_with_its_caller_and_is_unknown(self) -> None:
+    async def test_an_incomplete_body_ends_the_request_as_unknown(self) -> None:
         await self.post(length=9)
         self.assertEqual(len(self.upstreams.sent), 1)
         await self.leave()
         self.assertEqual((self.grants.released, self.openai.in_flight), ([EndReason.NEUTRAL], 0))
         self.assertEqual(self.key_states(), ["unknown"])
 
-    async def test_as_the_router_ends_it_ends_and_is_unknown(self) -> None:
+    async def test_the_end_of_the_router_ends_the_request_as_unknown(self) -> None:
         await self.post()
         await self.leave()
         await self.cancel_all()
--- a/pondhatch/transport/tests/test_retry_after.py
+++ b/pondhatch/transport/tests/test_retry_after.py
@@ -22,7 +22,7 @@
             with self.subTest(value):
                 self.assertEqual(seconds_to_wait(value, MOMENT), seconds)
 
-    def test_what_asks_for_no_rest(self) -> None:
+    def test_values_without_a_usable_delay_give_zero(self) -> None:
         for value in (
             "",
             "0",
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -138,7 +138,7 @@
         return None
 
 
-class Noted:
+class RecordList:
     def __init__(self) -> None:
         self.records: list[Record] = []
 
@@ -182,7 +182,7 @@
         self.state = state_of(CONFIGURATION)
         self.upstreams = Upstreams()
         self.grants = Grants()
-        self.noted = Noted()
+        self.noted = RecordList()
         self.limits = CallerLimits()
 
     async def asyncSetUp(self) -> None:
@@ -228,11 +228,11 @@
         return self.written()
 
 
-class PassingOnTest(RoutedCallersTest):
-    async def test_an_answer_comes_back_unchanged(self) -> None:
+class ForwardingTest(RoutedCallersTest):
+    async def test_an_answer_is_forwarded_unchanged(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"ye", b"s!")))]
-        told = await self.ask("POST /proofs/a?b=1 HTTP/1.1", KEY, body=b"abc")
-        head, _, body = told.partition(b"\r\n\r\n")
+        response = await self.ask("POST /proofs/a?b=1 HTTP/1.1", KEY, body=b"abc")
+        head, _, body = response.partition(b"\r\n\r\n")
         self.assertTrue(head.startswith(b"HTTP/1.1 200 OK"), head)
         self.assertIn(b"Instance-Signature: 3e", head)
         self.assertEqual(body, b"yes!")
@@ -246,7 +246,7 @@
             await self.ask("GET /x HTTP/1.1", f"Deadline-Ms: {wait}")
             self.assertAlmostEqual(self.upstreams.sent[-1][1].deadline, expected, delta=0.3)
 
-    async def test_what_no_route_or_account_allows(self) -> None:
+    async def test_requests_without_a_route_or_account_are_refused(self) -> None:
         rows = (
             ("GET /x HTTP/1.1", ("Host: other.example",), b"404"),
             ("POST /proofs/a HTTP/1.1", (), b"401"),
@@ -260,27 +260,27 @@
                 self.assertTrue(self.written().startswith(b"HTTP/1.1 " + status))
         self.assertEqual(self.upstreams.sent, [])
 
-    async def test_before_any_configuration_callers_are_told_to_come_back(self) -> None:
+    async def test_callers_are_told_to_retry_before_any_configuration(self) -> None:
         self.state.fleet = FleetConfiguration()
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 503"))
-        self.assertIn(b"Retry-After: 0.500", told)
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 503"))
+        self.assertIn(b"Retry-After: 0.500", response)
 
-    async def test_each_request_leaves_a_decision(self) -> None:
+    async def test_each_request_writes_a_record(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("GET /x HTTP/1.1")
         record = self.noted.records[0]
         self.assertEqual(msgspec.to_builtins(record)["id"], "9c41")
         self.assertEqual(msgspec.to_builtins(record)["outcome"], "whole")
 
-    async def test_a_refusal_leaves_one_too_with_the_version_that_refused(self) -> None:
+    async def test_a_refusal_writes_a_record_with_the_configuration_version(self) -> None:
         await self.ask("POST /proofs/a HTTP/1.1", body=b"abc")
         found = msgspec.to_builtins(self.noted.records[0])
         self.assertEqual(
             (found["id"], found["outcome"], found["configuration"]), ("9c41", "no-key", 7)
         )
 
-    async def test_after_a_break_it_names_the_upstream_that_answered_last(self) -> None:
+    async def test_after_a_retry_the_record_names_the_last_upstream(self) -> None:
         self.upstreams.replies = [
             AnswerStarted(Answer((), whole=False)),
             AnswerStarted(Answer((b"yes!",))),
@@ -290,11 +290,11 @@
         self.assertEqual(found["upstream"], self.upstreams.sent[-1][0])
         self.assertNotEqual(found["upstream"], self.upstreams.sent[0][0])
 
-    async def test_a_body_is_held_to_the_limits_in_force(self) -> None:
+    async def test_a_body_beyond_the_limit_in_force_is_refused(self) -> None:
         self.state.fleet = replace(self.state.fleet, caller_bounds=None)
         self.limits = CallerLimits(chat_body_bytes=1024)
-        told = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"x" * 1025)
-        self.assertTrue(told.startswith(b"HTTP/1.1 413"), told)
+        response = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"x" * 1025)
+        self.assertTrue(response.startswith(b"HTTP/1.1 413"), response)
 
 
 class KeptConnectionTest(RoutedCallersTest):
@@ -306,7 +306,7 @@
         served = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(served.startswith(b"HTTP/1.1 200"), served)
 
-    async def test_a_refusal_before_the_body_has_come_waits_for_the_rest_of_it(self) -> None:
+    async def test_a_refusal_is_sent_after_the_rest_of_the_body(self) -> None:
         head = b"POST /proofs/a HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 6\r\n\r\n"
         await self.send(head + b"abc")
         self.assertEqual(self.written(), b"")
@@ -316,17 +316,17 @@
         served = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(served.startswith(b"HTTP/1.1 200"), served)
 
-    async def test_a_refusal_of_a_body_that_never_ends_says_that_it_closes(self) -> None:
+    async def test_a_refusal_of_an_overlong_body_announces_the_close(self) -> None:
         size = 1024 * 1024
         head = f"POST /proofs/a HTTP/1.1\r\nHost: desk.example\r\nContent-Length: {size}\r\n\r\n"
         await self.send(head.encode())
         for _ in range(5):
             await self.send(b"x" * 64 * 1024)
-        told = self.written()
-        self.assertTrue(told.startswith(b"HTTP/1.1 401"), told)
-        self.assertIn(b"connection: close", told.lower())
+        response = self.written()
+        self.assertTrue(response.startswith(b"HTTP/1.1 401"), response)
+        self.assertIn(b"connection: close", response.lower())
 
-    async def test_a_key_taken_away_while_the_body_comes_is_refused(self) -> None:
+    async def test_a_key_revoked_while_the_body_is_received_is_refused(self) -> None:
         head = (
             f"POST /proofs/a HTTP/1.1\r\nHost: desk.example\r\n{KEY}\r\nContent-Length: 6\r\n\r\n"
         )
@@ -337,23 +337,23 @@
         self.assertTrue(self.written().startswith(b"HTTP/1.1 401"))
         self.assertEqual(self.upstreams.sent, [])
 
-    async def test_a_stopping_routers_answers_say_that_it_closes(self) -> None:
+    async def test_answers_of_a_stopping_router_announce_the_close(self) -> None:
         self.state.phase = Phase.DRAINING
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 200"))
-        self.assertIn(b"connection: close", told.lower())
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"))
+        self.assertIn(b"connection: close", response.lower())
 
 
 class BrokenAnswerTest(RoutedCallersTest):
-    async def test_an_answer_cut_before_its_first_part_is_asked_for_again(self) -> None:
+    async def test_an_answer_cut_before_its_first_part_is_retried(self) -> None:
         self.upstreams.replies = [
             AnswerStarted(Answer((), whole=False)),
             AnswerStarted(Answer((b"yes!",))),
         ]
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
-        self.assertTrue(told.endswith(b"yes!"))
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
+        self.assertTrue(response.endswith(b"yes!"))
         engines = [name for name, _, _ in self.upstreams.sent]
         self.assertEqual(len(set(engines)), 2)
 
@@ -364,10 +364,10 @@
             NotRun("upstream-unreachable", "refused"),
             AnswerStarted(Answer((b"yes!",))),
         ]
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
 
-    async def test_one_service_spends_nothing_of_anothers_retries(self) -> None:
+    async def test_services_have_separate_retry_budgets(self) -> None:
         budget = self.state.retry_budgets.for_service("portal")
         budget.ratio = budget.saved = 0.0
         self.state.retry_budgets.for_service("lang").saved = 5.0
@@ -375,56 +375,56 @@
             AnswerStarted(Answer((), whole=False)),
             AnswerStarted(Answer((b"yes!",))),
         ]
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
 
-    async def test_one_that_may_not_be_repeated_is_refused_as_unknown(self) -> None:
+    async def test_a_cut_non_repeatable_request_is_refused_as_unknown(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((), whole=False))]
-        told = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
-        self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
+        response = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
+        self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
         self.assertFalse(self.wire.aborted)
         self.assertEqual(len(self.upstreams.sent), 1)
 
-    async def test_after_as_many_engines_as_allowed_it_is_refused(self) -> None:
+    async def test_a_request_is_refused_after_the_allowed_number_of_attempts(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((), whole=False))] * 2
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 502"), told)
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
         self.assertEqual(len(self.upstreams.sent), 2)
 
-    async def test_one_cut_in_the_middle_cuts_the_callers_connection(self) -> None:
+    async def test_an_answer_cut_midway_cuts_the_caller_connection(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"ye",), whole=False))]
         await self.ask("GET /x HTTP/1.1")
         self.assertTrue(self.wire.aborted)
 
-    async def test_a_cut_answer_without_length_gets_no_end_that_looks_whole(self) -> None:
+    async def test_a_cut_answer_without_length_gets_no_last_chunk(self) -> None:
         unframed: Headers = (("Instance-Signature", "3e"),)
         self.upstreams.replies = [AnswerStarted(Answer((b"ye",), whole=False, headers=unframed))]
-        told = await self.ask("GET /x HTTP/1.1")
+        response = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(self.wire.aborted)
-        self.assertTrue(told.endswith(b"2\r\nye\r\n"), told)
+        self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
 
-    async def test_a_failure_of_an_upstream_is_passed_on_as_it_is(self) -> None:
+    async def test_an_upstream_error_response_is_forwarded_unchanged(self) -> None:
         # Of what may be repeated, the failure of the last one that was asked.
         for line, upstreams in (("POST /proofs/a HTTP/1.1", 1), ("GET /x HTTP/1.1", 2)):
             with self.subTest(line=line):
                 failures = [AnswerStarted(Answer((b"oops",), status=500)) for _ in range(upstreams)]
                 self.upstreams.replies = [*failures]
-                told = await self.ask(line, KEY, body=b"" if upstreams == 2 else b"x")
-                self.assertTrue(told.startswith(b"HTTP/1.1 500"), told)
-                self.assertTrue(told.endswith(b"oops"), told)
-                self.assertIn(b"Instance-Signature: 3e", told)
+                response = await self.ask(line, KEY, body=b"" if upstreams == 2 else b"x")
+                self.assertTrue(response.startswith(b"HTTP/1.1 500"), response)
+                self.assertTrue(response.endswith(b"oops"), response)
+                self.assertIn(b"Instance-Signature: 3e", response)
                 self.assertEqual(self.upstreams.replies, [])
 
-    async def test_a_request_that_was_not_run_goes_to_another_engine_as_far_as_allowed(
+    async def test_a_request_that_was_not_run_is_retried_within_the_limit(
         self,
     ) -> None:
         refused = NotRun("upstream-refused", "full")
         self.upstreams.replies = [refused, AnswerStarted(Answer((b"yes!",)))]
-        told = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
+        response = await self.ask("GET /x HTTP/1.1")
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
         self.upstreams.replies = [refused]
-        told = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
-        self.assertTrue(told.startswith(b"HTTP/1.1 503"), told)
+        response = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
+        self.assertTrue(response.startswith(b"HTTP/1.1 503"), response)
 
 
 class ContextTest(RoutedCallersTest):
@@ -450,36 +450,36 @@
     def address(engine: str) -> str:
         return f"10.0.0.{engine[-1]}:80"
 
-    async def test_beside_a_full_home_from_there(self) -> None:
+    async def test_with_a_full_home_the_context_comes_from_it(self) -> None:
         home = await self.home()
         self.grants.full = {home}
         self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
 
-    async def test_from_where_the_homes_owner_says_that_it_lies(self) -> None:
+    async def test_the_context_comes_from_the_engine_named_by_the_home_owner(self) -> None:
         home = await self.home()
         self.grants.context_at = self.other(home)
         self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
         self.grants.full = {self.other(home)}
         self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
 
-    async def test_from_nowhere_where_it_was_served_last(self) -> None:
+    async def test_the_engine_that_served_last_gets_no_context_source(self) -> None:
         home = await self.home()
         self.assertEqual(await self.placed(), (home, ""))
 
-    async def test_beside_a_full_holder_from_whoever_served_it_last(self) -> None:
+    async def test_with_a_full_holder_the_context_comes_from_the_last_server(self) -> None:
         home = await self.home()
         chat = next(iter(self.state.last_served_engines.engine_by_chat))
         self.state.note_served(chat, self.other(home))
         self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
 
-    async def test_from_a_home_that_is_leaving(self) -> None:
+    async def test_the_context_comes_from_a_leaving_home(self) -> None:
         home = await self.home()
         leaving = Upstream(home, "lang", f"http://{self.address(home)}", "hall-1", LEAVING)
         self.state.upstreams.set(leaving, 9)
         self.state.invalidate_upstream_caches()
         self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
 
-    async def test_from_nowhere_where_engines_take_nothing_over(self) -> None:
+    async def test_without_context_moves_there_is_no_context_source(self) -> None:
         home = await self.home()
         alone = copy.deepcopy(CONFIGURATION)
         alone["Version"], alone["Services"][0]["EngineId"]["Moves"] = 9, False
@@ -489,7 +489,7 @@
 
 
 class CallerLeavesTest(RoutedCallersTest):
-    async def test_a_callers_leaving_gives_its_grant_back_at_once(self) -> None:
+    async def test_a_leaving_caller_releases_its_grant_at_once(self) -> None:
         self.upstreams.hold = asyncio.Event()
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(len(self.upstreams.sent), 1)
@@ -499,7 +499,7 @@
         self.assertEqual(self.callers.in_flight, 0)
 
 
-class Endless(Answer):
+class EndlessAnswer(Answer):
     """An answer whose rest does not come, unless the test has it come."""
 
     async def stream_to(self, sink: PartSink) -> None:
@@ -519,20 +519,20 @@
     async def status(self, line: str, *headers: str) -> bytes:
         return (await self.ask(line, *headers)).split(b" ")[1]
 
-    async def test_a_route_that_cannot_be_used_is_refused_for_now_and_goes_nowhere_else(
+    async def test_an_unusable_route_is_refused_temporarily_without_a_fallback(
         self,
     ) -> None:
         routes = [dict(each) for each in CONFIGURATION["Routes"]]
         routes[2]["Type"] = "sometimes"
         self.replace(Routes=routes)
-        told = await self.ask("POST /proofs/a HTTP/1.1", KEY)
-        self.assertIn(b"503", told)
-        self.assertIn(b"Retry-After: 2", told)
+        response = await self.ask("POST /proofs/a HTTP/1.1", KEY)
+        self.assertIn(b"503", response)
+        self.assertIn(b"Retry-After: 2", response)
         self.assertEqual(self.upstreams.sent, [])
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.status("GET /x HTTP/1.1"), b"200")
 
-    async def test_no_caller_is_told_for_good_what_may_be_false(self) -> None:
+    async def test_refusals_are_temporary_while_an_entry_is_unreadable(self) -> None:
         broken = {"Name": "x"}
         rows: tuple[tuple[dict[str, Any], bytes, bytes], ...] = (
             ({}, b"404", b"401"),
@@ -542,15 +542,17 @@
         for version, (parts, no_route, no_key) in enumerate(rows, 20):
             with self.subTest(parts=parts):
                 self.replace(Version=version, **parts)
-                told = await self.status("GET /x HTTP/1.1", "Host: other.example")
-                self.assertEqual(told, no_route)
-                told = await self.status("POST /proofs/a HTTP/1.1", self.OTHERS_KEY)
-                self.assertEqual(told, no_key)
+                response = await self.status("GET /x HTTP/1.1", "Host: other.example")
+                self.assertEqual(response, no_route)
+                response = await self.status("POST /proofs/a HTTP/1.1", self.OTHERS_KEY)
+                self.assertEqual(response, no_key)
 
-    async def test_nor_where_the_newest_configuration_cannot_be_read_at_all(self) -> None:
+    async def test_refusals_are_temporary_while_the_newest_configuration_is_unreadable(
+        self,
+    ) -> None:
         self.state.rejected = Rejected(((("document", "main"), Misfit((), "none at all")),))
-        told = await self.status("GET /x HTTP/1.1", "Host: other.example")
-        self.assertEqual(told, b"503")
+        response = await self.status("GET /x HTTP/1.1", "Host: other.example")
+        self.assertEqual(response, b"503")
         self.assertEqual(await self.status("POST /proofs/a HTTP/1.1", self.OTHERS_KEY), b"503")
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.status("GET /x HTTP/1.1"), b"200")
@@ -564,21 +566,21 @@
         await self.settle()
         return self.written()
 
-    async def test_an_answer_under_way_is_cut_and_gets_no_end_that_looks_whole(self) -> None:
+    async def test_an_unfinished_answer_is_cut_without_a_last_chunk(self) -> None:
         unframed: Headers = (("Instance-Signature", "3e"),)
-        self.upstreams.replies = [AnswerStarted(Endless((b"ye",), headers=unframed))]
+        self.upstreams.replies = [AnswerStarted(EndlessAnswer((b"ye",), headers=unframed))]
         self.assertTrue((await self.ask("GET /x HTTP/1.1")).endswith(b"2\r\nye\r\n"))
         self.assertEqual(await self.end(), b"")
         self.assertTrue(self.wire.aborted)
 
-    async def test_one_that_has_not_begun_is_cut_without_a_word(self) -> None:
+    async def test_a_request_without_an_answer_is_cut_without_a_response(self) -> None:
         self.upstreams.hold = asyncio.Event()
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(await self.end(), b"")
         self.assertTrue(self.wire.aborted)
 
 
-class Raising(Answer):
+class RaisingAnswer(Answer):
     """An answer whose passing on ends in an error."""
 
     def __init__(self, error: Exception) -> None:
@@ -590,7 +592,7 @@
         raise self._error
 
 
-class NoCleanupLooksWholeTest(RoutedCallersTest):
+class NoFalseEndTest(RoutedCallersTest):
     """Streams that were cut when routers stopped had got the end of a whole answer.
 
     The requests that still ran at the end of a router's time to stop were cancelled, and the
@@ -599,17 +601,17 @@
     (see RouterEndsTest); here every other error takes the same way out.
     """
 
-    async def test_an_error_midway_cuts_the_answer(self) -> None:
+    async def test_an_error_during_the_answer_cuts_it(self) -> None:
         for error in (CallerGone("gone"), RuntimeError("a fault"), ConnectionError("lost")):
             with self.subTest(error=error):
                 await self.asyncSetUp()
-                self.upstreams.replies = [AnswerStarted(Raising(error))]
-                told = await self.ask("GET /x HTTP/1.1")
-                self.assertTrue(told.endswith(b"2\r\nye\r\n"), told)
+                self.upstreams.replies = [AnswerStarted(RaisingAnswer(error))]
+                response = await self.ask("GET /x HTTP/1.1")
+                self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
                 self.assertTrue(self.wire.aborted)
 
 
-class Held(StartupWait):
+class HeldStartup(StartupWait):
     """Holds requests until it is told."""
 
     def __init__(self, state: RouterState) -> None:
@@ -626,10 +628,10 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.fleet, self.state.fleet = self.state.fleet, FleetConfiguration()
-        self.held = Held(self.state)
-        self.callers._starting = self.held
+        self.held = HeldStartup(self.state)
+        self.callers._startup_wait = self.held
 
-    async def test_they_are_served_by_what_it_then_knows(self) -> None:
+    async def test_held_requests_are_served_by_the_configuration_received(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.ask("GET /x HTTP/1.1"), b"")
         self.state.fleet = self.fleet
@@ -637,15 +639,15 @@
         await self.settle()
         self.assertTrue(self.written().startswith(b"HTTP/1.1 200"))
 
-    async def test_they_are_told_to_come_back_where_it_learned_nothing(self) -> None:
+    async def test_held_requests_are_told_to_retry_without_a_configuration(self) -> None:
         self.assertEqual(await self.ask("GET /x HTTP/1.1"), b"")
         self.held.over.set()
         await self.settle()
-        told = self.written()
-        self.assertTrue(told.startswith(b"HTTP/1.1 503"))
-        self.assertIn(b"Retry-After: 0.500", told)
+        response = self.written()
+        self.assertTrue(response.startswith(b"HTTP/1.1 503"))
+        self.assertIn(b"Retry-After: 0.500", response)
 
-    async def test_a_caller_that_leaves_meanwhile_leaves_nothing_behind(self) -> None:
+    async def test_a_caller_leaving_during_the_hold_leaves_no_request_in_flight(self) -> None:
         await self.ask("GET /x HTTP/1.1")
         self.channel.connectionLost(Failure(ConnectionLost()))
         await self.settle()
--- a/pondhatch/transport/tests/test_silent_peers.py
+++ b/pondhatch/transport/tests/test_silent_peers.py
@@ -15,11 +15,11 @@
 from pondhatch.requests import KeyRecord, NewKey
 from pondhatch.store import UpstreamUpdate
 from pondhatch.transport import PeerService, PullReply, RemotePeer
-from pondhatch.transport._silence import OPTIONS
+from pondhatch.transport._dead_peers import OPTIONS
 
 #: Seconds within which silence must show: far over the router's own bounds of 1 to 2 s, and
 #: far under the quarter of an hour after which the system gives a connection up by itself.
-NOTICED_WITHIN = 8.0
+MAX_DETECTION_SECONDS = 8.0
 NOTHING_NEW = PullReply(Update(), UpstreamUpdate(1, (), whole=False))
 #: For keys that the test's peer does not look at.
 RECORD = KeyRecord("digest", "edge-0", "request-1")
@@ -33,11 +33,11 @@
 
 
 class AcceptedTest(unittest.TestCase):
-    def test_silence_shows_on_the_side_that_accepted_too(self) -> None:
+    def test_accepted_connections_inherit_the_socket_options(self) -> None:
         listener = self.enterContext(listening(HOST, 0))
         self.enterContext(socket.create_connection(listener.getsockname()))
-        near = self.enterContext(listener.accept()[0])
-        found = [near.getsockopt(level, option) for level, option, _ in OPTIONS]
+        accepted = self.enterContext(listener.accept()[0])
+        found = [accepted.getsockopt(level, option) for level, option, _ in OPTIONS]
         self.assertEqual(found, [value for _, _, value in OPTIONS])
 
 
@@ -53,21 +53,21 @@
         self.peer = RemotePeer("peer", Address(HOST, self.relay.port), "token")
         self.addCleanup(lambda: self.peer.close())
 
-    async def test_calls_go_on_over_a_new_connection(self) -> None:
+    async def test_calls_reconnect_after_silence(self) -> None:
         for acknowledging in (False, True):
             with self.subTest(acknowledging=acknowledging):
                 self.assertIsNotNone(await self.peer.pull(0, 0))
                 opened = self.relay.opened
                 self.relay.fall_silent(acknowledging)
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 in_flight = await asyncio.gather(self.peer.pull(0, 0), self.peer.claim("k", RECORD))
                 self.assertEqual(in_flight, [None, None])
-                self.assertLess(time.monotonic() - begun, NOTICED_WITHIN)
+                self.assertLess(time.monotonic() - started_at, MAX_DETECTION_SECONDS)
                 self.assertIsNotNone(await self.peer.pull(0, 0))
                 self.assertEqual(self.relay.opened, opened + 1)
 
-    async def test_an_idle_one_is_found_before_a_call_needs_it(self) -> None:
+    async def test_a_silent_idle_connection_is_replaced_before_the_next_call(self) -> None:
         self.assertIsNotNone(await self.peer.pull(0, 0))
         self.relay.fall_silent()
-        await asyncio.sleep(NOTICED_WITHIN / 2)
+        await asyncio.sleep(MAX_DETECTION_SECONDS / 2)
         self.assertIsNotNone(await self.peer.pull(0, 0))
--- a/pondhatch/transport/tests/test_store_calls.py
+++ b/pondhatch/transport/tests/test_store_calls.py
@@ -14,7 +14,7 @@
 from pondhatch.transport.tests.test_http_client import WHOLE
 
 
-class OutOfReach:
+class UnreachableClient:
     """A client that reaches nothing, at once."""
 
     def __init__(self) -> None:
@@ -25,10 +25,10 @@
         raise NotSent("refused")
 
 
-class BoundedTest(unittest.TestCase):
-    def test_a_loop_without_pauses_is_held_to_the_rate(self) -> None:
+class RateLimitTest(unittest.TestCase):
+    def test_a_tight_loop_is_limited_to_the_rate(self) -> None:
         async def main() -> int:
-            client: Any = OutOfReach()
+            client: Any = UnreachableClient()
             calls = StoreCalls(client, "http://127.0.0.1:1")
 
             async def press() -> None:
@@ -38,20 +38,20 @@
                     except CallFailed:
                         await asyncio.sleep(0)
 
-            pressing = [asyncio.ensure_future(press()) for _ in range(3)]
+            tasks = [asyncio.ensure_future(press()) for _ in range(3)]
             await asyncio.sleep(10)
-            for each in pressing:
+            for each in tasks:
                 each.cancel()
-            self.assertEqual(calls.made, client.sent)
-            return calls.made
+            self.assertEqual(calls.calls_made, client.sent)
+            return calls.calls_made
 
-        most = CALLS_AT_ONCE + 10 * CALLS_PER_SECOND
-        self.assertLessEqual(run_virtually(main()), most)
-        self.assertGreater(run_virtually(main()), most - 5)
+        limit = CALLS_AT_ONCE + 10 * CALLS_PER_SECOND
+        self.assertLessEqual(run_virtually(main()), limit)
+        self.assertGreater(run_virtually(main()), limit - 5)
 
 
-class SwallowedTest(unittest.TestCase):
-    def test_one_unanswered_call_is_enough_to_leave_all_that_stood_idle(self) -> None:
+class UnansweredCallTest(unittest.TestCase):
+    def test_one_unanswered_call_closes_all_stale_idle_connections(self) -> None:
         async def main() -> int:
             reactor = Reactor()
             calls = StoreCalls(HttpClient(reactor), "http://127.0.0.1:1")
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -30,10 +30,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.told = asyncio.Event()
+        self.may_reply = asyncio.Event()
 
     async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
-        await self.told.wait()
+        await self.may_reply.wait()
         return await super().ask(owner, question, bearable)
 
 
@@ -87,7 +87,7 @@
         self.channel.makeConnection(self.connection)
         self.connection.startReading()
 
-    async def take_in(self) -> None:
+    async def read_available(self) -> None:
         """Read what has come, as long as the channel reads."""
         for _ in range(20):
             if self.connection not in self.readers.reading:
@@ -107,11 +107,11 @@
         self.theirs.sendall(f"{head}Content-Length: {length}\r\n\r\n".encode())
         for at in range(0, len(sent), HIGH_WATER // 4):
             self.theirs.sendall(sent[at : at + HIGH_WATER // 4])
-            await self.take_in()
+            await self.read_available()
 
     async def leave(self) -> None:
         self.theirs.close()
-        await self.take_in()
+        await self.read_available()
         for _ in range(round(GONE_SECONDS / STEP)):
             self.clock.advance(STEP)
             await self.settle()
@@ -122,17 +122,17 @@
         found = [msgspec.to_builtins(record) for record in self.noted.records]
         self.assertEqual([each["outcome"] for each in found], ["caller-gone"])
 
-    async def test_a_large_body_that_waits_for_a_grant(self) -> None:
+    async def test_leaving_while_a_large_body_waits_for_a_grant(self) -> None:
         held = HeldGrants()
         self.grants.ask = held.ask  # type: ignore[method-assign]
         await self.post(b"x" * 2 * HIGH_WATER, 9 * HIGH_WATER)
         self.assertNotIn(self.connection, self.readers.reading)
         await self.leave()
-        held.told.set()
+        held.may_reply.set()
         await self.settle()
         self.assert_given_up(sent=0)
 
-    async def test_a_large_body_that_its_upstream_does_not_take(self) -> None:
+    async def test_leaving_while_the_upstream_takes_no_more_of_the_body(self) -> None:
         self.upstreams.hold = asyncio.Event()
         await self.post(b"x" * 3 * HIGH_WATER, 9 * HIGH_WATER)
         self.assertNotIn(self.connection, self.readers.reading)
@@ -140,7 +140,7 @@
         self.assert_given_up(sent=1)
         self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
 
-    async def test_one_that_sent_its_next_request_already(self) -> None:
+    async def test_leaving_after_sending_the_next_request(self) -> None:
         self.upstreams.hold = asyncio.Event()
         await self.post(b"x", 1)
         await self.post(b"x" * HIGH_WATER, HIGH_WATER)
@@ -149,7 +149,7 @@
         self.assert_given_up(sent=1)
         self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
 
-    async def test_one_that_stays_is_served_however_long_it_is_not_read(self) -> None:
+    async def test_a_caller_that_stays_is_served_after_a_long_pause(self) -> None:
         held = HeldGrants()
         self.grants.ask = held.ask  # type: ignore[method-assign]
         body = b"x" * (HIGH_WATER + HIGH_WATER // 4)
@@ -158,8 +158,8 @@
         for _ in range(100):
             self.clock.advance(STEP)
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
-        held.told.set()
+        held.may_reply.set()
         await self.settle()
-        await self.take_in()
+        await self.read_available()
         self.assertFalse(self.connection.disconnected)
         self.assertEqual([len(part) for _, _, part in self.upstreams.sent], [len(body)])
--- a/pondhatch/transport/tests/test_upstream_notices.py
+++ b/pondhatch/transport/tests/test_upstream_notices.py
@@ -47,7 +47,7 @@
         lines = (b"HTTP/1.1 " + status, b"Content-Length: 2", *headers, b"", b"ok")
         self.reactor.connections[-1].dataReceived(b"\r\n".join(lines))
 
-    async def test_it_is_heard_in_answers_of_every_kind(self) -> None:
+    async def test_notices_are_received_with_every_kind_of_answer(self) -> None:
         leaving, resting = Notice(is_leaving=True), Notice(rest=3.0)
         for status, headers, expected in (
             (b"200 OK", (b"Attempt-Id: 9c41", LEAVES), leaving),
@@ -67,7 +67,7 @@
                 self.assertEqual(self.view.notices, [("i-1", expected)])
 
     # Only answers that closed their upstream were heard, so a pace would have been lost.
-    async def test_a_pace_alone_is_heard(self) -> None:
+    async def test_a_notice_that_holds_only_a_pace_is_received(self) -> None:
         for load, expected in ((b"8,1,64,250", [("i-1", Notice(pace=250))]), (b"8,1,64", [])):
             self.view.notices.clear()
             sending = self.begin()
@@ -76,7 +76,7 @@
             await sending
             self.assertEqual(self.view.notices, expected)
 
-    async def test_it_is_heard_where_the_caller_leaves_as_the_answer_comes(self) -> None:
+    async def test_a_notice_is_received_when_the_caller_leaves_during_the_answer(self) -> None:
         sending = self.begin()
         await asyncio.sleep(0)
         self.answer(b"200 OK", b"Attempt-Id: 9c41", LEAVES)
@@ -84,7 +84,7 @@
         await asyncio.wait([sending])
         self.assertEqual(self.view.notices, [("i-1", Notice(is_leaving=True))])
 
-    async def test_what_another_engine_says_at_its_address_is_not(self) -> None:
+    async def test_a_notice_of_another_engine_at_the_address_is_ignored(self) -> None:
         sending = self.begin()
         await asyncio.sleep(0)
         self.answer(b"421 Misdirected", b"Attempt-Id: 9c41", LEAVES, RESTS)
@@ -92,7 +92,7 @@
         self.assertEqual(self.view.notices, [])
 
     # A connection takes up to a second, in which the upstream may say by another that it leaves.
-    async def test_what_was_closed_while_a_connection_was_opened_is_not_sent(self) -> None:
+    async def test_nothing_is_sent_to_an_upstream_closed_while_connecting(self) -> None:
         self.view.refusal = NotRun("upstream-leaving", "i-1 takes no new work")
         self.assertEqual(await self.begin(), self.view.refusal)
         self.assertEqual((self.reactor.sent(), self.reactor.left_open()), (b"", 0))
--- a/pondhatch/transport/tests/test_wire.py
+++ b/pondhatch/transport/tests/test_wire.py
@@ -27,35 +27,35 @@
     return wire.PullReply(Update(snapshot=Snapshot(7, edits)), UpstreamUpdate(3, (), whole=True))
 
 
-class PackingTest(unittest.TestCase):
+class CompressionTest(unittest.TestCase):
     def setUp(self) -> None:
         self.codec = wire.MessagePackCodec()
 
-    def test_each_size_comes_out_as_it_went_in(self) -> None:
+    def test_messages_of_every_size_round_trip(self) -> None:
         for routes in (0, 1, 40, 2000):
             with self.subTest(routes=routes):
                 message = reply(routes)
                 sent = self.codec.encode(message, wire.PullReply)
                 self.assertEqual(self.codec.decode(sent, wire.PullReply), message)
 
-    def test_a_large_configuration_travels_small_and_a_small_message_plain(self) -> None:
+    def test_large_messages_are_compressed_and_small_ones_are_not(self) -> None:
         message = reply(2000)
         plain = len(msgspec.msgpack.encode(message))
         self.assertLess(len(self.codec.encode(message, wire.PullReply)), plain / 8)
         small = self.codec.encode(wire.PullRequest(1, 2), wire.PullRequest)
         self.assertEqual(small[:1], wire.PLAIN)
 
-    def test_what_is_spoilt_is_an_error_of_decoding(self) -> None:
+    def test_corrupt_data_raises_a_decode_error(self) -> None:
         whole = self.codec.encode(reply(200), wire.PullReply)
-        rows = (b"", b"\x02abc", whole[:-10], wire.PACKED + b"abc", wire.PLAIN + b"\xc1")
+        rows = (b"", b"\x02abc", whole[:-10], wire.COMPRESSED + b"abc", wire.PLAIN + b"\xc1")
         for data in rows:
             with self.subTest(data=data[:5]), self.assertRaises(msgspec.DecodeError):
                 self.codec.decode(data, wire.PullReply)
 
-    def test_a_small_packet_cannot_fill_the_memory(self) -> None:
-        bomb = wire.PACKED + zlib.compress(b"x" * 100_000)
+    def test_decompression_is_bounded(self) -> None:
+        bomb = wire.COMPRESSED + zlib.compress(b"x" * 100_000)
         with (
-            mock.patch.object(wire, "MOST_UNPACKED", 10_000),
+            mock.patch.object(wire, "MAX_DECOMPRESSED_BYTES", 10_000),
             self.assertRaises(msgspec.DecodeError),
         ):
-            wire.unpacked(bomb)
+            wire.decompress(bomb)
