--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -43,7 +43,7 @@
     AdmittedRequest,
     CallerParts,
     CallerRequest,
-    Serving,
+    RequestRunner,
     as_text,
     dropped_header_counter,
     read_whole,
@@ -72,7 +72,7 @@
         self._metrics = parts.metrics
         self._note_dropped = dropped_header_counter(parts.metrics)
         self._answers = OpenAiAnswers(parts.metrics)
-        self._serving = Serving(parts, self._answers)
+        self._serving = RequestRunner(parts, self._answers)
         #: Requests whose callers are there.
         self._attended = 0
         #: Kept for a stopping router; it refuses requests by its state at once.
--- a/pondhatch/transport/__init__.py
+++ b/pondhatch/transport/__init__.py
@@ -23,10 +23,10 @@
 from pondhatch.transport._peer_tls import PeerTls, peer_tls
 from pondhatch.transport._readiness import Readiness
 from pondhatch.transport._remote_peer import RemotePeer
+from pondhatch.transport._request_runner import AdmittedRequest, RequestRunner
 from pondhatch.transport._resolver import install_numeric_resolver
 from pondhatch.transport._retry_after import seconds_to_wait
 from pondhatch.transport._routed_callers import RoutedCallers, effective_caller_limits
-from pondhatch.transport._serving import AdmittedRequest, Serving
 from pondhatch.transport._store_calls import CallFailed, StoreAnswer, StoreCalls
 from pondhatch.transport._upstreams import HttpUpstreams
 from pondhatch.transport._wire import PullReply, PullRequest
@@ -39,7 +39,7 @@
     "CallerRequest",
     "Callers",
     "PartPipe",
-    "Serving",
+    "RequestRunner",
     "AdmittedRequest",
     "refuse_after_failure",
     "read_whole",
--- a/pondhatch/transport/_serving.py
+++ b/pondhatch/transport/_request_runner.py
@@ -110,7 +110,7 @@
         return self._writer.is_gone or self._writer.write(part)
 
 
-class Serving:
+class RequestRunner:
     """Runs requests and tells callers what came of them."""
 
     def __init__(self, parts: CallerParts, answers: Answers) -> None:
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -44,8 +44,8 @@
 from pondhatch.transport._header_owners import dropped_header_counter
 from pondhatch.transport._headers import as_text
 from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._request_runner import CALLER_GONE, AdmittedRequest, RequestRunner
 from pondhatch.transport._routed_answers import RoutedAnswers
-from pondhatch.transport._serving import CALLER_GONE, AdmittedRequest, Serving
 
 log = log_for("callers")
 
@@ -78,7 +78,7 @@
         self._tasks = parts.tasks
         self._startup_wait = parts.startup_wait
         self._answers = RoutedAnswers(dialect, parts.metrics, parts.state.is_draining)
-        self._serving = Serving(parts, self._answers)
+        self._request_runner = RequestRunner(parts, self._answers)
 
     def resource(self) -> Resource:
         """Return what a site serves."""
@@ -99,7 +99,7 @@
                 self._answers.refuse(request, work)
                 self._record_unserved(request, work.code, started_at)
             else:
-                await self._serving.run(request, work, started_at)
+                await self._request_runner.run(request, work, started_at)
         except CallerGone:
             self._metrics.count("callers.gone")
             request.abort()
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -98,9 +98,9 @@
         try:
             await self._exchange.pipe.stream_to(tail_sink or sink)
         except ConnectionError as error:
-            raise self._lost(str(error), was_cut=not self._has_expired) from error
+            raise self._answer_lost(str(error), was_cut=not self._has_expired) from error
         if tail_sink is not None and self._last_event and self._last_event not in tail_sink.tail:
-            raise self._lost("the stream ended without its last event")
+            raise self._answer_lost("the stream ended without its last event")
         self._timer.cancel()
         self._attempt.ended()
 
@@ -114,7 +114,7 @@
         self._exchange.pipe.fail(ConnectionError("the deadline passed"))
         self._exchange.cancel()
 
-    def _lost(self, reason: str, was_cut: bool = False) -> AnswerLost:
+    def _answer_lost(self, reason: str, was_cut: bool = False) -> AnswerLost:
         outcome = self._attempt.lost(reason)
         if not isinstance(outcome, Broken):
             raise TypeError(f"an answer cannot be lost as {outcome}")
@@ -177,8 +177,10 @@
         except TimeoutError:
             return self._abandon(exchange, attempt, "no answer before the deadline")
         except ConnectionError as error:
-            lost = self._abandon(exchange, attempt, str(error))
-            return replace(lost, connection_lost=True) if isinstance(lost, Unknown) else lost
+            outcome = self._abandon(exchange, attempt, str(error))
+            return (
+                replace(outcome, connection_lost=True) if isinstance(outcome, Unknown) else outcome
+            )
         except BaseException:
             if exchange is not None:
                 exchange.cancel()
--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -71,7 +71,7 @@
         self.assertEqual(self.grants.released, list(released))
         self.assertEqual(len(self.upstreams.sent), len(released))
         self.assertEqual(self.callers.in_flight, 0)
-        found = [msgspec.to_builtins(record) for record in self.noted.records]
+        found = [msgspec.to_builtins(record) for record in self.record_list.records]
         self.assertEqual([(each["id"], each["outcome"]) for each in found], [GONE])
 
     async def test_leaving_while_the_body_is_received(self) -> None:
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -60,7 +60,7 @@
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
             NoMetrics(),
-            self.noted,
+            self.record_list,
             Tasks(),
             random.Random(1),
             StartupWait(self.state),
--- a/pondhatch/transport/tests/test_queued_callers.py
+++ b/pondhatch/transport/tests/test_queued_callers.py
@@ -24,10 +24,10 @@
 
         self.state.load_management = "on"
         self.grants.ask = ask  # type: ignore[method-assign]
-        with mock.patch.object(self.callers._serving._metrics, "count") as count:
+        with mock.patch.object(self.callers._request_runner._metrics, "count") as count:
             response = await self.ask("GET /x HTTP/1.1", "Deadline-Ms: 900")
         self.assertIn(b"Retry-After: 1.234", response)
-        self.assertEqual(msgspec.to_builtins(self.noted.records[0])["predicted_ms"], 4000)
+        self.assertEqual(msgspec.to_builtins(self.record_list.records[0])["predicted_ms"], 4000)
         self.assertIn(mock.call("queue.refused-at-arrival"), count.mock_calls)
         queue_requests = [question for question in requests if question.queue_count == 2]
         self.assertEqual({question.engine for question in queue_requests}, {"i-2", "i-3"})
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -182,7 +182,7 @@
         self.state = state_of(CONFIGURATION)
         self.upstreams = Upstreams()
         self.grants = Grants()
-        self.noted = RecordList()
+        self.record_list = RecordList()
         self.limits = CallerLimits()
 
     async def asyncSetUp(self) -> None:
@@ -194,7 +194,7 @@
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
             NoMetrics(),
-            self.noted,
+            self.record_list,
             Tasks(),
             random.Random(1),
             starting,
@@ -269,13 +269,13 @@
     async def test_each_request_writes_a_record(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("GET /x HTTP/1.1")
-        record = self.noted.records[0]
+        record = self.record_list.records[0]
         self.assertEqual(msgspec.to_builtins(record)["id"], "9c41")
         self.assertEqual(msgspec.to_builtins(record)["outcome"], "whole")
 
     async def test_a_refusal_writes_a_record_with_the_configuration_version(self) -> None:
         await self.ask("POST /proofs/a HTTP/1.1", body=b"abc")
-        found = msgspec.to_builtins(self.noted.records[0])
+        found = msgspec.to_builtins(self.record_list.records[0])
         self.assertEqual(
             (found["id"], found["outcome"], found["configuration"]), ("9c41", "no-key", 7)
         )
@@ -286,7 +286,7 @@
             AnswerStarted(Answer((b"yes!",))),
         ]
         await self.ask("GET /x HTTP/1.1")
-        found = msgspec.to_builtins(self.noted.records[0])
+        found = msgspec.to_builtins(self.record_list.records[0])
         self.assertEqual(found["upstream"], self.upstreams.sent[-1][0])
         self.assertNotEqual(found["upstream"], self.upstreams.sent[0][0])
 
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -119,7 +119,7 @@
     def assert_given_up(self, sent: int) -> None:
         self.assertTrue(self.connection.disconnected)
         self.assertEqual(len(self.upstreams.sent), sent)
-        found = [msgspec.to_builtins(record) for record in self.noted.records]
+        found = [msgspec.to_builtins(record) for record in self.record_list.records]
         self.assertEqual([each["outcome"] for each in found], ["caller-gone"])
 
     async def test_leaving_while_a_large_body_waits_for_a_grant(self) -> None:
