--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP connections: limits on heads and time, writing, and how they end."""
+"""Callers' HTTP connections: head and time limits, writing, and closing."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from pondhatch.transport._caller_body import drain, read_whole
 from pondhatch.transport._caller_request import CallerRequest
 
-#: The connection, and what those who serve its requests import along with it.
+#: The connection, and the names that request handlers import along with it.
 __all__ = ["CallerChannel", "CallerRequest", "CallerSite", "drain", "read_whole"]
 
-#: Seconds for which the rest of an unwanted body is read and dropped, so that
-#: the caller sees its answer instead of a reset connection.
+#: Seconds for which the rest of a refused body is read and discarded, so that the caller
+#: receives its answer instead of a connection reset.
 LINGER_SECONDS = 1.0
-#: Seconds between two looks whether a caller that is not read from has left. Half a second
-#: after a close nothing of its request may be at work; this leaves most of it to the engine.
+#: Seconds between two checks for the close of a connection whose reading is paused. All work
+#: on a request must stop within 0.5 s of the close; this leaves most of that to the engine.
 CLOSE_CHECK_SECONDS = 0.1
 HEAD_TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 HEAD_TOO_LARGE = (
@@ -33,66 +33,66 @@
 )
 
 
-#: Bytes that HTTP allows in no header, beside those that twisted turns away itself: vertical
-#: tab and form feed, at which some programs end a line.
+#: Bytes that HTTP forbids in headers and twisted does not reject itself: vertical tab and form
+#: feed, which some programs treat as line ends.
 FORBIDDEN_HEADER_BYTES = b"\x0b\x0c"
-#: The last byte that a request's target may hold; twisted lets some beyond it through.
+#: The highest byte value allowed in a request target; twisted accepts some above it.
 MAX_TARGET_BYTE = 0x7E
 
 
 class CallerChannel(HTTPChannel):
     """One caller's connection."""
 
-    #: Headers of one request. Bytes are bounded by what is in force, and no header has none.
+    #: Number of headers, which the limit in force on their total bytes bounds already.
     maxHeaders = sys.maxsize
-    #: Says what callers may send, as of now.
+    #: Returns the callers' limits in force.
     limits: Callable[[], CallerLimits]
     transport: Any
-    #: Seconds of silence after which the connection is closed, as they count now.
+    #: The idle timeout of the running timer, in seconds.
     _idle_seconds = 0.0
     _head_timer: Any = None
-    #: Runs while the caller is not read from.
+    #: Runs while reading from the caller is paused.
     _close_check_timer: Any = None
     _is_closing = False
-    #: Set once the connection was given up; it is lost only a turn of the loop later.
+    #: Set when the connection is aborted; its loss is reported one turn of the loop later.
     is_aborted = False
 
     def connectionMade(self) -> None:
-        """Start the clock for the first request."""
+        """Start the idle timer for the first request."""
         super().connectionMade()
         self._restart_idle_timer()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes, unless the connection is only waiting to be closed."""
+        """Process received bytes, unless the connection is about to be closed."""
         if self._is_closing:
             return
         if self._head_timer is None and not self.requests:
             self._begin_head()
         super().dataReceived(data)
         if self._dataBuffer:
-            # Requests sent ahead: where they are large, twisted reads no more for now.
+            # Pipelined requests: if they are large, twisted pauses reading.
             self._check_for_close()
 
     def lineReceived(self, line: bytes) -> None:
-        """Take in a line of a head, unless the head is too large with it."""
+        """Process a line of a head, or refuse the head if it exceeds the size limit."""
         if self._receivedHeaderSize + len(line) > self.totalHeadersSize:
             self._refuse_large_head()
             return
         super().lineReceived(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Refuse a head one line of which is too large."""
+        """Refuse a head with a line that exceeds the size limit."""
         self._refuse_large_head()
 
     def headerReceived(self, line: bytes) -> bool:
-        """Take in a header, unless no engine could be sent it."""
+        """Process a header, or refuse the request if no engine could be sent that header."""
         if line.translate(None, FORBIDDEN_HEADER_BYTES) != line:
             self._respondToBadRequestAndDisconnect()
             return False
         return bool(super().headerReceived(line))
 
     def allHeadersReceived(self) -> None:
-        """Stop the clock: the head is there. One that no engine could be sent is refused."""
+        """Stop the head timer; refuse a request target that no engine could be sent."""
         self._stop_head_timer()
         target: Any = self._path
         if max(target) > MAX_TARGET_BYTE:
@@ -101,61 +101,61 @@
         super().allHeadersReceived()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """Stop the clock with the connection."""
+        """Stop the timers of the connection."""
         self._stop_head_timer()
         self._stop_close_checks()
         super().connectionLost(reason)
 
     def writeSequence(self, iovec: Iterable[bytes]) -> None:
-        """Send at once what the connection takes; the rest goes the reactor's way.
+        """Write to the socket at once what it accepts, and leave the rest to the reactor.
 
-        That way tells the system twice of each write, which for a stream's small
-        parts costs more than the sending.
+        The reactor makes two system calls to register each write, which for a stream's small
+        parts costs more than the write itself.
         """
         if self.is_aborted:
             return
         data = b"".join(iovec)
         sent = self.transport.writeSomeData(data) if self._is_buffer_empty() else 0
-        # A failure is told as an exception returned, and met again on the usual way.
+        # A failure is returned as an exception; the reactor's write reports it again.
         sent = sent if isinstance(sent, int) and sent > 0 else 0
         if sent < len(data):
             self.transport.write(data[sent:])
 
     def writeHeaders(self, *head: Any) -> None:
-        """Send an answer's head; after an abort none, as with any other bytes."""
+        """Write an answer's head, unless the connection was aborted."""
         if not self.is_aborted:
             super().writeHeaders(*head)
 
     def write(self, data: bytes) -> None:
-        """Send bytes; after an abort none: the last chunk would make a cut answer whole."""
+        """Write bytes, unless aborted: the last chunk would make a cut answer look complete."""
         if not self.is_aborted:
             super().write(data)
 
     def forceAbortClient(self) -> None:
-        """Cut the connection: what was sent is not whole."""
+        """Abort the connection, as the answer sent so far is incomplete."""
         self.is_aborted = True
         super().forceAbortClient()
 
     def _is_buffer_empty(self) -> bool:
-        """Return whether this is a plain connection whose buffer is empty."""
+        """Return whether this is a plain TCP connection with an empty write buffer."""
         transport = self.transport
         if not isinstance(transport, Connection) or transport.disconnecting:
             return False
         return not (transport._tempDataBuffer or len(transport.dataBuffer) > transport.offset)
 
     def requestDone(self, request: Any) -> None:
-        """Wait for the next request, for as long as is in force now."""
+        """Wait for the next request, with the idle timeout in force."""
         self._stop_close_checks()
         self._savedTimeOut = self._idle_seconds = self.limits().idle_seconds
         super().requestDone(request)
 
     def resetTimeout(self) -> None:
-        """Count the idle time anew where it counts at all, by the bound in force."""
+        """Restart a running idle timer with the timeout in force."""
         if self.timeOut is not None:
             self._restart_idle_timer()
 
     def timeoutConnection(self) -> None:
-        """Close an idle connection, unless the bound was raised while it stood idle."""
+        """Close an idle connection, unless the timeout was raised while it was idle."""
         extra_seconds = self.limits().idle_seconds - self._idle_seconds
         if extra_seconds > 0:
             self._idle_seconds += extra_seconds
@@ -168,16 +168,16 @@
         self.setTimeout(self._idle_seconds)
 
     def pause_reading(self) -> None:
-        """Read no more from the caller; it is not the one who idles."""
+        """Pause reading, and the idle timer with it, as the caller is not the idle side."""
         self.setTimeout(None)
         self.transport.pauseProducing()
         self._check_for_close()
 
     def resume_reading(self) -> None:
-        """Read from the caller again.
+        """Resume reading from the caller.
 
-        The pause left no idle time to go back to, so it is taken from what is in force. While a
-        request that has come in full is served, the caller is not the one who idles.
+        The pause cleared the idle timer, so it restarts with the timeout in force. It stays off
+        while a completely received request is served, as the caller is not the idle side then.
         """
         self._stop_close_checks()
         if not self._handlingRequest:
@@ -185,24 +185,25 @@
         self.transport.resumeProducing()
 
     def stop_accepting(self) -> None:
-        """Take no more requests; close soon after the answer."""
+        """Ignore further requests, and close shortly after the answer."""
         self.persistent = False
         self._is_closing = True
         self._stop_close_checks()
         self.transport.resumeProducing()
 
     def loseConnection(self) -> None:
-        """Close, after a while where the caller is still sending."""
+        """Close, after LINGER_SECONDS if the caller may still be sending."""
         if self._is_closing:
             self.callLater(LINGER_SECONDS, super().loseConnection)
             return
         super().loseConnection()
 
     def _check_for_close(self) -> None:
-        """Give a caller up that closes its connection while it is not read from.
+        """Abort the connection if the caller closed it while reading is paused.
 
-        A close is told to those who read. Without this, a request whose large body waits for
-        a grant, or for an engine that takes no more of it, would go on without its caller.
+        A close is reported only while reading. Without this check, a request whose large body
+        waits for a grant, or for an engine that reads no more of it, would continue without
+        its caller.
         """
         self._stop_close_checks()
         if _is_closed(self.transport):
@@ -216,17 +217,17 @@
             timer.cancel()
 
     def _begin_head(self) -> None:
-        """Hold a request's head to what is in force as its first bytes come.
+        """Apply the limits in force to a head as its first bytes are received.
 
-        A kept connection outlasts many versions of the configuration. One line may be as long
-        as the whole head: twisted's own bound on a line is its default, not the operator's.
+        A persistent connection outlives many configurations. A line may be as long as the
+        whole head, since twisted's own limit on lines is not the operator's.
         """
         limits = self.limits()
         self.totalHeadersSize = self.MAX_LENGTH = limits.header_bytes
         self._head_timer = self.callLater(limits.header_seconds, self._head_too_slow)
 
     def _refuse_large_head(self) -> None:
-        """Say that the head is too large, and drop the rest of it."""
+        """Answer that the head is too large, and discard the rest of it."""
         self._stop_head_timer()
         self.clearLineBuffer()
         self.transport.write(HEAD_TOO_LARGE)
@@ -245,8 +246,8 @@
 
 
 def _is_closed(transport: Any) -> bool:
-    """Return whether the other side has closed, also where bytes before that are unread."""
-    plain = getattr(transport, "transport", transport)  # TLS lies on a connection of its own.
+    """Return whether the other side has closed, even if bytes before the close are unread."""
+    plain = getattr(transport, "transport", transport)  # TLS wraps a plain transport.
     if not isinstance(plain, Connection) or not plain.connected:
         return False
     poll = select.poll()
@@ -255,7 +256,7 @@
 
 
 class CallerSite(Site):
-    """Makes callers' connections."""
+    """Creates the channels of callers' connections."""
 
     def __init__(self, resource: IResource, limits: Callable[[], CallerLimits]) -> None:
         super().__init__(resource, requestFactory=CallerRequest)
@@ -263,7 +264,7 @@
         self.protocol = self._channel  # type: ignore[assignment]
 
     def log(self, request: object) -> None:
-        """Keep no access log; metrics and decisions tell more and name no caller."""
+        """Write no access log: metrics and records hold more and name no caller."""
 
     def _channel(self) -> CallerChannel:
         channel = CallerChannel()
--- a/pondhatch/transport/_header_owners.py
+++ b/pondhatch/transport/_header_owners.py
@@ -1,7 +1,7 @@
-"""Who may set which header: one table for each interface.
+"""Which side may set which header, as one table for each interface.
 
-A header goes on only if its sender may say it to whoever gets it next. A name that stands in
-no table is the sender's own and goes on, unless `Connection` lists it (RFC 9110, 7.6.1).
+A header is forwarded only if its sender may set it for the recipient. Headers that are in no
+table belong to the sender and are forwarded, unless `Connection` lists them (RFC 9110, 7.6.1).
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 
 class Owner(enum.Enum):
-    """Who may set a header, and to whom."""
+    """Which side may set a header, and for which recipient."""
 
-    #: A caller to an upstream; goes on byte for byte, whatever `Connection` lists.
+    #: Callers, for upstreams; forwarded byte for byte, whatever `Connection` lists.
     CALLER = enum.auto()
-    #: A caller to the router; it ends here, and the router says its own where it has one.
+    #: Callers, for the router; not forwarded, and replaced by the router's own if it has one.
     CALLER_TO_ROUTER = enum.auto()
-    #: The router alone, to upstreams or to callers.
+    #: Only the router, for upstreams or callers.
     ROUTER = enum.auto()
-    #: An upstream alone, in its answers.
+    #: Only upstreams, in their answers.
     UPSTREAM = enum.auto()
-    #: The length of a message: the router frames requests anew, an answer keeps its own.
+    #: Message length: the router frames requests anew, answers keep their own.
     FRAMING = enum.auto()
-    #: Either side of one connection, to the other.
+    #: Either side of a connection, for the other side only.
     CONNECTION = enum.auto()
 
 
-#: Kinds of dropped headers that are counted: a caller's copy of what only routers may set;
+#: Kinds of dropped headers that are counted: headers of routers, set by a caller;
 DROPPED_ROUTERS = "router"
-#: a caller's copy of what only upstreams may say;
+#: headers of upstreams, set by a caller;
 DROPPED_UPSTREAMS = "upstream"
-#: what its sender's own `Connection` lists;
+#: headers listed by their sender's `Connection`;
 DROPPED_LISTED = "listed"
-#: what an upstream's answer says in the place of the router.
+#: headers of the router, set in an upstream's answer.
 DROPPED_FROM_ANSWERS = "answer"
-#: Ends here as it should, in nearly every message; not counted.
+#: Dropped as expected, in nearly every message.
 _NOT_COUNTED = ""
 
 _KIND_FROM_CALLERS = {
@@ -60,8 +60,8 @@
 #: Options of `Connection` that name no header.
 _PLAIN_OPTIONS = frozenset({"close", ""})
 
-#: What HTTP itself says, whatever the interface. What a body is goes with the body: it must
-#: not get lost because `Connection` lists it.
+#: Headers defined by HTTP, for every interface. Those that describe the body are forwarded with
+#: it: they must not be lost because `Connection` lists them.
 _HTTP_OWNERS: Mapping[str, Owner] = {
     **dict.fromkeys(HOP_HEADERS, Owner.CONNECTION),
     "expect": Owner.CONNECTION,
@@ -71,32 +71,32 @@
     "host": Owner.CALLER,
 }
 
-#: Is told the kind of each dropped header that is counted.
+#: Called with the kind of each dropped header that is counted.
 NoteDropped = Callable[[str], None]
 
 
 def dropped_header_counter(metrics: Metrics) -> NoteDropped:
-    """Return what counts dropped headers by kind: a line for each would help a flood along."""
+    """Return a counter of dropped headers by kind: a log line for each could flood the log."""
     return lambda kind: metrics.count(f"headers_dropped.{kind}")
 
 
 class HeaderOwners:
-    """An interface's headers by who may set them. Never changed."""
+    """The owner of each header of an interface. Immutable."""
 
     def __init__(self, owner_by_name: Mapping[str, Owner]) -> None:
         own = {name.lower(): owner for name, owner in owner_by_name.items()}
         self.owner_by_name: Mapping[str, Owner] = MappingProxyType({**_HTTP_OWNERS, **own})
         self._not_listable = _PLAIN_OPTIONS.union(self.owner_by_name)
-        # By name, so that a header costs one look-up; a name without an entry goes on.
+        # By name, so that each header costs one look-up; names without an entry are forwarded.
         self._from_callers = self._kinds(_KIND_FROM_CALLERS)
         self._from_upstreams = self._kinds(_KIND_FROM_UPSTREAMS)
 
     def from_caller(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return what of a caller's headers goes on to an upstream."""
+        """Return those of a caller's headers that are forwarded to an upstream."""
         return self._forward(headers, self._from_callers, note)
 
     def from_upstream(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return what of an answer's headers goes on to its caller."""
+        """Return those of an answer's headers that are forwarded to its caller."""
         return self._forward(headers, self._from_upstreams, note)
 
     def _kinds(self, kind_by_owner: Mapping[Owner, str]) -> Mapping[str, str]:
@@ -120,7 +120,7 @@
         return self._drop_listed(forwarded, listed, note) if listed else tuple(forwarded)
 
     def _listed_names(self, options: str) -> Iterable[str]:
-        """Return the names that `Connection` lists and no table knows: the table goes first."""
+        """Return the names that `Connection` lists and no table holds; tables take precedence."""
         names = (option.strip().lower() for option in options.split(","))
         return [each for each in names if each not in self._not_listable]
 
--- a/pondhatch/transport/_http_client.py
+++ b/pondhatch/transport/_http_client.py
@@ -1,8 +1,8 @@
-"""Connections to upstreams and the platform, kept between exchanges.
+"""A pool of HTTP connections to upstreams and the platform.
 
-Kept apart from twisted's Agent because what a lost connection means decides whether a
-request may run again, and its pool tells neither whether an idle connection was used
-nor for how long the other side keeps one.
+Replaces twisted's Agent: the way a connection is lost decides whether a request may run
+again, and Agent's pool reports neither whether a connection was reused nor for how long the
+other side keeps an idle one open.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 from pondhatch.transport._reuse import MAX_SILENT_SECONDS as MAX_SILENT_SECONDS
 from pondhatch.transport._reuse import ReuseRules
 
-#: Seconds to wait for a connection.
+#: Timeout of opening a connection, in seconds.
 CONNECT_SECONDS = 1.0
-#: Seconds to wait for a host to say whether anything listens: a round trip takes a tenth of it
-#: between data halls, and a request may wait for the word.
+#: Timeout of a listen probe, in seconds. A round trip between data halls takes a tenth of it,
+#: and a request may be waiting for the result.
 PROBE_SECONDS = 0.3
-#: Ports that TCP has.
+#: Valid TCP ports.
 PORTS = range(1, 2**16)
-#: Idle connections kept for each address.
+#: Maximum idle connections per address.
 IDLE_CONNECTIONS = 64
-#: Seconds between two looks for connections that stayed idle too long.
+#: Seconds between two sweeps for expired idle connections.
 SWEEP_SECONDS = 5.0
 
 
 class NotSent(Exception):
-    """Certainly no byte of the request left this process."""
+    """The request failed before any byte of it left this process."""
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where to connect: an IP number and a port."""
+    """An IP address and a port to connect to."""
 
     host: str
     port: int
 
     @classmethod
     def of_url(cls, url: str) -> Address:
-        """Return the address of "http://IP:port". Raises ValueError where it is none."""
+        """Return the address in "http://IP:port". Raises ValueError if the URL is invalid."""
         host, _, port = url.removeprefix("http://").rstrip("/").rpartition(":")
         number = int(port)
         if not host or number not in PORTS:
@@ -59,7 +59,7 @@
 
 
 class _ConnectFactory(ClientFactory):
-    """Makes one connection, or says why not."""
+    """Opens one connection, or reports why that failed."""
 
     noisy = False
 
@@ -78,13 +78,13 @@
         self._fail(reason)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Called also for a connection that was lost before it could be announced."""
+        """Handle the loss of a connection, also before it could be announced."""
         self._fail(reason)
 
     def _fail(self, reason: Failure) -> None:
         if not self.connected.done():
             self.connected.set_exception(NotSent(reason.getErrorMessage()))
-            self.connected.exception()  # Whoever waits gets it; nobody may be waiting any more.
+            self.connected.exception()  # Marks it as retrieved: possibly nobody awaits it any more.
 
     def _set_connection(self, connection: Connection) -> None:
         if self.connected.done():
@@ -94,7 +94,7 @@
 
 
 class _AnnouncingConnection(Connection):
-    """A connection that says when it is there."""
+    """A connection that reports when it is established."""
 
     on_connected: Callable[[Connection], None]
 
@@ -104,7 +104,7 @@
 
 
 class _CloseAtOnce(Protocol):
-    """A connection that ends as soon as it is made."""
+    """A connection that is aborted as soon as it is established."""
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
@@ -112,7 +112,7 @@
 
 
 class _ListenProbe(ClientFactory):
-    """Finds out whether connections to an address are refused."""
+    """Probes whether connections to an address are refused."""
 
     noisy = False
     protocol = _CloseAtOnce
@@ -148,19 +148,19 @@
 
 
 class Hooks(msgspec.Struct, frozen=True):
-    """What whoever sends a request decides, or wants to know, of its exchange."""
+    """Callbacks and options by which a sender controls and observes an exchange."""
 
-    #: Returns whether an answer with this head leaves its connection fit for another exchange.
+    #: Returns whether a connection may be reused after a response with this head.
     may_reuse: Callable[[ResponseHead], bool] = _always
-    #: Takes in an answer's head as it comes, whether or not anybody still waits for it.
+    #: Called with the response's head on receipt, even if nobody awaits it any more.
     on_head: Callable[[ResponseHead], None] = _ignore_head
-    #: Called right before the first byte goes out; what it raises keeps the request from going.
+    #: Called right before the first byte is written; an exception stops the request.
     before_send: Callable[[], None] = _no_check
-    #: Returns what counts bytes of the exchange that wait here for either side.
+    #: Returns a counter for bytes of the exchange that are buffered here for either side.
     new_counter: Callable[[], HeldCounter] = no_counter
-    #: Whether it goes to an upstream, rather than to the platform.
+    #: Whether the request goes to an upstream rather than to the platform.
     to_upstream: bool = False
-    #: Idle connections kept to its address at most.
+    #: Maximum idle connections to its address.
     max_idle: int = IDLE_CONNECTIONS
 
 
@@ -168,7 +168,7 @@
 
 
 class HttpClient:
-    """Connections by address, kept between exchanges."""
+    """Sends requests over connections that are pooled by address."""
 
     def __init__(self, reactor: Any, connect_seconds: float = CONNECT_SECONDS) -> None:
         self._reactor = reactor
@@ -181,12 +181,12 @@
         self._metrics: Metrics = NoMetrics()
 
     def configure(self, load_managed: Callable[[], bool], metrics: Metrics) -> None:
-        """Learn from now on whether load is managed, and where connections are counted."""
+        """Set how to query whether load is managed, and the metrics that count connections."""
         self._load_managed = load_managed
         self._metrics = metrics
 
     def has_idle(self, address: Address) -> bool:
-        """Return whether a connection to an address is kept that may be taken now."""
+        """Return whether a usable idle connection to an address exists."""
         now = asyncio.get_running_loop().time()
         idle = self._idle_by_address.get(address, ())
         return any(each.is_open and self._usable_until(each) > now for each in idle)
@@ -200,11 +200,11 @@
         needs_new_connection: bool = False,
         hooks: Hooks = NO_HOOKS,
     ) -> Exchange:
-        """Send a request once; return the exchange, whose head is still to come.
+        """Send a request once; return the exchange, whose response head is still pending.
 
-        What is not repeatable gets a new connection unless the other side stated for how
-        long it keeps an idle one, and the connection is sure to be open; see ReuseRules. Raises
-        NotSent; the exchange's head raises what reading the body raises.
+        A request that is not repeatable gets a new connection, unless the other side stated for
+        how long it keeps idle ones and an idle one is safe to use; see ReuseRules. Raises
+        NotSent; awaiting the exchange's head raises the errors of reading the body.
         """
         connection = None if needs_new_connection else self._take_idle(address, repeatable)
         is_new = connection is None
@@ -215,18 +215,18 @@
         keep = functools.partial(self._keep_idle, address, max_idle=hooks.max_idle)
         exchange = Exchange(connection, keep, hooks.may_reuse, hooks.on_head, hooks.new_counter)
         try:
-            # The connection may have taken a while, in which much may have been heard.
+            # Opening the connection may have taken long enough for the upstream's state to change.
             hooks.before_send()
             exchange.send(request, body)
         except BaseException:
-            # Nobody else knows of the connection: left open, it would hold a place at the
-            # upstream for as long as that lets it stand idle.
+            # Only this call knows of the connection: left open, it would occupy a slot at the
+            # upstream until that closes it as idle.
             exchange.cancel()
             raise
         return exchange
 
     def _take_idle(self, address: Address, repeatable: bool) -> Connection | None:
-        """Return an idle connection that is sure enough to be open, the newest first."""
+        """Return the newest idle connection that is safe to use, or None."""
         idle = self._idle_by_address.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
@@ -242,7 +242,7 @@
         return None
 
     def _is_managed(self, connection: Connection) -> bool:
-        """Return whether a connection falls under the rules for managed load."""
+        """Return whether the reuse rules for managed load apply to a connection."""
         return self._load_managed() and connection.to_upstream
 
     def _usable_until(self, connection: Connection) -> float:
@@ -259,15 +259,15 @@
             connector.disconnect()
             raise
         if not connection.is_open:
-            # An exchange on it would wait in vain: its loss was told before there was one.
+            # Its loss was reported before an exchange began, so an exchange would never end.
             raise NotSent("the connection was lost as soon as it was made")
         return connection
 
     async def is_refused(self, address: Address) -> bool:
-        """Return whether a host refuses connections to an address: nothing listens there.
+        """Return whether a host refuses connections to an address, as nothing listens there.
 
-        False also where it gives no word. All that ask at the same time share one connection,
-        as all requests of an engine do that ends.
+        False also if the host does not reply. Concurrent calls for an address share one probe,
+        since all requests of a crashed engine ask at the same time.
         """
         probe = self._probe_by_address.get(address)
         if probe is None:
@@ -277,9 +277,10 @@
         return await asyncio.shield(probe.refused)
 
     def close_stale(self, address: Address, since: float) -> None:
-        """Close the idle connections to an address on which nothing came since a moment.
+        """Close the idle connections to an address that received nothing since a time.
 
-        They may be as silent as the one that told of it: each would cost a request its time.
+        They may be dead like the one that failed, and each would cost a request its timeout.
+        ``since`` is in the loop's seconds.
         """
         for connection in tuple(self._idle_by_address.get(address, ())):
             if connection.last_received_at < since:
@@ -297,7 +298,7 @@
             self._sweep_timer = loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def _sweep(self) -> None:
-        """Close what stayed idle too long: an upstream that went away closes nothing itself."""
+        """Close expired idle connections: an upstream that vanished does not close them itself."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         connections = [each for idle in self._idle_by_address.values() for each in idle]
@@ -323,10 +324,10 @@
             self._close_all_stale(connection.last_active_at())
 
     def _close_all_stale(self, since: float) -> None:
-        """Close every idle connection on which nothing came since a moment.
+        """Close every idle connection that received nothing since a time, to any address.
 
-        What silenced one connection that had worked may have silenced all, to every address:
-        the second try must not wait on another of them. Busy ones were heard since and stay.
+        The fault that silenced one working connection may affect all of them, and a retry must
+        not time out on another. Connections that received bytes since then are kept.
         """
         for address in tuple(self._idle_by_address):
             self.close_stale(address, since)
--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to an upstream or the platform: one exchange after another.
+"""An HTTP/1.1 connection to an upstream or the platform, which carries one exchange at a time.
 
-h11 reads and writes the protocol; what may be concluded from a lost connection is told
-apart here: whether an answer is whole, and whether bytes came that belong to none.
+h11 parses and writes the protocol. This module decides what a lost connection means: whether
+the answer is complete, and whether bytes arrived that belong to no answer.
 """
 
 from __future__ import annotations
@@ -24,45 +24,45 @@
 from pondhatch.transport._parts import PartPipe
 from pondhatch.transport._unsent import unsent_bytes
 
-#: Seconds for which an idle connection is kept where the other side does not say.
+#: Seconds for which an idle connection is kept if the other side states no time.
 IDLE_SECONDS = 30.0
-#: Share of the time that the other side states for which an idle connection is used:
-#: beyond it, a request could cross the other side's close.
+#: Fraction of the other side's stated idle time during which a connection is reused: later,
+#: a request could cross the other side's close.
 STATED_IDLE_SHARE = 0.5
-#: Bytes of an answer's head that are taken in at most.
+#: Maximum bytes of a response's head.
 MAX_HEAD_BYTES = 64 * 1024
 
 
 class ConnectionBroken(ConnectionError):
-    """The connection was lost, or what came on it was no answer."""
+    """The connection was lost, or received bytes that are no valid response."""
 
 
 class Connection(Protocol):
-    """One connection; carries one exchange at a time."""
+    """One connection, which carries one exchange at a time."""
 
     transport: Any
 
     def __init__(self, on_closed: Callable[[Connection], None]) -> None:
-        #: Until when it may be taken again, in the loop's seconds.
+        #: Time until which it may be reused, in the loop's seconds.
         self.usable_until = float("-inf")
         #: Whether the other side stated how long it keeps an idle connection.
         self.has_stated_idle = False
-        #: Seconds for which it does; 0 where it did not say.
+        #: That time in seconds; 0 if none was stated.
         self.stated_idle = 0.0
         #: When its last exchange ended, in the loop's seconds.
         self.idle_since = float("-inf")
-        #: Whether an upstream is on the other side, rather than the platform.
+        #: Whether the other side is an upstream rather than the platform.
         self.to_upstream = False
         self.is_open = False
-        #: When bytes last came on it, and when its last request was written, in the loop's
+        #: When bytes were last received, and when the last request was written, in the loop's
         #: seconds.
         self.last_received_at = float("-inf")
         self.last_request_at = float("-inf")
-        #: Set where it had worked and was lost, neither closed in order nor given up here.
+        #: Whether it had received bytes and was lost, neither closed cleanly nor aborted here.
         self.was_lost = False
-        #: Set where it was lost so after a while without a word.
+        #: Whether it was lost that way after a period without bytes from the other side.
         self.fell_silent = False
-        #: Cleared while the other side takes no more of a request's body.
+        #: Cleared while the write buffer is full, as the other side reads too slowly.
         self._writable = asyncio.Event()
         self._writable.set()
         self._on_closed = on_closed
@@ -70,7 +70,7 @@
         self._exchange: Exchange | None = None
 
     def connectionMade(self) -> None:
-        """Make lost peers known in seconds."""
+        """Set the socket options that detect a dead peer within seconds."""
         self.is_open = True
         handle = self.transport.getHandle()
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -82,14 +82,14 @@
         self.last_request_at = asyncio.get_running_loop().time()
         framed = framing_header(request.method, length)
         headers = request.headers if framed is None else (*request.headers, framed)
-        # As bytes: from text h11 takes ASCII alone, while values may hold any other byte.
+        # As bytes: h11 accepts only ASCII as text, while header values may hold any other byte.
         head = h11.Request(method=request.method, target=request.target, headers=as_bytes(headers))
         self._write(head)
 
     async def send_body(self, body: BodySource, counter: HeldCounter = UNCOUNTED) -> None:
-        """Write a body as it comes, no faster than the other side takes it.
+        """Write a body as it is received, no faster than the other side reads it.
 
-        ``hold`` counts what the connection holds meanwhile.
+        ``counter`` counts the unsent bytes of the connection meanwhile.
         """
         left = body.length
         self.transport.registerProducer(self, True)
@@ -117,24 +117,24 @@
             self._write(h11.EndOfMessage())
 
     def pauseProducing(self) -> None:
-        """Called by the connection when its buffer is full."""
+        """Called by the transport when its buffer is full."""
         self._writable.clear()
 
     def resumeProducing(self) -> None:
-        """Called by the connection when its buffer has drained."""
+        """Called by the transport when its buffer has drained."""
         self._writable.set()
 
     def stopProducing(self) -> None:
-        """Called by the connection when it is lost; whoever sends is cancelled elsewhere."""
+        """Called by the transport when it is lost; the sending task is cancelled elsewhere."""
 
     def abort(self) -> None:
-        """Close at once; the other side sees that its caller is gone."""
+        """Reset the connection at once, which shows the other side that its caller left."""
         self.is_open = False
         if self.transport is not None:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes of an answer; bytes that nobody asked for end the connection."""
+        """Process received bytes; bytes outside of an exchange abort the connection."""
         if self._exchange is None:
             self.abort()
             return
@@ -146,7 +146,7 @@
             self._fail(ConnectionBroken(f"no answer in the protocol: {error}"))
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008
-        """End the exchange: whole only where an orderly close is its end."""
+        """End the exchange; its answer is complete only if a clean close delimits it."""
         was_aborted = not self.is_open
         was_closed = reason.check(ConnectionDone) is not None
         self.is_open = False
@@ -161,18 +161,18 @@
                 self._http.receive_data(b"")
                 self._read_events()
             except h11.RemoteProtocolError:
-                pass  # The answer is not whole; told below with the connection's own reason.
+                pass  # The answer is incomplete; reported below with the reason of the loss.
         self._fail(ConnectionBroken(reason.getErrorMessage()))
 
     def last_active_at(self) -> float:
-        """Return when it was last used, by either side, in the loop's seconds."""
+        """Return when either side last used the connection, in the loop's seconds."""
         return max(self.last_received_at, self.last_request_at)
 
     def _is_silent(self) -> bool:
-        """Return whether its exchange stood for as long as bytes may go unacknowledged.
+        """Return whether its exchange was inactive for the time allowed for unacknowledged bytes.
 
-        What the system says of a lost connection does not come through twisted, so a reset
-        after such a while counts too; that costs a few new connections.
+        Twisted does not pass on the system's error for a lost connection, so a reset after
+        that time counts as silence too, at the cost of a few new connections.
         """
         if self._exchange is None:
             return False
@@ -180,12 +180,12 @@
         return waited >= UNACKNOWLEDGED_MS / 1000
 
     def pause(self) -> None:
-        """Read no more until ``resume``."""
+        """Stop reading until ``resume``."""
         if self.is_open:
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self.is_open:
             self.transport.resumeProducing()
 
@@ -213,7 +213,7 @@
             exchange.pipe.put(b"".join(parts))
 
     def _end(self, exchange: Exchange, parts: list[bytes]) -> None:
-        """End an exchange whose answer is whole; keep the connection if it is clean."""
+        """End an exchange whose answer is complete; keep the connection if it is reusable."""
         self._exchange = None
         if parts:
             exchange.pipe.put(b"".join(parts))
@@ -246,7 +246,7 @@
 
 
 def no_counter() -> HeldCounter:
-    """Return what counts nothing, for exchanges on behalf of no account."""
+    """Return a counter that counts nothing, for exchanges of no account."""
     return UNCOUNTED
 
 
@@ -261,25 +261,25 @@
         on_head: Callable[[ResponseHead], None] = _ignore_head,
         new_counter: Callable[[], HeldCounter] = no_counter,
     ) -> None:
-        #: For whoever waits, and who may cancel it in the same turn of the loop in which the
-        #: answer comes; what came is asked of ``answered``.
+        #: Resolved with the response head. Its waiter may cancel it in the same turn of the loop
+        #: in which the response arrives, so ``response`` holds what was received.
         self.head: asyncio.Future[ResponseHead] = asyncio.get_running_loop().create_future()
         self.response: ResponseHead | None = None
         self.pipe = PartPipe(connection.pause, connection.resume)
         self.pipe.use_counter(new_counter())
         self.connection = connection
         self._keep_idle = keep_idle
-        #: Whether an answer with this head leaves its connection fit for another exchange.
+        #: Returns whether a connection may be reused after a response with this head.
         self._may_reuse = may_reuse
-        #: Takes in the head as it comes, whether or not anybody still waits for it.
+        #: Called with the head on receipt, even if nobody awaits it any more.
         self._on_head = on_head
-        #: Returns what counts bytes that wait for the other side, or for whoever reads its answer.
+        #: Returns a counter for bytes buffered for the other side or for the answer's reader.
         self._new_counter = new_counter
         self._is_finished = False
         self._send_task: asyncio.Task[None] | None = None
 
     def send(self, request: Request, body: BodySource) -> None:
-        """Write the request; a body that is still to come is sent as it comes."""
+        """Write the request; a body that is not in memory is sent as it is received."""
         self.connection.begin(self, request, body.length)
         if isinstance(body, ReplayableBody):
             self.connection.send_whole_body(body.content)
@@ -290,21 +290,21 @@
         try:
             await self.connection.send_body(body, self._new_counter())
         except Exception as error:
-            # Whoever waits for the answer learns why there will be none.
+            # The waiter for the answer gets the reason why there is none.
             if not self.head.done():
                 self.head.set_exception(error)
                 self.head.exception()
             self.cancel()
 
     def receive_head(self, head: ResponseHead) -> None:
-        """Take in the answer's head."""
+        """Store the response head and resolve ``head``."""
         self.response = head
         self._on_head(head)
         if not self.head.done():
             self.head.set_result(head)
 
     def complete(self, reusable: Connection | None) -> None:
-        """Note that the answer is whole; the connection may carry another exchange."""
+        """End the exchange with a complete answer; keep a reusable connection if allowed."""
         self._finish()
         self.pipe.end()
         if reusable is None:
@@ -315,17 +315,17 @@
             reusable.abort()
 
     def fail(self, error: ConnectionError) -> None:
-        """Note that no more will come."""
+        """End the exchange with an error."""
         self._finish()
         if not self.head.done():
             self.head.set_exception(error)
-            self.head.exception()  # Whoever waits gets it; nobody may be waiting any more.
+            self.head.exception()  # Marks it as retrieved: possibly nobody awaits it any more.
         self.pipe.fail(error)
 
     def cancel(self) -> None:
-        """Give the answer up, unless it is whole; what nobody read of it counts no more.
+        """Abort the exchange unless its answer is complete, and stop counting unread bytes.
 
-        Safe to call twice.
+        Idempotent.
         """
         self.pipe.stop_counting()
         if not self._is_finished:
--- a/pondhatch/transport/_remote_peer.py
+++ b/pondhatch/transport/_remote_peer.py
@@ -1,4 +1,4 @@
-"""Another router as this one reaches it, over gRPC."""
+"""A client for calls to another router over gRPC."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from pondhatch.transport import _wire as wire
 from pondhatch.transport._dead_peers import detect_dead_peer
 
-#: Seconds to wait for a peer's reply. A peer that gives none has its connection made anew:
-#: one that a middle box swallows is acknowledged, and so shows by nothing else.
+#: Timeout of a call to a peer, in seconds. A timeout also replaces the connection: one whose
+#: bytes a middlebox acknowledges but swallows is detected by nothing else.
 CALL_SECONDS = 2.0
-#: What a lost connection to a peer looks like.
+#: Exceptions that a lost connection to a peer raises.
 PEER_LOST = (GRPCError, StreamTerminatedError, ProtocolError, OSError)
 
 
 class _Protocol(H2Protocol):
-    """A connection to a peer whose silence shows in seconds, between calls too."""
+    """A connection that detects a dead peer within seconds, also between calls."""
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
@@ -30,7 +30,7 @@
 
 
 class _Channel(Channel):
-    """Calls to one peer, over a connection that is made anew when it is lost."""
+    """A channel to one peer that reconnects when its connection is lost."""
 
     def _protocol_factory(self) -> H2Protocol:
         return _Protocol(Handler(), self._config, self._h2_config)
@@ -56,7 +56,7 @@
 
 
 class RemotePeer:
-    """Another router as a holder of keys and of versions, reached over one connection."""
+    """Another router as a holder of idempotency keys and versions, over one connection."""
 
     def __init__(
         self,
@@ -74,28 +74,28 @@
     async def pull(
         self, configuration: int, upstreams: int, takes_difference: bool = True
     ) -> wire.PullReply | None:
-        """Return what the peer has beyond these versions, or None where it is lost."""
+        """Return the peer's updates since these versions, or None if it is unreachable."""
         request = wire.PullRequest(configuration, upstreams, takes_difference)
         reply: wire.PullReply | None = await self._call("pull", request)
         return reply
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
-        """Claim a key at the peer; see KeyHolder."""
+        """Claim a key at the peer, or return None if it is unreachable; see KeyHolder."""
         reply = await self._call("claim", wire.KeyedRecord(key, record))
         if reply is None:
             return None
         return NewKey() if reply.known is None else UsedKey(reply.known)
 
     async def settle(self, key: str, record: KeyRecord) -> None:
-        """Record at the peer what became of a request; see KeyHolder."""
+        """Record a request's outcome at the peer; see KeyHolder."""
         await self._call("settle", wire.KeyedRecord(key, record))
 
     async def release(self, key: str, request_id: str) -> None:
-        """Forget a claim at the peer; see KeyHolder."""
+        """Release a claim at the peer; see KeyHolder."""
         await self._call("release", wire.KeyRelease(key, request_id))
 
     async def _call(self, name: str, message: Any) -> Any:
-        """Return a small call's reply, or None where the peer is lost."""
+        """Return the reply of a call, or None if the peer is unreachable."""
         calls = self._calls
         try:
             method = getattr(calls, name)
@@ -107,7 +107,7 @@
             return None
 
     def _reconnect(self, silent: _PeerCalls) -> None:
-        """Have the next call use a new connection, unless another call has seen to that."""
+        """Replace the connection for later calls, unless another call has already done so."""
         if self._calls is not silent:
             return
         self._calls = _PeerCalls(self.address, self._tls)
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -1,4 +1,4 @@
-"""Serving a request that was counted in: placed, passed on, noted."""
+"""Runs admitted requests: places them, forwards their answers and records their outcomes."""
 
 from __future__ import annotations
 
@@ -45,26 +45,26 @@
 
 ServedOutcome = Whole | Broken | Refusal
 
-#: What becomes of a request whose caller leaves, unless something else became of it before.
+#: Outcome of a request whose caller leaves before any other outcome is known.
 CALLER_GONE = Unknown("caller-gone", "the caller went away")
 
 
 class AdmittedRequest(msgspec.Struct, frozen=True):
-    """A request that was counted in, ready to be placed."""
+    """A request that its account's limits admitted, ready to be placed on an engine."""
 
     account: Account
     admitted: Admitted
     head: RequestHead
     body: BodySource
     wait_limits: WaitLimits
-    #: Idempotency key of a request that must not run twice, made the account's own.
+    #: Idempotency key of a request that must not run twice, scoped to the account.
     key: str | None = None
-    #: Counts its body until it has ended.
+    #: Counts the bytes of its body until the request ends.
     body_counter: HeldCounter = UNCOUNTED
 
 
 class AnswerCopy(msgspec.Struct):
-    """A copy of an answer, as long as it is small enough to keep."""
+    """A copy of an answer, kept only while its body is at most MAX_KEPT_BODY bytes."""
 
     status: int = 0
     headers: Headers = ()
@@ -72,22 +72,22 @@
     size: int = 0
 
     def add(self, part: bytes) -> None:
-        """Take in a part; what is too large to keep is only counted."""
+        """Append a part; beyond the size limit only the size is counted."""
         self.size += len(part)
         if self.size <= MAX_KEPT_BODY:
             self.parts.append(part)
 
     def body(self) -> bytes | None:
-        """Return the whole body, or None where it was too large."""
+        """Return the whole body, or None if it was too large to keep."""
         return b"".join(self.parts) if self.size <= MAX_KEPT_BODY else None
 
 
 class _Timings(msgspec.Struct):
-    """Where a request's time went, in seconds."""
+    """How long the stages of a request took, in seconds."""
 
-    #: From its head to its end.
+    #: From the receipt of its head to its end.
     total: float = 0.0
-    #: From its head until an engine's answer began.
+    #: From the receipt of its head until an engine's answer began.
     placed: float = 0.0
     #: The longest pause between two parts of the answer.
     longest_pause: float = 0.0
@@ -98,7 +98,7 @@
 
 
 class _CopyingSink:
-    """Copies an answer, and passes it on while its caller is there; see PartSink."""
+    """Copies an answer and forwards it while the caller is connected; see PartSink."""
 
     def __init__(self, copy: AnswerCopy, writer: CallerWriter) -> None:
         self._copy = copy
@@ -111,7 +111,7 @@
 
 
 class RequestRunner:
-    """Runs requests and tells callers what came of them."""
+    """Runs admitted requests and writes their answers or refusals to callers."""
 
     def __init__(self, parts: CallerParts, answers: Answers) -> None:
         self._state = parts.state
@@ -120,11 +120,11 @@
         self._tasks = parts.tasks
         self._records = parts.records
         self._answers = answers
-        #: Keyed requests that go on though their callers left.
+        #: Tasks of keyed requests that continue after their callers left.
         self.detached_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, request: CallerRequest, work: AdmittedRequest, started_at: float) -> None:
-        """Serve one request; a caller that leaves cancels it, unless it has a key."""
+        """Serve one request; a caller that leaves cancels it, unless it has an idempotency key."""
         if work.key is None:
             try:
                 await self._serve(request, work, started_at)
@@ -132,7 +132,7 @@
                 work.body_counter.close()
             return
         task = self._tasks.start(self._serve(request, work, started_at))
-        # Not in the task itself: one that is cancelled before its first step runs no cleanup.
+        # Not in the task itself: a task cancelled before its first step runs no cleanup.
         task.add_done_callback(lambda _: work.body_counter.close())
         try:
             await asyncio.shield(task)
@@ -141,19 +141,19 @@
             raise
 
     def _detach(self, task: asyncio.Task[None], request: CallerRequest) -> None:
-        """Let a keyed request run to its end, for the caller to ask for the answer again.
+        """Let a keyed request run to its end, so that the caller can retry for its answer.
 
-        Cut off, its outcome would be unknown, and its key of no more use to its caller.
+        If it were cancelled, its outcome would be unknown and a retry with its key refused.
         """
         if not request.pipe.ended:
-            task.cancel()  # The rest of its body will not come.
+            task.cancel()  # The rest of its body will not arrive.
         self.detached_tasks.add(task)
         task.add_done_callback(self.detached_tasks.discard)
 
     async def _serve(
         self, request: CallerRequest, work: AdmittedRequest, started_at: float
     ) -> None:
-        """Serve one request to its end; its account's count ends with it."""
+        """Serve one request to its end, then release it from its account's concurrency."""
         try:
             if work.key is not None:
                 await self._run_keyed(request, work, work.key, started_at)
@@ -166,7 +166,7 @@
     async def _run_keyed(
         self, request: CallerRequest, work: AdmittedRequest, key: str, started_at: float
     ) -> None:
-        """Run a request under its key, or answer as the first one with that key was."""
+        """Run a request under its key, or replay the answer of the first one with that key."""
         head = work.head
         digest = f"{head.method} {head.path} {work.body.length}"
         record = KeyRecord(digest, self._state.name, head.request_id)
@@ -227,7 +227,7 @@
         copy: AnswerCopy,
         timings: _Timings,
     ) -> ServedOutcome:
-        """Pass the answer on."""
+        """Forward the answer to the caller and return how it ended."""
 
         def begin(answer: AnswerStream) -> None:
             self._answers.begin(request, answer.status, answer.headers, work.head.request_id)
@@ -261,7 +261,7 @@
         self._write_record(work, dispatch, code, timings)
 
     def _count_queue_outcome(self, dispatch: Dispatch) -> None:
-        """Count what came of a wait at full engines."""
+        """Count the result of waiting in the queues of full engines."""
         if dispatch.queue_result.outcome is QueueOutcome.NONE:
             return
         self._metrics.timing("queue.waited", dispatch.queue_wait_seconds)
@@ -273,7 +273,7 @@
     def _record_decision(
         self, work: AdmittedRequest, dispatch: Dispatch, code: str, seconds: float
     ) -> None:
-        """Keep the decision for the state dump."""
+        """Store the routing decision for the state dump."""
         self._state.decisions.append(
             RoutingDecision(
                 request_id=work.head.request_id,
@@ -290,7 +290,7 @@
     def _write_record(
         self, work: AdmittedRequest, dispatch: Dispatch, code: str, timings: _Timings
     ) -> None:
-        """Leave the decision's line."""
+        """Write the record of the request's end to the decision log."""
         self._records.note(
             RequestEnded(
                 id=work.head.caller_id or work.head.request_id,
@@ -316,18 +316,18 @@
 
 
 def _passed_over(dispatch: Dispatch) -> tuple[tuple[str, str], ...]:
-    """Return the engines that did not take a request, each with why."""
+    """Return the engines that did not take a request, each with the reason."""
     closed = () if dispatch.closed_home is None else (dispatch.closed_home,)
     return (*closed, *dispatch.plan.refusals)
 
 
 def _needs_digest(dispatch: Dispatch, code: str) -> bool:
-    """Return whether a request's other attempts are of interest to whoever reads its line."""
+    """Return whether the record needs the digest, which relates it to repeats of the request."""
     return bool(dispatch.cut_at) or code == QUARANTINED.code
 
 
 async def _finish_keyed(keyed: KeyedRun, outcome: ServedOutcome, copy: AnswerCopy) -> None:
-    """Tell the key's holders what became of its request."""
+    """Report the request's outcome to the holders of its key."""
     if isinstance(outcome, NotRun):
         await keyed.release_claims()
         return
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -1,4 +1,4 @@
-"""Callers of routes: requests under a host and path prefix, passed on as they are."""
+"""Callers of routes: requests matched by host and path prefix, and forwarded unchanged."""
 
 from __future__ import annotations
 
@@ -52,21 +52,21 @@
 Number = TypeVar("Number", int, float)
 
 TOO_LARGE = 413
-#: Bytes of a refused request's body that are read and dropped, so that its connection can
-#: be used again; beyond them it is closed.
+#: Bytes of a refused request's body that are read and discarded so that its connection can
+#: be reused; a connection with more left is closed.
 MAX_DRAINED_BYTES = 256 * 1024
 
 
 class RoutedCallers(Resource):
-    """Handles requests by the routes in force."""
+    """Serves requests by the routes of the configuration in force."""
 
     isLeaf = True
 
     def __init__(self, parts: CallerParts, dialect: CallerDialect) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        #: Requests that have not ended; a stopping router waits for them.
+        #: Unfinished requests, which a stopping router waits for.
         self.in_flight = 0
-        #: Whether a stopping router still takes requests.
+        #: False once a stopping router refuses new requests.
         self.accepts_requests = True
         self._state = parts.state
         self._dialect = dialect
@@ -81,11 +81,11 @@
         self._request_runner = RequestRunner(parts, self._answers)
 
     def resource(self) -> Resource:
-        """Return what a site serves."""
+        """Return the resource to be served by a site."""
         return self
 
     def render(self, request: Any) -> int:
-        """Begin to serve a request; one whose caller leaves is given up at once."""
+        """Start serving a request; it is cancelled as soon as its caller disconnects."""
         task = self._tasks.start(self._serve(request))
         request.notifyFinish().addErrback(lambda _: _cancel(task))
         return NOT_DONE_YET
@@ -104,8 +104,8 @@
             self._metrics.count("callers.gone")
             request.abort()
         except asyncio.CancelledError:
-            # The caller left, or this router ends before the answer did: what was sent of
-            # it must not look whole.
+            # The caller left, or this router stops before the answer ends: the part that was
+            # sent must not look complete.
             self._metrics.count("callers.gone")
             request.abort()
             raise
@@ -122,21 +122,21 @@
     async def _read_request(
         self, request: CallerRequest, started_at: float
     ) -> AdmittedRequest | NotRun:
-        """Return what is to be done with a request, or its refusal, once its body is read."""
+        """Read a request and admit it; return its refusal once the body is read or discarded."""
         try:
             work = await self._prepare(request)
             if isinstance(work, NotRun):
                 await self._drop_body(request, work)
         except (CallerGone, asyncio.CancelledError):
-            # Without a record, what its caller gave up looks like a request that was lost.
+            # Without a record, a request that its caller gave up would look lost.
             self._record_unserved(request, CALLER_GONE.code, started_at)
             raise
         return work
 
     async def _drop_body(self, request: CallerRequest, refusal: NotRun) -> None:
-        """Read and drop a refused request's body as far as that keeps its connection.
+        """Read and discard a refused request's body, if that lets its connection be reused.
 
-        What is refused for memory, and too large for that, is refused before its body comes.
+        A body that is refused for memory and is too large for that is not read at all.
         """
         body = request.body()
         is_large = body.length is not None and body.length > MAX_DRAINED_BYTES
@@ -144,7 +144,7 @@
             await drain(body, MAX_DRAINED_BYTES)
 
     def _record_unserved(self, request: CallerRequest, outcome: str, started_at: float) -> None:
-        """Leave a decision on a request for which no engine was chosen."""
+        """Write the record of a request for which no engine was chosen."""
         facts = self._dialect.read(_headers(request))
         self._records.note(
             RequestEnded(
@@ -177,7 +177,7 @@
     async def _read_and_admit(
         self, request: CallerRequest, facts: CallerFacts, headers: Headers, counter: HeldCounter
     ) -> AdmittedRequest | NotRun:
-        """Read a request's body and count it in; ``hold`` counts the body."""
+        """Read a request's body and admit the request; ``counter`` counts the body's bytes."""
         max_bytes = self._max_body_bytes()
         body = await read_whole(request.body(), max_bytes, counter)
         if body is None:
@@ -188,7 +188,7 @@
         if isinstance(body, Limited):
             self._metrics.count("held.refused")
             return memory_limited_refusal(body)
-        # The configuration may have changed while the body came.
+        # The configuration may have changed while the body was read.
         found = self._route_and_account(request, facts)
         if isinstance(found, NotRun):
             return found
@@ -199,7 +199,7 @@
     def _route_and_account(
         self, request: CallerRequest, facts: CallerFacts
     ) -> tuple[Route, Account] | NotRun:
-        """Return a request's route and account by the configuration in force."""
+        """Return a request's route and account in the configuration in force, or a refusal."""
         route = self._find_route(request)
         if isinstance(route, NotRun):
             return route
@@ -219,14 +219,14 @@
             return not_in_force_refusal("route")
         if route is None:
             return unknown_entry_refusal(self._state, "route", NO_ROUTE)
-        # A route for all paths of a host is no leave to have engines move or free memory.
+        # A route for every path of a host must not let callers have engines move or free memory.
         is_reserved = self._dialect.is_router_only_call(path, route.spec.path_prefix)
         if is_reserved and self._targets_models(route):
             return NO_ROUTE
         return route
 
     def _targets_models(self, route: Route) -> bool:
-        """Return whether a route leads to a model service; plain ones have paths of their own."""
+        """Return whether a route has a model service; plain services define their own paths."""
         services = self._state.fleet.service_by_name
         return any(services[target.service].kind == "model" for target in route.spec.targets)
 
@@ -243,7 +243,7 @@
         admitted = admit_routed(self._state, account, route.spec, service, facts.max_wait)
         if isinstance(admitted, NotRun):
             return admitted
-        # On the way in, so that nothing behind this can pass on what the caller may not say.
+        # Filtered on arrival, so that no later step can forward a header callers may not set.
         forwarded = self._dialect.forwarded_headers(headers, self._note_dropped)
         head = _head(request, route.spec, account, admitted, facts, forwarded, body)
         context_wait = admitted.context_wait if head.is_followup else 0.0
@@ -259,10 +259,10 @@
 
 
 def _finish(request: CallerRequest) -> None:
-    """End an answer that is whole, or a refusal.
+    """Finish a complete answer or a refusal.
 
-    Only where that was seen to be so, and never as a cleanup: the end of a chunked body says
-    to the caller that it has all of it.
+    Never call this as a cleanup: the last chunk of a chunked body tells the caller that the
+    answer is complete.
     """
     if request.is_open():
         request.finish()
@@ -273,7 +273,7 @@
 
 
 def _host(request: CallerRequest) -> str:
-    """Return the host asked for; bytes that are no text name no route's host."""
+    """Return the requested host; bytes that are not UTF-8 match no route's host."""
     raw: bytes = request.getHeader(b"host") or b""
     return raw.decode(errors="replace")
 
@@ -322,7 +322,7 @@
 
 
 def effective_caller_limits(state: RouterState, settings: CallerLimits) -> CallerLimits:
-    """Return what callers may send: what the configuration in force says, else the settings."""
+    """Return callers' limits: those of the configuration in force, else of the settings."""
     bounds = state.fleet.caller_bounds
     if bounds is None:
         return settings
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams over HTTP, in whatever dialect they speak."""
+"""Requests to upstreams over HTTP, in the dialect of the upstreams."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
 from pondhatch.transport._http_heads import Request, ResponseHead
 
 OK = 200
-#: Bytes of an answer's end that are searched for the last event.
+#: Bytes at the end of an answer that are searched for the last event.
 TAIL_BYTES = 64
-#: URLs of which the address is kept: those of twice the upstreams of the size to design for.
-#: Reading one costs more than the rest of a look for a kept connection.
+#: URLs whose parsed address is cached: twice the number of upstreams that the design allows
+#: for. Parsing one costs more than the rest of the search for an idle connection.
 MAX_CACHED_URLS = 4096
 
 
 class _TailSink:
-    """Passes parts on, and remembers how the answer ends; see PartSink."""
+    """Forwards parts and keeps the last bytes of the answer; see PartSink."""
 
     def __init__(self, sink: PartSink) -> None:
         self.tail = b""
@@ -63,7 +63,7 @@
 
 
 class _UpstreamClosed(Exception):
-    """The upstream was closed to a request while a connection to it was opened."""
+    """The upstream became unavailable to a request while a connection to it was opened."""
 
     def __init__(self, refusal: NotRun) -> None:
         super().__init__(refusal.reason)
@@ -86,14 +86,14 @@
         self.headers = headers
         self._exchange = exchange
         self._attempt = attempt
-        #: The event without which the answer is not whole.
+        #: The event that ends a complete stream; None where none is expected.
         self._last_event = last_event
         self._has_expired = False
-        #: One timer for the whole answer costs less than one for each part.
+        #: One timer for the whole answer is cheaper than one for each part.
         self._timer = asyncio.get_running_loop().call_at(deadline, self._expire)
 
     async def stream_to(self, sink: PartSink) -> None:
-        """Hand every part to a sink; see AnswerStream."""
+        """Write every part to a sink; see AnswerStream."""
         tail_sink = _TailSink(sink) if self._last_event is not None else None
         try:
             await self._exchange.pipe.stream_to(tail_sink or sink)
@@ -105,7 +105,7 @@
         self._attempt.ended()
 
     def cancel(self) -> None:
-        """Close the connection unless the answer was read to its end."""
+        """Close the connection, unless the answer was read to its end."""
         self._timer.cancel()
         self._exchange.cancel()
 
@@ -122,7 +122,7 @@
 
 
 class HttpUpstreams:
-    """Connections to upstreams; see Upstreams."""
+    """Sends requests to upstreams over pooled connections; see Upstreams."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         held: HeldBytes | None = None,
     ) -> None:
         self.client = client
-        #: Counts what waits here for callers and upstreams.
+        #: Counts the bytes buffered here for callers and upstreams.
         self._held = held or HeldBytes()
         self._dialect = dialect
         self._view = view or NoUpstreamView()
@@ -142,7 +142,7 @@
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
     ) -> AnswerStarted | NotRun | Unknown:
-        """Send a request once; see Upstreams."""
+        """Make one attempt at a request; see Upstreams."""
         attempt = new_try(target.name)
         deadline = asyncio.get_running_loop().time() + head.deadline
         request = Request(head.method, head.path, self._dialect.request_headers(head, target))
@@ -188,12 +188,12 @@
         try:
             return self._start_answer(exchange, response, head, attempt, deadline)
         except BaseException:
-            # Nobody but this call knows of the exchange yet.
+            # Only this call holds a reference to the exchange so far.
             exchange.cancel()
             raise
 
     def is_pooled(self, url: str) -> bool:
-        """Return whether a connection to an upstream is kept that may be used again."""
+        """Return whether a reusable idle connection to an upstream exists."""
         try:
             address = _address_of(url)
         except NotSent:
@@ -201,7 +201,7 @@
         return self.client.has_idle(address)
 
     async def has_ended(self, target: Target) -> bool:
-        """Return whether nothing listens at an upstream any more; see CrashGuard."""
+        """Return whether an upstream refuses connections, as one that crashed; see CrashGuard."""
         try:
             address = _address_of(target.url)
         except NotSent:
@@ -209,13 +209,13 @@
         return await self.client.is_refused(address)
 
     def _check_open(self, target: Target, head: RequestHead) -> None:
-        """Raise _ClosedMeanwhile where a request may not be sent to its upstream any more."""
+        """Raise _UpstreamClosed if a request may no longer be sent to its upstream."""
         refusal = self._view.closed(target.name, head)
         if refusal is not None:
             raise _UpstreamClosed(refusal)
 
     def _receive_notice(self, target: Target, response: ResponseHead) -> None:
-        """Take in what an answer says of its upstream, whatever it says of the request."""
+        """Process the upstream's state reported by a response, whatever the request's outcome."""
         notice = self._dialect.notice(response.status, response.value_by_name)
         if notice or notice.pace:
             self._view.receive_notice(target.name, notice)
@@ -255,7 +255,7 @@
 
 
 def _max_idle(target: Target) -> int:
-    """Return how many idle connections are kept to an upstream at most."""
+    """Return the maximum number of idle connections to an upstream."""
     return (
         IDLE_CONNECTIONS
         if target.max_idle_connections is None
@@ -265,10 +265,10 @@
 
 @functools.lru_cache(maxsize=MAX_CACHED_URLS)
 def _address_of(url: str) -> Address:
-    """Return where an upstream is reached. Raises NotSent where its URL does not say."""
+    """Return the address of an upstream. Raises NotSent if its URL is invalid."""
     found = host_and_port(url.removeprefix("http://").rstrip("/"))
     if found is None:
-        # The request goes elsewhere: whoever listed the upstream is at fault, not the caller.
+        # The request goes to another upstream: the entry is at fault, not the caller.
         raise NotSent(f"{url!r} names no host and port")
     return Address(*found)
 
--- a/pondhatch/transport/_wire.py
+++ b/pondhatch/transport/_wire.py
@@ -18,50 +18,50 @@
 RELEASE_METHOD = "/pondhatch.Peers/Release"
 PULL_METHOD = "/pondhatch.Peers/Pull"
 
-#: Name of the call metadata that proves the caller to hold the fleet key.
+#: Metadata key of the token that proves that the calling router holds the fleet key.
 TOKEN_METADATA = "pondhatch-fleet"
 
 
 class KeyedRecord(msgspec.Struct, frozen=True):
-    """A key and its record: to be claimed or settled."""
+    """An idempotency key and its record, to be claimed or settled."""
 
     key: str
     record: KeyRecord
 
 
 class KeyRelease(msgspec.Struct, frozen=True):
-    """A claim to be forgotten."""
+    """A claim to be released."""
 
     key: str
     request_id: str
 
 
 class ClaimReply(msgspec.Struct, frozen=True):
-    """What was known of the key; None where it was new."""
+    """The known record of the key; None if the key was new."""
 
     known: KeyRecord | None = None
 
 
 class Empty(msgspec.Struct, frozen=True):
-    """Nothing to say."""
+    """A message without content."""
 
 
 class PullRequest(msgspec.Struct, frozen=True):
-    """The versions that a router holds."""
+    """The versions that the calling router holds."""
 
     configuration: int
     upstreams: int
-    #: Whether it can take the entries that differ. Routers of an earlier version of pondhatch
-    #: do not say so, and are given a configuration whole.
+    #: Whether the router accepts only the entries that differ. Routers of an earlier version
+    #: of pondhatch do not set this, and get the whole configuration.
     takes_difference: bool = False
 
 
 class PullReply(msgspec.Struct, frozen=True):
-    """What it lacks."""
+    """The updates that the calling router lacks."""
 
     configuration: Update
     upstreams: UpstreamUpdate
-    #: Whole, and told each time: a few words. None where the one asked knows nothing.
+    #: Always sent in full, as they are small. None if the peer has no list of them.
     evacuations: EvacuationUpdate | None = None
 
 
@@ -70,26 +70,26 @@
     return msgspec.msgpack.Decoder(message_type)
 
 
-#: Bytes from which a message is packed: a configuration of 1,700 routes, 0.2 MB and more,
-#: shrinks to a tenth; plain, it took too long to 62 routers on links of 10 Mbit/s.
+#: Size in bytes from which a message is compressed: a configuration of 1,700 routes, 0.2 MB or
+#: more, shrinks to a tenth; plain, it took too long to reach 62 routers on 10 Mbit/s links.
 MIN_COMPRESSED_BYTES = 4096
-#: zlib's fastest level; slower ones save little more on names that repeat.
+#: zlib's fastest level; slower ones save little more on repeated names.
 COMPRESSION_LEVEL = 1
-#: Bytes of an unpacked message at most; no configuration comes near.
+#: Maximum size of a decompressed message in bytes, far above that of any configuration.
 MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
-#: First byte of a message: whether the rest is packed.
+#: First byte of a message, which tells whether the rest is compressed.
 PLAIN, COMPRESSED = b"\x00", b"\x01"
 
 
 def compress(raw: bytes) -> bytes:
-    """Return a message as it travels."""
+    """Return an encoded message as it is sent: a marker byte, then plain or compressed bytes."""
     if len(raw) < MIN_COMPRESSED_BYTES:
         return PLAIN + raw
     return COMPRESSED + zlib.compress(raw, COMPRESSION_LEVEL)
 
 
 def decompress(data: bytes) -> bytes:
-    """Return a message as it was encoded. Raises msgspec.DecodeError."""
+    """Return the encoded message in received bytes. Raises msgspec.DecodeError."""
     if data[:1] == PLAIN:
         return data[1:]
     decompressor = zlib.decompressobj()
@@ -103,7 +103,7 @@
 
 
 class MessagePackCodec(CodecBase):
-    """MessagePack by msgspec: typed messages without generated code."""
+    """A MessagePack codec based on msgspec, for typed messages without generated code."""
 
     __content_subtype__ = "msgpack"
 
@@ -111,9 +111,9 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return a message's bytes."""
+        """Return a message as bytes."""
         return compress(self._encoder.encode(message))
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message in bytes. Raises msgspec.DecodeError."""
+        """Return the decoded message. Raises msgspec.DecodeError."""
         return _decoder(message_type).decode(decompress(data))
