--- a/pondhatch/transport/__init__.py
+++ b/pondhatch/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Transport: twisted, klein, treq, grpclib and UDP. Bytes only, no decisions."""
+"""The network layer: twisted, klein, treq, grpclib and UDP. It makes no routing decisions."""
 
 from pondhatch.transport._admin import Admin, format_dump
 from pondhatch.transport._answers import abort_connection, refuse_after_failure, write_head
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -13,12 +13,12 @@
 
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
-#: Path of the call that lets a quarantined request run again; its digest in hex follows.
+#: Path prefix of the call that lifts a request's quarantine; its digest in hex follows.
 LIFT_PATH = b"/lift/"
 
 
 def format_dump(dump: Dump) -> str:
-    """Return a dump as text for people."""
+    """Return a dump as readable text."""
     lines = []
     for key, value in dump.items():
         if not isinstance(value, list):
@@ -41,7 +41,7 @@
 
 
 class Admin(Resource):
-    """Serves operators; to be bound where only they reach it."""
+    """Serves operators; bind it to an address that only they can reach."""
 
     isLeaf = True
 
@@ -59,7 +59,7 @@
         self._extra = extra
 
     def render(self, request: Any) -> bytes:
-        """Answer one question."""
+        """Answer a request."""
         if request.path == b"/state.json":
             request.setHeader(b"Content-Type", b"application/json")
             return msgspec.json.encode(self._dump())
@@ -72,7 +72,7 @@
         return b""
 
     def _answer_lift(self, request: Any) -> bytes:
-        """Lift a quarantine; 404 where nothing is held against the request, or it is none."""
+        """Lift a quarantine; 404 if the request is not quarantined or the digest is invalid."""
         if request.method != b"POST":
             request.setResponseCode(METHOD_NOT_ALLOWED)
             return b""
--- a/pondhatch/transport/_caller_body.py
+++ b/pondhatch/transport/_caller_body.py
@@ -1,4 +1,4 @@
-"""Callers' bodies, read part by part as they come."""
+"""Callers' request bodies, read in parts as they are received."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class CallerBody:
-    """A caller's body read from its connection; see BodySource."""
+    """A request body read from a caller's connection; see BodySource."""
 
     def __init__(self, length: int | None, pipe: PartPipe) -> None:
         self.length = length
@@ -21,10 +21,10 @@
 async def read_whole(
     body: CallerBody, limit: int, counter: HeldCounter = UNCOUNTED
 ) -> bytes | Limited | None:
-    """Return a body, or None where it is larger than the limit.
+    """Return a body, None if it exceeds ``limit`` bytes, or Limited if memory does not allow it.
 
-    A stated length is held in full before the first byte is read, so that a body that was begun
-    can be read to its end. One without is held as it comes. Limited where it may not be held.
+    A stated length is counted in full before the first byte is read, so that a body once started
+    can be read to its end. A body of unknown length is counted as it is received.
     """
     if body.length is not None and body.length > limit:
         return None
@@ -45,7 +45,7 @@
 
 
 async def drain(body: CallerBody, limit: int) -> None:
-    """Read and drop a body, up to a limit."""
+    """Read and discard a body, up to ``limit`` bytes."""
     size = 0
     while size <= limit and (part := await body.read()):
         size += len(part)
--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -43,7 +43,7 @@
 class CallerChannel(HTTPChannel):
     """One caller's connection."""
 
-    #: Number of headers, which the limit in force on their total bytes bounds already.
+    #: Unlimited number of headers: the limit in force on their total bytes bounds it already.
     maxHeaders = sys.maxsize
     #: Returns the callers' limits in force.
     limits: Callable[[], CallerLimits]
--- a/pondhatch/transport/_caller_dialect.py
+++ b/pondhatch/transport/_caller_dialect.py
@@ -1,4 +1,4 @@
-"""How callers of routes speak: what they say in headers, and how refusals are explained."""
+"""The dialect of routed callers: the headers of their requests and of refusals."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 
 class CallerFacts(msgspec.Struct, frozen=True):
-    """What a caller says about a routed request in its headers."""
+    """What a routed request's headers state about it."""
 
-    #: Its id for this attempt; empty where it gave none.
+    #: The caller's id of this attempt; empty if none was given.
     caller_id: str
-    #: Its API key, or None where it shows none.
+    #: The API key, or None if none was given.
     key: str | None
-    #: Seconds that it waits for the answer, or None where it does not say.
+    #: Seconds that the caller waits for the answer, or None if not stated.
     max_wait: float | None
-    #: 64-bit key of the context that the request shares with others; 0 for none.
+    #: 64-bit key of the context that the request shares with others, or 0.
     context_key: int
-    #: Tokens of its prompt, and those that its answer is taken to have; 0 where not said.
+    #: Tokens of the prompt, and the expected tokens of the answer; 0 if not stated.
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    #: Parts of its prompt that other requests share, each as an id and its tokens.
+    #: Parts of the prompt that other requests share, each as an id and its tokens.
     prompt_parts: tuple[tuple[int, int], ...] = ()
 
 
 class CallerDialect(Protocol):
-    """Names and formats of routed requests; decides nothing."""
+    """Header names and formats of routed requests; makes no decisions."""
 
     def read(self, headers: Headers) -> CallerFacts:
-        """Return what a caller says about its request."""
+        """Return what a request's headers state about it."""
 
     def forwarded_headers(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return those of a caller's headers that it may say to an upstream."""
+        """Return those of a caller's headers that may be forwarded to an upstream."""
 
     def is_router_only_call(self, path: str, prefix: str) -> bool:
-        """Return whether an upstream could take a path for a call that only routers make.
+        """Return whether an upstream could treat a path as a call reserved for routers.
 
-        ``prefix`` is the one of the route that the path takes.
+        ``prefix`` is the path prefix of the matched route.
         """
 
     def refusal_headers(self, refusal: Refusal) -> Headers:
-        """Return the headers that explain a refusal."""
+        """Return the headers that describe a refusal."""
--- a/pondhatch/transport/_caller_request.py
+++ b/pondhatch/transport/_caller_request.py
@@ -1,8 +1,7 @@
-"""Callers' requests, handled once their head is there.
+"""Callers' requests, handled as soon as their head is received.
 
-twisted.web reads a whole body, into a file where it is large, before it looks
-for a resource. Here the body is a pipe: a slow upstream slows the caller down,
-and nothing is written to disk.
+twisted.web reads the whole body, into a file if it is large, before it looks up a resource.
+Here the body is a pipe: a slow upstream slows the caller down, and nothing is written to disk.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class CallerRequest(Request):
-    """A request that is handled as soon as its head has come."""
+    """A request that is handled as soon as its head is received."""
 
     channel: Any
 
@@ -29,30 +28,30 @@
         self._length: int | None = None
 
     def gotLength(self, length: int | None) -> None:
-        """Begin to handle the request; its body follows through the pipe."""
+        """Start handling the request; its body follows through the pipe."""
         self.content = io.BytesIO()
         request_line = (self.channel._command, self.channel._path, self.channel._version)
         self.channel.callLater(0, self._start_handling, length, *request_line)
 
     def body(self) -> CallerBody:
-        """Return the body to be read."""
+        """Return the request body."""
         return CallerBody(self._length, self.pipe)
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Take in a part of the body."""
+        """Put a part of the body into the pipe."""
         self.pipe.put(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Note the end of the body; the request has long begun."""
+        """End the body; handling the request started with its head."""
         self.pipe.end()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Tell whoever reads the body that the caller is gone."""
+        """Fail the pipe, so that the body's reader gets CallerGone."""
         self.pipe.fail(CallerGone("the caller closed its connection"))
         super().connectionLost(reason)
 
     def finish(self) -> None:
-        """Finish the answer; a connection with unread body left is not used again."""
+        """Finish the answer; close the connection if a part of the body is unread."""
         if not self.pipe.ended and self.channel is not None:
             if not self.startedWriting:
                 self.responseHeaders.setRawHeaders(b"Connection", [b"close"])
@@ -60,12 +59,12 @@
         super().finish()
 
     def is_open(self) -> bool:
-        """Return whether its answer may still be written or ended."""
+        """Return whether the answer may still be written or finished."""
         is_connected = self.channel is not None and not self._disconnected
         return is_connected and not self.finished and not self.channel.is_aborted
 
     def abort(self) -> None:
-        """Cut the connection: the answer will not be whole."""
+        """Abort the connection, as the answer will not be complete."""
         if self.is_open():
             self.channel.forceAbortClient()
 
--- a/pondhatch/transport/_caller_writer.py
+++ b/pondhatch/transport/_caller_writer.py
@@ -1,4 +1,4 @@
-"""Answers written at the pace at which the caller takes them."""
+"""Writes answers no faster than callers read them."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class CallerWriter:
-    """Writes an answer no faster than the caller takes it; see PartSink.
+    """Writes an answer no faster than the caller reads it; see PartSink.
 
-    At most one part waits here, beyond the transport's own buffer of 64 KB.
+    Buffers at most one part beyond the transport's own buffer of 64 KB.
     """
 
     def __init__(self, request: CallerRequest, counter: HeldCounter = UNCOUNTED) -> None:
         self._request = request
-        #: Counts what the connection holds while the caller is slow.
+        #: Counts the unsent bytes of the connection while the caller is slow.
         self._counter = counter
         self._writable = asyncio.Event()
         self._writable.set()
@@ -28,11 +28,11 @@
 
     @property
     def is_gone(self) -> bool:
-        """Whether the caller closed its connection."""
+        """Whether the caller has closed its connection."""
         return self._gone or self._request._disconnected
 
     def write(self, part: bytes) -> bool:
-        """Write a part; False where the caller is to be waited for. Raises CallerGone."""
+        """Write a part; return False if ``ready`` must be awaited next. Raises CallerGone."""
         if self.is_gone:
             raise CallerGone("the caller closed its connection")
         self._request.write(part)
@@ -42,26 +42,26 @@
         return False
 
     async def ready(self) -> None:
-        """Wait until the caller has taken what came before."""
+        """Wait until the write buffer has drained, or the caller has left."""
         await self._writable.wait()
 
     def close(self) -> None:
-        """Stop being told of the caller's pace, and count no more of what waits for it."""
+        """Unregister from the connection and stop counting its unsent bytes."""
         self._counter.close()
         if not self._request._disconnected and not self._request.finished:
             self._request.unregisterProducer()
 
     def pauseProducing(self) -> None:
-        """Called by the connection when its buffer is full."""
+        """Called by the transport when its buffer is full."""
         self._writable.clear()
 
     def resumeProducing(self) -> None:
-        """Called by the connection when its buffer has drained."""
+        """Called by the transport when its buffer has drained."""
         self._counter.set(0)
         self._writable.set()
 
     def stopProducing(self) -> None:
-        """Called by the connection when the caller is gone."""
+        """Called by the transport when the caller has left."""
         self._gone = True
         self._counter.close()
         self._writable.set()
--- a/pondhatch/transport/_dead_peers.py
+++ b/pondhatch/transport/_dead_peers.py
@@ -1,9 +1,8 @@
-"""How a connection that fell silent shows: by the system's own time-outs and probes.
+"""Detects dead connections by the TCP timeouts and keep-alive probes of the system.
 
-A path that was lost without a reset tells nothing by itself; without these the system gives
-such a connection up after a quarter of an hour. They see silence of the path, not of the
-program behind it: the other side's system acknowledges for an engine that thinks long, so
-no slow answer is cut by them.
+A path that is lost without a reset is not reported; by default the system gives up such a
+connection only after a quarter of an hour. The options detect a silent path, not a slow program:
+the other side's system acknowledges bytes for a busy engine, so slow answers are not cut.
 """
 
 from __future__ import annotations
@@ -11,14 +10,14 @@
 import socket
 from typing import Any
 
-#: Milliseconds after which a connection whose bytes nobody acknowledges is given up. By then
-#: the system has sent them three times (at 0, 0.2 and 0.6 s), so that a path which loses some
-#: packets costs nothing; and of the shortest time-out of routes at the users' sites, 1.5 s, a
-#: third is left for another engine.
+#: Milliseconds after which a connection with unacknowledged bytes is closed. By then the system
+#: has sent them three times (at 0, 0.2 and 0.6 s), so that a path which loses some packets
+#: survives; and of the shortest route timeout at the users' sites, 1.5 s, a third is left for
+#: another engine.
 UNACKNOWLEDGED_MS = 1000
-#: Seconds of silence before the first probe, and between two: the least that the system takes.
+#: Seconds of silence before the first probe and between probes; the system's minimum.
 PROBE_SECONDS = 1
-#: Probes that may fail.
+#: Failed probes after which the connection is closed.
 PROBES = 2
 
 OPTIONS = (
@@ -31,9 +30,9 @@
 
 
 def detect_dead_peer(connection: Any) -> None:
-    """Have a socket lost within seconds of its falling silent, idle or not.
+    """Set options that close a connection within seconds of its falling silent, idle or not.
 
-    A listening socket hands the options on to the connections that it accepts.
+    The connections that a listening socket accepts inherit its options.
     """
     for level, option, value in OPTIONS:
         connection.setsockopt(level, option, value)
--- a/pondhatch/transport/_headers.py
+++ b/pondhatch/transport/_headers.py
@@ -1,19 +1,19 @@
-"""Headers: their bytes as text, and those that belong to one connection.
+"""Header encoding, and the headers that apply to a single connection.
 
-Between two connections a header is text with one character for each byte (latin-1), so that
-it goes on byte for byte whatever encoding its sender meant.
+Inside the router a header is text with one character for each byte (latin-1), so that it is
+forwarded byte for byte whatever its sender's encoding is.
 """
 
 from __future__ import annotations
 
 from pondhatch.requests import Headers
 
-#: Encoding that has one character for each byte.
+#: Encoding with one character for each byte.
 BYTE_ENCODING = "latin-1"
-#: What HTTP drops around a header's value.
+#: Characters that HTTP strips around a header's value.
 WHITESPACE = " \t"
 
-#: They are never passed on from one connection to another.
+#: Headers that are never forwarded from one connection to another.
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -30,15 +30,15 @@
 
 
 def utf8_value(text: str) -> str:
-    """Return a text of our own as a header's value: its bytes in UTF-8."""
+    """Return a header value that is sent as the UTF-8 encoding of a text."""
     return text.encode().decode(BYTE_ENCODING).strip(WHITESPACE)
 
 
 def as_text(raw: bytes) -> str:
-    """Return a header's bytes as they are kept between two connections."""
+    """Return a header's bytes as text with one character for each byte."""
     return raw.decode(BYTE_ENCODING)
 
 
 def as_bytes(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return headers as they go over the wire."""
+    """Return headers as bytes, as they are sent."""
     return [(name.encode(BYTE_ENCODING), value.encode(BYTE_ENCODING)) for name, value in headers]
--- a/pondhatch/transport/_http_heads.py
+++ b/pondhatch/transport/_http_heads.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP/1.1 requests to upstreams and the platform, and of their answers."""
+"""Heads of HTTP/1.1 requests to upstreams and the platform, and of the responses."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from pondhatch.requests import Headers
 from pondhatch.transport._headers import as_text
 
-#: Methods whose requests say nothing of a body that they do not have.
+#: Methods whose requests have no Content-Length if their body is empty.
 BODILESS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request's head as it goes over the wire."""
+    """A request's head as it is sent."""
 
     method: str
     #: Path and query.
     target: str
-    #: All headers but those that say how the body is framed.
+    #: All headers except the one that frames the body.
     headers: Headers
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """An answer's head."""
+    """A response's head."""
 
     status: int
-    #: As they came, those that concern the connection included.
+    #: As received, including those that apply to the connection.
     headers: Headers
-    #: The last value of each, by name in lower case.
+    #: The last value of each header, by name in lower case.
     value_by_name: dict[str, str]
 
     def stated_idle_seconds(self) -> float | None:
-        """Return for how many seconds the other side keeps the connection, if it says so."""
+        """Return the seconds for which the other side keeps an idle connection, if stated."""
         stated = self.value_by_name.get("keep-alive", "")
         for field in stated.split(","):
             name, _, value = field.strip().partition("=")
@@ -42,7 +42,7 @@
 
 
 def framing_header(method: str, length: int | None) -> tuple[str, str] | None:
-    """Return the header that frames a request's body, or None where it has none."""
+    """Return the header that frames a request's body, or None if there is no body."""
     if length is None:
         return ("Transfer-Encoding", "chunked")
     if length == 0 and method in BODILESS:
@@ -51,7 +51,7 @@
 
 
 def response_head(event: h11.Response) -> ResponseHead:
-    """Return an answer's head as h11 read it."""
+    """Return the head of a response that h11 parsed."""
     headers = tuple((as_text(name), as_text(value)) for name, value in event.headers.raw_items())
     by_name = {name.lower(): value for name, value in headers}
     return ResponseHead(event.status_code, headers, by_name)
--- a/pondhatch/transport/_interface.py
+++ b/pondhatch/transport/_interface.py
@@ -1,4 +1,4 @@
-"""What a router speaks with callers, upstreams and the platform.
+"""The protocols by which a router talks to callers, upstreams and the platform.
 
 The product's own interface is one implementation, an adapter to a platform another; the
 settings name the one that a router uses.
@@ -26,38 +26,38 @@
 
 
 class CallerParts(msgspec.Struct, frozen=True):
-    """What serving callers takes."""
+    """The dependencies of serving callers."""
 
     state: RouterState
     collaborators: Collaborators
-    #: What callers may send, by the settings in force.
+    #: Returns the callers' limits of the settings in force.
     limits: Callable[[], CallerLimits]
     metrics: Metrics
     records: Records
     tasks: Tasks
     rng: random.Random
-    #: Holds requests for a moment while the router starts.
+    #: Holds requests for a bounded time while the router starts.
     startup_wait: StartupWait
 
 
 class Callers(Protocol):
     """Serves callers' requests."""
 
-    #: Whether a stopping router still takes requests.
+    #: False once a stopping router refuses new requests.
     accepts_requests: bool
 
     @property
     def in_flight(self) -> int:
-        """Requests that have not ended; a stopping router waits for them."""
+        """Unfinished requests, which a stopping router waits for."""
 
     def resource(self) -> Resource:
-        """Return what a site serves."""
+        """Return the resource to be served by a site."""
 
 
 class Interface(Protocol):
-    """One way to be spoken to."""
+    """The protocols of a router towards callers, upstreams and the platform."""
 
-    #: Whether the platform lists the VMs of routers; else they list themselves.
+    #: Whether the platform lists the routers' VMs; if not, routers list themselves.
     lists_vms: bool
     upstreams: UpstreamDialect
     orders: EngineOrders
@@ -66,13 +66,13 @@
         """Return the platform's object API."""
 
     def configuration(self, store: Platform) -> ConfigurationSource:
-        """Return where the fleet's configuration is kept."""
+        """Return the source of the fleet's configuration."""
 
     def callers(self, parts: CallerParts) -> Callers:
-        """Return what serves callers."""
+        """Return the server of callers' requests."""
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
-        """Return whether the platform's rules in force, by its own names, ask for it."""
+        """Return whether the platform's rules in force, by name, ask for load management."""
 
     def poll_loads(self, state: RouterState) -> Coroutine[Any, Any, None] | None:
-        """Return what asks owned engines for their load, or None where nothing does."""
+        """Return a task that polls owned engines' load, or None if it is not polled."""
--- a/pondhatch/transport/_metrics_page.py
+++ b/pondhatch/transport/_metrics_page.py
@@ -1,4 +1,4 @@
-"""Where those who collect metrics ask for them."""
+"""The page from which metrics are scraped."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MetricsPage(Resource):
-    """Answers with all metrics as text."""
+    """Serves all metrics as text."""
 
     isLeaf = True
 
@@ -23,7 +23,7 @@
         self._text = text
 
     def render(self, request: Any) -> bytes:
-        """Answer one question."""
+        """Answer a request."""
         if request.path != self._path:
             request.setResponseCode(NOT_FOUND)
             return b""
--- a/pondhatch/transport/_parts.py
+++ b/pondhatch/transport/_parts.py
@@ -1,7 +1,7 @@
-"""A bounded pipe of bytes between twisted's callbacks and a coroutine that reads.
+"""A bounded pipe of bytes from twisted's callbacks to a reading coroutine.
 
-A pipe that is poured into a sink hands each part on within the callback that
-brought it; its coroutine wakes only where the sink is slow, and at the end.
+A pipe that streams to a sink writes each part within the callback that delivers it; the
+coroutine wakes up only when the sink is slow, and at the end.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pondhatch.limits import UNCOUNTED, HeldCounter
 from pondhatch.requests import PartSink
 
-#: Bytes that may wait in a pipe before its source is paused.
+#: Buffered bytes above which the source of a pipe is paused.
 HIGH_WATER = 64 * 1024
 
 
@@ -23,15 +23,15 @@
 class PartPipe:
     """Parts put in by callbacks and read by one coroutine, with back-pressure.
 
-    Holds at most HIGH_WATER bytes plus the one part that crossed the mark. The source of an
-    account that is slowed is paused as soon as anything waits.
+    Buffers at most HIGH_WATER bytes plus the part that exceeded them. For an account that is
+    being slowed down, the source is paused as soon as anything is buffered.
     """
 
     def __init__(
         self, pause: Callable[[], None] = _do_nothing, resume: Callable[[], None] = _do_nothing
     ) -> None:
         self.ended = False
-        #: Counts what waits here for whoever reads.
+        #: Counts the buffered bytes.
         self._counter: HeldCounter = UNCOUNTED
         self._pause = pause
         self._resume = resume
@@ -40,20 +40,20 @@
         self._paused = False
         self._error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
-        #: Takes parts as they come, while nothing waits here.
+        #: Receives parts directly while nothing is buffered.
         self._sink: PartSink | None = None
 
     def use_counter(self, counter: HeldCounter) -> None:
-        """Have what waits here counted from now on; it counts until the hold is closed."""
+        """Count buffered bytes with a counter from now on, until the counter is closed."""
         self._counter = counter
         counter.set(self._size)
 
     def stop_counting(self) -> None:
-        """Note that nobody reads what waits here any more: it counts no longer."""
+        """Stop counting buffered bytes, as nobody will read them."""
         self._counter.close()
 
     def put(self, part: bytes) -> None:
-        """Take in a part; pauses the source where too much waits."""
+        """Add a part; pause the source if too much is buffered."""
         if self._sink is not None:
             self._forward(self._sink, part)
             return
@@ -66,18 +66,18 @@
         self._wake()
 
     def end(self) -> None:
-        """Note that no more parts come."""
+        """Mark the end of the parts."""
         self.ended = True
         self._wake()
 
     def fail(self, error: Exception) -> None:
-        """Note that the source is lost; the reader gets the error after what came."""
+        """Mark the source as lost; the reader gets the error after the parts received so far."""
         if not self.ended and self._error is None:
             self._error = error
         self._wake()
 
     async def read(self) -> bytes:
-        """Return everything that waits, or b"" at the end; raises the source's error."""
+        """Return all buffered bytes, or b"" at the end. Raises the source's error."""
         while not self._parts:
             if self._has_ended():
                 return b""
@@ -85,7 +85,7 @@
         return self._take()
 
     async def stream_to(self, sink: PartSink) -> None:
-        """Hand every part to a sink, to the end; raises the source's error, or the sink's."""
+        """Write every part to a sink until the end. Raises the error of the source or sink."""
         try:
             while self._parts or not self._has_ended():
                 if self._parts:
@@ -101,7 +101,7 @@
             self._sink = None
 
     def _forward(self, sink: PartSink, part: bytes) -> None:
-        """Give a part to the sink; one that is slow, or fails, gets no more from here."""
+        """Write a part to the sink; a sink that is slow or fails is detached."""
         try:
             is_ready = sink.write(part)
         except Exception as error:
@@ -115,7 +115,7 @@
             self._wake()
 
     def _has_ended(self) -> bool:
-        """Return whether the source has ended; raises its error."""
+        """Return whether the source has ended. Raises its error."""
         if self._error is not None:
             raise self._error
         return self.ended
--- a/pondhatch/transport/_peer_service.py
+++ b/pondhatch/transport/_peer_service.py
@@ -1,4 +1,4 @@
-"""The calls that this router answers to its peers, over gRPC."""
+"""The gRPC service that this router offers its peers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def fleet_token(fleet_key: bytes) -> str:
-    """Return the token that peers show each other; the key itself never travels."""
+    """Return the token that authenticates peers; the fleet key itself is never sent."""
     return hashlib.blake2b(b"peer calls", key=hashlib.sha256(fleet_key).digest()).hexdigest()
 
 
 class PeerService:
-    """The calls that this router answers to its peers."""
+    """Handles the calls of peers for idempotency keys and updates."""
 
     def __init__(
         self, keys: KeyHolder, pull: Callable[[wire.PullRequest], wire.PullReply], token: str
@@ -33,7 +33,7 @@
         self._token = token
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the handlers by method, as grpclib asks for them."""
+        """Return the handlers by method; called by grpclib."""
         unary = Cardinality.UNARY_UNARY
         return {
             wire.CLAIM_METHOD: Handler(self._claim, unary, wire.KeyedRecord, wire.ClaimReply),
@@ -43,7 +43,7 @@
         }
 
     def server(self) -> Server:
-        """Return a server that hears only peers who hold the fleet key."""
+        """Return a server that accepts calls only from holders of the fleet key."""
         server = Server([self], codec=wire.MessagePackCodec())
         listen(server, RecvRequest, self._check_token)
         return server
--- a/pondhatch/transport/_peer_tls.py
+++ b/pondhatch/transport/_peer_tls.py
@@ -1,4 +1,4 @@
-"""TLS between routers: both sides show a certificate of the fleet's own authority."""
+"""Mutual TLS between routers, with certificates of the fleet's own authority."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from pondhatch.configuration import ConfigurationError, PeerEndpoint, Problem
 
-#: What HTTP/2 asks both sides to agree on.
+#: ALPN protocols, which HTTP/2 requires.
 PROTOCOLS = ["h2"]
 
 
 class PeerTls(msgspec.Struct, frozen=True):
-    """Contexts for the side that answers and the side that asks."""
+    """TLS contexts for the server side and the client side."""
 
     server: ssl.SSLContext
     client: ssl.SSLContext
 
 
 def peer_tls(router: str, peers: PeerEndpoint) -> PeerTls | None:
-    """Return the contexts, or None where no files are named. Raises ConfigurationError."""
+    """Return the contexts, or None if no files are configured. Raises ConfigurationError."""
     if peers.certificate is None or peers.private_key is None or peers.authority is None:
         return None
     try:
--- a/pondhatch/transport/_readiness.py
+++ b/pondhatch/transport/_readiness.py
@@ -1,4 +1,4 @@
-"""What the balancer asks: whether this router takes work."""
+"""The readiness check of the load balancer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Readiness(Resource):
-    """Answers 200 while the router is ready, else 503."""
+    """Answers 200 while the router is ready for requests, else 503."""
 
     isLeaf = True
 
@@ -23,7 +23,7 @@
         self._is_ready = is_ready
 
     def render(self, request: Any) -> bytes:
-        """Answer one question."""
+        """Answer a request."""
         if request.path != self._path:
             request.setResponseCode(NOT_FOUND)
             return b""
--- a/pondhatch/transport/_resolver.py
+++ b/pondhatch/transport/_resolver.py
@@ -1,7 +1,7 @@
-"""Resolves IP numbers in place; only a real name is looked up, in a thread.
+"""Resolves IP addresses in place, so that only host names are looked up in a thread.
 
-Twisted hands every host to a thread of its pool, IP numbers too. Routers talk
-by IP numbers, so with this resolver a router stays on its one thread.
+Twisted resolves every host in its thread pool, even IP addresses. Routers connect by IP
+address, so with this resolver a router needs no thread but its main one.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
         self.name = name
 
     def cancel(self) -> None:
-        """Do nothing: the resolution is over before it can be cancelled."""
+        """Do nothing: the resolution is complete before it can be cancelled."""
 
 
 @implementer(IHostnameResolver)
 class NumericResolver:
-    """An IHostnameResolver that passes real names on to another."""
+    """An IHostnameResolver that delegates host names to another one."""
 
     def __init__(self, names: Any) -> None:
         self._names = names
@@ -53,7 +53,7 @@
 
 
 def install_numeric_resolver(reactor: Any) -> None:
-    """Let a reactor resolve IP numbers without a thread."""
+    """Make a reactor resolve IP addresses without a thread."""
     reactor.installNameResolver(NumericResolver(reactor.nameResolver))
 
 
--- a/pondhatch/transport/_retry_after.py
+++ b/pondhatch/transport/_retry_after.py
@@ -1,4 +1,4 @@
-"""The header by which a server says when to come back (RFC 9110, 10.2.3)."""
+"""Parses the Retry-After header (RFC 9110, 10.2.3)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def seconds_to_wait(value: str, now: float) -> float:
-    """Return for how many seconds from now a server wants nothing; 0 where it does not say.
+    """Return the seconds from now after which a server asks for a retry; 0 if none are stated.
 
     ``value`` holds seconds, fractions included, or a date; ``now`` is in seconds since 1970.
     """
@@ -25,7 +25,7 @@
     except (ValueError, TypeError, OverflowError):
         return 0.0
     if moment.tzinfo is None:
-        # HTTP's dates are all of UTC, whatever their zone is called.
+        # All HTTP dates are in UTC, whatever zone they name.
         moment = moment.replace(tzinfo=UTC)
     try:
         return moment.timestamp() - now
--- a/pondhatch/transport/_routed_answers.py
+++ b/pondhatch/transport/_routed_answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers of routes: an upstream's as it is, refusals by status alone."""
+"""Answers to callers of routes: upstreams' answers unchanged, refusals without a body."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class RoutedAnswers:
-    """Answers passed on unchanged, refusals by status alone; see Answers."""
+    """Writes answers unchanged and refusals without a body; see Answers."""
 
     def __init__(
         self, dialect: CallerDialect, metrics: Metrics, is_stopping: Callable[[], bool]
     ) -> None:
         self._dialect = dialect
         self._metrics = metrics
-        #: Whether this router is stopping, so that connections end with their answer.
+        #: Returns whether this router is stopping, so that connections close after their answer.
         self._is_stopping = is_stopping
 
     def refuse(self, request: Any, refusal: Refusal) -> None:
@@ -27,8 +27,8 @@
         self._metrics.count(f"refusals.{refusal.code}")
         write_head(request, refusal.status, self._dialect.refusal_headers(refusal))
         self._close_if_stopping(request)
-        # Written when the request is finished: what is unread of its body decides then
-        # whether the connection can be used again, and the head must say so.
+        # The head is written when the request is finished: whether its body was read by then
+        # decides if the connection can be reused, which the head must state.
         request.setHeader(b"Content-Length", b"0")
 
     def begin(self, request: Any, status: int, headers: Headers, request_id: str) -> None:
@@ -37,7 +37,7 @@
         self._close_if_stopping(request)
 
     def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
-        """Cut the connection: nothing else tells that an answer is not whole."""
+        """Abort the connection: nothing else shows that an answer is incomplete."""
         abort_connection(request)
 
     def _close_if_stopping(self, request: Any) -> None:
--- a/pondhatch/transport/_store_calls.py
+++ b/pondhatch/transport/_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, each answered or failed within its time."""
+"""Calls to the platform's store, with a timeout and a rate limit."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from pondhatch.transport._http_connection import Exchange
 from pondhatch.transport._http_heads import Request
 
-#: Seconds for one call; the store answers in milliseconds when it is well.
+#: Timeout of a call in seconds; a healthy store answers in milliseconds.
 CALL_SECONDS = 2.0
-#: Calls a second that one router makes at most, and how many at once. A watcher makes one a
-#: second while nothing changes, and one for each change that comes alone; the store of the
-#: users' sites takes 2,000 a second from the whole fleet, in which one or two of each hall
-#: watch. What comes beyond waits for its turn.
+#: Maximum calls per second of one router, and the maximum burst. A watcher makes one call a
+#: second while nothing changes, and one for each separate change; the store at the users' sites
+#: accepts 2,000 calls a second from the whole fleet, in which one or two routers of each hall
+#: watch. Further calls wait for their turn.
 CALLS_PER_SECOND = 10.0
 CALLS_AT_ONCE = 20
 
 
 class CallFailed(Exception):
-    """A call got no usable answer."""
+    """A call that got no usable answer."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
-        #: Whether the store may have done, or may still do, what was asked.
+        #: Whether the store may have executed the call, or may still do so.
         self.sent = sent
 
 
 class StoreAnswer(msgspec.Struct, frozen=True):
-    """What the store answered."""
+    """An answer of the store."""
 
     status: int
     content: bytes
@@ -42,10 +42,10 @@
 
 
 class StoreCalls:
-    """Calls to one store; a connection whose call failed is not used again."""
+    """Calls to one store; a connection whose call failed is not reused."""
 
     def __init__(self, client: HttpClient, url: str) -> None:
-        #: Calls made, for the rate that the store allows.
+        #: Number of calls made, to compare with the rate that the store allows.
         self.calls_made = 0
         self._client = client
         self._address = Address.of_url(url)
@@ -75,8 +75,8 @@
         except NotSent as error:
             raise CallFailed(f"cannot reach the platform: {error}", sent=False) from error
         except TimeoutError as error:
-            # Its connection may be one of many that fell silent together: without this, each
-            # of them would cost another call its whole time.
+            # Other connections may have fallen silent too: without this, each of them would
+            # cost another call its whole timeout.
             self._client.close_stale(self._address, started_at)
             raise CallFailed(f"no answer in {seconds} s", sent=exchange is not None) from error
         except ConnectionError as error:
--- a/pondhatch/transport/_unsent.py
+++ b/pondhatch/transport/_unsent.py
@@ -1,4 +1,4 @@
-"""How many bytes a connection holds that the system has not taken from it."""
+"""The number of bytes that a connection has buffered and not yet written to the socket."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def unsent_bytes(transport: Any) -> int:
-    """Return the bytes in a connection's buffer; 0 where its kind keeps none that can be seen.
+    """Return the bytes in a connection's write buffer; 0 if its type exposes none.
 
-    What lies in a TLS connection beside its plain one's buffer is not seen.
+    Bytes buffered by TLS itself, above the plain transport, are not included.
     """
-    plain = getattr(transport, "transport", transport)  # TLS lies on a connection of its own.
+    plain = getattr(transport, "transport", transport)  # TLS wraps a plain transport.
     if not isinstance(plain, FileDescriptor):
         return 0
     return len(plain.dataBuffer) - plain.offset + plain._tempDataLen
--- a/pondhatch/transport/_wire.py
+++ b/pondhatch/transport/_wire.py
@@ -51,8 +51,8 @@
 
     configuration: int
     upstreams: int
-    #: Whether the router accepts only the entries that differ. Routers of an earlier version
-    #: of pondhatch do not set this, and get the whole configuration.
+    #: Whether the router accepts an update that holds only the entries that differ. Routers of
+    #: an earlier version of pondhatch do not set this, and get the whole configuration.
     takes_difference: bool = False
 
 
