--- a/pondhatch/transport/tests/test_caller_channel.py
+++ b/pondhatch/transport/tests/test_caller_channel.py
@@ -24,7 +24,7 @@
 
 
 class SlowSink:
-    """A sink whose caller stops reading after some bytes, and may go away."""
+    """A sink whose caller stops reading after some bytes, and may leave."""
 
     def __init__(self, capacity: int = 1_000_000, gone_after: int = 1_000_000) -> None:
         self.received = b""
@@ -125,7 +125,7 @@
 
 
 class _NoReactor:
-    """Registers nothing; the test itself says when the connection may write."""
+    """Registers nothing: the test triggers the writes of the connection itself."""
 
     def addWriter(self, writer: object) -> None:
         """Do nothing."""
--- a/pondhatch/transport/tests/test_caller_heads.py
+++ b/pondhatch/transport/tests/test_caller_heads.py
@@ -1,4 +1,4 @@
-"""What callers may send in heads: the configuration in force says it, and nothing else does."""
+"""Guards the size limits of request heads: only those of the configuration in force apply."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from pondhatch.transport._caller_channel import LINGER_SECONDS, CallerSite
 from pondhatch.transport.tests.test_routed_callers import Transport
 
-#: Bytes of twisted's own bounds, on a line and on a head.
+#: Twisted's own limit on a line and on a head, in bytes.
 TWISTED_DEFAULT_BYTES = 16384
-#: Headers of twisted's own bound.
+#: Twisted's own limit on the number of headers.
 TWISTED_DEFAULT_HEADERS = 500
 CONFIGURED_BYTES = 4 * TWISTED_DEFAULT_BYTES
 
 
 class Echo(Resource):
-    """Answers how many bytes of headers it was given."""
+    """Answers with the total size of the header values received."""
 
     isLeaf = True
 
@@ -46,7 +46,7 @@
         self.channel.makeConnection(self.wire)
 
     def send(self, *headers: str, part: int = CONFIGURED_BYTES) -> bytes:
-        """Send a request in parts; return what was answered."""
+        """Send a request in parts; return the response."""
         raw = "\r\n".join(("GET /x HTTP/1.1", "Host: desk.example", *headers, "", "")).encode()
         for at in range(0, len(raw), part):
             self.channel.dataReceived(raw[at : at + part])
--- a/pondhatch/transport/tests/test_caller_idle.py
+++ b/pondhatch/transport/tests/test_caller_idle.py
@@ -1,4 +1,4 @@
-"""How long callers' connections may stand idle: as the configuration in force says."""
+"""Guards the idle timeout of callers' connections, set by the configuration in force."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 )
 
 IDLE_SECONDS = 15.0
-#: Seconds by which the tests' clock goes on.
+#: Seconds of a step of the tests' clock.
 STEP_SECONDS = 0.05
-#: Bytes of a body after which the caller is not read from for a moment.
+#: Size of a body, in bytes, that makes the router pause reading from the caller.
 PAUSING_BYTES = 2 * HIGH_WATER
 UNFRAMED: Headers = (("Instance-Signature", "3e"),)
 HEAD = b"POST /x HTTP/1.1\r\nHost: desk.example\r\n"
@@ -45,8 +45,8 @@
         self.limits = replace(CallerLimits(), idle_seconds=seconds)
 
     def assert_closes_after(self, seconds: float) -> None:
-        """Expect that the connection is closed then, and not before."""
-        # In steps: what is begun at a step's end counts from there.
+        """Assert that the connection is closed after this time, and not earlier."""
+        # In steps, as a timer that is started at the end of a step counts from there.
         self.clock.pump([STEP_SECONDS] * round((seconds - 0.1) / STEP_SECONDS))
         self.assertFalse(self.wire.disconnecting, "closed early")
         self.clock.advance(0.2)
@@ -59,7 +59,7 @@
 
 
 class PauseTest(CallerIdleTest):
-    """A long body pauses the reading from its caller, and with it the idle time."""
+    """A long body pauses reading from its caller and, with it, the idle timer."""
 
     async def test_a_connection_closes_when_idle_after_a_paused_body(self) -> None:
         for body in (b"a" * PAUSING_BYTES, b""):
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -1,7 +1,7 @@
-"""Many routers before many engines: each pair talks seldom, and requests must not be repeated.
+"""Guards connection reuse with many routers and engines and non-repeatable requests.
 
-Guards against a new connection for every other request, and against a request that is lost, or
-sent twice, on connections that went away while they were idle.
+Each pair communicates rarely. Guards against a new connection for every other request, and
+against a request that is lost or sent twice on a connection that died while idle.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 
 ADDRESS = Address("10.0.0.1", 80)
 ENGINES = 33
-#: Requests a second of each of 25 routers, where 430 come to all.
+#: Request rate of each of 25 routers, which get 430 requests a second in total.
 REQUESTS_PER_SECOND = 17.0
 ANSWER = b"HTTP/1.1 200 OK\r\n%s\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok"
-#: Seconds after which the system gives up a connection whose path fell silent.
+#: Seconds after which the system closes a connection whose path fell silent.
 SILENCE_DETECTED_SECONDS = 2.0
 
 
 class Engine(upstream.Transport):
-    """An engine's side of one connection: answers each request as its body comes."""
+    """An engine's side of one connection, which answers each request on receipt of its body."""
 
     def __init__(self, connection: Any, sent: Counter[bytes]) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self.connection = connection
         self.is_silent = False
-        #: How often each attempt came, over all connections.
+        #: How often each attempt was received, over all connections.
         self._sent = sent
         self._attempt = b""
 
@@ -74,7 +74,7 @@
 
 
 class Router:
-    """One router's walk and connections, before engines that are played."""
+    """The dispatch and connections of one router, with simulated engines."""
 
     def __init__(self, load_management: Any = "on", most_connections: int = 0) -> None:
         services = [
@@ -100,7 +100,7 @@
         connection.makeConnection(self.engines[-1])
 
     async def ask(self, number: int) -> Placed | Refused:
-        """Have one request placed and answered; return what became of it."""
+        """Dispatch one request and read its answer; return the result."""
         attempt, headers = str(number), _headers(number)
         head = RequestHead(
             attempt, "a", "lang", 0, "POST", "/", headers, False, 5.0, 5, caller_id=attempt
@@ -115,7 +115,7 @@
         return result
 
     def counts(self) -> tuple[int, int]:
-        """Return how many connections were opened, and used again."""
+        """Return how many times a connection was opened, and reused."""
         count = self.metrics.count_by_name
         return count.get("connections.opened", 0), count.get("connections.reused", 0)
 
@@ -123,7 +123,7 @@
         return [each for each in self.engines if not each.aborted]
 
     def fall_silent(self) -> None:
-        """Lose every connection without a word; the system notices after a while."""
+        """Silence every connection; the system detects that after SILENCE_DETECTED_SECONDS."""
         for each in self.open_engines():
             each.is_silent = True
             asyncio.get_running_loop().call_later(
@@ -146,7 +146,7 @@
 async def _send_requests(
     router: Router, seconds: float, seed: int, first: int = 0, rate: float = REQUESTS_PER_SECOND
 ) -> list[Any]:
-    """Send requests at a router's pace for some seconds; return what became of each."""
+    """Send requests at a random rate for some seconds; return the result of each."""
     rng, loop = random.Random(seed), asyncio.get_running_loop()
     until = loop.time() + seconds
     tasks: list[asyncio.Future[Any]] = []
@@ -189,7 +189,7 @@
 
 
 class SilentlyLostTest(unittest.TestCase):
-    """Every connection is lost without a word halfway through."""
+    """Guards against lost or repeated requests when all connections fall silent at once."""
 
     def test_requests_are_sent_once_and_reuse_stays_strict_while_probes_run(self) -> None:
         async def main() -> None:
@@ -226,10 +226,10 @@
 
 
 class IdleLimitTest(unittest.TestCase):
-    """Guards engines against connections that stay open after a burst."""
+    """Guards engines against too many idle connections after a burst."""
 
     def idle_after_burst(self, load_management: str, routers: int) -> int:
-        """Return the most connections that stay open to one engine."""
+        """Return the maximum number of idle connections to one engine."""
 
         async def main() -> int:
             router = Router(load_management, most_connections=100)
@@ -248,7 +248,7 @@
 
 
 class LossTest(unittest.TestCase):
-    """Which ends of a connection put the others in doubt."""
+    """Guards which ends of a connection make the reuse of the others strict."""
 
     def is_strict_after(self, reason: Exception | None, to_upstream: bool = True) -> bool:
         async def main() -> bool:
@@ -276,7 +276,7 @@
 
 
 class RulesTest(unittest.TestCase):
-    """Guards the edges of the time for which a connection is sure, second by second."""
+    """Guards the limits of the time during which an idle connection is safe to reuse."""
 
     def idle_connection(self, stated: float) -> Connection:
         connection = Connection(lambda _: None)
--- a/pondhatch/transport/tests/test_ended_upstreams.py
+++ b/pondhatch/transport/tests/test_ended_upstreams.py
@@ -1,4 +1,4 @@
-"""Whether an upstream ended, or only a connection to it."""
+"""Guards the probe that tells a crashed upstream from a lost connection to a live one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Reactor:
-    """Keeps what connects; the test says how that ends."""
+    """Records connection attempts; the test decides their results."""
 
     def __init__(self) -> None:
         self.factories: list[ClientFactory] = []
--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -1,4 +1,4 @@
-"""Callers that leave, stage by stage: what engines still get, and what is noted."""
+"""Guards against requests that continue or leave no record after their caller left."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 )
 
 STREAM: Headers = (("Content-Type", "text/event-stream"),)
-#: The id and the outcome that a record tells of a request whose caller left.
+#: The id and outcome in the record of a request whose caller left.
 GONE = ("9c41", "caller-gone")
 EVENT = b"id: 1\ndata: x\n\n"
 
 
 class HeldGrants(Grants):
-    """Grants everything, but from some question on only when told."""
+    """Grants everything, but from some request on only once ``may_reply`` is set."""
 
     def __init__(self, holds_from: int) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
 
 
 class CancellableAnswer(EndlessAnswer):
-    """An answer whose rest does not come, and that tells whether it was given up."""
+    """An answer that does not end, and records whether it was cancelled."""
 
     cancelled = False
 
@@ -49,13 +49,13 @@
 
 
 class StagesTest(RoutedCallersTest):
-    """A caller closes its connection while its request is at each stage in turn."""
+    """A caller closes its connection at each stage of its request in turn."""
 
     async def asyncSetUp(self) -> None:
         await self.hold_grants(99)
 
     async def hold_grants(self, since: int) -> None:
-        """Begin anew, with grants held from the question of this number on."""
+        """Start over, with grants withheld from the request of this number on."""
         self.setUp()
         self.grants = self.held = HeldGrants(since)
         await super().asyncSetUp()
@@ -67,7 +67,7 @@
         await self.settle()
 
     def assert_given_up(self, *released: EndReason) -> None:
-        """Nothing more was sent, every grant is back, and the record says what happened."""
+        """Assert that nothing more was sent, all grants were released, and a record was written."""
         self.assertEqual(self.grants.released, list(released))
         self.assertEqual(len(self.upstreams.sent), len(released))
         self.assertEqual(self.callers.in_flight, 0)
--- a/pondhatch/transport/tests/test_gossip_port.py
+++ b/pondhatch/transport/tests/test_gossip_port.py
@@ -1,4 +1,4 @@
-"""Packets to addresses that nothing can be sent to."""
+"""Guards gossip against addresses and packets that cannot be sent."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from pondhatch.transport import GossipPort
 
 VALID_ADDRESS = Address("127.0.0.1", 9)
-#: None of them can be sent to from a socket of IPv4.
+#: Addresses that an IPv4 socket cannot send to.
 UNSENDABLE_ADDRESSES = (Address("there.example", 9), Address("::1", 9), Address("127.0.0.1", 99999))
-#: Beyond what a UDP packet holds, 65,507 bytes.
+#: Longer than the maximum UDP payload of 65,507 bytes.
 TOO_LONG = b"a" * 70_000
 
 
@@ -25,7 +25,7 @@
         self.addCleanup(logger.remove, number)
         self.port = GossipPort(Seal(b"k" * 16), lambda payload, source: [])
         self.sent: list[Any] = []
-        # The real socket of twisted, without a reactor that listens on it.
+        # Twisted's real socket, without a reactor that reads from it.
         socket = udp.Port(0, self.port, "127.0.0.1")
         socket._bindSocket()
         self.addCleanup(socket.socket.close)
--- a/pondhatch/transport/tests/test_header_bytes.py
+++ b/pondhatch/transport/tests/test_header_bytes.py
@@ -1,4 +1,4 @@
-"""Headers go on byte for byte, from callers to engines and back."""
+"""Guards that headers are forwarded byte for byte, from callers to engines and back."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from pondhatch.transport.tests import test_http_client as upstream
 from pondhatch.transport.tests.test_routed_callers import RoutedCallersTest, put_in_force
 
-#: Values that are legal in HTTP: UTF-8, bytes that are none, and a control character that is
-#: met in practice.
+#: Valid HTTP header values: UTF-8, bytes that are not UTF-8, a control character that occurs in
+#: practice, and an empty value.
 VALUES = ("São, 東京".encode(), b"\xe9\xff\x80\xa0", b"a\x01b", b"")
 
 
 class Reactor:
-    """Connects at once; keeps what each connection was sent, and how it ended."""
+    """Connects at once, and records what is sent on each connection and how it ends."""
 
     def __init__(self) -> None:
         self.connections: list[Any] = []
@@ -41,7 +41,7 @@
 
 
 class HttpRoutedTest(RoutedCallersTest):
-    """Callers' requests written to engines by this router's own client."""
+    """Sends callers' requests to engines over the router's real HTTP client."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -87,7 +87,7 @@
                     self.state, {**CONFIGURATION, "Version": 20 + version, "Tenants": accounts}
                 )
                 await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer k")
-                # Blanks around a value are no part of it in HTTP.
+                # HTTP strips blanks around a value.
                 expected = b"\r\nTenant: " + name.strip().encode() + b"\r\n"
                 self.assertIn(expected, self.reactor.sent())
 
@@ -100,7 +100,7 @@
 
 class KeysTest(HttpRoutedTest):
     async def served(self, key: str) -> bytes:
-        """Return what a caller with an operator's key gets; nothing once an engine has it."""
+        """Return the response to a caller with this API key; empty if an engine got the request."""
         await self.asyncSetUp()
         accounts = [{"Name": "pina", "ApiKeys": [key]}]
         version = self.state.fleet.version + 1
@@ -110,7 +110,7 @@
         )
 
     async def test_a_key_may_hold_any_characters(self) -> None:
-        # The last two end in bytes that are blanks in other encodings.
+        # The last two end in bytes that are blanks in some encodings.
         for key in ("key-1", "kéy", "鍵", "voilà", "k\u0085"):
             with self.subTest(key=key):
                 self.assertEqual(await self.served(key), b"")
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -1,4 +1,4 @@
-"""What a router holds for callers and engines is counted, bounded and given back."""
+"""Guards the count and bound of the bytes that a router buffers for callers and engines."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 PINA, ROSA = "Authorization: Bearer key-1", "Authorization: Bearer key-3"
 POST = "POST /proofs/a HTTP/1.1"
-#: Bytes of an answer: more than a connection's buffer, then some that wait before it.
+#: Sizes of parts of an answer: one that exceeds the transport's buffer, and one that queues.
 FIRST, NEXT = 96 * 1024, 32 * 1024
 ANSWER_HEAD = f"HTTP/1.1 200 OK\r\nAttempt-Id: 9c41\r\nContent-Length: {FIRST + 2 * NEXT}\r\n\r\n"
 CHUNK = b"400\r\n" + b"x" * 1024 + b"\r\n"
 
 
 class SlowWire(FileDescriptor):
-    """A connection whose other side takes bytes only when it is told to."""
+    """A transport whose other side reads only on ``take_all``."""
 
     aborted = False
 
@@ -64,11 +64,11 @@
         self.held = self.state.held_bytes
         http = HttpUpstreams(HttpClient(self.reactor), EngineDialect(), held=self.held)
         self.upstreams.send = http.send  # type: ignore[method-assign]
-        #: The caller's connection and its wire, for each that reads slowly.
+        #: The channel and transport of each caller that reads slowly.
         self.slow: list[tuple[Any, SlowWire]] = []
 
     async def read_slowly(self, key: str) -> int:
-        """Begin an answer that its caller does not read; return which engine connection it is."""
+        """Start an answer that its caller does not read; return the engine connection's index."""
         first, self.channel = self.channel, self.channel.site.buildProtocol(None)
         self.channel.callLater = self.clock.callLater
         wire = SlowWire()
@@ -91,7 +91,7 @@
         await self.settle()
 
     async def read_all(self) -> None:
-        """Have every caller take what waits, as often as more comes."""
+        """Have every slow caller read all that is buffered for it."""
         for _ in range(4):
             for _, wire in self.slow:
                 wire.take_all()
@@ -101,7 +101,7 @@
         return bool(self.reactor.wires[at].producerState == "paused")
 
     async def status_of_request(self, key: str) -> bytes:
-        """Return the status that a caller gets who reads at once."""
+        """Return the status of a request whose caller reads at once."""
         before = len(self.reactor.connections)
         await self.ask_engine(key)
         if len(self.reactor.connections) > before:
@@ -117,10 +117,9 @@
 
 
 class SlowReadersTest(HeldTest):
-    """One account's callers read slowly, beside others: only that account is refused and slowed.
+    """Guards against answers buffered for slow readers until memory runs out for all accounts.
 
-    Guards against a router that buffers answers for slow readers until it has no memory left
-    for anybody.
+    Only the account whose callers read slowly is refused and slowed down.
     """
 
     async def test_only_the_account_that_holds_the_most_is_limited(self) -> None:
@@ -151,7 +150,7 @@
 
 
 class ReleasedBytesTest(HeldTest):
-    """Callers leave and engines die while bytes are held: none of them stays counted."""
+    """Guards against bytes that stay counted after callers leave or engines die."""
 
     async def test_bytes_are_released_when_an_answer_breaks_off(self) -> None:
         for _ in range(4):
@@ -214,7 +213,7 @@
 
 
 class StreamedBodiesTest(OpenAiCallersTest):
-    """Bodies that are passed on as they come."""
+    """Guards the count of bodies that are forwarded as they are received."""
 
     async def test_unsent_body_bytes_count_until_the_caller_leaves(self) -> None:
         self.upstreams.hold = asyncio.Event()
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -29,7 +29,7 @@
 
 
 class Transport(StringTransport):
-    """Keeps what is written, and whether the connection was cut."""
+    """Records what is written, and whether the connection was aborted."""
 
     aborted = False
 
@@ -41,7 +41,7 @@
 
 
 class Wire:
-    """One connection and what became of it."""
+    """A connection on a fake transport, and a record of whether it was kept."""
 
     def __init__(self, may_reuse: bool = True) -> None:
         self.transport = Transport()  # type: ignore[no-untyped-call]
@@ -242,7 +242,7 @@
 
 
 class Body:
-    """A body whose sender says nothing more once its length has come."""
+    """A body that must not be read beyond its length."""
 
     length: int | None = 6
 
@@ -271,7 +271,7 @@
 
 
 class StalledBody:
-    """A body whose sender stands still."""
+    """A body whose sender stalls."""
 
     length: int | None = 6
 
@@ -288,7 +288,7 @@
 
 
 class LostSenderBody:
-    """A body whose sender is lost."""
+    """A body whose sender disconnects."""
 
     length: int | None = 6
 
--- a/pondhatch/transport/tests/test_idle_connections.py
+++ b/pondhatch/transport/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to upstreams that went away without closing them."""
+"""Guards the sweep of idle connections to upstreams that vanished without closing them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Idle:
-    """A connection that waits for its next exchange."""
+    """A stand-in for an idle connection."""
 
     is_open = True
 
@@ -30,7 +30,7 @@
 
 class IdleConnectionsTest(unittest.TestCase):
     def sweep(self, *idle_seconds: float) -> tuple[list[bool], HttpClient]:
-        """Return which of some connections are closed after a sweep's time."""
+        """Return which of some idle connections a sweep closes, and the client."""
 
         async def main() -> tuple[list[bool], HttpClient]:
             client = HttpClient(None)
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -1,4 +1,4 @@
-"""No connection or exchange is lost between its opening and its handing over."""
+"""Guards against connections leaked between their opening and the return to the caller."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 ADDRESS = Address("10.0.0.1", 80)
 NOTHING = ReplayableBody(b"")
-#: Headers that no HTTP message can carry.
+#: Headers that are invalid in an HTTP/1.1 request.
 UNWRITABLE: tuple[Headers, ...] = (
     (("Host", "upstream"), ("X-Own", "a\nb")),
     (("Host", "upstream"), ("X Own", "1")),
     (("Host", "upstream"), ("X-Own", "東京")),
     (),
 )
-#: Seconds within which what is to end at once must have ended.
+#: Timeout in seconds of calls that must end at once.
 DEADLINE_SECONDS = 0.5
 
 
@@ -70,7 +70,7 @@
 
 
 class LostOnConnectReactor(Reactor):
-    """Its connections are reset in the turn of the loop in which they are made."""
+    """A reactor whose connections are reset in the turn of the loop that opens them."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
         super().connectTCP(host, port, factory, timeout)
@@ -78,7 +78,7 @@
 
 
 class FailedSetupReactor(Reactor):
-    """Its connections fail while they are set up, as twisted tells it."""
+    """A reactor whose connections fail during set-up, reported as twisted does."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
         connection = factory.buildProtocol(IPv4Address("TCP", host, port))
@@ -109,7 +109,7 @@
 
 
 class FailingDialect(EngineDialect):
-    """Fails at the answer's headers."""
+    """A dialect that fails while it processes an answer's headers."""
 
     def judge(self, head: RequestHead, status: int, value_by_name: Mapping[str, str]) -> AnswerKind:
         return AnswerKind.ANSWERED
@@ -147,7 +147,7 @@
 
 
 class MalformedHeadTest(HttpRoutedTest):
-    """Heads that twisted takes and no upstream can be sent are refused before any is chosen."""
+    """Heads that twisted accepts but HTTP forbids are refused before an engine is chosen."""
 
     async def test_malformed_heads_are_refused_with_400(self) -> None:
         rows = (
@@ -168,7 +168,7 @@
 
 
 class InvalidAddressTest(HttpRoutedTest):
-    """An engine whose entry has no address costs no request that another can run."""
+    """An engine entry without a valid address fails no request that another engine can run."""
 
     async def test_its_requests_go_to_another_engine(self) -> None:
         for at, url in enumerate(("http://nowhere", "http://10.0.0.9:0", "http://10.0.0.9:70000")):
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the OpenAI-compatible interface, over their connections."""
+"""Guards the OpenAI-compatible interface over callers' connections."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 )
 
 KEYS = ("key-1", "kéy")
-#: Without a length, so that an answer's end is told by its last chunk alone.
+#: Without a length, so that only the last chunk marks the end of an answer.
 UNFRAMED: Headers = (("X-Own", "1"),)
 LAST_CHUNK = b"0\r\n\r\n"
 LIMITS = {
@@ -71,7 +71,7 @@
         self.connect()
 
     def connect(self) -> None:
-        """Begin with a new connection."""
+        """Open a new connection."""
         self.channel = self.site.buildProtocol(IPv4Address("TCP", "10.9.9.9", 4000))
         self.channel.callLater = self.clock.callLater
         self.wire = Transport()  # type: ignore[no-untyped-call]
@@ -81,7 +81,7 @@
         return await self.ask("GET /portal/x HTTP/1.1", f"Authorization: Bearer {key}")
 
     async def cancel_all(self) -> bytes:
-        """Do what the end of the loop does to what still runs; return what callers then get."""
+        """Cancel all tasks, as the end of the loop does; return what is then written to callers."""
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
         await self.settle()
@@ -105,7 +105,7 @@
 
 
 class EndingTest(OpenAiCallersTest):
-    """klein finishes whatever answer is open once its request's coroutine has returned."""
+    """Guards against cut answers that klein finishes when their request's coroutine returns."""
 
     def assert_cut(self, response: bytes) -> None:
         self.assertNotIn(LAST_CHUNK, response)
@@ -139,7 +139,7 @@
 
 
 class KeyedTest(OpenAiCallersTest):
-    """Requests with an idempotency key, whose callers leave."""
+    """Guards requests with an idempotency key whose callers leave."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -157,7 +157,7 @@
         await self.settle()
 
     async def retry_with_key(self) -> bytes:
-        """Return what a caller gets that comes back with the same key."""
+        """Return the response to a retry with the same key on a new connection."""
         self.connect()
         return await self.post()
 
--- a/pondhatch/transport/tests/test_queued_callers.py
+++ b/pondhatch/transport/tests/test_queued_callers.py
@@ -1,4 +1,4 @@
-"""What callers, decision lines and metrics tell of a wait that came to nothing."""
+"""Guards what callers, records and metrics get when a predicted wait is too long."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class QueuedCallersTest(RoutedCallersTest):
-    """All engines are full, and their owners predict waits beyond what a caller bears."""
+    """All engines are full, and their owners predict waits beyond the caller's deadline."""
 
     async def test_a_refused_caller_gets_the_retry_time_predicted_by_the_owners(self) -> None:
-        """Every refused caller coming back after the same second, all at once."""
+        """Guards against all refused callers retrying at once after the same fixed delay."""
         requests: list[GrantRequest] = []
 
         async def ask(owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
--- a/pondhatch/transport/tests/test_retry_after.py
+++ b/pondhatch/transport/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When a server says to come back, in every form that it may take."""
+"""Guards the parsing of Retry-After in all its forms."""
 
 from __future__ import annotations
 
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -59,7 +59,7 @@
 
 
 class Answer:
-    """An answer of an upstream: its parts, then its end or its loss."""
+    """An upstream's answer that consists of parts, then ends or is lost."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
 
 
 class Upstreams:
-    """Answers as told, in order; keeps what was sent where."""
+    """Returns the given replies in order, and records what was sent to which upstream."""
 
     def __init__(self) -> None:
         self.replies: list[AnswerStarted | NotRun | Unknown] = []
@@ -101,15 +101,15 @@
 
 
 class Grants:
-    """Grants everything; keeps how each grant was given back."""
+    """Grants everything, and records how each grant ended."""
 
     router = 1
 
     def __init__(self) -> None:
         self.released: list[EndReason] = []
-        #: Engines that are at their ceiling.
+        #: Engines that are at their concurrency limit.
         self.full: set[str] = set()
-        #: Where the context of every chat lies, if not at home.
+        #: The engine that holds the context of every chat, if not the home engine.
         self.context_at: str | None = None
         self._number = 0
 
@@ -147,7 +147,7 @@
 
 
 class Transport(StringTransport):
-    """Keeps what is written, and how the connection ended."""
+    """Records what is written, and whether the connection was aborted."""
 
     aborted = False
 
@@ -187,7 +187,7 @@
 
     async def asyncSetUp(self) -> None:
         starting = StartupWait(self.state)
-        # These tests' router started some time ago, but for those of its start.
+        # The router's startup wait is over, except in the tests of its start.
         self.state.clock = lambda: STARTUP_SECONDS
         parts = CallerParts(
             self.state,
@@ -404,7 +404,7 @@
         self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
 
     async def test_an_upstream_error_response_is_forwarded_unchanged(self) -> None:
-        # Of what may be repeated, the failure of the last one that was asked.
+        # A repeatable request gets the error response of the last upstream tried.
         for line, upstreams in (("POST /proofs/a HTTP/1.1", 1), ("GET /x HTTP/1.1", 2)):
             with self.subTest(line=line):
                 failures = [AnswerStarted(Answer((b"oops",), status=500)) for _ in range(upstreams)]
@@ -428,7 +428,7 @@
 
 
 class ContextTest(RoutedCallersTest):
-    """Where an engine is told to take a context over from."""
+    """Guards the choice of the engine from which a context is transferred."""
 
     async def placed(self) -> tuple[str, str]:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
@@ -437,7 +437,7 @@
         return name, head.context_address
 
     async def home(self) -> str:
-        """Place the chat for the first time: at home, which takes over what the next one holds."""
+        """Place the chat for the first time: at home, with the other engine as its source."""
         name, source = await self.placed()
         self.assertEqual(source, self.address(self.other(name)))
         return name
@@ -500,7 +500,7 @@
 
 
 class EndlessAnswer(Answer):
-    """An answer whose rest does not come, unless the test has it come."""
+    """An answer that does not end until the test sets ``rest``."""
 
     async def stream_to(self, sink: PartSink) -> None:
         await super().stream_to(sink)
@@ -509,7 +509,7 @@
 
 
 class MisfitTest(RoutedCallersTest):
-    """Callers whose part of the configuration is not in force here as the operator wrote it."""
+    """Guards callers whose entries are not in force as the operator wrote them."""
 
     OTHERS_KEY = "Authorization: Bearer key-nobody"
 
@@ -559,7 +559,7 @@
 
 
 class RouterEndsTest(RoutedCallersTest):
-    """A router whose time to stop is over ends what still runs."""
+    """Guards requests that still run when a stopping router's time is over."""
 
     async def end(self) -> bytes:
         self.callers._tasks.cancel_all()
@@ -581,7 +581,7 @@
 
 
 class RaisingAnswer(Answer):
-    """An answer whose passing on ends in an error."""
+    """An answer whose forwarding raises an error."""
 
     def __init__(self, error: Exception) -> None:
         super().__init__((b"ye",), headers=(("Instance-Signature", "3e"),))
@@ -593,12 +593,10 @@
 
 
 class NoFalseEndTest(RoutedCallersTest):
-    """Streams that were cut when routers stopped had got the end of a whole answer.
+    """Guards against a cut stream that ends like a complete answer.
 
-    The requests that still ran at the end of a router's time to stop were cancelled, and the
-    cleanup that every way out ran through finished whatever answer was open. What showed it:
-    both streams ended in the millisecond in which the router did. A router that ends cuts now
-    (see RouterEndsTest); here every other error takes the same way out.
+    This happens if the cleanup of a cancelled or failed request finishes its open answer, for
+    example when a router stops (see RouterEndsTest); these tests cover other errors.
     """
 
     async def test_an_error_during_the_answer_cuts_it(self) -> None:
@@ -612,7 +610,7 @@
 
 
 class HeldStartup(StartupWait):
-    """Holds requests until it is told."""
+    """Holds requests until ``over`` is set."""
 
     def __init__(self, state: RouterState) -> None:
         super().__init__(state)
@@ -623,7 +621,7 @@
 
 
 class StartingTest(RoutedCallersTest):
-    """Requests that come before a router that starts knows what it serves by."""
+    """Guards requests that arrive before a starting router has a configuration."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
--- a/pondhatch/transport/tests/test_silent_peers.py
+++ b/pondhatch/transport/tests/test_silent_peers.py
@@ -1,4 +1,4 @@
-"""Connections to peers that fall silent for good, while new ones work."""
+"""Guards against peer connections that stay silent while new ones would work."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from pondhatch.transport import PeerService, PullReply, RemotePeer
 from pondhatch.transport._dead_peers import OPTIONS
 
-#: Seconds within which silence must show: far over the router's own bounds of 1 to 2 s, and
-#: far under the quarter of an hour after which the system gives a connection up by itself.
+#: Seconds within which silence must be detected: far above the router's own timeouts of 1 to
+#: 2 s, and far below the quarter of an hour after which the system closes a connection.
 MAX_DETECTION_SECONDS = 8.0
 NOTHING_NEW = PullReply(Update(), UpstreamUpdate(1, (), whole=False))
-#: For keys that the test's peer does not look at.
+#: A key record that the test's peer ignores.
 RECORD = KeyRecord("digest", "edge-0", "request-1")
 
 
 class NoKeys:
-    """Holds no key and learns none."""
+    """A key holder that accepts every claim and stores nothing."""
 
     async def claim(self, key: str, record: Any) -> NewKey:
         return NewKey()
--- a/pondhatch/transport/tests/test_store_calls.py
+++ b/pondhatch/transport/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store are bounded, whatever makes them."""
+"""Guards the rate limit of calls to the store, and its reaction to unanswered calls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class UnreachableClient:
-    """A client that reaches nothing, at once."""
+    """A client whose calls fail at once."""
 
     def __init__(self) -> None:
         self.sent = 0
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -1,4 +1,4 @@
-"""Callers that leave while their connection is not read, over sockets."""
+"""Guards against requests that continue because their caller left while reading was paused."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from pondhatch.transport.tests.test_openai_callers import KEYS, OpenAiCallersTest
 from pondhatch.transport.tests.test_routed_callers import Answer, Grants
 
-#: Seconds after a close within which nothing of its request may be at work any more.
+#: Seconds after a close within which all work on its request must have stopped.
 GONE_SECONDS = 0.5
-#: Seconds by which the clock is stepped meanwhile.
+#: Seconds of a step of the clock.
 STEP = 0.05
 
 
 class HeldGrants(Grants):
-    """Grants everything once it is told to."""
+    """Grants everything once ``may_reply`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
 
 
 class Wire(Connection):
-    """A connection of a caller's; twisted's own is made by a port that listens."""
+    """A caller's connection, which twisted would create from a listening port."""
 
     def getPeer(self) -> IPv4Address:
         return IPv4Address("TCP", "10.9.9.9", 4000)
@@ -47,7 +47,7 @@
 
 
 class Readers:
-    """Keeps which connections are to be read; the test itself says when they are."""
+    """Records which connections are to be read; the test itself triggers the reads."""
 
     def __init__(self, clock: Clock) -> None:
         self.reading: set[Any] = set()
@@ -60,14 +60,14 @@
         self.reading.discard(reader)
 
     def addWriter(self, writer: Any) -> None:
-        """Do nothing: an answer is of no interest here."""
+        """Do nothing: these tests ignore answers."""
 
     def removeWriter(self, writer: Any) -> None:
         """Do nothing."""
 
 
 class UnreadTest(OpenAiCallersTest):
-    """The parts of a router that serve a caller, over a connection of its own."""
+    """Serves a caller over a real socket."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -88,7 +88,7 @@
         self.connection.startReading()
 
     async def read_available(self) -> None:
-        """Read what has come, as long as the channel reads."""
+        """Read all that was received, as long as the channel reads."""
         for _ in range(20):
             if self.connection not in self.readers.reading:
                 return
--- a/pondhatch/transport/tests/test_upstream_notices.py
+++ b/pondhatch/transport/tests/test_upstream_notices.py
@@ -1,4 +1,4 @@
-"""What an answer says of its upstream is heard, whatever becomes of its request."""
+"""Guards that an upstream's notices are received whatever the outcome of the request."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class View:
-    """Notes what is heard; see UpstreamView."""
+    """Records notices; see UpstreamView."""
 
     def __init__(self) -> None:
         self.notices: list[tuple[str, Notice]] = []
-        #: Why nothing may be sent any more.
+        #: Set if the upstream accepts no more requests.
         self.refusal: NotRun | None = None
 
     def closed(self, upstream: str, head: RequestHead) -> NotRun | None:
@@ -55,7 +55,7 @@
             (b"503 Full", (b"Not-Executed: 1", LEAVES), leaving),
             (b"503 Full", (b"Not-Executed: 1", RESTS), resting),
             (b"503 Full", (b"Attempt-Id: 9c41", RESTS), resting),
-            # It belongs to another request, but to no other engine.
+            # The answer belongs to another request, but comes from the same engine.
             (b"200 OK", (b"Attempt-Id: another", LEAVES), leaving),
         ):
             with self.subTest(status=status, headers=headers):
@@ -66,7 +66,7 @@
                 await sending
                 self.assertEqual(self.view.notices, [("i-1", expected)])
 
-    # Only answers that closed their upstream were heard, so a pace would have been lost.
+    # Guards against notices that are ignored unless they close the upstream to requests.
     async def test_a_notice_that_holds_only_a_pace_is_received(self) -> None:
         for load, expected in ((b"8,1,64,250", [("i-1", Notice(pace=250))]), (b"8,1,64", [])):
             self.view.notices.clear()
@@ -91,7 +91,8 @@
         await sending
         self.assertEqual(self.view.notices, [])
 
-    # A connection takes up to a second, in which the upstream may say by another that it leaves.
+    # Connecting takes up to a second, during which the upstream may announce on another
+    # connection that it leaves.
     async def test_nothing_is_sent_to_an_upstream_closed_while_connecting(self) -> None:
         self.view.refusal = NotRun("upstream-leaving", "i-1 takes no new work")
         self.assertEqual(await self.begin(), self.view.refusal)
--- a/pondhatch/transport/tests/test_wire.py
+++ b/pondhatch/transport/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages between routers, plain and packed."""
+"""Guards the encoding of messages between routers, plain and compressed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def reply(routes: int) -> wire.PullReply:
-    """Return a whole configuration of some routes."""
+    """Return a reply that holds a whole configuration with this many routes."""
     target = {"service": "lang", "weight": 1.0}
     edits = tuple(
         Edit(
