--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -95,7 +95,7 @@
         for line in ("GET /x HTTP/1.1", "POST /proofs/a HTTP/1.1"):
             with self.subTest(line=line):
                 await self.asyncSetUp()
-                self.upstreams.hold = asyncio.Event()
+                self.upstreams.may_reply = asyncio.Event()
                 await self.ask(line, KEY)
                 await self.leave()
                 self.assert_given_up(EndReason.NEUTRAL)
@@ -113,14 +113,14 @@
 
     async def test_leaving_between_two_attempts(self) -> None:
         await self.hold_grants(2)
-        self.upstreams.replies = [AnswerStarted(Answer((), whole=False))]
+        self.upstreams.replies = [AnswerStarted(Answer((), is_complete=False))]
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(self.held.request_count, 2)
         await self.leave()
         self.assert_given_up(EndReason.CONNECTION_FAILED)
 
     async def test_leaving_during_a_resumed_answer(self) -> None:
-        cut = Answer((EVENT,), whole=False, headers=STREAM)
+        cut = Answer((EVENT,), is_complete=False, headers=STREAM)
         resumed = CancellableAnswer((EVENT,), headers=STREAM)
         self.upstreams.replies = [AnswerStarted(cut), AnswerStarted(resumed)]
         await self.ask("POST /notes/a HTTP/1.1", KEY, body=b"abc")
--- a/pondhatch/transport/tests/test_gossip_port.py
+++ b/pondhatch/transport/tests/test_gossip_port.py
@@ -38,14 +38,14 @@
         self.write = write
 
     def test_an_unsendable_packet_does_not_block_others_and_is_logged_once(self) -> None:
-        for wrong in (
+        for unsendable in (
             *(Datagram(to, b"a") for to in UNSENDABLE_ADDRESSES),
             Datagram(VALID_ADDRESS, TOO_LONG),
         ):
-            with self.subTest(to=wrong.to, bytes=len(wrong.payload)):
+            with self.subTest(to=unsendable.to, bytes=len(unsendable.payload)):
                 self.lines.clear()
                 self.sent.clear()
                 for _ in range(3):
-                    self.port.send([wrong, Datagram(VALID_ADDRESS, b"a")])
+                    self.port.send([unsendable, Datagram(VALID_ADDRESS, b"a")])
                 self.assertEqual(self.sent, [(VALID_ADDRESS.host, VALID_ADDRESS.port)] * 3)
                 self.assertEqual(len(self.lines), 1, self.lines)
--- a/pondhatch/transport/tests/test_header_bytes.py
+++ b/pondhatch/transport/tests/test_header_bytes.py
@@ -99,7 +99,7 @@
 
 
 class KeysTest(HttpRoutedTest):
-    async def served(self, key: str) -> bytes:
+    async def response_to_key(self, key: str) -> bytes:
         """Return the response to a caller with this API key; empty if an engine got the request."""
         await self.asyncSetUp()
         accounts = [{"Name": "pina", "ApiKeys": [key]}]
@@ -113,7 +113,7 @@
         # The last two end in bytes that are blanks in some encodings.
         for key in ("key-1", "kéy", "鍵", "voilà", "k\u0085"):
             with self.subTest(key=key):
-                self.assertEqual(await self.served(key), b"")
+                self.assertEqual(await self.response_to_key(key), b"")
                 self.assertIn(b"\r\nTenant: pina\r\n", self.reactor.sent())
 
     async def test_an_undecodable_key_is_unknown(self) -> None:
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -216,7 +216,7 @@
     """Guards the count of bodies that are forwarded as they are received."""
 
     async def test_unsent_body_bytes_count_until_the_caller_leaves(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Content-Length: {9 * HIGH_WATER}\r\n\r\n".encode() + b"abc")
         self.assertEqual(self.state.held_bytes.total, 0)
@@ -226,7 +226,7 @@
         self.assertEqual(self.state.held_bytes.total, 0)
 
     async def test_the_body_of_a_keyed_request_counts_until_its_run_ends(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         head = f"POST /portal/x HTTP/1.1\r\nAuthorization: Bearer {KEYS[0]}\r\nHost: x\r\n"
         await self.send(f"{head}Idempotency-Key: 7\r\nContent-Length: 4\r\n\r\nab".encode())
@@ -234,7 +234,7 @@
         self.assertEqual(self.state.held_bytes.bytes_by_account, {"pina": 2})
         await self.lose()
         self.assertEqual(self.state.held_bytes.bytes_by_account, {"pina": 2})
-        self.upstreams.hold.set()
+        self.upstreams.may_reply.set()
         await self.settle()
         self.assertEqual(self.state.held_bytes.total, 0)
 
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -182,8 +182,8 @@
                     response = await self.begin(b"GET /x HTTP/1.1")
                     self.assertEqual(response, b"")
                     self.assertIn(b"GET /x HTTP/1.1", self.reactor.sent())
-                    whole = Upstream(engine, "portal", "http://10.0.0.9:80", "hall-1")
-                    self.state.upstreams.set(whole, revision + 5)
+                    valid_entry = Upstream(engine, "portal", "http://10.0.0.9:80", "hall-1")
+                    self.state.upstreams.set(valid_entry, revision + 5)
                     self.state.invalidate_upstream_caches()
 
     async def test_a_request_is_refused_as_not_run_if_no_engine_has_an_address(self) -> None:
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -118,7 +118,7 @@
         self.assert_cut(await self.cancel_all())
 
     async def test_a_request_without_an_answer_is_cut_when_the_router_ends(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         await self.send_get()
         response = await self.cancel_all()
         self.assertEqual(response, b"")
@@ -143,7 +143,7 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
 
     async def post(self, length: int = 3) -> bytes:
         key = f"Authorization: Bearer {KEYS[0]}"
@@ -170,8 +170,8 @@
         await self.leave()
         self.assertEqual((self.grants.released, self.openai.in_flight), ([], 1))
         self.assertEqual(self.key_states(), ["running"])
-        assert self.upstreams.hold is not None
-        self.upstreams.hold.set()
+        assert self.upstreams.may_reply is not None
+        self.upstreams.may_reply.set()
         await self.settle()
         self.assertEqual((self.grants.released, self.openai.in_flight), ([EndReason.ANSWERED], 0))
         self.assertEqual(self.key_states(), ["done"])
@@ -183,7 +183,7 @@
     async def test_a_caller_leaving_during_the_answer_gets_it_replayed(self) -> None:
         answer = EndlessAnswer((b"ye",), headers=UNFRAMED)
         self.upstreams.replies = [AnswerStarted(answer)]
-        self.upstreams.hold = None
+        self.upstreams.may_reply = None
         self.assertTrue((await self.post()).endswith(b"2\r\nye\r\n"))
         await self.leave()
         self.assertEqual((self.grants.released, self.openai.in_flight), ([], 1))
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -64,19 +64,19 @@
     def __init__(
         self,
         parts: tuple[bytes, ...],
-        whole: bool = True,
+        is_complete: bool = True,
         status: int = 200,
         headers: Headers = ANSWERED,
     ) -> None:
         self.status = status
         self.headers = headers
         self._parts = parts
-        self._whole = whole
+        self._is_complete = is_complete
 
     async def stream_to(self, sink: PartSink) -> None:
         for part in self._parts:
             sink.write(part)
-        if not self._whole:
+        if not self._is_complete:
             raise AnswerLost(Broken("answer-broken", "cut"))
 
     def cancel(self) -> None:
@@ -89,14 +89,14 @@
     def __init__(self) -> None:
         self.replies: list[AnswerStarted | NotRun | Unknown] = []
         self.sent: list[tuple[str, RequestHead, bytes]] = []
-        self.hold: asyncio.Event | None = None
+        self.may_reply: asyncio.Event | None = None
 
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
     ) -> AnswerStarted | NotRun | Unknown:
         self.sent.append((target.name, head, await body.read()))
-        if self.hold is not None:
-            await self.hold.wait()
+        if self.may_reply is not None:
+            await self.may_reply.wait()
         return self.replies.pop(0)
 
 
@@ -282,7 +282,7 @@
 
     async def test_after_a_retry_the_record_names_the_last_upstream(self) -> None:
         self.upstreams.replies = [
-            AnswerStarted(Answer((), whole=False)),
+            AnswerStarted(Answer((), is_complete=False)),
             AnswerStarted(Answer((b"yes!",))),
         ]
         await self.ask("GET /x HTTP/1.1")
@@ -348,7 +348,7 @@
 class BrokenAnswerTest(RoutedCallersTest):
     async def test_an_answer_cut_before_its_first_part_is_retried(self) -> None:
         self.upstreams.replies = [
-            AnswerStarted(Answer((), whole=False)),
+            AnswerStarted(Answer((), is_complete=False)),
             AnswerStarted(Answer((b"yes!",))),
         ]
         response = await self.ask("GET /x HTTP/1.1")
@@ -372,33 +372,35 @@
         budget.ratio = budget.saved = 0.0
         self.state.retry_budgets.for_service("lang").saved = 5.0
         self.upstreams.replies = [
-            AnswerStarted(Answer((), whole=False)),
+            AnswerStarted(Answer((), is_complete=False)),
             AnswerStarted(Answer((b"yes!",))),
         ]
         response = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
 
     async def test_a_cut_non_repeatable_request_is_refused_as_unknown(self) -> None:
-        self.upstreams.replies = [AnswerStarted(Answer((), whole=False))]
+        self.upstreams.replies = [AnswerStarted(Answer((), is_complete=False))]
         response = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
         self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
         self.assertFalse(self.wire.aborted)
         self.assertEqual(len(self.upstreams.sent), 1)
 
     async def test_a_request_is_refused_after_the_allowed_number_of_attempts(self) -> None:
-        self.upstreams.replies = [AnswerStarted(Answer((), whole=False))] * 2
+        self.upstreams.replies = [AnswerStarted(Answer((), is_complete=False))] * 2
         response = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
         self.assertEqual(len(self.upstreams.sent), 2)
 
     async def test_an_answer_cut_midway_cuts_the_caller_connection(self) -> None:
-        self.upstreams.replies = [AnswerStarted(Answer((b"ye",), whole=False))]
+        self.upstreams.replies = [AnswerStarted(Answer((b"ye",), is_complete=False))]
         await self.ask("GET /x HTTP/1.1")
         self.assertTrue(self.wire.aborted)
 
     async def test_a_cut_answer_without_length_gets_no_last_chunk(self) -> None:
         unframed: Headers = (("Instance-Signature", "3e"),)
-        self.upstreams.replies = [AnswerStarted(Answer((b"ye",), whole=False, headers=unframed))]
+        self.upstreams.replies = [
+            AnswerStarted(Answer((b"ye",), is_complete=False, headers=unframed))
+        ]
         response = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(self.wire.aborted)
         self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
@@ -490,7 +492,7 @@
 
 class CallerLeavesTest(RoutedCallersTest):
     async def test_a_leaving_caller_releases_its_grant_at_once(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(len(self.upstreams.sent), 1)
         self.channel.connectionLost(Failure(ConnectionLost()))
@@ -574,7 +576,7 @@
         self.assertTrue(self.wire.aborted)
 
     async def test_a_request_without_an_answer_is_cut_without_a_response(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(await self.end(), b"")
         self.assertTrue(self.wire.aborted)
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -133,7 +133,7 @@
         self.assert_given_up(sent=0)
 
     async def test_leaving_while_the_upstream_takes_no_more_of_the_body(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         await self.post(b"x" * 3 * HIGH_WATER, 9 * HIGH_WATER)
         self.assertNotIn(self.connection, self.readers.reading)
         await self.leave()
@@ -141,7 +141,7 @@
         self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
 
     async def test_leaving_after_sending_the_next_request(self) -> None:
-        self.upstreams.hold = asyncio.Event()
+        self.upstreams.may_reply = asyncio.Event()
         await self.post(b"x", 1)
         await self.post(b"x" * HIGH_WATER, HIGH_WATER)
         self.assertNotIn(self.connection, self.readers.reading)
--- a/pondhatch/transport/tests/test_wire.py
+++ b/pondhatch/transport/tests/test_wire.py
@@ -46,8 +46,8 @@
         self.assertEqual(small[:1], wire.PLAIN)
 
     def test_corrupt_data_raises_a_decode_error(self) -> None:
-        whole = self.codec.encode(reply(200), wire.PullReply)
-        rows = (b"", b"\x02abc", whole[:-10], wire.COMPRESSED + b"abc", wire.PLAIN + b"\xc1")
+        encoded = self.codec.encode(reply(200), wire.PullReply)
+        rows = (b"", b"\x02abc", encoded[:-10], wire.COMPRESSED + b"abc", wire.PLAIN + b"\xc1")
         for data in rows:
             with self.subTest(data=data[:5]), self.assertRaises(msgspec.DecodeError):
                 self.codec.decode(data, wire.PullReply)
