--- a/pondhatch/transport/_wire.py
+++ b/pondhatch/transport/_wire.py
@@ -96,9 +96,9 @@
     try:
         raw = decompressor.decompress(data[1:], MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
-        raise msgspec.DecodeError(f"cannot be unpacked: {error}") from error
+        raise msgspec.DecodeError(f"cannot be decompressed: {error}") from error
     if data[:1] != COMPRESSED or not decompressor.eof:
-        raise msgspec.DecodeError("neither plain nor packed whole")
+        raise msgspec.DecodeError("neither a plain nor a complete compressed message")
     return raw
 
 
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -252,7 +252,7 @@
     async def read(self) -> bytes:
         self.reads += 1
         if self.reads > 2:
-            raise AssertionError("read on after the whole body had come")
+            raise AssertionError("read beyond the end of the body")
         return b"abc"
 
 
