--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -143,7 +143,7 @@
         if refusal.code != MEMORY_LIMITED or not is_large:
             await drain(body, MAX_DRAINED_BYTES)
 
-    def _record_unserved(self, request: CallerRequest, outcome: str, started_at: float) -> None:
+    def _record_unserved(self, request: CallerRequest, code: str, started_at: float) -> None:
         """Write the record of a request for which no engine was chosen."""
         facts = self._dialect.read(_headers(request))
         self._records.note(
@@ -151,7 +151,7 @@
                 id=facts.caller_id,
                 account="",
                 service="",
-                outcome=outcome,
+                outcome=code,
                 ms=round((time.monotonic() - started_at) * 1000),
                 configuration=self._state.fleet.version,
             )
@@ -253,9 +253,9 @@
         return AdmittedRequest(account, admitted, head, body, wait_limits)
 
     def _max_body_bytes(self) -> int:
-        settings = self._limits().chat_body_bytes
+        default = self._limits().chat_body_bytes
         bounds = self._state.fleet.caller_bounds
-        return settings if bounds is None else _value_or(bounds.body_bytes, settings)
+        return default if bounds is None else _value_or(bounds.body_bytes, default)
 
 
 def _finish(request: CallerRequest) -> None:
