--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -60,7 +60,7 @@
         self.last_request_at = float("-inf")
         #: Whether it had received bytes and was lost, neither closed cleanly nor aborted here.
         self.was_lost = False
-        #: Whether it was lost that way after a period without bytes from the other side.
+        #: Whether it was lost that way after its exchange was inactive for UNACKNOWLEDGED_MS.
         self.fell_silent = False
         #: Cleared while the write buffer is full, as the other side reads too slowly.
         self._writable = asyncio.Event()
