--- a/pondhatch/transport/tests/test_ended_upstreams.py
+++ b/pondhatch/transport/tests/test_ended_upstreams.py
@@ -53,12 +53,12 @@
         self.assertFalse(await probe)
 
     async def test_concurrent_probes_share_a_connection_and_later_ones_do_not(self) -> None:
-        probe = [await self.start_probe() for _ in range(3)]
+        probes = [await self.start_probe() for _ in range(3)]
         self.assertEqual(len(self.reactor.factories), 1)
-        probe.pop().cancel()
+        probes.pop().cancel()
         await asyncio.sleep(0)
         self.fail(ConnectionRefusedError())
-        self.assertEqual(await asyncio.gather(*probe), [True, True])
+        self.assertEqual(await asyncio.gather(*probes), [True, True])
         await self.start_probe()
         self.assertEqual(len(self.reactor.factories), 2)
         self.assertEqual(self.reactor.timeouts, [PROBE_SECONDS] * 2)
