--- a/pondhatch/cli/_ports.py
+++ b/pondhatch/cli/_ports.py
@@ -11,7 +11,7 @@
 
 from pondhatch._early_port import CALLER_BACKLOG, take_early
 from pondhatch.configuration import CallerEndpoint
-from pondhatch.transport import show_silence
+from pondhatch.transport import detect_dead_peer
 
 #: Length of the accept queue for connections of peers.
 PEER_BACKLOG = 128
@@ -27,7 +27,7 @@
     """Return a listening socket; created here since asyncio would resolve the IP in a thread."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.create_server((host, port), family=family, backlog=PEER_BACKLOG)
-    show_silence(listener)  # Accepted connections inherit it: silent ones hold descriptors.
+    detect_dead_peer(listener)  # Accepted connections inherit it: silent ones hold descriptors.
     return listener
 
 
--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -186,7 +186,7 @@
         return self._interface.callers(
             CallerParts(
                 state=self.state,
-                ways=Collaborators(
+                collaborators=Collaborators(
                     self._grant_exchange.entry,
                     upstreams,
                     self._crash_evidence,
@@ -197,7 +197,7 @@
                 records=self._records,
                 tasks=self._tasks,
                 rng=self._rng,
-                starting=StartupWait(self.state),
+                startup_wait=StartupWait(self.state),
             )
         )
 
--- a/pondhatch/cli/_router_statistics.py
+++ b/pondhatch/cli/_router_statistics.py
@@ -61,6 +61,6 @@
             "grant_packets": self.grant_exchange.packet_count,
             "grants_held": len(self.grant_exchange.entry.held_by_number),
             "grants_given": len(self.grant_exchange.owner.leases.by_holder),
-            "gossip_unsealed": self.gossip_port.unsealed,
+            "gossip_unsealed": self.gossip_port.invalid_seals,
             "platform_calls": getattr(self.platform, "calls", 0),
         }
--- a/pondhatch/cli/_shutdown.py
+++ b/pondhatch/cli/_shutdown.py
@@ -54,7 +54,7 @@
         started_at = time.monotonic()
         drain = self.settings().drain
         await asyncio.sleep(max(MIN_ACCEPT_SECONDS, drain.accept_seconds))
-        self.callers.takes_work = False
+        self.callers.accepts_requests = False
         whole = drain.whole_seconds
         seconds = self.settings().drain_seconds if whole is None else whole
         deadline = started_at + seconds
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -35,20 +35,20 @@
         return CallerFacts(
             caller_id=value_by_name.get(names.ATTEMPT_ID.lower(), ""),
             key=bearer_key(value_by_name.get(names.AUTHORIZATION.lower(), "")),
-            wait=float(deadline_ms) / 1000
+            max_wait=float(deadline_ms) / 1000
             if deadline_ms.isascii() and deadline_ms.isdigit()
             else None,
-            context=_context_key(parts),
+            context_key=_context_key(parts),
             prompt_tokens=_count(prompt) or sum(_part_tokens(parts)),
             answer_tokens=_answer_tokens(_count(hint), _count(max_answer)),
             prompt_parts=_shared_parts(parts),
         )
 
-    def passed_on(self, headers: Headers, note: NoteDropped) -> Headers:
+    def forwarded_headers(self, headers: Headers, note: NoteDropped) -> Headers:
         """Return those of a client's headers that it may send to an engine."""
         return OWNERS.from_caller(headers, note)
 
-    def asks_for_routers_call(self, path: str, prefix: str) -> bool:
+    def is_router_only_call(self, path: str, prefix: str) -> bool:
         """Return whether an engine could interpret a path as a call that only routers may make.
 
         A route whose own prefix names such a call permits it, as the operator wrote the route.
--- a/pondhatch/platform/_era.py
+++ b/pondhatch/platform/_era.py
@@ -36,7 +36,7 @@
     @property
     def made(self) -> int:
         """Number of calls made; the store limits their rate."""
-        return self._calls.made
+        return self._calls.calls_made
 
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float | None = None
--- a/pondhatch/platform/tests/test_header_owners.py
+++ b/pondhatch/platform/tests/test_header_owners.py
@@ -34,7 +34,7 @@
         self.dropped: list[str] = []
 
     def to_engine(self, *headers: tuple[str, str]) -> Headers:
-        return ClientDialect().passed_on(headers, self.dropped.append)
+        return ClientDialect().forwarded_headers(headers, self.dropped.append)
 
     def to_caller(self, *headers: tuple[str, str]) -> Headers:
         return EngineDialect().answer_headers(headers, self.dropped.append)
--- a/pondhatch/platform/tests/test_store.py
+++ b/pondhatch/platform/tests/test_store.py
@@ -31,7 +31,7 @@
 class CannedCalls:
     """Returns the given answers in order, and records the requests."""
 
-    made = 0
+    calls_made = 0
 
     def __init__(self, answers: Sequence[Answer]) -> None:
         self._answers = list(answers)
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -13,35 +13,35 @@
 
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
-#: Path of the call that lets a quarantined request run again; its digest in hex follows.
+#: Path prefix of the call that lifts a request's quarantine; its digest in hex follows.
 LIFT_PATH = b"/lift/"
 
 
-def readable(dump: Dump) -> str:
-    """Return a dump as text for people."""
+def format_dump(dump: Dump) -> str:
+    """Return a dump as readable text."""
     lines = []
     for key, value in dump.items():
         if not isinstance(value, list):
             lines.append(f"{key}: {value}")
             continue
         lines.append(f"{key}: {len(value)}")
-        lines.extend("  " + _row(row) for row in value)
+        lines.extend("  " + _format_row(row) for row in value)
     return "\n".join(lines) + "\n"
 
 
-def _row(row: Dump) -> str:
+def _format_row(row: Dump) -> str:
     if "request_id" not in row:
         return "  ".join(f"{key}={value}" for key, value in row.items())
     at = time.strftime("%H:%M:%S", time.gmtime(row["at"]))
-    passed = "; ".join(f"{engine}: {why}" for engine, why in row["passed_over"])
+    passed_over = "; ".join(f"{engine}: {why}" for engine, why in row["passed_over"])
     engine = row["engine"] or "no engine"
-    told = f"{at} {row['account']} -> {row['service']}: {engine}, {row['outcome']}"
-    told += f" after {row['seconds']} s"
-    return f"{told}; passed over {passed}" if passed else told
+    text = f"{at} {row['account']} -> {row['service']}: {engine}, {row['outcome']}"
+    text += f" after {row['seconds']} s"
+    return f"{text}; passed over {passed_over}" if passed_over else text
 
 
 class Admin(Resource):
-    """Serves operators; to be bound where only they reach it."""
+    """Serves operators; bind it to an address that only they can reach."""
 
     isLeaf = True
 
@@ -59,20 +59,20 @@
         self._extra = extra
 
     def render(self, request: Any) -> bytes:
-        """Answer one question."""
+        """Answer a request."""
         if request.path == b"/state.json":
             request.setHeader(b"Content-Type", b"application/json")
             return msgspec.json.encode(self._dump())
         if request.path == b"/state":
             request.setHeader(b"Content-Type", b"text/plain; charset=utf-8")
-            return readable(self._dump()).encode()
+            return format_dump(self._dump()).encode()
         if request.path.startswith(LIFT_PATH):
             return self._answer_lift(request)
         request.setResponseCode(NOT_FOUND)
         return b""
 
     def _answer_lift(self, request: Any) -> bytes:
-        """Lift a quarantine; 404 where nothing is held against the request, or it is none."""
+        """Lift a quarantine; 404 if the request is not quarantined or the digest is invalid."""
         if request.method != b"POST":
             request.setResponseCode(METHOD_NOT_ALLOWED)
             return b""
--- /dev/null
+++ b/pondhatch/transport/_dead_peers.py
@@ -0,0 +1,38 @@
+"""Detects dead connections by the TCP timeouts and keep-alive probes of the system.
+
+A path that is lost without a reset is not reported; by default the system gives up such a
+connection only after a quarter of an hour. The options detect a silent path, not a slow program:
+the other side's system acknowledges bytes for a busy engine, so slow answers are not cut.
+"""
+
+from __future__ import annotations
+
+import socket
+from typing import Any
+
+#: Milliseconds after which a connection with unacknowledged bytes is closed. By then the system
+#: has sent them three times (at 0, 0.2 and 0.6 s), so that a path which loses some packets
+#: survives; and of the shortest route timeout at the users' sites, 1.5 s, a third is left for
+#: another engine.
+UNACKNOWLEDGED_MS = 1000
+#: Seconds of silence before the first probe and between probes; the system's minimum.
+PROBE_SECONDS = 1
+#: Failed probes after which the connection is closed.
+PROBES = 2
+
+OPTIONS = (
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+)
+
+
+def detect_dead_peer(connection: Any) -> None:
+    """Set options that close a connection within seconds of its falling silent, idle or not.
+
+    The connections that a listening socket accepts inherit its options.
+    """
+    for level, option, value in OPTIONS:
+        connection.setsockopt(level, option, value)
--- a/pondhatch/transport/_header_owners.py
+++ b/pondhatch/transport/_header_owners.py
@@ -1,7 +1,7 @@
-"""Who may set which header: one table for each interface.
+"""Which side may set which header, as one table for each interface.
 
-A header goes on only if its sender may say it to whoever gets it next. A name that stands in
-no table is the sender's own and goes on, unless `Connection` lists it (RFC 9110, 7.6.1).
+A header is forwarded only if its sender may set it for the recipient. Headers that are in no
+table belong to the sender and are forwarded, unless `Connection` lists them (RFC 9110, 7.6.1).
 """
 
 from __future__ import annotations
@@ -16,53 +16,53 @@
 
 
 class Owner(enum.Enum):
-    """Who may set a header, and to whom."""
+    """Which side may set a header, and for which recipient."""
 
-    #: A caller to an upstream; goes on byte for byte, whatever `Connection` lists.
+    #: Callers, for upstreams; forwarded byte for byte, whatever `Connection` lists.
     CALLER = enum.auto()
-    #: A caller to the router; it ends here, and the router says its own where it has one.
+    #: Callers, for the router; not forwarded, and replaced by the router's own if it has one.
     CALLER_TO_ROUTER = enum.auto()
-    #: The router alone, to upstreams or to callers.
+    #: Only the router, for upstreams or callers.
     ROUTER = enum.auto()
-    #: An upstream alone, in its answers.
+    #: Only upstreams, in their answers.
     UPSTREAM = enum.auto()
-    #: The length of a message: the router frames requests anew, an answer keeps its own.
+    #: Message length: the router frames requests anew, answers keep their own.
     FRAMING = enum.auto()
-    #: Either side of one connection, to the other.
+    #: Either side of a connection, for the other side only.
     CONNECTION = enum.auto()
 
 
-#: Kinds of dropped headers that are counted: a caller's copy of what only routers may set;
-ROUTERS = "router"
-#: a caller's copy of what only upstreams may say;
-UPSTREAMS = "upstream"
-#: what its sender's own `Connection` lists;
-LISTED = "listed"
-#: what an upstream's answer says in the place of the router.
-ANSWERS = "answer"
-#: Ends here as it should, in nearly every message; not counted.
-_ENDS_HERE = ""
+#: Kinds of dropped headers that are counted: headers of routers, set by a caller;
+DROPPED_ROUTERS = "router"
+#: headers of upstreams, set by a caller;
+DROPPED_UPSTREAMS = "upstream"
+#: headers listed by their sender's `Connection`;
+DROPPED_LISTED = "listed"
+#: headers of the router, set in an upstream's answer.
+DROPPED_FROM_ANSWERS = "answer"
+#: Dropped as expected, in nearly every message.
+_NOT_COUNTED = ""
 
 _KIND_FROM_CALLERS = {
-    Owner.CALLER_TO_ROUTER: _ENDS_HERE,
-    Owner.ROUTER: ROUTERS,
-    Owner.UPSTREAM: UPSTREAMS,
-    Owner.FRAMING: _ENDS_HERE,
-    Owner.CONNECTION: _ENDS_HERE,
+    Owner.CALLER_TO_ROUTER: _NOT_COUNTED,
+    Owner.ROUTER: DROPPED_ROUTERS,
+    Owner.UPSTREAM: DROPPED_UPSTREAMS,
+    Owner.FRAMING: _NOT_COUNTED,
+    Owner.CONNECTION: _NOT_COUNTED,
 }
 _KIND_FROM_UPSTREAMS = {
-    Owner.CALLER_TO_ROUTER: _ENDS_HERE,
-    Owner.ROUTER: ANSWERS,
-    Owner.CONNECTION: _ENDS_HERE,
+    Owner.CALLER_TO_ROUTER: _NOT_COUNTED,
+    Owner.ROUTER: DROPPED_FROM_ANSWERS,
+    Owner.CONNECTION: _NOT_COUNTED,
 }
 
-_LISTING = "connection"
+_CONNECTION_HEADER = "connection"
 #: Options of `Connection` that name no header.
 _PLAIN_OPTIONS = frozenset({"close", ""})
 
-#: What HTTP itself says, whatever the interface. What a body is goes with the body: it must
-#: not get lost because `Connection` lists it.
-_HTTP: Mapping[str, Owner] = {
+#: Headers defined by HTTP, for every interface. Those that describe the body are forwarded with
+#: it: they must not be lost because `Connection` lists them.
+_HTTP_OWNERS: Mapping[str, Owner] = {
     **dict.fromkeys(HOP_HEADERS, Owner.CONNECTION),
     "expect": Owner.CONNECTION,
     "content-length": Owner.FRAMING,
@@ -71,63 +71,63 @@
     "host": Owner.CALLER,
 }
 
-#: Is told the kind of each dropped header that is counted.
+#: Called with the kind of each dropped header that is counted.
 NoteDropped = Callable[[str], None]
 
 
-def counting(metrics: Metrics) -> NoteDropped:
-    """Return what counts dropped headers by kind: a line for each would help a flood along."""
+def dropped_header_counter(metrics: Metrics) -> NoteDropped:
+    """Return a counter of dropped headers by kind: a log line for each could flood the log."""
     return lambda kind: metrics.count(f"headers_dropped.{kind}")
 
 
 class HeaderOwners:
-    """An interface's headers by who may set them. Never changed."""
+    """The owner of each header of an interface. Immutable."""
 
     def __init__(self, owner_by_name: Mapping[str, Owner]) -> None:
         own = {name.lower(): owner for name, owner in owner_by_name.items()}
-        self.owner_by_name: Mapping[str, Owner] = MappingProxyType({**_HTTP, **own})
+        self.owner_by_name: Mapping[str, Owner] = MappingProxyType({**_HTTP_OWNERS, **own})
         self._not_listable = _PLAIN_OPTIONS.union(self.owner_by_name)
-        # By name, so that a header costs one look-up; a name without an entry goes on.
+        # By name, so that each header costs one look-up; names without an entry are forwarded.
         self._from_callers = self._kinds(_KIND_FROM_CALLERS)
         self._from_upstreams = self._kinds(_KIND_FROM_UPSTREAMS)
 
     def from_caller(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return what of a caller's headers goes on to an upstream."""
-        return self._passed_on(headers, self._from_callers, note)
+        """Return those of a caller's headers that are forwarded to an upstream."""
+        return self._forward(headers, self._from_callers, note)
 
     def from_upstream(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return what of an answer's headers goes on to its caller."""
-        return self._passed_on(headers, self._from_upstreams, note)
+        """Return those of an answer's headers that are forwarded to its caller."""
+        return self._forward(headers, self._from_upstreams, note)
 
     def _kinds(self, kind_by_owner: Mapping[Owner, str]) -> Mapping[str, str]:
         owned = self.owner_by_name.items()
         return {name: kind_by_owner[owner] for name, owner in owned if owner in kind_by_owner}
 
-    def _passed_on(
+    def _forward(
         self, headers: Headers, kind_by_name: Mapping[str, str], note: NoteDropped
     ) -> Headers:
-        passed_on: list[tuple[str, str]] = []
+        forwarded: list[tuple[str, str]] = []
         listed: set[str] = set()
         for pair in headers:
             name = pair[0].lower()
             kind = kind_by_name.get(name)
             if kind is None:
-                passed_on.append(pair)
+                forwarded.append(pair)
             elif kind:
                 note(kind)
-            elif name == _LISTING:
-                listed.update(self._unowned(pair[1]))
-        return self._unlisted(passed_on, listed, note) if listed else tuple(passed_on)
+            elif name == _CONNECTION_HEADER:
+                listed.update(self._listed_names(pair[1]))
+        return self._drop_listed(forwarded, listed, note) if listed else tuple(forwarded)
 
-    def _unowned(self, options: str) -> Iterable[str]:
-        """Return the names that `Connection` lists and no table knows: the table goes first."""
+    def _listed_names(self, options: str) -> Iterable[str]:
+        """Return the names that `Connection` lists and no table holds; tables take precedence."""
         names = (option.strip().lower() for option in options.split(","))
         return [each for each in names if each not in self._not_listable]
 
-    def _unlisted(
+    def _drop_listed(
         self, headers: list[tuple[str, str]], listed: set[str], note: NoteDropped
     ) -> Headers:
         kept = tuple(pair for pair in headers if pair[0].lower() not in listed)
         for _ in range(len(headers) - len(kept)):
-            note(LISTED)
+            note(DROPPED_LISTED)
         return kept
--- a/pondhatch/transport/_headers.py
+++ b/pondhatch/transport/_headers.py
@@ -1,19 +1,19 @@
-"""Headers: their bytes as text, and those that belong to one connection.
+"""Header encoding, and the headers that apply to a single connection.
 
-Between two connections a header is text with one character for each byte (latin-1), so that
-it goes on byte for byte whatever encoding its sender meant.
+Inside the router a header is text with one character for each byte (latin-1), so that it is
+forwarded byte for byte whatever its sender's encoding is.
 """
 
 from __future__ import annotations
 
 from pondhatch.requests import Headers
 
-#: Encoding that has one character for each byte.
-ONE_FOR_EACH = "latin-1"
-#: What HTTP drops around a header's value.
-BLANKS = " \t"
+#: Encoding with one character for each byte.
+BYTE_ENCODING = "latin-1"
+#: Characters that HTTP strips around a header's value.
+WHITESPACE = " \t"
 
-#: They are never passed on from one connection to another.
+#: Headers that are never forwarded from one connection to another.
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -30,15 +30,15 @@
 
 
 def utf8_value(text: str) -> str:
-    """Return a text of our own as a header's value: its bytes in UTF-8."""
-    return text.encode().decode(ONE_FOR_EACH).strip(BLANKS)
+    """Return a header value that is sent as the UTF-8 encoding of a text."""
+    return text.encode().decode(BYTE_ENCODING).strip(WHITESPACE)
 
 
 def as_text(raw: bytes) -> str:
-    """Return a header's bytes as they are kept between two connections."""
-    return raw.decode(ONE_FOR_EACH)
+    """Return a header's bytes as text with one character for each byte."""
+    return raw.decode(BYTE_ENCODING)
 
 
 def as_bytes(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return headers as they go over the wire."""
-    return [(name.encode(ONE_FOR_EACH), value.encode(ONE_FOR_EACH)) for name, value in headers]
+    """Return headers as bytes, as they are sent."""
+    return [(name.encode(BYTE_ENCODING), value.encode(BYTE_ENCODING)) for name, value in headers]
--- a/pondhatch/transport/_http_client.py
+++ b/pondhatch/transport/_http_client.py
@@ -1,8 +1,8 @@
-"""Connections to upstreams and the platform, kept between exchanges.
+"""A pool of HTTP connections to upstreams and the platform.
 
-Kept apart from twisted's Agent because what a lost connection means decides whether a
-request may run again, and its pool tells neither whether an idle connection was used
-nor for how long the other side keeps one.
+Replaces twisted's Agent: the way a connection is lost decides whether a request may run
+again, and Agent's pool reports neither whether a connection was reused nor for how long the
+other side keeps an idle one open.
 """
 
 from __future__ import annotations
@@ -20,37 +20,37 @@
 from pondhatch.limits import HeldCounter
 from pondhatch.observing import Metrics, NoMetrics
 from pondhatch.requests import BodySource
-from pondhatch.transport._http_connection import Connection, Exchange, uncounted
+from pondhatch.transport._http_connection import Connection, Exchange, no_counter
 from pondhatch.transport._http_heads import Request, ResponseHead
-from pondhatch.transport._reuse import HEARD_SECONDS as HEARD_SECONDS
+from pondhatch.transport._reuse import MAX_SILENT_SECONDS as MAX_SILENT_SECONDS
 from pondhatch.transport._reuse import ReuseRules
 
-#: Seconds to wait for a connection.
+#: Timeout of opening a connection, in seconds.
 CONNECT_SECONDS = 1.0
-#: Seconds to wait for a host to say whether anything listens: a round trip takes a tenth of it
-#: between data halls, and a request may wait for the word.
+#: Timeout of a listen probe, in seconds. A round trip between data halls takes a tenth of it,
+#: and a request may be waiting for the result.
 PROBE_SECONDS = 0.3
-#: Ports that TCP has.
+#: Valid TCP ports.
 PORTS = range(1, 2**16)
-#: Idle connections kept for each address.
+#: Maximum idle connections per address.
 IDLE_CONNECTIONS = 64
-#: Seconds between two looks for connections that stayed idle too long.
+#: Seconds between two sweeps for expired idle connections.
 SWEEP_SECONDS = 5.0
 
 
 class NotSent(Exception):
-    """Certainly no byte of the request left this process."""
+    """The request failed before any byte of it left this process."""
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where to connect: an IP number and a port."""
+    """An IP address and a port to connect to."""
 
     host: str
     port: int
 
     @classmethod
     def of_url(cls, url: str) -> Address:
-        """Return the address of "http://IP:port". Raises ValueError where it is none."""
+        """Return the address in "http://IP:port". Raises ValueError if the URL is invalid."""
         host, _, port = url.removeprefix("http://").rstrip("/").rpartition(":")
         number = int(port)
         if not host or number not in PORTS:
@@ -58,53 +58,53 @@
         return cls(host.strip("[]"), number)
 
 
-class _Connecting(ClientFactory):
-    """Makes one connection, or says why not."""
+class _ConnectFactory(ClientFactory):
+    """Opens one connection, or reports why that failed."""
 
     noisy = False
 
-    def __init__(self, closed: Callable[[Connection], None], to_upstream: bool) -> None:
-        self.made: asyncio.Future[Connection] = asyncio.get_running_loop().create_future()
-        self._closed = closed
+    def __init__(self, on_closed: Callable[[Connection], None], to_upstream: bool) -> None:
+        self.connected: asyncio.Future[Connection] = asyncio.get_running_loop().create_future()
+        self._on_closed = on_closed
         self._to_upstream = to_upstream
 
     def buildProtocol(self, addr: Any) -> Connection:
-        connection = _Announcing(self._closed)
-        connection.announce = self._announce
+        connection = _AnnouncingConnection(self._on_closed)
+        connection.on_connected = self._set_connection
         connection.to_upstream = self._to_upstream
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._not_made(reason)
+        self._fail(reason)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Called also for a connection that was lost before it could be announced."""
-        self._not_made(reason)
+        """Handle the loss of a connection, also before it could be announced."""
+        self._fail(reason)
 
-    def _not_made(self, reason: Failure) -> None:
-        if not self.made.done():
-            self.made.set_exception(NotSent(reason.getErrorMessage()))
-            self.made.exception()  # Whoever waits gets it; nobody may be waiting any more.
+    def _fail(self, reason: Failure) -> None:
+        if not self.connected.done():
+            self.connected.set_exception(NotSent(reason.getErrorMessage()))
+            self.connected.exception()  # Marks it as retrieved: possibly nobody awaits it any more.
 
-    def _announce(self, connection: Connection) -> None:
-        if self.made.done():
+    def _set_connection(self, connection: Connection) -> None:
+        if self.connected.done():
             connection.abort()
             return
-        self.made.set_result(connection)
+        self.connected.set_result(connection)
 
 
-class _Announcing(Connection):
-    """A connection that says when it is there."""
+class _AnnouncingConnection(Connection):
+    """A connection that reports when it is established."""
 
-    announce: Callable[[Connection], None]
+    on_connected: Callable[[Connection], None]
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.announce(self)
+        self.on_connected(self)
 
 
 class _CloseAtOnce(Protocol):
-    """A connection that ends as soon as it is made."""
+    """A connection that is aborted as soon as it is established."""
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
@@ -112,7 +112,7 @@
 
 
 class _ListenProbe(ClientFactory):
-    """Finds out whether connections to an address are refused."""
+    """Probes whether connections to an address are refused."""
 
     noisy = False
     protocol = _CloseAtOnce
@@ -121,25 +121,25 @@
         self.refused: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._set(reason.check(Refused) is not None)
+        self._resolve(reason.check(Refused) is not None)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        self._set(False)
+        self._resolve(False)
 
-    def _set(self, refused: bool) -> None:
+    def _resolve(self, refused: bool) -> None:
         if not self.refused.done():
             self.refused.set_result(refused)
 
 
-def _any(_: ResponseHead) -> bool:
+def _always(_: ResponseHead) -> bool:
     return True
 
 
-def _ignore(_: ResponseHead) -> None:
+def _ignore_head(_: ResponseHead) -> None:
     return None
 
 
-def _allow() -> None:
+def _no_check() -> None:
     return None
 
 
@@ -148,45 +148,45 @@
 
 
 class Hooks(msgspec.Struct, frozen=True):
-    """What whoever sends a request decides, or wants to know, of its exchange."""
-
-    #: Returns whether an answer with this head leaves its connection fit for another exchange.
-    trusts: Callable[[ResponseHead], bool] = _any
-    #: Takes in an answer's head as it comes, whether or not anybody still waits for it.
-    heard: Callable[[ResponseHead], None] = _ignore
-    #: Called right before the first byte goes out; what it raises keeps the request from going.
-    check: Callable[[], None] = _allow
-    #: Returns what counts bytes of the exchange that wait here for either side.
-    new_counter: Callable[[], HeldCounter] = uncounted
-    #: Whether it goes to an upstream, rather than to the platform.
+    """Callbacks and options by which a sender controls and observes an exchange."""
+
+    #: Returns whether a connection may be reused after a response with this head.
+    may_reuse: Callable[[ResponseHead], bool] = _always
+    #: Called with the response's head on receipt, even if nobody awaits it any more.
+    on_head: Callable[[ResponseHead], None] = _ignore_head
+    #: Called right before the first byte is written; an exception stops the request.
+    before_send: Callable[[], None] = _no_check
+    #: Returns a counter for bytes of the exchange that are buffered here for either side.
+    new_counter: Callable[[], HeldCounter] = no_counter
+    #: Whether the request goes to an upstream rather than to the platform.
     to_upstream: bool = False
-    #: Idle connections kept to its address at most.
-    most_idle: int = IDLE_CONNECTIONS
+    #: Maximum idle connections to its address.
+    max_idle: int = IDLE_CONNECTIONS
 
 
 NO_HOOKS = Hooks()
 
 
 class HttpClient:
-    """Connections by address, kept between exchanges."""
+    """Sends requests over connections that are pooled by address."""
 
     def __init__(self, reactor: Any, connect_seconds: float = CONNECT_SECONDS) -> None:
         self._reactor = reactor
         self._connect_seconds = connect_seconds
         self._idle_by_address: dict[Address, list[Connection]] = {}
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self._probe_by_address: dict[Address, _ListenProbe] = {}
-        self._rules = ReuseRules()
+        self._reuse_rules = ReuseRules()
         self._load_managed: Callable[[], bool] = _never
         self._metrics: Metrics = NoMetrics()
 
     def configure(self, load_managed: Callable[[], bool], metrics: Metrics) -> None:
-        """Learn from now on whether load is managed, and where connections are counted."""
+        """Set how to query whether load is managed, and the metrics that count connections."""
         self._load_managed = load_managed
         self._metrics = metrics
 
     def has_idle(self, address: Address) -> bool:
-        """Return whether a connection to an address is kept that may be taken now."""
+        """Return whether a usable idle connection to an address exists."""
         now = asyncio.get_running_loop().time()
         idle = self._idle_by_address.get(address, ())
         return any(each.is_open and self._usable_until(each) > now for each in idle)
@@ -197,36 +197,36 @@
         request: Request,
         body: BodySource,
         repeatable: bool,
-        fresh: bool = False,
+        needs_new_connection: bool = False,
         hooks: Hooks = NO_HOOKS,
     ) -> Exchange:
-        """Send a request once; return the exchange, whose head is still to come.
+        """Send a request once; return the exchange, whose response head is still pending.
 
-        What is not repeatable gets a new connection unless the other side stated for how
-        long it keeps an idle one, and the connection is sure to be open; see ReuseRules. Raises
-        NotSent; the exchange's head raises what reading the body raises.
+        A request that is not repeatable gets a new connection, unless the other side stated for
+        how long it keeps idle ones and an idle one is safe to use; see ReuseRules. Raises
+        NotSent; awaiting the exchange's head raises the errors of reading the body.
         """
-        connection = None if fresh else self._take(address, repeatable)
+        connection = None if needs_new_connection else self._take_idle(address, repeatable)
         is_new = connection is None
         if connection is None:
             connection = await self._connect(address, hooks.to_upstream)
         if hooks.to_upstream:
             self._metrics.count("connections.opened" if is_new else "connections.reused")
-        keep = functools.partial(self._keep, address, most_idle=hooks.most_idle)
-        exchange = Exchange(connection, keep, hooks.trusts, hooks.heard, hooks.new_counter)
+        keep = functools.partial(self._keep_idle, address, max_idle=hooks.max_idle)
+        exchange = Exchange(connection, keep, hooks.may_reuse, hooks.on_head, hooks.new_counter)
         try:
-            # The connection may have taken a while, in which much may have been heard.
-            hooks.check()
+            # Opening the connection may have taken long enough for the upstream's state to change.
+            hooks.before_send()
             exchange.send(request, body)
         except BaseException:
-            # Nobody else knows of the connection: left open, it would hold a place at the
-            # upstream for as long as that lets it stand idle.
+            # Only this call knows of the connection: left open, it would occupy a slot at the
+            # upstream until that closes it as idle.
             exchange.cancel()
             raise
         return exchange
 
-    def _take(self, address: Address, repeatable: bool) -> Connection | None:
-        """Return an idle connection that is sure enough to be open, the newest first."""
+    def _take_idle(self, address: Address, repeatable: bool) -> Connection | None:
+        """Return the newest idle connection that is safe to use, or None."""
         idle = self._idle_by_address.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
@@ -235,39 +235,39 @@
                 connection.abort()
                 continue
             managed = self._is_managed(connection)
-            if repeatable or self._rules.is_sure(connection, now, managed):
+            if repeatable or self._reuse_rules.is_safe(connection, now, managed):
                 return connection
             idle.append(connection)
             return None
         return None
 
     def _is_managed(self, connection: Connection) -> bool:
-        """Return whether a connection falls under the rules for managed load."""
+        """Return whether the reuse rules for managed load apply to a connection."""
         return self._load_managed() and connection.to_upstream
 
     def _usable_until(self, connection: Connection) -> float:
-        return self._rules.usable_until(connection, self._is_managed(connection))
+        return self._reuse_rules.usable_until(connection, self._is_managed(connection))
 
     async def _connect(self, address: Address, to_upstream: bool) -> Connection:
-        connecting = _Connecting(self._closed, to_upstream)
+        factory = _ConnectFactory(self._connection_closed, to_upstream)
         connector = self._reactor.connectTCP(
-            address.host, address.port, connecting, timeout=self._connect_seconds
+            address.host, address.port, factory, timeout=self._connect_seconds
         )
         try:
-            connection = await connecting.made
+            connection = await factory.connected
         except asyncio.CancelledError:
             connector.disconnect()
             raise
         if not connection.is_open:
-            # An exchange on it would wait in vain: its loss was told before there was one.
+            # Its loss was reported before an exchange began, so an exchange would never end.
             raise NotSent("the connection was lost as soon as it was made")
         return connection
 
     async def is_refused(self, address: Address) -> bool:
-        """Return whether a host refuses connections to an address: nothing listens there.
+        """Return whether a host refuses connections to an address, as nothing listens there.
 
-        False also where it gives no word. All that ask at the same time share one connection,
-        as all requests of an engine do that ends.
+        False also if the host does not reply. Concurrent calls for an address share one probe,
+        since all requests of a crashed engine ask at the same time.
         """
         probe = self._probe_by_address.get(address)
         if probe is None:
@@ -276,43 +276,44 @@
             self._reactor.connectTCP(address.host, address.port, probe, timeout=PROBE_SECONDS)
         return await asyncio.shield(probe.refused)
 
-    def distrust(self, address: Address, since: float) -> None:
-        """Close the idle connections to an address on which nothing came since a moment.
+    def close_stale(self, address: Address, since: float) -> None:
+        """Close the idle connections to an address that received nothing since a time.
 
-        They may be as silent as the one that told of it: each would cost a request its time.
+        They may be dead like the one that failed, and each would cost a request its timeout.
+        ``since`` is in the loop's seconds.
         """
         for connection in tuple(self._idle_by_address.get(address, ())):
-            if connection.heard_at < since:
+            if connection.last_received_at < since:
                 connection.abort()
 
-    def _keep(
-        self, address: Address, connection: Connection, most_idle: int = IDLE_CONNECTIONS
+    def _keep_idle(
+        self, address: Address, connection: Connection, max_idle: int = IDLE_CONNECTIONS
     ) -> None:
         idle = self._idle_by_address.setdefault(address, [])
         idle.append(connection)
-        while len(idle) > most_idle:
+        while len(idle) > max_idle:
             idle.pop(0).abort()
-        if self._sweeping is None:
+        if self._sweep_timer is None:
             loop = asyncio.get_running_loop()
-            self._sweeping = loop.call_later(SWEEP_SECONDS, self._sweep)
+            self._sweep_timer = loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def _sweep(self) -> None:
-        """Close what stayed idle too long: an upstream that went away closes nothing itself."""
+        """Close expired idle connections: an upstream that vanished does not close them itself."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        every = [each for idle in self._idle_by_address.values() for each in idle]
-        for connection in every:
+        connections = [each for idle in self._idle_by_address.values() for each in idle]
+        for connection in connections:
             if self._usable_until(connection) <= now:
                 connection.abort()
-        left = any(self._usable_until(connection) > now for connection in every)
-        self._sweeping = loop.call_later(SWEEP_SECONDS, self._sweep) if left else None
+        has_usable = any(self._usable_until(connection) > now for connection in connections)
+        self._sweep_timer = loop.call_later(SWEEP_SECONDS, self._sweep) if has_usable else None
 
-    def _closed(self, connection: Connection) -> None:
+    def _connection_closed(self, connection: Connection) -> None:
         if connection.was_lost and connection.to_upstream:
-            self._rules.note_loss(asyncio.get_running_loop().time())
-        self._lost(connection)
+            self._reuse_rules.note_loss(asyncio.get_running_loop().time())
+        self._forget(connection)
 
-    def _lost(self, connection: Connection) -> None:
+    def _forget(self, connection: Connection) -> None:
         for address, idle in tuple(self._idle_by_address.items()):
             if connection in idle:
                 idle.remove(connection)
@@ -320,13 +321,13 @@
                     del self._idle_by_address[address]
                 return
         if connection.fell_silent:
-            self._distrust_all(connection.quiet_since())
+            self._close_all_stale(connection.last_active_at())
 
-    def _distrust_all(self, since: float) -> None:
-        """Close every idle connection on which nothing came since a moment.
+    def _close_all_stale(self, since: float) -> None:
+        """Close every idle connection that received nothing since a time, to any address.
 
-        What silenced one connection that had worked may have silenced all, to every address:
-        the second try must not wait on another of them. Busy ones were heard since and stay.
+        The fault that silenced one working connection may affect all of them, and a retry must
+        not time out on another. Connections that received bytes since then are kept.
         """
         for address in tuple(self._idle_by_address):
-            self.distrust(address, since)
+            self.close_stale(address, since)
--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to an upstream or the platform: one exchange after another.
+"""An HTTP/1.1 connection to an upstream or the platform, which carries one exchange at a time.
 
-h11 reads and writes the protocol; what may be concluded from a lost connection is told
-apart here: whether an answer is whole, and whether bytes came that belong to none.
+h11 parses and writes the protocol. This module decides what a lost connection means: whether
+the answer is complete, and whether bytes arrived that belong to no answer.
 """
 
 from __future__ import annotations
@@ -18,78 +18,78 @@
 
 from pondhatch.limits import UNCOUNTED, HeldCounter
 from pondhatch.requests import BodySource, ReplayableBody
+from pondhatch.transport._dead_peers import UNACKNOWLEDGED_MS, detect_dead_peer
 from pondhatch.transport._headers import as_bytes
-from pondhatch.transport._http_heads import Request, ResponseHead, framing, response_head
+from pondhatch.transport._http_heads import Request, ResponseHead, framing_header, response_head
 from pondhatch.transport._parts import PartPipe
-from pondhatch.transport._silence import UNACKNOWLEDGED_MS, show_silence
 from pondhatch.transport._unsent import unsent_bytes
 
-#: Seconds for which an idle connection is kept where the other side does not say.
+#: Seconds for which an idle connection is kept if the other side states no time.
 IDLE_SECONDS = 30.0
-#: Share of the time that the other side states for which an idle connection is used:
-#: beyond it, a request could cross the other side's close.
-STATED_SHARE = 0.5
-#: Bytes of an answer's head that are taken in at most.
-HEAD_BYTES = 64 * 1024
+#: Fraction of the other side's stated idle time during which a connection is reused: later,
+#: a request could cross the other side's close.
+STATED_IDLE_SHARE = 0.5
+#: Maximum bytes of a response's head.
+MAX_HEAD_BYTES = 64 * 1024
 
 
 class ConnectionBroken(ConnectionError):
-    """The connection was lost, or what came on it was no answer."""
+    """The connection was lost, or received bytes that are no valid response."""
 
 
 class Connection(Protocol):
-    """One connection; carries one exchange at a time."""
+    """One connection, which carries one exchange at a time."""
 
     transport: Any
 
-    def __init__(self, closed: Callable[[Connection], None]) -> None:
-        #: Until when it may be taken again, in the loop's seconds.
+    def __init__(self, on_closed: Callable[[Connection], None]) -> None:
+        #: Time until which it may be reused, in the loop's seconds.
         self.usable_until = float("-inf")
         #: Whether the other side stated how long it keeps an idle connection.
-        self.states_idle_time = False
-        #: Seconds for which it does; 0 where it did not say.
+        self.has_stated_idle = False
+        #: That time in seconds; 0 if none was stated.
         self.stated_idle = 0.0
         #: When its last exchange ended, in the loop's seconds.
         self.idle_since = float("-inf")
-        #: Whether an upstream is on the other side, rather than the platform.
+        #: Whether the other side is an upstream rather than the platform.
         self.to_upstream = False
         self.is_open = False
-        #: When bytes last came on it, and when its last request was written, in the loop's
+        #: When bytes were last received, and when the last request was written, in the loop's
         #: seconds.
-        self.heard_at = float("-inf")
-        self.asked_at = float("-inf")
-        #: Set where it had worked and was lost, neither closed in order nor given up here.
+        self.last_received_at = float("-inf")
+        self.last_request_at = float("-inf")
+        #: Whether it had received bytes and was lost, neither closed cleanly nor aborted here.
         self.was_lost = False
-        #: Set where it was lost so after a while without a word.
+        #: Whether it was lost that way after its exchange was inactive for UNACKNOWLEDGED_MS.
         self.fell_silent = False
-        #: Cleared while the other side takes no more of a request's body.
-        self._flowing = asyncio.Event()
-        self._flowing.set()
-        self._closed = closed
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
+        #: Cleared while the write buffer is full, as the other side reads too slowly.
+        self._writable = asyncio.Event()
+        self._writable.set()
+        self._on_closed = on_closed
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._exchange: Exchange | None = None
 
     def connectionMade(self) -> None:
-        """Make lost peers known in seconds."""
+        """Set the socket options that detect a dead peer within seconds."""
         self.is_open = True
         handle = self.transport.getHandle()
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        show_silence(handle)
+        detect_dead_peer(handle)
 
     def begin(self, exchange: Exchange, request: Request, length: int | None) -> None:
         """Write a request's head; its body follows by ``send_body`` or ``send_whole_body``."""
         self._exchange = exchange
-        self.asked_at = asyncio.get_running_loop().time()
-        framed = framing(request.method, length)
+        self.last_request_at = asyncio.get_running_loop().time()
+        framed = framing_header(request.method, length)
         headers = request.headers if framed is None else (*request.headers, framed)
-        # As bytes: from text h11 takes ASCII alone, while values may hold any other byte.
+        # As bytes: h11 accepts only ASCII as text, while header values may hold any other byte.
         head = h11.Request(method=request.method, target=request.target, headers=as_bytes(headers))
         self._write(head)
 
-    async def send_body(self, body: BodySource, hold: HeldCounter = UNCOUNTED) -> None:
-        """Write a body as it comes, no faster than the other side takes it.
+    async def send_body(self, body: BodySource, counter: HeldCounter = UNCOUNTED) -> None:
+        """Write a body as it is received, no faster than the other side reads it.
 
-        ``hold`` counts what the connection holds meanwhile.
+        ``counter`` counts the unsent bytes of the connection meanwhile.
         """
         left = body.length
         self.transport.registerProducer(self, True)
@@ -97,12 +97,12 @@
             while left != 0 and (part := await body.read()):
                 self._write(h11.Data(data=part))
                 left = left - len(part) if left is not None else None
-                if not self._flowing.is_set():
-                    hold.set(unsent_bytes(self.transport))
-                    await self._flowing.wait()
-                    hold.set(0)
+                if not self._writable.is_set():
+                    counter.set(unsent_bytes(self.transport))
+                    await self._writable.wait()
+                    counter.set(0)
         finally:
-            hold.close()
+            counter.close()
             self.transport.unregisterProducer()
         self._end_body()
 
@@ -117,28 +117,28 @@
             self._write(h11.EndOfMessage())
 
     def pauseProducing(self) -> None:
-        """Called by the connection when its buffer is full."""
-        self._flowing.clear()
+        """Called by the transport when its buffer is full."""
+        self._writable.clear()
 
     def resumeProducing(self) -> None:
-        """Called by the connection when its buffer has drained."""
-        self._flowing.set()
+        """Called by the transport when its buffer has drained."""
+        self._writable.set()
 
     def stopProducing(self) -> None:
-        """Called by the connection when it is lost; whoever sends is cancelled elsewhere."""
+        """Called by the transport when it is lost; the sending task is cancelled elsewhere."""
 
     def abort(self) -> None:
-        """Close at once; the other side sees that its caller is gone."""
+        """Reset the connection at once, which shows the other side that its caller left."""
         self.is_open = False
         if self.transport is not None:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in bytes of an answer; bytes that nobody asked for end the connection."""
+        """Process received bytes; bytes outside of an exchange abort the connection."""
         if self._exchange is None:
             self.abort()
             return
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         try:
             self._http.receive_data(data)
             self._read_events()
@@ -146,14 +146,14 @@
             self._fail(ConnectionBroken(f"no answer in the protocol: {error}"))
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:  # noqa: B008
-        """End the exchange: whole only where an orderly close is its end."""
-        given_up = not self.is_open
-        closed = reason.check(ConnectionDone) is not None
+        """End the exchange; its answer is complete only if a clean close delimits it."""
+        was_aborted = not self.is_open
+        was_closed = reason.check(ConnectionDone) is not None
         self.is_open = False
-        self._flowing.set()
-        self.was_lost = not given_up and not closed and self.heard_at > float("-inf")
+        self._writable.set()
+        self.was_lost = not was_aborted and not was_closed and self.last_received_at > float("-inf")
         self.fell_silent = self.was_lost and self._is_silent()
-        self._closed(self)
+        self._on_closed(self)
         if self._exchange is None:
             return
         if reason.check(ConnectionDone) is not None:
@@ -161,31 +161,31 @@
                 self._http.receive_data(b"")
                 self._read_events()
             except h11.RemoteProtocolError:
-                pass  # The answer is not whole; told below with the connection's own reason.
+                pass  # The answer is incomplete; reported below with the reason of the loss.
         self._fail(ConnectionBroken(reason.getErrorMessage()))
 
-    def quiet_since(self) -> float:
-        """Return when it was last used, by either side, in the loop's seconds."""
-        return max(self.heard_at, self.asked_at)
+    def last_active_at(self) -> float:
+        """Return when either side last used the connection, in the loop's seconds."""
+        return max(self.last_received_at, self.last_request_at)
 
     def _is_silent(self) -> bool:
-        """Return whether its exchange stood for as long as bytes may go unacknowledged.
+        """Return whether its exchange was inactive for the time allowed for unacknowledged bytes.
 
-        What the system says of a lost connection does not come through twisted, so a reset
-        after such a while counts too; that costs a few new connections.
+        Twisted does not pass on the system's error for a lost connection, so a reset after
+        that time counts as silence too, at the cost of a few new connections.
         """
         if self._exchange is None:
             return False
-        waited = asyncio.get_running_loop().time() - self.quiet_since()
+        waited = asyncio.get_running_loop().time() - self.last_active_at()
         return waited >= UNACKNOWLEDGED_MS / 1000
 
     def pause(self) -> None:
-        """Read no more until ``resume``."""
+        """Stop reading until ``resume``."""
         if self.is_open:
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self.is_open:
             self.transport.resumeProducing()
 
@@ -203,7 +203,7 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 break
             if isinstance(event, h11.Response):
-                exchange.opened(response_head(event))
+                exchange.receive_head(response_head(event))
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
@@ -213,7 +213,7 @@
             exchange.pipe.put(b"".join(parts))
 
     def _end(self, exchange: Exchange, parts: list[bytes]) -> None:
-        """End an exchange whose answer is whole; keep the connection if it is clean."""
+        """End an exchange whose answer is complete; keep the connection if it is reusable."""
         self._exchange = None
         if parts:
             exchange.pipe.put(b"".join(parts))
@@ -221,30 +221,32 @@
         surplus = bool(self._http.trailing_data[0])
         if clean and not surplus and self.is_open:
             self._http.start_next_cycle()
-            idle = exchange.answered.stated_idle() if exchange.answered is not None else None
-            self.states_idle_time = idle is not None
-            self.stated_idle = idle or 0.0
+            stated_idle = (
+                exchange.response.stated_idle_seconds() if exchange.response is not None else None
+            )
+            self.has_stated_idle = stated_idle is not None
+            self.stated_idle = stated_idle or 0.0
             self.idle_since = asyncio.get_running_loop().time()
-            kept = IDLE_SECONDS if idle is None else idle * STATED_SHARE
-            self.usable_until = self.idle_since + kept
-            exchange.ended(self)
+            kept_seconds = IDLE_SECONDS if stated_idle is None else stated_idle * STATED_IDLE_SHARE
+            self.usable_until = self.idle_since + kept_seconds
+            exchange.complete(self)
         else:
-            exchange.ended(None)
+            exchange.complete(None)
             self.abort()
 
     def _fail(self, error: ConnectionError) -> None:
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
-            exchange.failed(error)
+            exchange.fail(error)
         self.abort()
 
 
-def _ignore(_: ResponseHead) -> None:
+def _ignore_head(_: ResponseHead) -> None:
     return None
 
 
-def uncounted() -> HeldCounter:
-    """Return what counts nothing, for exchanges on behalf of no account."""
+def no_counter() -> HeldCounter:
+    """Return a counter that counts nothing, for exchanges of no account."""
     return UNCOUNTED
 
 
@@ -254,83 +256,83 @@
     def __init__(
         self,
         connection: Connection,
-        keep: Callable[[Connection], None],
-        trusts: Callable[[ResponseHead], bool],
-        heard: Callable[[ResponseHead], None] = _ignore,
-        new_counter: Callable[[], HeldCounter] = uncounted,
+        keep_idle: Callable[[Connection], None],
+        may_reuse: Callable[[ResponseHead], bool],
+        on_head: Callable[[ResponseHead], None] = _ignore_head,
+        new_counter: Callable[[], HeldCounter] = no_counter,
     ) -> None:
-        #: For whoever waits, and who may cancel it in the same turn of the loop in which the
-        #: answer comes; what came is asked of ``answered``.
+        #: Resolved with the response head. Its waiter may cancel it in the same turn of the loop
+        #: in which the response arrives, so ``response`` holds what was received.
         self.head: asyncio.Future[ResponseHead] = asyncio.get_running_loop().create_future()
-        self.answered: ResponseHead | None = None
+        self.response: ResponseHead | None = None
         self.pipe = PartPipe(connection.pause, connection.resume)
-        self.pipe.count_by(new_counter())
+        self.pipe.use_counter(new_counter())
         self.connection = connection
-        self._keep = keep
-        #: Whether an answer with this head leaves its connection fit for another exchange.
-        self._trusts = trusts
-        #: Takes in the head as it comes, whether or not anybody still waits for it.
-        self._heard = heard
-        #: Returns what counts bytes that wait for the other side, or for whoever reads its answer.
-        self._new_hold = new_counter
-        self._is_over = False
-        self._sending: asyncio.Task[None] | None = None
+        self._keep_idle = keep_idle
+        #: Returns whether a connection may be reused after a response with this head.
+        self._may_reuse = may_reuse
+        #: Called with the head on receipt, even if nobody awaits it any more.
+        self._on_head = on_head
+        #: Returns a counter for bytes buffered for the other side or for the answer's reader.
+        self._new_counter = new_counter
+        self._is_finished = False
+        self._send_task: asyncio.Task[None] | None = None
 
     def send(self, request: Request, body: BodySource) -> None:
-        """Write the request; a body that is still to come is sent as it comes."""
+        """Write the request; a body that is not in memory is sent as it is received."""
         self.connection.begin(self, request, body.length)
         if isinstance(body, ReplayableBody):
             self.connection.send_whole_body(body.content)
             return
-        self._sending = asyncio.ensure_future(self._send(body))
+        self._send_task = asyncio.ensure_future(self._send(body))
 
     async def _send(self, body: BodySource) -> None:
         try:
-            await self.connection.send_body(body, self._new_hold())
+            await self.connection.send_body(body, self._new_counter())
         except Exception as error:
-            # Whoever waits for the answer learns why there will be none.
+            # The waiter for the answer gets the reason why there is none.
             if not self.head.done():
                 self.head.set_exception(error)
                 self.head.exception()
             self.cancel()
 
-    def opened(self, head: ResponseHead) -> None:
-        """Take in the answer's head."""
-        self.answered = head
-        self._heard(head)
+    def receive_head(self, head: ResponseHead) -> None:
+        """Store the response head and resolve ``head``."""
+        self.response = head
+        self._on_head(head)
         if not self.head.done():
             self.head.set_result(head)
 
-    def ended(self, reusable: Connection | None) -> None:
-        """Note that the answer is whole; the connection may carry another exchange."""
-        self._over()
+    def complete(self, reusable: Connection | None) -> None:
+        """End the exchange with a complete answer; keep a reusable connection if allowed."""
+        self._finish()
         self.pipe.end()
         if reusable is None:
             return
-        if self.answered is not None and self._trusts(self.answered):
-            self._keep(reusable)
+        if self.response is not None and self._may_reuse(self.response):
+            self._keep_idle(reusable)
         else:
             reusable.abort()
 
-    def failed(self, error: ConnectionError) -> None:
-        """Note that no more will come."""
-        self._over()
+    def fail(self, error: ConnectionError) -> None:
+        """End the exchange with an error."""
+        self._finish()
         if not self.head.done():
             self.head.set_exception(error)
-            self.head.exception()  # Whoever waits gets it; nobody may be waiting any more.
+            self.head.exception()  # Marks it as retrieved: possibly nobody awaits it any more.
         self.pipe.fail(error)
 
     def cancel(self) -> None:
-        """Give the answer up, unless it is whole; what nobody read of it counts no more.
+        """Abort the exchange unless its answer is complete, and stop counting unread bytes.
 
-        Safe to call twice.
+        Idempotent.
         """
-        self.pipe.give_up()
-        if not self._is_over:
-            self._over()
+        self.pipe.stop_counting()
+        if not self._is_finished:
+            self._finish()
             self.connection.abort()
 
-    def _over(self) -> None:
-        self._is_over = True
-        if self._sending is not None and self._sending is not asyncio.current_task():
-            self._sending.cancel()
+    def _finish(self) -> None:
+        self._is_finished = True
+        if self._send_task is not None and self._send_task is not asyncio.current_task():
+            self._send_task.cancel()
--- a/pondhatch/transport/_peer_service.py
+++ b/pondhatch/transport/_peer_service.py
@@ -1,4 +1,4 @@
-"""The calls that this router answers to its peers, over gRPC."""
+"""The gRPC service that this router offers its peers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def fleet_token(fleet_key: bytes) -> str:
-    """Return the token that peers show each other; the key itself never travels."""
+    """Return the token that authenticates peers; the fleet key itself is never sent."""
     return hashlib.blake2b(b"peer calls", key=hashlib.sha256(fleet_key).digest()).hexdigest()
 
 
 class PeerService:
-    """The calls that this router answers to its peers."""
+    """Handles the calls of peers for idempotency keys and updates."""
 
     def __init__(
         self, keys: KeyHolder, pull: Callable[[wire.PullRequest], wire.PullReply], token: str
@@ -33,46 +33,46 @@
         self._token = token
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the handlers by method, as grpclib asks for them."""
+        """Return the handlers by method; called by grpclib."""
         unary = Cardinality.UNARY_UNARY
         return {
-            wire.CLAIM_METHOD: Handler(self._claim, unary, wire.KeyNote, wire.ClaimReply),
-            wire.SETTLE_METHOD: Handler(self._settle, unary, wire.KeyNote, wire.Empty),
+            wire.CLAIM_METHOD: Handler(self._claim, unary, wire.KeyedRecord, wire.ClaimReply),
+            wire.SETTLE_METHOD: Handler(self._settle, unary, wire.KeyedRecord, wire.Empty),
             wire.RELEASE_METHOD: Handler(self._release, unary, wire.KeyRelease, wire.Empty),
             wire.PULL_METHOD: Handler(self._answer_pull, unary, wire.PullRequest, wire.PullReply),
         }
 
     def server(self) -> Server:
-        """Return a server that hears only peers who hold the fleet key."""
+        """Return a server that accepts calls only from holders of the fleet key."""
         server = Server([self], codec=wire.MessagePackCodec())
         listen(server, RecvRequest, self._check_token)
         return server
 
     async def _check_token(self, event: RecvRequest) -> None:
-        shown = event.metadata.get(wire.TOKEN_METADATA, "")
-        if not isinstance(shown, str) or not hmac.compare_digest(shown, self._token):
+        token = event.metadata.get(wire.TOKEN_METADATA, "")
+        if not isinstance(token, str) or not hmac.compare_digest(token, self._token):
             raise GRPCError(Status.UNAUTHENTICATED, "the fleet key does not fit")
 
-    async def _claim(self, stream: ServerStream[wire.KeyNote, wire.ClaimReply]) -> None:
-        note = await stream.recv_message()
-        claim = await self._keys.claim(note.key, note.record) if note is not None else None
+    async def _claim(self, stream: ServerStream[wire.KeyedRecord, wire.ClaimReply]) -> None:
+        message = await stream.recv_message()
+        claim = await self._keys.claim(message.key, message.record) if message is not None else None
         if claim is not None:
             known = claim.record if isinstance(claim, UsedKey) else None
             await stream.send_message(wire.ClaimReply(known))
 
-    async def _settle(self, stream: ServerStream[wire.KeyNote, wire.Empty]) -> None:
-        note = await stream.recv_message()
-        if note is not None:
-            await self._keys.settle(note.key, note.record)
+    async def _settle(self, stream: ServerStream[wire.KeyedRecord, wire.Empty]) -> None:
+        message = await stream.recv_message()
+        if message is not None:
+            await self._keys.settle(message.key, message.record)
         await stream.send_message(wire.Empty())
 
     async def _release(self, stream: ServerStream[wire.KeyRelease, wire.Empty]) -> None:
-        note = await stream.recv_message()
-        if note is not None:
-            await self._keys.release(note.key, note.request_id)
+        message = await stream.recv_message()
+        if message is not None:
+            await self._keys.release(message.key, message.request_id)
         await stream.send_message(wire.Empty())
 
     async def _answer_pull(self, stream: ServerStream[Any, Any]) -> None:
-        asked = await stream.recv_message()
-        if asked is not None:
-            await stream.send_message(self._pull(asked))
+        request = await stream.recv_message()
+        if request is not None:
+            await stream.send_message(self._pull(request))
--- /dev/null
+++ b/pondhatch/transport/_request_runner.py
@@ -0,0 +1,339 @@
+"""Runs admitted requests: places them, forwards their answers and records their outcomes."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import msgspec
+
+from pondhatch.limits import UNCOUNTED, HeldCounter
+from pondhatch.observing import RequestEnded, log_for
+from pondhatch.requests import (
+    MAX_KEPT_BODY,
+    QUARANTINED,
+    AnswerStream,
+    BodySource,
+    Broken,
+    Delivery,
+    Dispatch,
+    Headers,
+    KeyedRun,
+    KeyRecord,
+    NewKey,
+    NotRun,
+    Placed,
+    QueueOutcome,
+    Refusal,
+    RequestHead,
+    RoutingDecision,
+    Unknown,
+    UsedKey,
+    WaitLimits,
+    Whole,
+    is_event_stream,
+    kept_answer,
+    used_key_refusal,
+)
+from pondhatch.router import ANONYMOUS, Account, Admitted
+from pondhatch.transport._answers import Answers, replay
+from pondhatch.transport._caller_request import CallerRequest
+from pondhatch.transport._caller_writer import CallerWriter
+from pondhatch.transport._interface import CallerParts
+
+log = log_for("callers")
+
+ServedOutcome = Whole | Broken | Refusal
+
+#: Outcome of a request whose caller leaves before any other outcome is known.
+CALLER_GONE = Unknown("caller-gone", "the caller went away")
+
+
+class AdmittedRequest(msgspec.Struct, frozen=True):
+    """A request that its account's limits admitted, ready to be placed on an engine."""
+
+    account: Account
+    admitted: Admitted
+    head: RequestHead
+    body: BodySource
+    wait_limits: WaitLimits
+    #: Idempotency key of a request that must not run twice, scoped to the account.
+    key: str | None = None
+    #: Counts the bytes of its body until the request ends.
+    body_counter: HeldCounter = UNCOUNTED
+
+
+class AnswerCopy(msgspec.Struct):
+    """A copy of an answer, kept only while its body is at most MAX_KEPT_BODY bytes."""
+
+    status: int = 0
+    headers: Headers = ()
+    parts: list[bytes] = msgspec.field(default_factory=list)
+    size: int = 0
+
+    def add(self, part: bytes) -> None:
+        """Append a part; beyond the size limit only the size is counted."""
+        self.size += len(part)
+        if self.size <= MAX_KEPT_BODY:
+            self.parts.append(part)
+
+    def body(self) -> bytes | None:
+        """Return the whole body, or None if it was too large to keep."""
+        return b"".join(self.parts) if self.size <= MAX_KEPT_BODY else None
+
+
+class _Timings(msgspec.Struct):
+    """How long the stages of a request took, in seconds."""
+
+    #: From the receipt of its head to its end.
+    total: float = 0.0
+    #: From the receipt of its head until an engine's answer began.
+    placed: float = 0.0
+    #: The longest pause between two parts of the answer.
+    longest_pause: float = 0.0
+
+
+def _milliseconds(seconds: float) -> int:
+    return round(seconds * 1000)
+
+
+class _CopyingSink:
+    """Copies an answer and forwards it while the caller is connected; see PartSink."""
+
+    def __init__(self, copy: AnswerCopy, writer: CallerWriter) -> None:
+        self._copy = copy
+        self._writer = writer
+        self.ready = writer.ready
+
+    def write(self, part: bytes) -> bool:
+        self._copy.add(part)
+        return self._writer.is_gone or self._writer.write(part)
+
+
+class RequestRunner:
+    """Runs admitted requests and writes their answers or refusals to callers."""
+
+    def __init__(self, parts: CallerParts, answers: Answers) -> None:
+        self._state = parts.state
+        self._collaborators = parts.collaborators
+        self._metrics = parts.metrics
+        self._tasks = parts.tasks
+        self._records = parts.records
+        self._answers = answers
+        #: Tasks of keyed requests that continue after their callers left.
+        self.detached_tasks: set[asyncio.Task[None]] = set()
+
+    async def run(self, request: CallerRequest, work: AdmittedRequest, started_at: float) -> None:
+        """Serve one request; a caller that leaves cancels it, unless it has an idempotency key."""
+        if work.key is None:
+            try:
+                await self._serve(request, work, started_at)
+            finally:
+                work.body_counter.close()
+            return
+        task = self._tasks.start(self._serve(request, work, started_at))
+        # Not in the task itself: a task cancelled before its first step runs no cleanup.
+        task.add_done_callback(lambda _: work.body_counter.close())
+        try:
+            await asyncio.shield(task)
+        except asyncio.CancelledError:
+            self._detach(task, request)
+            raise
+
+    def _detach(self, task: asyncio.Task[None], request: CallerRequest) -> None:
+        """Let a keyed request run to its end, so that the caller can retry for its answer.
+
+        If it were cancelled, its outcome would be unknown and a retry with its key refused.
+        """
+        if not request.pipe.ended:
+            task.cancel()  # The rest of its body will not arrive.
+        self.detached_tasks.add(task)
+        task.add_done_callback(self.detached_tasks.discard)
+
+    async def _serve(
+        self, request: CallerRequest, work: AdmittedRequest, started_at: float
+    ) -> None:
+        """Serve one request to its end, then release it from its account's concurrency."""
+        try:
+            if work.key is not None:
+                await self._run_keyed(request, work, work.key, started_at)
+            else:
+                await self._run(request, work, started_at, AnswerCopy())
+        finally:
+            if work.account is not ANONYMOUS:
+                self._state.limits.end_request(work.account.name)
+
+    async def _run_keyed(
+        self, request: CallerRequest, work: AdmittedRequest, key: str, started_at: float
+    ) -> None:
+        """Run a request under its key, or replay the answer of the first one with that key."""
+        head = work.head
+        digest = f"{head.method} {head.path} {work.body.length}"
+        record = KeyRecord(digest, self._state.name, head.request_id)
+        keyed = KeyedRun(self._state, key, record, work.head.regions)
+        claim = await keyed.begin()
+        if isinstance(claim, UsedKey) and claim.record.digest == digest and claim.record.answer:
+            replay(request, self._answers, claim.record.answer, head.request_id)
+            return
+        if not isinstance(claim, NewKey):
+            refusal = claim if isinstance(claim, NotRun) else used_key_refusal(claim, record)
+            self._answers.refuse(request, refusal)
+            return
+        copy = AnswerCopy()
+        outcome: ServedOutcome = CALLER_GONE
+        try:
+            outcome = await self._run(request, work, started_at, copy)
+        finally:
+            self._tasks.start(_finish_keyed(keyed, outcome, copy))
+
+    async def _run(
+        self, request: CallerRequest, work: AdmittedRequest, started_at: float, copy: AnswerCopy
+    ) -> ServedOutcome:
+        deadline = started_at + work.admitted.deadline
+        dispatch = Dispatch(
+            self._state,
+            self._collaborators,
+            self._state.retry_budgets.for_service(work.head.service),
+            work.head,
+            work.body,
+            lambda: deadline - time.monotonic(),
+            work.wait_limits,
+        )
+        outcome: ServedOutcome = CALLER_GONE
+        timings = _Timings()
+        try:
+            reply = await dispatch.run()
+            if isinstance(reply, Placed):
+                timings.placed = time.monotonic() - started_at
+                self._metrics.timing("requests.placed", timings.placed)
+                outcome = await self._relay(request, work, dispatch, reply, copy, timings)
+            else:
+                outcome = reply.refusal
+                self._answers.refuse(request, reply.refusal)
+            if isinstance(outcome, Whole):
+                dispatch.note_completed(copy.status)
+        finally:
+            dispatch.close()
+            timings.total = time.monotonic() - started_at
+            self._record_outcome(work, dispatch, outcome, timings)
+        return outcome
+
+    async def _relay(
+        self,
+        request: CallerRequest,
+        work: AdmittedRequest,
+        dispatch: Dispatch,
+        placed: Placed,
+        copy: AnswerCopy,
+        timings: _Timings,
+    ) -> ServedOutcome:
+        """Forward the answer to the caller and return how it ended."""
+
+        def begin(answer: AnswerStream) -> None:
+            self._answers.begin(request, answer.status, answer.headers, work.head.request_id)
+            copy.status, copy.headers = answer.status, answer.headers
+
+        writer = CallerWriter(request, self._state.held_bytes.counter(work.account.name))
+        sink = _CopyingSink(copy, writer) if work.key else writer
+        delivery = Delivery(dispatch, placed, sink, begin)
+        try:
+            delivered = await delivery.run()
+        finally:
+            writer.close()
+            timings.longest_pause = delivery.longest_pause
+        if delivered.resumes:
+            self._metrics.count("answers.resumed", delivered.resumes)
+        if isinstance(delivered.outcome, Unknown):
+            self._answers.refuse(request, delivered.outcome)
+        if isinstance(delivered.outcome, Broken):
+            log.warning("Answer broke off: {}.", delivered.outcome.reason)
+            self._answers.end_broken(request, delivered.outcome, is_event_stream(copy.headers))
+        return delivered.outcome
+
+    def _record_outcome(
+        self, work: AdmittedRequest, dispatch: Dispatch, outcome: ServedOutcome, timings: _Timings
+    ) -> None:
+        code = "whole" if isinstance(outcome, Whole) else outcome.code
+        self._metrics.count(f"requests.{code}")
+        self._metrics.timing("requests.whole", timings.total)
+        self._count_queue_outcome(dispatch)
+        self._record_decision(work, dispatch, code, timings.total)
+        self._write_record(work, dispatch, code, timings)
+
+    def _count_queue_outcome(self, dispatch: Dispatch) -> None:
+        """Count the result of waiting in the queues of full engines."""
+        if dispatch.queue_result.outcome is QueueOutcome.NONE:
+            return
+        self._metrics.timing("queue.waited", dispatch.queue_wait_seconds)
+        if dispatch.queue_result.outcome is QueueOutcome.REFUSED:
+            self._metrics.count("queue.refused-at-arrival")
+        if dispatch.queue_result.outcome is QueueOutcome.TIMED_OUT:
+            self._metrics.count("queue.kept-in-vain")
+
+    def _record_decision(
+        self, work: AdmittedRequest, dispatch: Dispatch, code: str, seconds: float
+    ) -> None:
+        """Store the routing decision for the state dump."""
+        self._state.decisions.append(
+            RoutingDecision(
+                request_id=work.head.request_id,
+                account=work.account.name,
+                service=work.head.service,
+                engine=dispatch.engine,
+                passed_over=_passed_over(dispatch),
+                outcome=code,
+                seconds=round(seconds, 4),
+                at=time.time(),
+            )
+        )
+
+    def _write_record(
+        self, work: AdmittedRequest, dispatch: Dispatch, code: str, timings: _Timings
+    ) -> None:
+        """Write the record of the request's end to the decision log."""
+        self._records.write(
+            RequestEnded(
+                id=work.head.caller_id or work.head.request_id,
+                account=work.account.name,
+                service=work.head.service,
+                outcome=code,
+                ms=_milliseconds(timings.total),
+                asking_ms=_milliseconds(dispatch.grant_wait_seconds),
+                placed_ms=_milliseconds(timings.placed),
+                pause_ms=_milliseconds(timings.longest_pause),
+                context=f"{work.head.chat:x}" if work.head.chat else "",
+                configuration=self._state.fleet.version,
+                upstream=dispatch.engine or "",
+                in_flight=dispatch.last_grant.in_flight,
+                ceiling=dispatch.last_grant.ceiling,
+                passed_over=_passed_over(dispatch),
+                resumes=dispatch.resumes,
+                cut_at=tuple(dispatch.cut_at),
+                digest=f"{work.head.digest:x}" if _needs_digest(dispatch, code) else "",
+                predicted_ms=dispatch.queue_result.predicted_ms,
+            )
+        )
+
+
+def _passed_over(dispatch: Dispatch) -> tuple[tuple[str, str], ...]:
+    """Return the engines that did not take a request, each with the reason."""
+    closed = () if dispatch.closed_home is None else (dispatch.closed_home,)
+    return (*closed, *dispatch.plan.refusals)
+
+
+def _needs_digest(dispatch: Dispatch, code: str) -> bool:
+    """Return whether the record needs the digest, which relates it to repeats of the request."""
+    return bool(dispatch.cut_at) or code == QUARANTINED.code
+
+
+async def _finish_keyed(keyed: KeyedRun, outcome: ServedOutcome, copy: AnswerCopy) -> None:
+    """Report the request's outcome to the holders of its key."""
+    if isinstance(outcome, NotRun):
+        await keyed.release_claims()
+        return
+    if not isinstance(outcome, Whole):
+        await keyed.record_unknown()
+        return
+    body = copy.body()
+    answer = kept_answer(copy.status, copy.headers, body) if body is not None else None
+    await keyed.record_completed(answer)
--- a/pondhatch/transport/tests/test_header_bytes.py
+++ b/pondhatch/transport/tests/test_header_bytes.py
@@ -1,4 +1,4 @@
-"""Headers go on byte for byte, from callers to engines and back."""
+"""Guards that headers are forwarded byte for byte, from callers to engines and back."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from pondhatch.transport.tests import test_http_client as upstream
 from pondhatch.transport.tests.test_routed_callers import RoutedCallersTest, put_in_force
 
-#: Values that are legal in HTTP: UTF-8, bytes that are none, and a control character that is
-#: met in practice.
+#: Valid HTTP header values: UTF-8, bytes that are not UTF-8, a control character that occurs in
+#: practice, and an empty value.
 VALUES = ("São, 東京".encode(), b"\xe9\xff\x80\xa0", b"a\x01b", b"")
 
 
 class Reactor:
-    """Connects at once; keeps what each connection was sent, and how it ended."""
+    """Connects at once, and records what is sent on each connection and how it ends."""
 
     def __init__(self) -> None:
         self.connections: list[Any] = []
@@ -41,7 +41,7 @@
 
 
 class HttpRoutedTest(RoutedCallersTest):
-    """Callers' requests written to engines by this router's own client."""
+    """Sends callers' requests to engines over the router's real HTTP client."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -56,15 +56,15 @@
 
 
 class HeaderBytesTest(HttpRoutedTest):
-    async def test_a_callers_reach_the_engine_as_they_came(self) -> None:
+    async def test_caller_headers_reach_the_engine_unchanged(self) -> None:
         for value in VALUES:
             with self.subTest(value=value):
                 await self.asyncSetUp()
-                told = await self.begin(b"GET /x HTTP/1.1", b"X-Own: " + value)
-                self.assertEqual(told, b"")
+                response = await self.begin(b"GET /x HTTP/1.1", b"X-Own: " + value)
+                self.assertEqual(response, b"")
                 self.assertIn(b"\r\nX-Own: " + value + b"\r\n", self.reactor.sent())
 
-    async def test_an_engines_reach_the_caller_as_they_came(self) -> None:
+    async def test_engine_headers_reach_the_caller_unchanged(self) -> None:
         for value in VALUES:
             with self.subTest(value=value):
                 await self.asyncSetUp()
@@ -74,11 +74,11 @@
                     b"X-Own: " + value + b"\r\n\r\nok"
                 )
                 await self.settle()
-                told = self.written()
-                self.assertTrue(told.startswith(b"HTTP/1.1 200"), told)
-                self.assertIn(b"\r\nX-Own: " + value + b"\r\n", told)
+                response = self.written()
+                self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
+                self.assertIn(b"\r\nX-Own: " + value + b"\r\n", response)
 
-    async def test_an_accounts_name_reaches_the_engine_in_utf8(self) -> None:
+    async def test_the_account_name_reaches_the_engine_in_utf8(self) -> None:
         for version, name in enumerate(("São", "東京", "pina", " a ")):
             with self.subTest(name=name):
                 await self.asyncSetUp()
@@ -87,20 +87,20 @@
                     self.state, {**CONFIGURATION, "Version": 20 + version, "Tenants": accounts}
                 )
                 await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer k")
-                # Blanks around a value are no part of it in HTTP.
+                # HTTP strips blanks around a value.
                 expected = b"\r\nTenant: " + name.strip().encode() + b"\r\n"
                 self.assertIn(expected, self.reactor.sent())
 
-    async def test_a_host_that_is_no_text_has_no_route(self) -> None:
+    async def test_an_undecodable_host_has_no_route(self) -> None:
         await self.send(b"GET /x HTTP/1.1\r\nHost: \xff\r\n\r\n")
         await asyncio.sleep(0)
-        told = self.written()
-        self.assertTrue(told.startswith(b"HTTP/1.1 404"), told)
+        response = self.written()
+        self.assertTrue(response.startswith(b"HTTP/1.1 404"), response)
 
 
 class KeysTest(HttpRoutedTest):
-    async def served(self, key: str) -> bytes:
-        """Return what a caller with an operator's key gets; nothing once an engine has it."""
+    async def response_to_key(self, key: str) -> bytes:
+        """Return the response to a caller with this API key; empty if an engine got the request."""
         await self.asyncSetUp()
         accounts = [{"Name": "pina", "ApiKeys": [key]}]
         version = self.state.fleet.version + 1
@@ -109,13 +109,13 @@
             b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer " + key.encode()
         )
 
-    async def test_a_key_of_any_characters_finds_its_account(self) -> None:
-        # The last two end in bytes that are blanks in other encodings.
+    async def test_a_key_may_hold_any_characters(self) -> None:
+        # The last two end in bytes that are blanks in some encodings.
         for key in ("key-1", "kéy", "鍵", "voilà", "k\u0085"):
             with self.subTest(key=key):
-                self.assertEqual(await self.served(key), b"")
+                self.assertEqual(await self.response_to_key(key), b"")
                 self.assertIn(b"\r\nTenant: pina\r\n", self.reactor.sent())
 
-    async def test_a_key_that_is_no_text_is_unknown(self) -> None:
-        told = await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer \xff\xfe")
-        self.assertTrue(told.startswith(b"HTTP/1.1 401"), told)
+    async def test_an_undecodable_key_is_unknown(self) -> None:
+        response = await self.begin(b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer \xff\xfe")
+        self.assertTrue(response.startswith(b"HTTP/1.1 401"), response)
--- a/pondhatch/transport/tests/test_retry_after.py
+++ b/pondhatch/transport/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When a server says to come back, in every form that it may take."""
+"""Guards the parsing of Retry-After in all its forms."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
             with self.subTest(value):
                 self.assertEqual(seconds_to_wait(value, MOMENT), seconds)
 
-    def test_what_asks_for_no_rest(self) -> None:
+    def test_values_without_a_usable_delay_give_zero(self) -> None:
         for value in (
             "",
             "0",
