--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -9,15 +9,15 @@
 import sys
 from collections.abc import Callable, Iterable
 
+from bench._abandoned_streams import measure_abandoned_streams
 from bench._authority import measure_authority
 from bench._connections import measure_connections
 from bench._decisions import measure_decisions
 from bench._fleet_size import measure_engine_counts, measure_fleet_sizes
-from bench._gone import measure_gone
 from bench._gossip import measure_gossip
 from bench._grants import measure_grants
 from bench._large_fleets import measure_members, measure_starts
-from bench._load_questions import measure_load_questions
+from bench._load_polls import measure_load_polls
 from bench._measures import Measure
 from bench._memory import measure_memory
 from bench._placement import measure_placement
@@ -36,12 +36,12 @@
     "retries": measure_retries,
     "surge": measure_surge,
     "quarantine": measure_quarantine,
-    "gone": measure_gone,
+    "gone": measure_abandoned_streams,
     "authority": measure_authority,
     "gossip": measure_gossip,
     "relay": measure_relay,
     "grants": measure_grants,
-    "loads": measure_load_questions,
+    "loads": measure_load_polls,
     "engines": measure_engine_counts,
     "fleet": measure_fleet_sizes,
 }
@@ -59,7 +59,7 @@
         return 2
     for name in names or MEASURES:
         for measure in MEASURES[name]():
-            print(measure.line(), flush=True)
+            print(measure.to_json(), flush=True)
     return 0
 
 
--- a/bench/_authority.py
+++ b/bench/_authority.py
@@ -15,18 +15,21 @@
 
 CHANGES = 40
 #: Seconds until the first holder has settled down, and over which the change is drawn.
-STARTED = 8.0
-SPREAD = 4.0
+SETTLE_SECONDS = 8.0
+CHANGE_WINDOW = 4.0
 #: Seconds within which an order must have come.
-PATIENCE = 100.0
+ORDER_TIMEOUT = 100.0
 
 
-async def _change(planned: bool, engine: str, after: float) -> float:
+async def _change_holder(planned: bool, engine: str, delay: float) -> float:
     """Return the seconds from the change of holder to the next order at an engine."""
-    world = Simulation()
-    first, second = SimulatedRouter("r0", world, [], 0), SimulatedRouter("r1", world, [], 0)
+    simulation = Simulation()
+    first, second = (
+        SimulatedRouter("r0", simulation, [], 0),
+        SimulatedRouter("r1", simulation, [], 0),
+    )
     first.should_hold = True
-    await asyncio.sleep(STARTED + after)
+    await asyncio.sleep(SETTLE_SECONDS + delay)
     began = now()
     if planned:
         first.should_hold = False
@@ -34,11 +37,11 @@
         first.kill()
     second.should_hold = True
     await asyncio.sleep(0.5)
-    world.spec = replace(world.spec, version=2)
-    while not any(e.engine == engine and e.router == "r1/0" for e in world.executed_orders):
+    simulation.spec = replace(simulation.spec, version=2)
+    while not any(e.engine == engine and e.router == "r1/0" for e in simulation.executed_orders):
         await asyncio.sleep(0.05)
-        if now() - began > PATIENCE:
-            raise RuntimeError(f"no order in {PATIENCE} s")
+        if now() - began > ORDER_TIMEOUT:
+            raise RuntimeError(f"no order in {ORDER_TIMEOUT} s")
     return now() - began
 
 
@@ -46,13 +49,13 @@
     """Measure both kinds of change by the code that serves, in stepped time."""
     logger.disable("pondhatch.authority")
     rng = random.Random(1)
-    draws = [rng.uniform(0, SPREAD) for _ in range(CHANGES)]
+    delays = [rng.uniform(0, CHANGE_WINDOW) for _ in range(CHANGES)]
     for engine in ("checking", "ignoring"):
-        spans = {
-            planned: sorted(run_virtually(_change(planned, engine, each)) for each in draws)
+        durations = {
+            planned: sorted(run_virtually(_change_holder(planned, engine, each)) for each in delays)
             for planned in (True, False)
         }
-        planned, emergency = spans[True], spans[False]
+        planned, emergency = durations[True], durations[False]
         middle = CHANGES // 2
         name = f"holder_change.{engine}"
         against = "planned change, same engine"
--- a/bench/_bare_relay.py
+++ b/bench/_bare_relay.py
@@ -18,7 +18,7 @@
 from pondhatch.kernel import install_reactor
 
 
-class _Copy(Protocol):
+class _AnswerForwarder(Protocol):
     """Writes an answer to a caller's request as it comes."""
 
     def __init__(self, request: Any) -> None:
@@ -50,9 +50,9 @@
         response: Any = await agent.request(request.method, url, headers, body)
         request.setResponseCode(response.code)
         request.setHeader("Content-Type", "text/event-stream")
-        copy = _Copy(request)
-        response.deliverBody(copy)
-        await copy.ended
+        forwarder = _AnswerForwarder(request)
+        response.deliverBody(forwarder)
+        await forwarder.ended
 
     site = Site(app.resource())
     site.log = lambda request: None  # type: ignore[method-assign]
--- a/bench/_chats.py
+++ b/bench/_chats.py
@@ -27,16 +27,16 @@
     #: Answers that were wrong, broken or refused without saying why.
     bad: list[str] = field(default_factory=list)
     returning: int = 0
-    found: int = 0
+    context_found: int = 0
 
     @property
     def reuse(self) -> float:
         """Share of returning turns that found their context."""
-        return self.found / self.returning if self.returning else 0.0
+        return self.context_found / self.returning if self.returning else 0.0
 
 
 @dataclass(frozen=True)
-class Load:
+class ChatLoad:
     """How chats are sent."""
 
     model: str
@@ -45,17 +45,17 @@
     chats: int
     turns: int
     #: Chats that run at once.
-    at_once: int
+    concurrency: int
     #: Seconds of pause between two turns of one chat, at most.
     pause: float = 0.2
     seed: int = 1
 
 
-async def send_chats(bases: Sequence[str], load: Load) -> Tally:
+async def send_chats(bases: Sequence[str], load: ChatLoad) -> Tally:
     """Send all chats, each turn through a random router, and return the tally."""
     rng = random.Random(load.seed)
     tally = Tally()
-    gate = asyncio.Semaphore(load.at_once)
+    concurrency_limit = asyncio.Semaphore(load.concurrency)
     clients = [
         openai.AsyncOpenAI(base_url=f"{base}/v1", api_key=key, max_retries=2, timeout=60)
         for base in bases
@@ -63,31 +63,35 @@
     ]
     by_key = {key: [c for c in clients if c.api_key == key] for key in load.keys}
 
-    async def one(number: int) -> None:
-        async with gate:
+    async def run_chat(number: int) -> None:
+        async with concurrency_limit:
             choices = by_key[load.keys[number % len(load.keys)]]
             await _chat(choices, load, number, random.Random(rng.random()), tally)
 
-    await asyncio.gather(*(one(number) for number in range(load.chats)))
+    await asyncio.gather(*(run_chat(number) for number in range(load.chats)))
     await asyncio.gather(*(client.close() for client in clients))
     return tally
 
 
 async def _chat(
-    clients: Sequence[openai.AsyncOpenAI], load: Load, number: int, rng: random.Random, tally: Tally
+    clients: Sequence[openai.AsyncOpenAI],
+    load: ChatLoad,
+    number: int,
+    rng: random.Random,
+    tally: Tally,
 ) -> None:
     opening = f"chat {number}: " + " ".join(rng.choices(("stone", "glass", "dusk", "brick"), k=200))
     messages: list[Any] = [{"role": "user", "content": opening}]
-    known = 0
+    previous_prompt_tokens = 0
     for turn in range(load.turns):
         answer = await _turn(rng.choice(clients), load.model, messages, tally)
         if answer is None:
             return
-        text, cached, prompt = answer
+        text, cached_tokens, prompt_tokens = answer
         if turn:
             tally.returning += 1
-            tally.found += cached >= FOUND_SHARE * known
-        known = prompt
+            tally.context_found += cached_tokens >= FOUND_SHARE * previous_prompt_tokens
+        previous_prompt_tokens = prompt_tokens
         messages.append({"role": "assistant", "content": text})
         messages.append({"role": "user", "content": f"and now variant {turn}"})
         await asyncio.sleep(rng.uniform(0, load.pause))
@@ -97,16 +101,16 @@
     client: openai.AsyncOpenAI, model: str, messages: list[Any], tally: Tally
 ) -> tuple[str, int, int] | None:
     tally.sent += 1
-    text, cached, prompt = "", 0, 0
+    text, cached_tokens, prompt_tokens = "", 0, 0
     try:
         stream = await client.chat.completions.create(model=model, messages=messages, stream=True)
-        async for part in stream:
-            text += part.choices[0].delta.content or ""
-            if part.usage is not None:
-                details = part.usage.prompt_tokens_details
-                cached, prompt = (
+        async for chunk in stream:
+            text += chunk.choices[0].delta.content or ""
+            if chunk.usage is not None:
+                details = chunk.usage.prompt_tokens_details
+                cached_tokens, prompt_tokens = (
                     (details.cached_tokens or 0) if details else 0,
-                    part.usage.prompt_tokens,
+                    chunk.usage.prompt_tokens,
                 )
     except openai.APIStatusError as error:
         code = str(error.body.get("code")) if isinstance(error.body, dict) else "none"
@@ -121,13 +125,13 @@
         tally.bad.append(f"not the answer to its request: {text[:40]!r}")
         return None
     tally.whole += 1
-    return text, cached, prompt
+    return text, cached_tokens, prompt_tokens
 
 
 def is_whole(text: str, messages: list[Any], tokens: int = ANSWER_TOKENS) -> bool:
     """Return whether a text is the stand-in engine's whole answer to these messages."""
     words = text.split()
-    wanted = [f"{len(messages)}.{at}." for at in range(tokens)]
+    expected = [f"{len(messages)}.{at}." for at in range(tokens)]
     return len(words) == tokens and all(
-        word.startswith(start) for word, start in zip(words, wanted, strict=True)
+        word.startswith(prefix) for word, prefix in zip(words, expected, strict=True)
     )
--- a/bench/_connections.py
+++ b/bench/_connections.py
@@ -10,13 +10,13 @@
 from bench._relay import STREAMS, stream_events
 from fakes._local_fleet import ROOT, LocalFleet
 
-IDLE = (200, 1000)
-STREAMING = (STREAMS, 8 * STREAMS)
+IDLE_COUNTS = (200, 1000)
+STREAMING_COUNTS = (STREAMS, 8 * STREAMS)
 #: Tokens of a stream that lasts through the measuring.
 TOKENS = 400
 
 
-async def _idle(base: str, pid: int, count: int) -> int:
+async def _memory_with_idle(base: str, pid: int, count: int) -> int:
     url = urlsplit(base)
     opened = [await asyncio.open_connection(url.hostname, url.port) for _ in range(count)]
     await asyncio.sleep(0.5)
@@ -27,7 +27,7 @@
     return memory
 
 
-async def _streaming(base: str, pid: int, count: int) -> int:
+async def _memory_with_streams(base: str, pid: int, count: int) -> int:
     streams = [asyncio.ensure_future(stream_events(base, at, TOKENS)) for at in range(count)]
     await asyncio.sleep(4)
     memory = resident_kb(pid)
@@ -46,8 +46,8 @@
         base, pid = router.callers, router.process.pid
         yield Measure("memory.empty_router", resident_kb(pid) / 1024, "MB")
         for name, counts, load in (
-            ("idle_connection", IDLE, _idle),
-            ("streaming_request", STREAMING, _streaming),
+            ("idle_connection", IDLE_COUNTS, _memory_with_idle),
+            ("streaming_request", STREAMING_COUNTS, _memory_with_streams),
         ):
             few, many = (asyncio.run(load(base, pid, count)) for count in counts)
             yield Measure(f"memory.{name}", (many - few) / (counts[1] - counts[0]), "KB")
--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 
 from bench._measures import Measure
-from bench._memory import account_edits, fleet_of
+from bench._memory import account_edits, configuration_with_accounts
 from pondhatch.configuration import Change, FleetConfiguration
 from pondhatch.limits import RetryBudget
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
@@ -55,7 +55,7 @@
         """Do nothing."""
 
 
-class Instant:
+class InstantUpstreams:
     """Upstreams that answer at once, so that only the decision is timed."""
 
     async def send(
@@ -64,7 +64,7 @@
         return AnswerStarted(InstantAnswer())
 
 
-class NoHolder:
+class EmptyKeyHolder:
     """Another router as a holder of keys: it holds none."""
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
@@ -77,7 +77,7 @@
         """Do nothing."""
 
 
-class GrantsInPlace:
+class LocalGrants:
     """Every router's owner side, in place: it grants as this router's own side does."""
 
     def __init__(self, state: RouterState) -> None:
@@ -93,20 +93,20 @@
         self._number += 1
         return self._number
 
-    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
-        target = self._state.target(question.engine)
+    async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
+        target = self._state.target(grant_request.engine)
         if target is None:
             return NotOwner()
-        verdict = self._owner._ask_gate(target, question)
-        if isinstance(verdict, Full):
-            return Busy(verdict.in_flight, verdict.ceiling)
-        self._engine_by_number[question.number] = question.engine
-        return verdict
+        decision = self._owner._ask_gate(target, grant_request)
+        if isinstance(decision, Full):
+            return Busy(decision.in_flight, decision.ceiling)
+        self._engine_by_number[grant_request.number] = grant_request.engine
+        return decision
 
-    def decide_without_owner(self, question: GrantRequest) -> OwnerReply:
+    def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
         return NotOwner()
 
-    def release(self, number: int, ended: EndReason) -> None:
+    def release(self, number: int, end_reason: EndReason) -> None:
         self._state.gate.release(self._engine_by_number.pop(number))
 
     def report_spill(self, owner: str, chat: int, engine: str) -> None:
@@ -122,8 +122,8 @@
         alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{at % 11}")
         gossip.membership.table.apply_alive(alive, 0.0)
 
-    state = RouterState("self", "hall-0", gossip, time.monotonic, lambda _: NoHolder())
-    state.apply_fleet(fleet_of(10))
+    state = RouterState("self", "hall-0", gossip, time.monotonic, lambda _: EmptyKeyHolder())
+    state.apply_fleet(configuration_with_accounts(10))
     for at in range(ENGINES):
         upstream = Upstream(f"engine-{at}", "lang", "http://10.0.0.1:1", "hall-0")
         state.upstreams.set(upstream, at + 1)
@@ -132,10 +132,10 @@
     return state
 
 
-async def _decide(state: RouterState) -> float:
+async def _seconds_per_decision(state: RouterState) -> float:
     rng = random.Random(2)
     budget = RetryBudget()
-    ways = Collaborators(GrantsInPlace(state), Instant())
+    collaborators = Collaborators(LocalGrants(state), InstantUpstreams())
     started = time.perf_counter()
     for at in range(DECISIONS):
         head = RequestHead(
@@ -150,13 +150,15 @@
             deadline=10.0,
             priority=5,
         )
-        placed = await Dispatch(state, ways, budget, head, ReplayableBody(b""), lambda: 10.0).run()
+        placed = await Dispatch(
+            state, collaborators, budget, head, ReplayableBody(b""), lambda: 10.0
+        ).run()
         if isinstance(placed, Placed):
             placed.reply.answer.cancel()
     return (time.perf_counter() - started) / DECISIONS
 
 
-def _timed(work: Callable[[], object], times: int) -> float:
+def _seconds_per_call(work: Callable[[], object], times: int) -> float:
     started = time.perf_counter()
     for _ in range(times):
         work()
@@ -166,25 +168,27 @@
 def measure_decisions() -> Iterator[Measure]:
     """Time a placement, a change of configuration and a round."""
     small, large = new_state(8), new_state(ROUTERS)
-    few = asyncio.run(_decide(small))
-    many = asyncio.run(_decide(large))
+    few = asyncio.run(_seconds_per_decision(small))
+    many = asyncio.run(_seconds_per_decision(large))
     yield Measure("decision.placement", many * 1e6, "us", few * 1e6, "8 routers instead of 470")
     yield Measure(
         "decision.round",
-        _timed(large.tick, 200) * 1e6,
+        _seconds_per_call(large.tick, 200) * 1e6,
         "us",
-        _timed(small.tick, 200) * 1e6,
+        _seconds_per_call(small.tick, 200) * 1e6,
         "8 routers instead of 470",
     )
     for accounts in (3000,):
-        fleet = fleet_of(accounts)
+        fleet = configuration_with_accounts(accounts)
         change = Change(2, "c", "bench", 0.0, "", account_edits(1))
 
         def apply(fleet: FleetConfiguration = fleet, change: Change = change) -> object:
             return fleet.with_change(change)
 
         yield Measure(
-            "configuration.one_account_changed", _timed(apply, 20) * 1e3, "ms at 3000 accounts"
+            "configuration.one_account_changed",
+            _seconds_per_call(apply, 20) * 1e3,
+            "ms at 3000 accounts",
         )
         started = time.perf_counter()
         restored = FleetConfiguration.from_snapshot(fleet.snapshot())
--- a/bench/_fleet_size.py
+++ b/bench/_fleet_size.py
@@ -17,7 +17,7 @@
 ENGINE_COUNTS = (4, 28)
 ROUTERS_BEFORE_ENGINES = 8
 #: Seconds of quiet over which traffic is counted.
-QUIET = 12.0
+QUIET_SECONDS = 12.0
 #: Changes applied one after the other.
 CHANGES = 5
 
@@ -28,15 +28,15 @@
 
     routers: int
     #: Bytes a second of one router, sent and received, mean and largest.
-    control: float
-    control_most: float
+    control_rate: float
+    control_rate_max: float
     #: Processor seconds a second of one idle router.
     processor: float
     memory_kb: float
     platform_calls: float
     #: Seconds from accepted to in force at the last router: median and longest.
-    in_force: float
-    in_force_most: float
+    in_force_median: float
+    in_force_max: float
 
 
 def _control_bytes(fleet: LocalFleet) -> list[int]:
@@ -49,10 +49,10 @@
     return sum(calls.values())
 
 
-def _time_to_force(fleet: LocalFleet, folder: Path) -> list[float]:
+def _seconds_until_in_force(fleet: LocalFleet, folder: Path) -> list[float]:
     """Apply changes; return for each the seconds until the last router had it in force."""
     text = (ROOT / "bench/fleet.yaml").read_text()
-    spans = []
+    delays = []
     for number in range(CHANGES):
         path = folder / "change.yaml"
         path.write_text(text.replace("burst: 1000000", f"burst: {999_000 + number}"))
@@ -61,41 +61,41 @@
         created = fetch(f"{fleet.platform_url}/v1/objects/pondhatch-change/{version:012d}")
         fleet.await_agreement(version)
         latest = max(router.state()["in_force_at"] for router in fleet.routers)
-        spans.append(latest - created["at"])
-    return sorted(spans)
+        delays.append(latest - created["at"])
+    return sorted(delays)
 
 
 def measure_size(routers: int, engines: int = ENGINES) -> FleetFigures:
     """Start a fleet of processes and measure it."""
     with LocalFleet(log_level="ERROR") as fleet:
-        for at in range(engines):
-            hall = f"recife-{at % HALLS + 1}"
-            fleet.add_backend("engine", f"engine-{at}", "scene-language", hall)
+        for index in range(engines):
+            hall = f"recife-{index % HALLS + 1}"
+            fleet.add_backend("engine", f"engine-{index}", "scene-language", hall)
         fleet.add_routers([f"recife-{at % HALLS + 1}" for at in range(routers)])
         fleet.apply(ROOT / "bench/fleet.yaml")
         fleet.await_agreement(1)
         time.sleep(5)
         pids = [router.process.pid for router in fleet.routers]
-        before, calls = _control_bytes(fleet), _platform_calls(fleet)
+        before, calls_before = _control_bytes(fleet), _platform_calls(fleet)
         used = sum(processor_seconds(pid) for pid in pids)
         started = time.monotonic()
-        time.sleep(QUIET)
+        time.sleep(QUIET_SECONDS)
         used = sum(processor_seconds(pid) for pid in pids) - used
         seconds = time.monotonic() - started
-        called = _platform_calls(fleet) - calls
+        calls_made = _platform_calls(fleet) - calls_before
         after = _control_bytes(fleet)
         rates = [(new - old) / seconds for new, old in zip(after, before, strict=True)]
         memory = sum(resident_kb(pid) for pid in pids) / routers
-        spans = _time_to_force(fleet, fleet.folder)
+        delays = _seconds_until_in_force(fleet, fleet.folder)
     return FleetFigures(
         routers=routers,
-        control=sum(rates) / routers,
-        control_most=max(rates),
+        control_rate=sum(rates) / routers,
+        control_rate_max=max(rates),
         processor=used / seconds / routers,
         memory_kb=memory,
-        platform_calls=called / seconds,
-        in_force=spans[len(spans) // 2],
-        in_force_most=spans[-1],
+        platform_calls=calls_made / seconds,
+        in_force_median=delays[len(delays) // 2],
+        in_force_max=delays[-1],
     )
 
 
@@ -104,20 +104,20 @@
     found = [measure_size(size) for size in sizes]
     for each in found:
         name = f"fleet_{each.routers}"
-        yield Measure(f"{name}.control", each.control, "B/s a router")
-        yield Measure(f"{name}.control_most", each.control_most, "B/s, the busiest router")
+        yield Measure(f"{name}.control", each.control_rate, "B/s a router")
+        yield Measure(f"{name}.control_most", each.control_rate_max, "B/s, the busiest router")
         yield Measure(f"{name}.idle_processor", each.processor * 100, "% of a core a router")
         yield Measure(f"{name}.memory", each.memory_kb / 1024, "MB a router")
         yield Measure(f"{name}.platform_calls", each.platform_calls, "calls/s, all routers")
-        yield Measure(f"{name}.in_force", each.in_force * 1000, "ms, median of changes")
-        yield Measure(f"{name}.in_force_most", each.in_force_most * 1000, "ms, slowest change")
+        yield Measure(f"{name}.in_force", each.in_force_median * 1000, "ms, median of changes")
+        yield Measure(f"{name}.in_force_most", each.in_force_max * 1000, "ms, slowest change")
     if len(found) < 2:
         return
     for name, points in (
-        ("control", [(each.routers, each.control) for each in found]),
+        ("control", [(each.routers, each.control_rate) for each in found]),
         ("idle_processor", [(each.routers, each.processor * 100) for each in found]),
         ("memory", [(each.routers, each.memory_kb) for each in found]),
-        ("in_force", [(each.routers, each.in_force * 1000) for each in found]),
+        ("in_force", [(each.routers, each.in_force_median * 1000) for each in found]),
     ):
         yield Measure(f"slope.{name}", slope([(float(x), y) for x, y in points])[0], "per router")
 
@@ -125,8 +125,14 @@
 def measure_engine_counts() -> Iterator[Measure]:
     """Measure what one more engine costs the fleet in control and idle processor."""
     few, many = (measure_size(ROUTERS_BEFORE_ENGINES, count) for count in ENGINE_COUNTS)
-    each = (ENGINE_COUNTS[1] - ENGINE_COUNTS[0]) / ROUTERS_BEFORE_ENGINES
-    yield Measure("engine.control", (many.control - few.control) / each, "B/s an owned engine")
-    processor = (many.processor - few.processor) / each
+    added_per_router = (ENGINE_COUNTS[1] - ENGINE_COUNTS[0]) / ROUTERS_BEFORE_ENGINES
+    yield Measure(
+        "engine.control",
+        (many.control_rate - few.control_rate) / added_per_router,
+        "B/s an owned engine",
+    )
+    processor = (many.processor - few.processor) / added_per_router
     yield Measure("engine.idle_processor", processor * 100, "% of a core an owned engine")
-    yield Measure("engine.memory", (many.memory_kb - few.memory_kb) / each, "KB an owned engine")
+    yield Measure(
+        "engine.memory", (many.memory_kb - few.memory_kb) / added_per_router, "KB an owned engine"
+    )
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -30,9 +30,9 @@
 HOST = "127.0.0.1"
 FIRST_PORT = 1000
 #: One way between two halls of a region, in seconds.
-DELAY = 0.0015
+ONE_WAY_DELAY = 0.0015
 #: Seconds between a router's rounds, as the process has them.
-ROUND = 0.1
+TICK_INTERVAL = 0.1
 HALLS = 11
 #: Services of which one router owns engines, and how many engines of each.
 SERVICES_OWNED = 3
@@ -54,10 +54,10 @@
     #: Seconds until nobody trusts a frozen router any more.
     detection: float
     #: Seconds until a new version is known everywhere.
-    news: float
+    version_spread: float
 
 
-class _Bench:
+class _SimulatedFleet:
     def __init__(self, routers: int, limits: MembershipLimits, seed: int) -> None:
         self.now = 0.0
         self.bytes = 0
@@ -65,114 +65,118 @@
         self.frozen: set[int] = set()
         rng = random.Random(seed)
         seeds = [Address(HOST, FIRST_PORT)]
-        self.cores = []
-        for at in range(routers):
-            name = f"router-{at}"
-            own = Alive(short_id(name), 1, 0, name, HOST, FIRST_PORT + at, f"hall-{at % HALLS}")
-            core = Gossip(own, limits, random.Random(rng.random()), seeds)
+        self.gossips = []
+        for index in range(routers):
+            name = f"router-{index}"
+            own = Alive(
+                short_id(name), 1, 0, name, HOST, FIRST_PORT + index, f"hall-{index % HALLS}"
+            )
+            gossip = Gossip(own, limits, random.Random(rng.random()), seeds)
             loads = tuple(
-                ServiceLoad(short_id(f"service-{(at + n) % 19}"), 2, 140)
+                ServiceLoad(short_id(f"service-{(index + n) % 19}"), 2, 140)
                 for n in range(SERVICES_OWNED)
             )
-            core.publish(Phase.LIVE, 1, 1, loads)
-            self.cores.append(core)
+            gossip.publish(Phase.LIVE, 1, 1, loads)
+            self.gossips.append(gossip)
         self._events: list[tuple[float, int, int, int, bytes]] = []
         self._count = 0
-        self._next_tick = [rng.uniform(0, ROUND) for _ in self.cores]
-        for at, when in enumerate(self._next_tick):
-            self._push(when, at, -1, b"")
+        self._next_tick = [rng.uniform(0, TICK_INTERVAL) for _ in self.gossips]
+        for index, when in enumerate(self._next_tick):
+            self._push(when, index, -1, b"")
 
     def run_until(self, end: float) -> None:
         while self._events and self._events[0][0] <= end:
-            self.now, _, at, source, payload = heapq.heappop(self._events)
+            self.now, _, receiver, source, payload = heapq.heappop(self._events)
             if source < 0:
-                self._push(self.now + ROUND, at, -1, b"")
-            if at in self.frozen:
+                self._push(self.now + TICK_INTERVAL, receiver, -1, b"")
+            if receiver in self.frozen:
                 continue
-            core = self.cores[at]
+            gossip = self.gossips[receiver]
             started = time.perf_counter()
             if source < 0:
-                sent = core.tick(self.now)
+                sent = gossip.tick(self.now)
             else:
-                sent = core.receive(payload, Address(HOST, FIRST_PORT + source), self.now)
+                sent = gossip.receive(payload, Address(HOST, FIRST_PORT + source), self.now)
             self.processor += time.perf_counter() - started
-            self.send(at, sent)
+            self.send(receiver, sent)
         self.now = end
 
     def send(self, sender: int, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
             self.bytes += 2 * (len(datagram.payload) + OVERHEAD)
-            to = datagram.to.port - FIRST_PORT
-            self._push(self.now + DELAY, to, sender, datagram.payload)
+            receiver = datagram.to.port - FIRST_PORT
+            self._push(self.now + ONE_WAY_DELAY, receiver, sender, datagram.payload)
 
-    def _push(self, when: float, at: int, source: int, payload: bytes) -> None:
+    def _push(self, when: float, receiver: int, source: int, payload: bytes) -> None:
         self._count += 1
-        heapq.heappush(self._events, (when, self._count, at, source, payload))
+        heapq.heappush(self._events, (when, self._count, receiver, source, payload))
 
 
 def measure(
     routers: int, limits: MembershipLimits, seed: int = 1, seconds: float = 20.0
 ) -> GossipFigures:
     """Let a fleet form, then measure a quiet stretch, a frozen router and a new version."""
-    bench = _Bench(routers, limits, seed)
-    warm = 30.0 + routers / 10
-    bench.run_until(warm)
-    bench.bytes, bench.processor = 0, 0.0
-    bench.run_until(warm + seconds)
-    spent = routers * seconds
-    figures = (bench.bytes / spent, bench.processor / spent)
+    fleet = _SimulatedFleet(routers, limits, seed)
+    warm_up = 30.0 + routers / 10
+    fleet.run_until(warm_up)
+    fleet.bytes, fleet.processor = 0, 0.0
+    fleet.run_until(warm_up + seconds)
+    router_seconds = routers * seconds
+    figures = (fleet.bytes / router_seconds, fleet.processor / router_seconds)
     true_load = (routers - 1) * SERVICES_OWNED * 140
-    known = [_load_known(core, bench.now) for core in bench.cores]
-    trusted = sum(len(core.members(bench.now)) for core in bench.cores)
-    news = _news(bench)
+    known = [_load_known(gossip, fleet.now) for gossip in fleet.gossips]
+    trusted = sum(len(gossip.members(fleet.now)) for gossip in fleet.gossips)
+    version_spread = _version_spread_seconds(fleet)
     return GossipFigures(
         routers=routers,
         bytes_a_second=figures[0],
         processor=figures[1],
         load_known=statistics.mean(known) / true_load,
         false_suspicion=1 - trusted / routers**2,
-        detection=_detection(bench),
-        news=news,
+        detection=_detection_seconds(fleet),
+        version_spread=version_spread,
     )
 
 
-def _load_known(core: Gossip, now: float) -> int:
-    return sum(core.in_flight_elsewhere(f"service-{at}", now) for at in range(19))
+def _load_known(gossip: Gossip, now: float) -> int:
+    return sum(gossip.in_flight_elsewhere(f"service-{at}", now) for at in range(19))
 
 
-def _news(bench: _Bench) -> float:
+def _version_spread_seconds(fleet: _SimulatedFleet) -> float:
     """Spread a new version as a router does: whoever learns of it tells some at once."""
-    started = bench.now
-    knows = {0}
-    _tell(bench, 0)
-    while len(knows) < len(bench.cores) and bench.now - started < 60:
-        bench.run_until(bench.now + DELAY)
-        for at, core in enumerate(bench.cores):
-            if at not in knows and any(
-                held.configuration == 2 for held in core.versions().values()
+    started = fleet.now
+    informed = {0}
+    _announce_version(fleet, 0)
+    while len(informed) < len(fleet.gossips) and fleet.now - started < 60:
+        fleet.run_until(fleet.now + ONE_WAY_DELAY)
+        for index, gossip in enumerate(fleet.gossips):
+            if index not in informed and any(
+                version.configuration == 2 for version in gossip.versions().values()
             ):
-                knows.add(at)
-                _tell(bench, at)
-    return bench.now - started
-
-
-def _tell(bench: _Bench, at: int) -> None:
-    core = bench.cores[at]
-    core.publish(Phase.LIVE, 2, 1, ())
-    bench.send(at, core.announcements())
-
-
-def _detection(bench: _Bench) -> float:
-    frozen = len(bench.cores) - 1
-    name = bench.cores[frozen].membership.own_record.name
-    bench.frozen.add(frozen)
-    started = bench.now
-    while bench.now - started < 120:
-        bench.run_until(bench.now + 0.5)
-        views = [core.members(bench.now) for at, core in enumerate(bench.cores) if at != frozen]
+                informed.add(index)
+                _announce_version(fleet, index)
+    return fleet.now - started
+
+
+def _announce_version(fleet: _SimulatedFleet, index: int) -> None:
+    gossip = fleet.gossips[index]
+    gossip.publish(Phase.LIVE, 2, 1, ())
+    fleet.send(index, gossip.announcements())
+
+
+def _detection_seconds(fleet: _SimulatedFleet) -> float:
+    frozen = len(fleet.gossips) - 1
+    name = fleet.gossips[frozen].membership.own_record.name
+    fleet.frozen.add(frozen)
+    started = fleet.now
+    while fleet.now - started < 120:
+        fleet.run_until(fleet.now + 0.5)
+        views = [
+            gossip.members(fleet.now) for at, gossip in enumerate(fleet.gossips) if at != frozen
+        ]
         if not any(member.name == name for view in views for member in view):
             break
-    return bench.now - started
+    return fleet.now - started
 
 
 def measure_gossip(sizes: tuple[int, ...] = (8, 32, 128)) -> Iterator[Measure]:
@@ -185,4 +189,6 @@
         yield Measure(f"{name}.false_suspicion", figures.false_suspicion, "share of pairs")
         yield Measure(f"{name}.load_known", figures.load_known, "share of the true load")
         yield Measure(f"{name}.detection", figures.detection, "s until a frozen router is given up")
-        yield Measure(f"{name}.news", figures.news * 1000, "ms until a new version is heard of")
+        yield Measure(
+            f"{name}.news", figures.version_spread * 1000, "ms until a new version is heard of"
+        )
--- a/bench/_grants.py
+++ b/bench/_grants.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass
 
 from bench._measures import Measure, processor_seconds
-from bench._relay import far_router, stream_events
+from bench._relay import non_owner_router, stream_events
 from fakes._local_fleet import ROOT, LocalFleet, Router
 
 REQUESTS = 400
 #: Requests that run at once.
-AT_ONCE = 8
+CONCURRENCY = 8
 #: Seconds of quiet over which the rest of the traffic is counted.
-QUIET = 8.0
+QUIET_SECONDS = 8.0
 
 
 @dataclass(frozen=True)
-class Use:
+class Usage:
     """What a router had used by a moment."""
 
     at: float
@@ -27,9 +27,9 @@
     packets: int
     processor: float
 
-    def since(self, before: Use) -> Use:
+    def since(self, before: Usage) -> Usage:
         """Return what was used since then; ``at`` is the time that passed."""
-        return Use(
+        return Usage(
             self.at - before.at,
             self.control_bytes - before.control_bytes,
             self.packets - before.packets,
@@ -37,16 +37,16 @@
         )
 
 
-def _use(router: Router) -> Use:
+def _usage(router: Router) -> Usage:
     state = router.state()
     control = state["gossip_bytes_sent"] + state["gossip_bytes_received"]
     used = processor_seconds(router.process.pid)
-    return Use(time.monotonic(), control, state["grant_packets"], used)
+    return Usage(time.monotonic(), control, state["grant_packets"], used)
 
 
-async def _requests(base: str) -> None:
-    for at in range(0, REQUESTS, AT_ONCE):
-        await asyncio.gather(*(stream_events(base, at + each, 1) for each in range(AT_ONCE)))
+async def _send_requests(base: str) -> None:
+    for at in range(0, REQUESTS, CONCURRENCY):
+        await asyncio.gather(*(stream_events(base, at + each, 1) for each in range(CONCURRENCY)))
 
 
 def measure_grants() -> Iterator[Measure]:
@@ -56,19 +56,19 @@
         fleet.add_routers(["recife-1", "recife-1"])
         fleet.apply(ROOT / "bench/fleet.yaml")
         fleet.await_agreement(1)
-        entry = far_router(fleet)
+        entry = non_owner_router(fleet)
         owner = next(router for router in fleet.routers if router is not entry)
-        asyncio.run(_requests(entry.callers))
+        asyncio.run(_send_requests(entry.callers))
         for name, router in (("entry", entry), ("owner", owner)):
-            start = _use(router)
-            time.sleep(QUIET)
-            idle = _use(router).since(start)
-            start = _use(router)
-            asyncio.run(_requests(entry.callers))
-            busy = _use(router).since(start)
-            share = busy.at / idle.at
-            control = (busy.control_bytes - idle.control_bytes * share) / REQUESTS
-            processor = (busy.processor - idle.processor * share) / REQUESTS
+            start = _usage(router)
+            time.sleep(QUIET_SECONDS)
+            idle = _usage(router).since(start)
+            start = _usage(router)
+            asyncio.run(_send_requests(entry.callers))
+            busy = _usage(router).since(start)
+            duration_ratio = busy.at / idle.at
+            control = (busy.control_bytes - idle.control_bytes * duration_ratio) / REQUESTS
+            processor = (busy.processor - idle.processor * duration_ratio) / REQUESTS
             yield Measure(f"grant.{name}_bytes", control, "B a request, sent and received")
             yield Measure(f"grant.{name}_packets", busy.packets / REQUESTS, "packets a request")
             yield Measure(f"grant.{name}_processor", processor * 1e3, "ms a request")
--- a/bench/_large_fleets.py
+++ b/bench/_large_fleets.py
@@ -20,16 +20,16 @@
 PACKETS = 2000
 STARTS = 7
 #: What a router of the prepared machines has loaded when it serves.
-LOADED = (
+IMPORT_STATEMENTS = (
     "import gc; gc.disable(); import pondhatch.cli, pondhatch.cli._router_process, "
     "pondhatch.platform"
 )
-SAY_PROCESSOR_TIME = "; import time; print(time.process_time())"
+PRINT_PROCESSOR_TIME = "; import time; print(time.process_time())"
 
 
 def measure_starts() -> Iterator[Measure]:
     """Measure the processor time until all that a router uses is loaded, over the bare one."""
-    bare, loaded = _processor_of("pass"), _processor_of(LOADED)
+    bare, loaded = _median_processor_seconds("pass"), _median_processor_seconds(IMPORT_STATEMENTS)
     yield Measure("start.loaded", loaded * 1e3, "ms of processor", bare * 1e3, "bare interpreter")
 
 
@@ -38,24 +38,28 @@
     for routers in SIZES:
         fleet = ManyRouters(routers, UPSTREAMS)
 
-        def change(at: int, fleet: ManyRouters = fleet, routers: int = routers) -> None:
+        def apply_changes(at: int, fleet: ManyRouters = fleet, routers: int = routers) -> None:
             other, incarnation = 1 + at % (routers - 1), 10 * at + 10
             fleet.hear(other, incarnation, Phase.DRAINING)
             fleet.hear(other, incarnation + 1)
 
-        yield Measure(f"members.change.{routers}", _each(change, CHANGES) / 2 * 1e3, "ms")
+        yield Measure(
+            f"members.change.{routers}", _seconds_per_call(apply_changes, CHANGES) / 2 * 1e3, "ms"
+        )
 
-        def packet(_: int, fleet: ManyRouters = fleet) -> None:
+        def receive_packet(_: int, fleet: ManyRouters = fleet) -> None:
             fleet.hear_nothing_new()
 
-        def turn(_: int, fleet: ManyRouters = fleet) -> None:
+        def tick(_: int, fleet: ManyRouters = fleet) -> None:
             fleet.state.tick()
 
-        yield Measure(f"members.packet.{routers}", _each(packet, PACKETS) * 1e6, "us")
-        yield Measure(f"members.round.{routers}", _each(turn, PACKETS) * 1e6, "us")
+        yield Measure(
+            f"members.packet.{routers}", _seconds_per_call(receive_packet, PACKETS) * 1e6, "us"
+        )
+        yield Measure(f"members.round.{routers}", _seconds_per_call(tick, PACKETS) * 1e6, "us")
 
 
-def _each(work: Callable[[int], None], times: int) -> float:
+def _seconds_per_call(work: Callable[[int], None], times: int) -> float:
     """Return the processor seconds of each time that something is done."""
     begun = time.process_time()
     for at in range(times):
@@ -63,8 +67,8 @@
     return (time.process_time() - begun) / times
 
 
-def _processor_of(code: str) -> float:
+def _median_processor_seconds(code: str) -> float:
     """Return the median processor seconds of some processes that run a piece of code."""
-    command = [sys.executable, "-c", code + SAY_PROCESSOR_TIME]
+    command = [sys.executable, "-c", code + PRINT_PROCESSOR_TIME]
     runs = [subprocess.run(command, capture_output=True, check=True) for _ in range(STARTS)]
     return statistics.median(float(run.stdout) for run in runs)
--- a/bench/_measures.py
+++ b/bench/_measures.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 #: Clock ticks a second in /proc.
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True)
@@ -22,10 +22,10 @@
     baseline: float | None = None
     against: str | None = None
 
-    def line(self) -> str:
+    def to_json(self) -> str:
         """Return the measure as a JSON line."""
         ratio = round(self.value / self.baseline, 3) if self.baseline else None
-        told = {
+        record = {
             "name": self.name,
             "value": round(self.value, 6),
             "unit": self.unit,
@@ -33,13 +33,13 @@
             "ratio": ratio,
             "against": self.against,
         }
-        return json.dumps(told)
+        return json.dumps(record)
 
 
 def processor_seconds(pid: int) -> float:
     """Return the processor time that a process has used, user and system."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 def resident_kb(pid: int) -> int:
@@ -54,5 +54,5 @@
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
     spread = sum((x - mean_x) ** 2 for x, _ in points)
-    steep = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    return steep, mean_y - steep * mean_x
+    gradient = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    return gradient, mean_y - gradient * mean_x
--- a/bench/_memory.py
+++ b/bench/_memory.py
@@ -33,29 +33,29 @@
     )
 
 
-def fleet_of(count: int) -> FleetConfiguration:
+def configuration_with_accounts(count: int) -> FleetConfiguration:
     """Return a configuration with so many accounts."""
     edits = (SERVICE, TEMPLATE, *account_edits(count))
-    found = FleetConfiguration().with_change(Change(1, "first", "bench", 0.0, "", edits))
-    if not isinstance(found, FleetConfiguration):
-        raise RuntimeError(str(found))
+    configuration = FleetConfiguration().with_change(Change(1, "first", "bench", 0.0, "", edits))
+    if not isinstance(configuration, FleetConfiguration):
+        raise RuntimeError(str(configuration))
     return FleetConfiguration(
         version=1,
-        service_by_name=found.service_by_name,
-        template_by_name=found.template_by_name,
-        policy_by_account=found.policy_by_account,
-        account_by_key_hash=found.account_by_key_hash,
-        raw_by_entry=found.raw_by_entry,
+        service_by_name=configuration.service_by_name,
+        template_by_name=configuration.template_by_name,
+        policy_by_account=configuration.policy_by_account,
+        account_by_key_hash=configuration.account_by_key_hash,
+        raw_by_entry=configuration.raw_by_entry,
     )
 
 
-def _chats(count: int) -> ContextLocations:
-    memory = ContextLocations(limit=count)
+def _spilled_chats(count: int) -> ContextLocations:
+    locations = ContextLocations(limit=count)
     rng = random.Random(1)
     names = [f"engine-{at}" for at in range(110)]
     for _ in range(count):
-        memory.remember(rng.getrandbits(64), rng.choice(names))
-    return memory
+        locations.remember(rng.getrandbits(64), rng.choice(names))
+    return locations
 
 
 def _upstreams(count: int) -> UpstreamList:
@@ -77,7 +77,7 @@
     return gossip
 
 
-def _bytes_each(make: Callable[[int], Any], few: int, many: int) -> float:
+def _bytes_per_item(make: Callable[[int], Any], few: int, many: int) -> float:
     sizes = []
     for count in (few, many):
         gc.collect()
@@ -92,7 +92,7 @@
 
 def measure_memory() -> Iterator[Measure]:
     """Measure the bytes of each thing that a router's state has many of."""
-    yield Measure("memory.spilled_chat", _bytes_each(_chats, 1000, 20_000), "B")
-    yield Measure("memory.account", _bytes_each(fleet_of, 200, 3000), "B")
-    yield Measure("memory.upstream", _bytes_each(_upstreams, 100, 2100), "B")
-    yield Measure("memory.router_known", _bytes_each(_peers, 20, 470), "B")
+    yield Measure("memory.spilled_chat", _bytes_per_item(_spilled_chats, 1000, 20_000), "B")
+    yield Measure("memory.account", _bytes_per_item(configuration_with_accounts, 200, 3000), "B")
+    yield Measure("memory.upstream", _bytes_per_item(_upstreams, 100, 2100), "B")
+    yield Measure("memory.router_known", _bytes_per_item(_peers, 20, 470), "B")
--- a/bench/_placement.py
+++ b/bench/_placement.py
@@ -31,15 +31,15 @@
 
 ENGINES = 10
 #: Contexts that one engine keeps, and chats for each engine.
-CONTEXTS = 500
-CHATS = 400
+CONTEXTS_PER_ENGINE = 500
+CHATS_PER_ENGINE = 400
 #: Seconds that a request takes, drawn evenly from this range.
 DURATION = (7.0, 21.0)
-SECONDS = 900.0
+RUN_SECONDS = 900.0
 #: Seconds at the start that are not counted.
 WARM_UP = 400.0
 #: Share of engines that are replaced while counting.
-REPLACED = 0.1
+REPLACED_SHARE = 0.1
 #: Seconds by which the known total of the service is behind.
 VIEW_LAG = 1.0
 #: Seconds that a returning chat waits for its engine.
@@ -60,12 +60,12 @@
         """Keep a chat's context, dropping the least recently used one."""
         self.contexts[chat] = None
         self.contexts.move_to_end(chat)
-        if len(self.contexts) > CONTEXTS:
+        if len(self.contexts) > CONTEXTS_PER_ENGINE:
             self.contexts.popitem(last=False)
 
 
 @dataclass
-class World:
+class Simulation:
     """What a policy may look at."""
 
     engines: dict[str, Engine]
@@ -87,96 +87,106 @@
         """Return whether an engine joined a short while ago."""
         return self.now - self.joined_at.get(name, -YOUNG_SECONDS) < YOUNG_SECONDS
 
-    def late_total(self) -> int:
+    def lagged_total(self) -> int:
         """Return the total as it was VIEW_LAG ago."""
-        late = [total for when, total in self.totals if when <= self.now - VIEW_LAG]
-        return late[-1] if late else 0
+        known = [total for when, total in self.totals if when <= self.now - VIEW_LAG]
+        return known[-1] if known else 0
 
 
 @dataclass(frozen=True)
-class Chosen:
+class Choice:
     """Where a request goes, after waiting for so long."""
 
     engine: str
     waited: float = 0.0
 
 
-Policy = Callable[[World, int], Chosen]
+Policy = Callable[[Simulation, int], Choice]
 
 
-class Serving:
+class ServingPolicy:
     """The policy that serves: plan, gates of the owners, memory of spilled chats."""
 
     def __init__(self) -> None:
-        self._memory = ContextLocations()
+        self._locations = ContextLocations()
         self._gate = Gate()
 
-    def __call__(self, world: World, chat: int) -> Chosen:
+    def __call__(self, simulation: Simulation, chat: int) -> Choice:
         """Walk the plan as an entry router does."""
-        plan = Plan(str(chat), tuple(world.engines))
+        plan = Plan(str(chat), tuple(simulation.engines))
         while not isinstance(step := plan.next_step(), Exhausted):
-            if step.engine == plan.home and not step.is_forced and chat in world.seen:
-                young = world.is_young(step.engine)
-                believed = context_engine(
-                    self._memory, chat, step.engine, plan.settled_engine(world.is_young), young
+            if step.engine == plan.home and not step.is_forced and chat in simulation.seen:
+                is_young = simulation.is_young(step.engine)
+                context_location = context_engine(
+                    self._locations,
+                    chat,
+                    step.engine,
+                    plan.settled_engine(simulation.is_young),
+                    is_young,
                 )
-                if believed != step.engine:
-                    plan.record_context_elsewhere(believed)
+                if context_location != step.engine:
+                    plan.record_context_elsewhere(context_location)
                     continue
-            chosen = self._ask(world, plan, step)
-            if chosen is not None:
-                self._note(plan, chat, step.engine)
-                return chosen
-        least = min(world.engines.values(), key=lambda engine: engine.in_flight)
-        return Chosen(least.name)
-
-    def _ask(self, world: World, plan: Plan, ask: Ask) -> Chosen | None:
-        verdict = self._verdict(world, plan, ask.engine, 0)
-        if isinstance(verdict, Granted):
-            return Chosen(ask.engine)
-        ending = world.engines[ask.engine].endings[0]
-        if ask.has_context and ending - world.now <= CONTEXT_WAIT:
-            freed = self._verdict(world, plan, ask.engine, 1)
-            if isinstance(freed, Granted):
-                return Chosen(ask.engine, ending - world.now)
-        plan.record_owner_full(verdict.in_flight, verdict.ceiling)
+            choice = self._ask_engine(simulation, plan, step)
+            if choice is not None:
+                self._record_location(plan, chat, step.engine)
+                return choice
+        least = min(simulation.engines.values(), key=lambda engine: engine.in_flight)
+        return Choice(least.name)
+
+    def _ask_engine(self, simulation: Simulation, plan: Plan, ask: Ask) -> Choice | None:
+        decision = self._try_grant(simulation, plan, ask.engine, 0)
+        if isinstance(decision, Granted):
+            return Choice(ask.engine)
+        next_end = simulation.engines[ask.engine].endings[0]
+        if ask.has_context and next_end - simulation.now <= CONTEXT_WAIT:
+            decision_after_end = self._try_grant(simulation, plan, ask.engine, 1)
+            if isinstance(decision_after_end, Granted):
+                return Choice(ask.engine, next_end - simulation.now)
+        plan.record_owner_full(decision.in_flight, decision.ceiling)
         return None
 
-    def _verdict(self, world: World, plan: Plan, name: str, ended: int) -> Granted | Full:
-        held = world.engines[name].in_flight - ended
-        self._gate.by_engine[name] = EngineCount(granted=held)
-        others = max(world.late_total() - held, plan.seen_in_flight_elsewhere(name), 0)
-        return self._gate.try_grant(name, world.now, world.bound, others, len(world.engines))
-
-    def _note(self, plan: Plan, chat: int, engine: str) -> None:
+    def _try_grant(
+        self, simulation: Simulation, plan: Plan, name: str, ended_requests: int
+    ) -> Granted | Full:
+        granted = simulation.engines[name].in_flight - ended_requests
+        self._gate.by_engine[name] = EngineCount(granted=granted)
+        elsewhere = max(simulation.lagged_total() - granted, plan.seen_in_flight_elsewhere(name), 0)
+        return self._gate.try_grant(
+            name, simulation.now, simulation.bound, elsewhere, len(simulation.engines)
+        )
+
+    def _record_location(self, plan: Plan, chat: int, engine: str) -> None:
         if engine == plan.home:
-            self._memory.forget(chat)
+            self._locations.forget(chat)
         else:
-            self._memory.remember(chat, engine)
+            self._locations.remember(chat, engine)
 
 
-def all_knowing(world: World, chat: int) -> Chosen:
+def all_knowing(simulation: Simulation, chat: int) -> Choice:
     """Go to the context if its engine is under the ceiling, else to the least loaded."""
-    ceiling = admission_ceiling(world.bound, world.total(), len(world.engines))
-    holders = [e for e in world.engines.values() if chat in e.contexts and e.in_flight < ceiling]
-    pool = holders or list(world.engines.values())
-    return Chosen(min(pool, key=lambda engine: engine.in_flight).name)
+    ceiling = admission_ceiling(simulation.bound, simulation.total(), len(simulation.engines))
+    holders = [
+        e for e in simulation.engines.values() if chat in e.contexts and e.in_flight < ceiling
+    ]
+    pool = holders or list(simulation.engines.values())
+    return Choice(min(pool, key=lambda engine: engine.in_flight).name)
 
 
-def rendezvous(world: World, chat: int) -> Chosen:
+def rendezvous(simulation: Simulation, chat: int) -> Choice:
     """Go to the home engine whatever its load."""
-    return Chosen(winner(str(chat), world.engines) or "")
+    return Choice(winner(str(chat), simulation.engines) or "")
 
 
-def least_of_two(world: World, chat: int) -> Chosen:
+def least_of_two(simulation: Simulation, chat: int) -> Choice:
     """Go to the less loaded of two engines drawn at random."""
-    two = world.rng.sample(list(world.engines.values()), 2)
-    return Chosen(min(two, key=lambda engine: engine.in_flight).name)
+    two = simulation.rng.sample(list(simulation.engines.values()), 2)
+    return Choice(min(two, key=lambda engine: engine.in_flight).name)
 
 
-def at_random(world: World, chat: int) -> Chosen:
+def at_random(simulation: Simulation, chat: int) -> Choice:
     """Go anywhere."""
-    return Chosen(world.rng.choice(list(world.engines)))
+    return Choice(simulation.rng.choice(list(simulation.engines)))
 
 
 @dataclass(frozen=True)
@@ -188,75 +198,75 @@
     #: 99th percentile over time of largest load over mean.
     skew: float
     #: Share of starts that put an engine above the true ceiling of that moment.
-    above: float
+    above_ceiling: float
 
 
 def run(policy: Policy, in_flight: int, bound: float, seed: int = 1) -> Figures:
     """Run one policy at a constant number of requests in flight."""
     rng = random.Random(seed)
     names = [f"engine-{at}" for at in range(ENGINES)]
-    world = World({name: Engine(name) for name in names}, bound, rng)
-    idle = list(range(ENGINES * CHATS))
-    seen = world.seen
+    simulation = Simulation({name: Engine(name) for name in names}, bound, rng)
+    idle = list(range(ENGINES * CHATS_PER_ENGINE))
+    seen = simulation.seen
     ends: list[tuple[float, int, str]] = []
-    replacing = [
-        WARM_UP + (SECONDS - WARM_UP) * (at + 1) / (REPLACED * ENGINES + 1)
-        for at in range(round(REPLACED * ENGINES))
+    replacement_times = [
+        WARM_UP + (RUN_SECONDS - WARM_UP) * (at + 1) / (REPLACED_SHARE * ENGINES + 1)
+        for at in range(round(REPLACED_SHARE * ENGINES))
     ]
     skews: list[float] = []
-    found = returning = above = starts = 0
+    context_found = returning = above_ceiling = starts = 0
     next_sample = WARM_UP
 
     def start() -> None:
-        nonlocal found, returning, above, starts
+        nonlocal context_found, returning, above_ceiling, starts
         at = rng.randrange(len(idle))
         idle[at], idle[-1] = idle[-1], idle[at]
         chat = idle.pop()
-        chosen = policy(world, chat)
-        engine = world.engines[chosen.engine]
-        if world.now > WARM_UP:
+        choice = policy(simulation, chat)
+        engine = simulation.engines[choice.engine]
+        if simulation.now > WARM_UP:
             starts += 1
-            ceiling = admission_ceiling(bound, world.total(), len(world.engines))
-            above += engine.in_flight - (chosen.waited > 0) + 1 > ceiling
+            ceiling = admission_ceiling(bound, simulation.total(), len(simulation.engines))
+            above_ceiling += engine.in_flight - (choice.waited > 0) + 1 > ceiling
             if chat in seen:
                 returning += 1
-                found += chat in engine.contexts
+                context_found += chat in engine.contexts
         seen.add(chat)
         engine.in_flight += 1
         engine.keep(chat)
-        end = world.now + chosen.waited + rng.uniform(*DURATION)
+        end = simulation.now + choice.waited + rng.uniform(*DURATION)
         heapq.heappush(engine.endings, end)
         heapq.heappush(ends, (end, chat, engine.name))
 
     for _ in range(ENGINES * in_flight):
         start()
-        world.totals.append((-VIEW_LAG, world.total()))
-    while world.now < SECONDS:
-        world.now, chat, name = heapq.heappop(ends)
-        if replacing and world.now > replacing[0]:
-            replacing.pop(0)
-            _replace(world, ends)
-        if name in world.engines:
-            world.engines[name].in_flight -= 1
-            heapq.heappop(world.engines[name].endings)
+        simulation.totals.append((-VIEW_LAG, simulation.total()))
+    while simulation.now < RUN_SECONDS:
+        simulation.now, chat, name = heapq.heappop(ends)
+        if replacement_times and simulation.now > replacement_times[0]:
+            replacement_times.pop(0)
+            _replace(simulation, ends)
+        if name in simulation.engines:
+            simulation.engines[name].in_flight -= 1
+            heapq.heappop(simulation.engines[name].endings)
         idle.append(chat)
         start()
-        world.totals.append((world.now, world.total()))
-        if world.now > next_sample:
-            next_sample = world.now + 1.0
-            loads = [engine.in_flight for engine in world.engines.values()]
+        simulation.totals.append((simulation.now, simulation.total()))
+        if simulation.now > next_sample:
+            next_sample = simulation.now + 1.0
+            loads = [engine.in_flight for engine in simulation.engines.values()]
             skews.append(max(loads) * len(loads) / sum(loads))
     skews.sort()
-    return Figures(found / returning, skews[int(0.99 * len(skews))], above / starts)
+    return Figures(context_found / returning, skews[int(0.99 * len(skews))], above_ceiling / starts)
 
 
-def _replace(world: World, ends: list[tuple[float, int, str]]) -> None:
+def _replace(simulation: Simulation, ends: list[tuple[float, int, str]]) -> None:
     """Replace the first engine by a new, empty one; its requests end there unfinished."""
-    old = next(iter(world.engines))
-    del world.engines[old]
+    old = next(iter(simulation.engines))
+    del simulation.engines[old]
     fresh = f"{old}-new"
-    world.engines[fresh] = Engine(fresh)
-    world.joined_at[fresh] = world.now
+    simulation.engines[fresh] = Engine(fresh)
+    simulation.joined_at[fresh] = simulation.now
 
 
 def measure_placement() -> Iterator[Measure]:
@@ -265,14 +275,14 @@
         best = run(all_knowing, in_flight, bound)
         name = f"placement_{in_flight}_in_flight_bound_{bound}"
         policies: dict[str, Policy] = {
-            "serving": Serving(),
+            "serving": ServingPolicy(),
             "rendezvous": rendezvous,
             "least_of_two": least_of_two,
             "random": at_random,
         }
         for policy_name, policy in policies.items():
             figures = run(policy, in_flight, bound)
-            told = f"{name}.{policy_name}"
-            yield Measure(f"{told}.reuse", figures.reuse, "share", best.reuse, "all-knowing")
-            yield Measure(f"{told}.skew_p99", figures.skew, "x mean", best.skew, "all-knowing")
-            yield Measure(f"{told}.above_ceiling", figures.above, "share of starts")
+            prefix = f"{name}.{policy_name}"
+            yield Measure(f"{prefix}.reuse", figures.reuse, "share", best.reuse, "all-knowing")
+            yield Measure(f"{prefix}.skew_p99", figures.skew, "x mean", best.skew, "all-knowing")
+            yield Measure(f"{prefix}.above_ceiling", figures.above_ceiling, "share of starts")
--- a/bench/_quarantine.py
+++ b/bench/_quarantine.py
@@ -14,11 +14,11 @@
 
 ROUNDS = 20_000
 #: Requests that one engine runs as it ends, the most of the users' engines.
-FALLEN = 64
+REQUESTS_PER_ENGINE = 64
 #: Bytes of a body: a prompt of 10,000 tokens is some four times as long, most are shorter.
 BODY = b"x" * 10_240
 #: Bytes of a packet's mark and seal, IP and UDP.
-HEADERS = 1 + 8 + 28
+PACKET_OVERHEAD = 1 + 8 + 28
 #: A digest that nothing is known of.
 UNKNOWN = 2**63
 
@@ -30,11 +30,11 @@
     return (time.perf_counter() - began) / ROUNDS * 1e6
 
 
-def _full() -> Suspects:
+def _full_suspects() -> Suspects:
     """Return what a router holds at the most: engine after engine ended under 64 requests."""
     suspects = Suspects()
     for at in range(MAX_SUSPECTS):
-        suspects.add(Evidence(at, f"i-{at // FALLEN:010x}", 0), 0.0)
+        suspects.add(Evidence(at, f"i-{at // REQUESTS_PER_ENGINE:010x}", 0), 0.0)
     for engine in range(3):
         suspects.add(Evidence(0, f"i-{engine:010x}", 0), 0.0)
     return suspects
@@ -48,7 +48,7 @@
         "us",
     )
     tracemalloc.start()
-    suspects = _full()
+    suspects = _full_suspects()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     yield Measure(
@@ -62,7 +62,9 @@
         "us",
     )
     yield Measure("memory of 4,096 suspects", held / 1e6, "MB")
-    one = EvidencePacket((Evidence(UNKNOWN, "i-2263e1fdea~1778825992599", 0),))
+    packet = EvidencePacket((Evidence(UNKNOWN, "i-2263e1fdea~1778825992599", 0),))
     yield Measure(
-        "bytes of one end told to one router", len(msgspec.msgpack.encode(one)) + HEADERS, "B"
+        "bytes of one end told to one router",
+        len(msgspec.msgpack.encode(packet)) + PACKET_OVERHEAD,
+        "B",
     )
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -20,7 +20,7 @@
 LENGTHS = (20, 120, 220)
 ROUNDS = 2
 #: Seconds between two tokens of a stream, so that each chunk is relayed by itself.
-STEP = 0.02
+TOKEN_INTERVAL = 0.02
 
 
 async def stream_events(base: str, number: int, tokens: int) -> tuple[int, float]:
@@ -28,8 +28,8 @@
     url = urlsplit(base)
     reader, writer = await asyncio.open_connection(url.hostname, url.port)
     messages = [{"role": "user", "content": f"bench {number} {tokens}"}]
-    asked = {"model": "scene-writer", "messages": messages, "stream": True, "max_tokens": tokens}
-    body = json.dumps(asked).encode()
+    request = {"model": "scene-writer", "messages": messages, "stream": True, "max_tokens": tokens}
+    body = json.dumps(request).encode()
     head = (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
@@ -37,37 +37,37 @@
     started = time.monotonic()
     writer.write(head.encode() + body)
     events, first = 0, 0.0
-    while part := await reader.read(65536):
-        events += part.count(b"data: ")
-        if not first and b"data: " in part:
+    while chunk := await reader.read(65536):
+        events += chunk.count(b"data: ")
+        if not first and b"data: " in chunk:
             first = time.monotonic() - started
     writer.close()
     return events, first
 
 
-async def _streams(base: str, tokens: int) -> tuple[int, list[float]]:
-    done = await asyncio.gather(*(stream_events(base, at, tokens) for at in range(STREAMS)))
-    return sum(events for events, _ in done), sorted(first for _, first in done)
+async def _run_streams(base: str, tokens: int) -> tuple[int, list[float]]:
+    results = await asyncio.gather(*(stream_events(base, at, tokens) for at in range(STREAMS)))
+    return sum(events for events, _ in results), sorted(first for _, first in results)
 
 
 def _cost(base: str, pids: list[int]) -> tuple[float, float, float]:
     """Return processor seconds a chunk and a request, and the median first-token time."""
     points: list[tuple[float, float]] = []
     firsts: list[float] = []
-    asyncio.run(_streams(base, LENGTHS[0]))
+    asyncio.run(_run_streams(base, LENGTHS[0]))
     for tokens in LENGTHS * ROUNDS:
         before = sum(processor_seconds(pid) for pid in pids)
-        events, first = asyncio.run(_streams(base, tokens))
+        events, first = asyncio.run(_run_streams(base, tokens))
         used = sum(processor_seconds(pid) for pid in pids) - before
         if events != STREAMS * (tokens + 2):
             raise RuntimeError(f"{events} events for {STREAMS} streams of {tokens} tokens")
         points.append((events, used))
         firsts.extend(first)
-    chunk, at_none = slope(points)
-    return chunk, at_none / STREAMS, sorted(firsts)[len(firsts) // 2]
+    chunk, intercept = slope(points)
+    return chunk, intercept / STREAMS, sorted(firsts)[len(firsts) // 2]
 
 
-def far_router(fleet: LocalFleet) -> Router:
+def non_owner_router(fleet: LocalFleet) -> Router:
     """Return the router that does not own the engine."""
     state = fleet.routers[0].state()
     owner = next(each["owner"] for each in state["upstreams"] if each["name"] == "engine-0")
@@ -78,7 +78,7 @@
     """Measure, in one run, a router that owns the engine, one that asks its owner, a bare relay."""
     with LocalFleet(log_level="ERROR") as fleet:
         engine = fleet.add_backend(
-            "engine", "engine-0", "scene-language", "recife-1", slots=64, step=STEP
+            "engine", "engine-0", "scene-language", "recife-1", slots=64, step=TOKEN_INTERVAL
         )
         bare = subprocess.Popen(
             [sys.executable, "-m", "bench._bare_relay", engine.url],
@@ -91,18 +91,22 @@
             fleet.add_routers(["recife-1", "recife-1"])
             fleet.apply(ROOT / "bench/fleet.yaml")
             fleet.await_agreement(1)
-            far = far_router(fleet)
-            near = next(router for router in fleet.routers if router is not far)
-            direct = _cost(engine.url, [os.getpid()])
-            baseline = _cost(f"http://127.0.0.1:{line.split()[1]}", [bare.pid])
-            own = _cost(near.callers, [near.process.pid])
-            granted = _cost(far.callers, [near.process.pid, far.process.pid])
+            non_owner = non_owner_router(fleet)
+            owner = next(router for router in fleet.routers if router is not non_owner)
+            direct_cost = _cost(engine.url, [os.getpid()])
+            baseline_cost = _cost(f"http://127.0.0.1:{line.split()[1]}", [bare.pid])
+            owner_cost = _cost(owner.callers, [owner.process.pid])
+            non_owner_cost = _cost(non_owner.callers, [owner.process.pid, non_owner.process.pid])
         finally:
             bare.kill()
             bare.wait()
     against = "bare relay, same libraries, same run"
-    for name, cost in (("owner_itself", own), ("owner_elsewhere", granted)):
-        yield Measure(f"{name}.chunk_processor", cost[0] * 1e6, "us", baseline[0] * 1e6, against)
-        yield Measure(f"{name}.request_processor", cost[1] * 1e3, "ms", baseline[1] * 1e3, against)
-        added, bare_added = (each[2] - direct[2] for each in (cost, baseline))
+    for name, cost in (("owner_itself", owner_cost), ("owner_elsewhere", non_owner_cost)):
+        yield Measure(
+            f"{name}.chunk_processor", cost[0] * 1e6, "us", baseline_cost[0] * 1e6, against
+        )
+        yield Measure(
+            f"{name}.request_processor", cost[1] * 1e3, "ms", baseline_cost[1] * 1e3, against
+        )
+        added, bare_added = (each[2] - direct_cost[2] for each in (cost, baseline_cost))
         yield Measure(f"{name}.first_token_added", added * 1e3, "ms", bare_added * 1e3, against)
--- a/bench/_retries.py
+++ b/bench/_retries.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Iterator
 
-from bench._decisions import GrantsInPlace, InstantAnswer, new_state
+from bench._decisions import InstantAnswer, LocalGrants, new_state
 from bench._measures import Measure
 from pondhatch.limits import RetryBudget
 from pondhatch.requests import (
@@ -25,7 +25,7 @@
 REQUESTS = 5000
 
 
-class _HalfFailed:
+class _HalfFailingUpstreams:
     """Upstreams of which every second one loses or refuses all that it is sent."""
 
     def __init__(self) -> None:
@@ -43,26 +43,28 @@
 
 
 async def _send_all() -> tuple[int, int]:
-    upstreams = _HalfFailed()
+    upstreams = _HalfFailingUpstreams()
     state = new_state(1)
-    ways = Collaborators(GrantsInPlace(state), upstreams)
+    collaborators = Collaborators(LocalGrants(state), upstreams)
     budget = RetryBudget()
     rng = random.Random(3)
-    whole = 0
-    for at in range(REQUESTS):
+    answered = 0
+    for number in range(REQUESTS):
         head = RequestHead(
-            str(at), "a", "lang", rng.getrandbits(64), "POST", "/", (), True, 10.0, 5
+            str(number), "a", "lang", rng.getrandbits(64), "POST", "/", (), True, 10.0, 5
         )
-        walk = Dispatch(state, ways, budget, head, ReplayableBody(b""), lambda: 10.0)
-        ended = await walk.run()
-        if isinstance(ended, Placed):
-            ended.reply.answer.cancel()
-            whole += 1
-    return upstreams.sent, whole
+        dispatch = Dispatch(state, collaborators, budget, head, ReplayableBody(b""), lambda: 10.0)
+        outcome = await dispatch.run()
+        if isinstance(outcome, Placed):
+            outcome.reply.answer.cancel()
+            answered += 1
+    return upstreams.sent, answered
 
 
 def measure_retries() -> Iterator[Measure]:
     """Measure the requests sent to upstreams for each request that came."""
-    sent, whole = asyncio.run(_send_all())
+    sent, answered = asyncio.run(_send_all())
     yield Measure("retries.sent_half_failed", sent, "requests", REQUESTS, "requests that came")
-    yield Measure("retries.answered_half_failed", whole, "requests", REQUESTS, "requests that came")
+    yield Measure(
+        "retries.answered_half_failed", answered, "requests", REQUESTS, "requests that came"
+    )
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -36,19 +36,19 @@
 
 ENGINES = ("e0", "e1", "e2", "e3")
 SLOTS = 8
-BOUND = 1.25
+LOAD_BOUND = 1.25
 #: Mean seconds of a request; drawn exponentially.
 MEAN_SECONDS = 1.0
 ACCOUNTS = 10
 #: Requests a second of each account: together 75% of what the engines can do.
 RATE = 0.75 * len(ENGINES) * SLOTS / MEAN_SECONDS / ACCOUNTS
-SURGE = 10
+SURGE_FACTOR = 10
 SECONDS = 120.0
-PATIENCE = WaitLimits(0.2, 2.0)
+WAIT_LIMITS = WaitLimits(0.2, 2.0)
 DEADLINE = 30.0
 
 
-class _Timed:
+class _TimedAnswer:
     """An answer that takes its time."""
 
     status = 200
@@ -73,10 +73,10 @@
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
     ) -> AnswerStarted | NotRun | Unknown:
-        return AnswerStarted(_Timed(self._rng.expovariate(1 / MEAN_SECONDS)))
+        return AnswerStarted(_TimedAnswer(self._rng.expovariate(1 / MEAN_SECONDS)))
 
 
-class _NoSink:
+class _DiscardingSink:
     """A caller who takes everything."""
 
     def write(self, part: bytes) -> bool:
@@ -86,14 +86,14 @@
         """Return at once."""
 
 
-class _View:
+class _RouterView:
     """One router that owns all engines; see EntryView and OwnerView."""
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
 
     def target(self, engine: str) -> Target | None:
-        return Target(engine, "", OPEN, BOUND, len(ENGINES), SLOTS)
+        return Target(engine, "", OPEN, LOAD_BOUND, len(ENGINES), SLOTS)
 
     def note_served(self, chat: int, engine: str) -> None:
         """Remember nothing."""
@@ -136,29 +136,31 @@
         return False
 
 
-async def _answered(surge: int, seed: int) -> Counter[str]:
+async def _answered_by_account(surge_factor: int, seed: int) -> Counter[str]:
     """Return the requests answered by account, the first of which surges."""
     rng = random.Random(seed)
     clock = asyncio.get_running_loop().time
     gate = Gate()
-    view = _View(gate)
+    view = _RouterView(gate)
     owner = LocalOwner("r0", view, gate, ContextLocations(), clock, Health())
-    ways = Collaborators(
+    collaborators = Collaborators(
         EntryGrants("r0", short_id("r0"), owner, lambda *_: None, 0), _Engines(rng)
     )
     budget = RetryBudget()
     answered: Counter[str] = Counter()
 
     async def request(account: str, number: int) -> None:
-        until = clock() + DEADLINE
+        deadline = clock() + DEADLINE
         head = RequestHead(
             f"{account}-{number}", account, "s", 0, "POST", "/", (), True, DEADLINE, 5
         )
         body = ReplayableBody(b"")
-        walk = Dispatch(view, ways, budget, head, body, lambda: until - clock(), PATIENCE)
-        placed = await walk.run()
+        dispatch = Dispatch(
+            view, collaborators, budget, head, body, lambda: deadline - clock(), WAIT_LIMITS
+        )
+        placed = await dispatch.run()
         if isinstance(placed, Placed):
-            await Delivery(walk, placed, _NoSink()).run()
+            await Delivery(dispatch, placed, _DiscardingSink()).run()
             answered[account] += 1
 
     async def send(account: str, rate: float) -> None:
@@ -172,7 +174,7 @@
             running.append(asyncio.ensure_future(request(account, number)))
         await asyncio.gather(*running)
 
-    rates = {f"a{at}": RATE * (surge if at == 0 else 1) for at in range(ACCOUNTS)}
+    rates = {f"a{at}": RATE * (surge_factor if at == 0 else 1) for at in range(ACCOUNTS)}
     await asyncio.gather(*(send(account, rate) for account, rate in rates.items()))
     return answered
 
@@ -180,8 +182,8 @@
 def measure_surge() -> Iterator[Measure]:
     """Measure the others' throughput with and without one account's surge."""
     for seed in (1, 2, 3):
-        calm = run_virtually(_answered(1, seed))
-        surge = run_virtually(_answered(SURGE, seed))
+        calm = run_virtually(_answered_by_account(1, seed))
+        surge = run_virtually(_answered_by_account(SURGE_FACTOR, seed))
         others = [sum(n for a, n in each.items() if a != "a0") for each in (calm, surge)]
         against = "the same without the surge"
         yield Measure(f"surge.others_{seed}", others[1], "requests answered", others[0], against)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bench._chats import Load, Tally, send_chats
+from bench._chats import ChatLoad, Tally, send_chats
 from fakes._local_fleet import ROOT, LocalFleet, fetch
 
 ROUTERS = 8
@@ -90,12 +90,12 @@
 def measure(fleet: LocalFleet, user: User) -> Report:
     """Send a user's chats and plain requests, and read off what happened."""
     keys = tuple(f"example-{account}" for account in user.accounts)
-    load = Load(user.model, keys, chats=60, turns=5, at_once=20)
+    load = ChatLoad(user.model, keys, chats=60, turns=5, concurrency=20)
     before = [_counters(router) for router in fleet.routers]
     started = time.monotonic()
     tally = asyncio.run(send_chats([router.callers for router in fleet.routers], load))
     plain_sent = 40
-    plain_whole = sum(_plain(fleet, user, keys[0], at) for at in range(plain_sent))
+    plain_whole = sum(_is_plain_answer_whole(fleet, user, keys[0], at) for at in range(plain_sent))
     seconds = time.monotonic() - started
     rates = [
         (sum(_counters(router)) - sum(old)) / seconds
@@ -119,11 +119,13 @@
     print(f"  refused, not run        {tally.refused or 'none'}")
     print(f"  broken or wrong         {tally.bad or 'none'}")
     print(f"  plain answers whole     {report.plain_whole} of {report.plain_sent}")
-    print(f"  returning chats         {tally.found} of {tally.returning} found their context")
+    print(
+        f"  returning chats         {tally.context_found} of {tally.returning} found their context"
+    )
     print(f"  reuse                   {tally.reuse:.3f}")
     print(f"  skew over the run       {report.skew:.2f} (most requests at one engine over mean)")
-    mean, most = report.control
-    print(f"  control per router      {mean:.0f} B/s, most {most:.0f} B/s (sent and received)")
+    mean, largest = report.control
+    print(f"  control per router      {mean:.0f} B/s, most {largest:.0f} B/s (sent and received)")
 
 
 def main() -> int:
@@ -148,7 +150,7 @@
     return state["gossip_bytes_sent"], state["gossip_bytes_received"]
 
 
-def _plain(fleet: LocalFleet, user: User, key: str, at: int) -> bool:
+def _is_plain_answer_whole(fleet: LocalFleet, user: User, key: str, at: int) -> bool:
     router = fleet.routers[at % len(fleet.routers)]
     body = f"asset {at}".encode()
     request = urllib.request.Request(
--- a/fakes/tests/test_recovery.py
+++ b/fakes/tests/test_recovery.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import ClassVar
 
-from bench._chats import Load, Tally, send_chats
+from bench._chats import ChatLoad, Tally, send_chats
 from fakes._local_fleet import fetch
 from fakes.tests._fleet_case import KEY, FleetCase
 
@@ -26,7 +26,7 @@
     def under_load(self, entries: list[int], chats: int = 40) -> tuple[threading.Thread, Tally]:
         """Start chats through some routers; the tally is filled when the thread ends."""
         bases = [self.fleet.routers[at].callers for at in entries]
-        load = Load("scene-writer", (KEY,), chats=chats, turns=4, at_once=8, pause=0.5)
+        load = ChatLoad("scene-writer", (KEY,), chats=chats, turns=4, concurrency=8, pause=0.5)
         tally = Tally()
 
         def send() -> None:
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -38,13 +38,13 @@
     """
     plans = [draw_plan(seed + at, minutes * 60, routers, load) for at in range(seeds)]
     if regressions:
-        kept = tomllib.loads(REGRESSIONS.read_text())["run"]
+        recorded = tomllib.loads(REGRESSIONS.read_text())["run"]
         plans = [
             draw_plan(each["seed"], each["minutes"] * 60, each["routers"], each.get("load", False))
-            for each in kept
+            for each in recorded
         ]
     broken = [plan.seed for plan in plans if not _is_clean(plan)]
-    print(f"{len(plans) - len(broken)} clean, {len(broken)} broken{_listed(broken)}")
+    print(f"{len(plans) - len(broken)} clean, {len(broken)} broken{_format_seeds(broken)}")
     sys.exit(1 if broken else 0)
 
 
@@ -63,12 +63,12 @@
         "faults": dict(Counter(each.kind for each in plan.faults)),
         "attempts": len(records.attempts),
         "statuses": dict(sorted(statuses.items())),
-        "said_leaving": sum(each.said_leaving for each in records.arrivals),
-        "asked_for_rest": sum(each.rest > 0 for each in records.arrivals),
+        "said_leaving": sum(each.announced_leaving for each in records.arrivals),
+        "asked_for_rest": sum(each.rest_seconds > 0 for each in records.arrivals),
     }
 
 
-def _listed(seeds: list[int]) -> str:
+def _format_seeds(seeds: list[int]) -> str:
     return f": {', '.join(map(str, seeds))}" if seeds else ""
 
 
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -25,15 +25,15 @@
 #: and the system hold for one connection.
 LARGE_BODY = BODY * 100_000
 #: Bytes that such a caller reads at once.
-SLOW_PART_BYTES = 32 * 1024
+SLOW_CHUNK_BYTES = 32 * 1024
 #: Seconds between two of its reads.
 SLOW_PAUSE = 0.05
 #: Milliseconds that a caller waits, and seconds after which it gives a silent router up.
 DEADLINE_MS = 4000
-PATIENCE = 6.0
+ANSWER_TIMEOUT = 6.0
 #: Seconds between two requests of one caller, on average, and in a burst.
-PAUSE, BURST_PAUSE = 0.25, 0.05
-PART_BYTES = 64 * 1024
+MEAN_PAUSE, MEAN_BURST_PAUSE = 0.25, 0.05
+CHUNK_BYTES = 64 * 1024
 
 
 class Caller:
@@ -47,13 +47,13 @@
         #: Whether it sends many times its usual.
         self.is_in_burst = False
         #: Faults under way that have it read slowly.
-        self.slow_faults = 0
+        self.slow_read_faults = 0
 
     async def run(self) -> None:
         """Send until cancelled."""
         try:
             while True:
-                pause = BURST_PAUSE if self.is_in_burst else PAUSE
+                pause = MEAN_BURST_PAUSE if self.is_in_burst else MEAN_PAUSE
                 await asyncio.sleep(self._rng.expovariate(1 / pause))
                 await self._send()
         finally:
@@ -64,22 +64,24 @@
             reader, writer = self._streams or await self._connect()
         except OSError:
             return
-        route, attempt = self._rng.choice(ROUTES), uuid.uuid4().hex[:16]
-        found = Attempt(attempt, route, self._router, time.monotonic(), 0.0)
-        answer = _Answer(self.slow_faults > 0 and not route.is_stream)
+        route, attempt_id = self._rng.choice(ROUTES), uuid.uuid4().hex[:16]
+        started = Attempt(attempt_id, route, self._router, time.monotonic(), 0.0)
+        answer = _Answer(self.slow_read_faults > 0 and not route.is_stream)
         with contextlib.suppress(OSError, TimeoutError, h11.ProtocolError):
-            async with asyncio.timeout(PATIENCE):
-                await answer.read(reader, writer, route, attempt)
+            async with asyncio.timeout(ANSWER_TIMEOUT):
+                await answer.read(reader, writer, route, attempt_id)
         if not answer.keeps_connection:
             self._close()
-        self._fleet.records.attempts.append(answer.noted(found))
+        self._fleet.records.attempts.append(answer.finished_attempt(started))
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        up = [each for each in self._fleet.routers if each.name not in self._fleet.down]
-        router = self._rng.choice(up or self._fleet.routers)
+        running = [
+            each for each in self._fleet.routers if each.name not in self._fleet.down_routers
+        ]
+        router = self._rng.choice(running or self._fleet.routers)
         host, _, port = router.clients.removeprefix("http://").rpartition(":")
         self._router = router.name
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(ANSWER_TIMEOUT):
             self._streams = await asyncio.open_connection(host, int(port))
         return self._streams
 
@@ -105,19 +107,19 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         route: Route,
-        attempt: str,
+        attempt_id: str,
     ) -> None:
         """Send a request and read its answer. Raises OSError and h11.ProtocolError."""
         http = h11.Connection(h11.CLIENT)
         body = LARGE_BODY if self._is_slow else BODY
-        parts = [_request(route, attempt, len(body)), h11.Data(data=body), h11.EndOfMessage()]
+        parts = [_request(route, attempt_id, len(body)), h11.Data(data=body), h11.EndOfMessage()]
         for part in parts:
             writer.write(http.send(part) or b"")
         await writer.drain()
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
-                http.receive_data(await self._read_part(reader))
+                http.receive_data(await self._read_chunk(reader))
             elif isinstance(event, h11.Response):
                 self._status = event.status_code
                 values = dict(event.headers)
@@ -131,19 +133,19 @@
             else:
                 return
 
-    async def _read_part(self, reader: asyncio.StreamReader) -> bytes:
+    async def _read_chunk(self, reader: asyncio.StreamReader) -> bytes:
         if not self._is_slow:
-            return await reader.read(PART_BYTES)
+            return await reader.read(CHUNK_BYTES)
         await asyncio.sleep(SLOW_PAUSE)
-        return await reader.read(SLOW_PART_BYTES)
+        return await reader.read(SLOW_CHUNK_BYTES)
 
-    def noted(self, begun: Attempt) -> Attempt:
+    def finished_attempt(self, started: Attempt) -> Attempt:
         """Return the attempt with what became of it."""
         return Attempt(
-            begun.id,
-            begun.route,
-            begun.router,
-            begun.sent_at,
+            started.id,
+            started.route,
+            started.router,
+            started.sent_at,
             time.monotonic(),
             self._status,
             self._signature,
@@ -153,10 +155,10 @@
         )
 
 
-def _request(route: Route, attempt: str, length: int) -> h11.Request:
+def _request(route: Route, attempt_id: str, length: int) -> h11.Request:
     headers = [
         ("Host", "desk.example"),
-        ("Attempt-Id", attempt),
+        ("Attempt-Id", attempt_id),
         ("Authorization", f"Bearer {KEY}"),
         ("Deadline-Ms", str(DEADLINE_MS)),
         ("Content-Length", str(length)),
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -10,17 +10,17 @@
 from soak._records import Arrival, Attempt, Records
 
 #: Statuses by which a router promises that a request has not run and never will.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 #: Seconds after an answer that says so in which an engine that leaves may still get requests.
-DRAIN_SECONDS = 2.0
+LEAVING_GRACE = 2.0
 #: Seconds after an answer that asks for rest in which what is under way may still come.
 REST_GRACE = 0.5
 #: Requests that may still reach an engine within a rest that it asked a router for.
-MOST_IN_REST = 2
+MAX_REQUESTS_IN_REST = 2
 #: Seconds after a disturbance in which it may still show.
-AFTERMATH = 1.0
+AFTER_EFFECT_SECONDS = 1.0
 #: Share of the requests of the calm end that must be served.
-SERVED_SHARE = 0.9
+MIN_SERVED_SHARE = 0.9
 OK = 200
 WHOLE_STREAM = b"".join(b"id: %d\ndata: %d\n\n" % (at, at) for at in range(1, EVENTS + 1))
 
@@ -51,7 +51,7 @@
     return [
         f"{each.id} was answered {each.status} by {each.router}, and ran"
         for each in records.attempts
-        if each.status in PROMISES and not each.signature and each.id in ran
+        if each.status in NOT_RUN_STATUSES and not each.signature and each.id in ran
         if not each.route.is_repeatable
     ]
 
@@ -61,15 +61,17 @@
     attempt_by_id = {each.id: each for each in records.attempts}
     found = []
     for engine, arrivals in _by_engine(records).items():
-        told = _told_at(arrivals, attempt_by_id)
+        known_since = _leaving_known_since(arrivals, attempt_by_id)
         for each in arrivals:
             attempt = attempt_by_id.get(each.id)
-            since = told.get(attempt.router) if attempt is not None else None
-            if attempt is None or since is None or attempt.sent_at <= since + DRAIN_SECONDS:
+            since = known_since.get(attempt.router) if attempt is not None else None
+            if attempt is None or since is None or attempt.sent_at <= since + LEAVING_GRACE:
                 continue
             if not records.is_disturbed(attempt.router, since, attempt.sent_at):
-                late = attempt.sent_at - since
-                found.append(f"{each.id} reached {engine} {late:.2f} s after {attempt.router} knew")
+                delay = attempt.sent_at - since
+                found.append(
+                    f"{each.id} reached {engine} {delay:.2f} s after {attempt.router} knew"
+                )
     return found
 
 
@@ -78,19 +80,24 @@
     router_by_id = {each.id: each.router for each in records.attempts}
     found = []
     for engine, arrivals in _by_engine(records).items():
-        for said in arrivals:
-            router = router_by_id.get(said.id)
-            if said.rest <= 0 or said.answered_at is None or router is None:
+        for rest_request in arrivals:
+            router = router_by_id.get(rest_request.id)
+            if rest_request.rest_seconds <= 0 or rest_request.answered_at is None or router is None:
                 continue
-            begins, ends = said.answered_at + REST_GRACE, said.answered_at + said.rest
-            late = [
+            begins, ends = (
+                rest_request.answered_at + REST_GRACE,
+                rest_request.answered_at + rest_request.rest_seconds,
+            )
+            arrived_in_rest = [
                 each
                 for each in arrivals
-                if begins < each.came_at < ends and router_by_id.get(each.id) == router
+                if begins < each.arrived_at < ends and router_by_id.get(each.id) == router
             ]
-            is_excused = records.is_disturbed(router, said.answered_at, ends)
-            if len(late) > MOST_IN_REST and not is_excused:
-                found.append(f"{engine} asked {router} for rest and got {len(late)} requests")
+            is_excused = records.is_disturbed(router, rest_request.answered_at, ends)
+            if len(arrived_in_rest) > MAX_REQUESTS_IN_REST and not is_excused:
+                found.append(
+                    f"{engine} asked {router} for rest and got {len(arrived_in_rest)} requests"
+                )
     return found
 
 
@@ -105,9 +112,11 @@
             continue
         for each in records.attempts:
             is_lost = each.router == stop.name and not each.is_whole
-            was_there = is_lost and stop.begins - AFTERMATH <= each.ended_at <= stop.ends
-            passed_on = arrivals_by_id[each.id]
-            if was_there and passed_on and not _is_excused(records, each, passed_on):
+            ended_during_stop = (
+                is_lost and stop.begins - AFTER_EFFECT_SECONDS <= each.ended_at <= stop.ends
+            )
+            forwarded = arrivals_by_id[each.id]
+            if ended_during_stop and forwarded and not _is_excused(records, each, forwarded):
                 found.append(f"{each.id} was lost as {stop.name} stopped, {each.status}")
     return found
 
@@ -116,29 +125,31 @@
     """Check that a router never goes back to an older configuration while it lives."""
     newest: dict[tuple[str, int], int] = {}
     found = []
-    for each in sorted(records.versions, key=lambda each: each.at):
-        life = (each.router, each.life)
-        if each.version < newest.get(life, 0):
-            found.append(f"{each.router} went back from {newest[life]} to {each.version}")
-        newest[life] = max(newest.get(life, 0), each.version)
+    for each in sorted(records.versions, key=lambda each: each.observed_at):
+        process = (each.router, each.restarts)
+        if each.version < newest.get(process, 0):
+            found.append(f"{each.router} went back from {newest[process]} to {each.version}")
+        newest[process] = max(newest.get(process, 0), each.version)
     return found
 
 
 def recovery(records: Records) -> list[str]:
     """Check that nearly all is served once the faults are over."""
-    if math.isinf(records.recovered_at):
+    if math.isinf(records.recovery_deadline):
         return []
-    tail = [each for each in records.attempts if each.sent_at >= records.recovered_at]
+    tail = [each for each in records.attempts if each.sent_at >= records.recovery_deadline]
     served = sum(each.status == OK and each.is_whole for each in tail)
-    if served >= SERVED_SHARE * len(tail) and tail:
+    if served >= MIN_SERVED_SHARE * len(tail) and tail:
         return []
-    kinds = Counter(each.status for each in tail if not (each.status == OK and each.is_whole))
-    return [f"{served} of {len(tail)} were served in the end; the others {dict(kinds)}"]
+    status_counts = Counter(
+        each.status for each in tail if not (each.status == OK and each.is_whole)
+    )
+    return [f"{served} of {len(tail)} were served in the end; the others {dict(status_counts)}"]
 
 
 def lives(records: Records) -> list[str]:
     """Check that no process ended by itself."""
-    return [f"{name} ended by itself" for name in records.ended_by_themselves]
+    return [f"{name} ended by itself" for name in records.unexpected_exits]
 
 
 def errors(records: Records) -> list[str]:
@@ -175,22 +186,26 @@
     return found
 
 
-def _told_at(arrivals: list[Arrival], attempt_by_id: dict[str, Attempt]) -> dict[str, float]:
+def _leaving_known_since(
+    arrivals: list[Arrival], attempt_by_id: dict[str, Attempt]
+) -> dict[str, float]:
     """Return when each router had first passed on an answer that said that its engine leaves."""
-    told: dict[str, float] = {}
+    known_since: dict[str, float] = {}
     for each in arrivals:
         attempt = attempt_by_id.get(each.id)
-        if attempt is None or not each.said_leaving or not attempt.is_whole:
+        if attempt is None or not each.announced_leaving or not attempt.is_whole:
             continue
         if attempt.signature.startswith(f"{each.engine}."):
-            told[attempt.router] = min(told.get(attempt.router, attempt.ended_at), attempt.ended_at)
-    return told
+            known_since[attempt.router] = min(
+                known_since.get(attempt.router, attempt.ended_at), attempt.ended_at
+            )
+    return known_since
 
 
-def _is_excused(records: Records, attempt: Attempt, passed_on: list[Arrival]) -> bool:
+def _is_excused(records: Records, attempt: Attempt, forwarded: list[Arrival]) -> bool:
     """Return whether something else than the stop may have lost an answer."""
-    begins, ends = attempt.sent_at - AFTERMATH, attempt.ended_at + AFTERMATH
-    struck = [each for each in records.disturbances if each.kind != "stop"]
-    others = Records(disturbances=struck)
-    names = {attempt.router, *(each.engine for each in passed_on)}
-    return any(others.is_disturbed(name, begins, ends) for name in names)
+    begins, ends = attempt.sent_at - AFTER_EFFECT_SECONDS, attempt.ended_at + AFTER_EFFECT_SECONDS
+    other_disturbances = [each for each in records.disturbances if each.kind != "stop"]
+    other_records = Records(disturbances=other_disturbances)
+    names = {attempt.router, *(each.engine for each in forwarded)}
+    return any(other_records.is_disturbed(name, begins, ends) for name in names)
--- a/soak/_records.py
+++ b/soak/_records.py
@@ -43,14 +43,14 @@
 
     id: str
     engine: str
-    came_at: float
+    arrived_at: float
     #: When its answer's head went out; None where none did.
     answered_at: float | None
     ran: bool
     #: Whether its answer said that the engine leaves.
-    said_leaving: bool
+    announced_leaving: bool
     #: Seconds of rest that its answer asked for.
-    rest: float
+    rest_seconds: float
 
 
 @dataclass(frozen=True)
@@ -65,13 +65,13 @@
 
 
 @dataclass(frozen=True)
-class Version:
+class ObservedVersion:
     """The configuration that a router said to have in force."""
 
     router: str
     #: Counts the starts of the router's process.
-    life: int
-    at: float
+    restarts: int
+    observed_at: float
     version: int
 
 
@@ -82,13 +82,13 @@
     attempts: list[Attempt] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
-    versions: list[Version] = field(default_factory=list)
+    versions: list[ObservedVersion] = field(default_factory=list)
     #: Processes that ended though nobody ended them.
-    ended_by_themselves: list[str] = field(default_factory=list)
+    unexpected_exits: list[str] = field(default_factory=list)
     #: Errors that processes told of in what they write.
     errors: list[str] = field(default_factory=list)
     #: From when on nearly all must be served; infinite where that was not waited for.
-    recovered_at: float = float("inf")
+    recovery_deadline: float = float("inf")
 
     def is_disturbed(self, name: str, begins: float, ends: float) -> bool:
         """Return whether something was done to one of the processes in a time."""
--- a/soak/_relay.py
+++ b/soak/_relay.py
@@ -6,10 +6,10 @@
 from typing import Final
 
 HOST: Final = "127.0.0.1"
-PART_BYTES = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 
 
-class _Line:
+class _Connection:
     """One connection to the relay and the one that it opened for it."""
 
     def __init__(self, writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]) -> None:
@@ -30,11 +30,11 @@
         #: Seconds by which every part is late.
         self.delay = 0.0
         self.port = 0
-        self._lines: set[_Line] = set()
+        self._connections: set[_Connection] = set()
         #: Set while parts pass: from whoever connected, and back.
-        self._open = (asyncio.Event(), asyncio.Event())
-        for way in self._open:
-            way.set()
+        self._unblocked = (asyncio.Event(), asyncio.Event())
+        for event in self._unblocked:
+            event.set()
         self._server: asyncio.Server | None = None
 
     @property
@@ -55,51 +55,55 @@
 
     def reset(self) -> None:
         """Reset all connections that are open now."""
-        for line in tuple(self._lines):
-            line.abort()
+        for connection in tuple(self._connections):
+            connection.abort()
 
     def silence(self) -> None:
         """Pass nothing more on the connections that are open now; new ones work."""
-        for line in self._lines:
-            line.is_silent = True
+        for connection in self._connections:
+            connection.is_silent = True
 
-    def hold(self, way: int) -> None:
+    def block(self, direction: int) -> None:
         """Hold back what passes in one direction, on all connections, until released."""
-        self._open[way].clear()
+        self._unblocked[direction].clear()
 
-    def release(self, way: int) -> None:
+    def unblock(self, direction: int) -> None:
         """Pass on what was held back, and what comes."""
-        self._open[way].set()
+        self._unblocked[direction].set()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        line = _Line((writer, far_writer))
-        self._lines.add(line)
-        ways = ((reader, far_writer, 0), (far_reader, writer, 1))
+        connection = _Connection((writer, target_writer))
+        self._connections.add(connection)
+        flows = ((reader, target_writer, 0), (target_reader, writer, 1))
         try:
-            await asyncio.gather(*(self._pump(line, *way) for way in ways))
+            await asyncio.gather(*(self._pump(connection, *flow) for flow in flows))
         finally:
-            self._lines.discard(line)
-            line.abort()
+            self._connections.discard(connection)
+            connection.abort()
 
     async def _pump(
-        self, line: _Line, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: int
+        self,
+        connection: _Connection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        direction: int,
     ) -> None:
         try:
-            while part := await reader.read(PART_BYTES):
-                await self._open[way].wait()
+            while chunk := await reader.read(CHUNK_BYTES):
+                await self._unblocked[direction].wait()
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                if line.is_silent:
+                if connection.is_silent:
                     continue
-                writer.write(part)
+                writer.write(chunk)
                 await writer.drain()
-            if not line.is_silent and writer.can_write_eof():
+            if not connection.is_silent and writer.can_write_eof():
                 writer.write_eof()
         except OSError:
             # The other side of a reset connection hears a reset as well.
-            line.abort()
+            connection.abort()
--- a/soak/tests/test_checks.py
+++ b/soak/tests/test_checks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from soak._checks import CHECK_BY_NAME, WHOLE_STREAM, violations
-from soak._records import Arrival, Attempt, Disturbance, Records, Route, Version
+from soak._records import Arrival, Attempt, Disturbance, ObservedVersion, Records, Route
 
 STREAM = Route("/notes/a", is_repeatable=True, is_stream=True)
 ONCE = Route("/proofs/a", is_repeatable=False, is_stream=False)
@@ -31,80 +31,86 @@
 
 
 class ChecksTest(unittest.TestCase):
-    def broken(self, **records: Any) -> set[str]:
+    def violated_checks(self, **records: Any) -> set[str]:
         return {each.partition(":")[0] for each in violations(Records(**records))}
 
-    def test_what_keeps_all_promises_breaks_none(self) -> None:
+    def test_a_run_that_keeps_all_promises_passes(self) -> None:
         attempts = [attempt("a"), attempt("b", STREAM), refusal("c")]
         arrivals = [arrival("a"), arrival("b"), arrival("b", at=10.07)]
-        self.assertEqual(self.broken(attempts=attempts, arrivals=arrivals), set())
+        self.assertEqual(self.violated_checks(attempts=attempts, arrivals=arrivals), set())
 
     def test_whole_answers(self) -> None:
         for changes in ({"body": b"body by f"}, {"signature": "e.other"}, {"signature": ""}):
             with self.subTest(changes):
-                self.assertEqual(self.broken(attempts=[attempt("a", **changes)]), {"whole answers"})
+                self.assertEqual(
+                    self.violated_checks(attempts=[attempt("a", **changes)]), {"whole answers"}
+                )
         cut = attempt("a", STREAM, body=WHOLE_STREAM[:-1])
-        self.assertEqual(self.broken(attempts=[cut]), {"whole answers"})
-        self.assertEqual(self.broken(attempts=[replace(cut, is_whole=False)]), set())
+        self.assertEqual(self.violated_checks(attempts=[cut]), {"whole answers"})
+        self.assertEqual(self.violated_checks(attempts=[replace(cut, is_whole=False)]), set())
 
     def test_at_most_once(self) -> None:
         twice = [arrival("a"), arrival("a", engine="f")]
-        self.assertEqual(self.broken(attempts=[attempt("a")], arrivals=twice), {"at most once"})
+        self.assertEqual(
+            self.violated_checks(attempts=[attempt("a")], arrivals=twice), {"at most once"}
+        )
         refused = [arrival("a"), arrival("a", ran=False)]
-        self.assertEqual(self.broken(attempts=[attempt("a")], arrivals=refused), set())
+        self.assertEqual(self.violated_checks(attempts=[attempt("a")], arrivals=refused), set())
 
     def test_true_refusals(self) -> None:
-        found = self.broken(attempts=[refusal("a")], arrivals=[arrival("a")])
+        found = self.violated_checks(attempts=[refusal("a")], arrivals=[arrival("a")])
         self.assertEqual(found, {"true refusals"})
-        found = self.broken(attempts=[refusal("a")], arrivals=[arrival("a", ran=False)])
+        found = self.violated_checks(attempts=[refusal("a")], arrivals=[arrival("a", ran=False)])
         self.assertEqual(found, set())
 
     def test_leaving_engines(self) -> None:
-        told = attempt("a"), arrival("a", said_leaving=True)
+        first = attempt("a"), arrival("a", announced_leaving=True)
         for sent_at, breaks in ((11.9, False), (12.2, True)):
             late = attempt("b", at=sent_at), arrival("b", at=sent_at + 0.05)
-            records = {"attempts": [told[0], late[0]], "arrivals": [told[1], late[1]]}
+            records = {"attempts": [first[0], late[0]], "arrivals": [first[1], late[1]]}
             with self.subTest(sent_at=sent_at):
-                self.assertEqual(bool(self.broken(**records)), breaks)
+                self.assertEqual(bool(self.violated_checks(**records)), breaks)
                 freeze = Disturbance("freeze", "r", 11.0, 11.5)
-                self.assertFalse(self.broken(**records, disturbances=[freeze]))
+                self.assertFalse(self.violated_checks(**records, disturbances=[freeze]))
 
     def test_resting_engines(self) -> None:
-        asked = arrival("a", ran=False, rest=3.0)
+        asked = arrival("a", ran=False, rest_seconds=3.0)
         for times, breaks in (((10.2, 10.3, 10.4), False), ((11.0, 11.0, 12.9), True)):
             later = {f"b{at}": when for at, when in enumerate(times)}
             attempts = [refusal("a"), *(attempt(name, STREAM, at) for name, at in later.items())]
             arrivals = [asked, *(arrival(name, at) for name, at in later.items())]
             with self.subTest(times=times):
-                found = self.broken(attempts=attempts, arrivals=arrivals)
+                found = self.violated_checks(attempts=attempts, arrivals=arrivals)
                 self.assertEqual(found, {"resting engines"} if breaks else set())
 
     def test_planned_stops(self) -> None:
         lost = attempt("a", status=None, is_whole=False, ended_at=11.0)
         stop = Disturbance("stop", "r", 10.5, 12.0)
         records: dict[str, Any] = {"attempts": [lost], "arrivals": [arrival("a")]}
-        self.assertEqual(self.broken(**records, disturbances=[stop]), {"planned stops"})
+        self.assertEqual(self.violated_checks(**records, disturbances=[stop]), {"planned stops"})
         crash = Disturbance("engine-crash", "e", 10.6, 10.7)
-        self.assertEqual(self.broken(**records, disturbances=[stop, crash]), set())
+        self.assertEqual(self.violated_checks(**records, disturbances=[stop, crash]), set())
 
     def test_configuration_goes_on(self) -> None:
-        versions = [Version("r", 0, 1.0, 8), Version("r", 0, 2.0, 7)]
-        self.assertEqual(self.broken(versions=versions), {"configuration goes on"})
-        again = [versions[0], Version("r", 1, 2.0, 7)]
-        self.assertEqual(self.broken(versions=again), set())
+        versions = [ObservedVersion("r", 0, 1.0, 8), ObservedVersion("r", 0, 2.0, 7)]
+        self.assertEqual(self.violated_checks(versions=versions), {"configuration goes on"})
+        after_restart = [versions[0], ObservedVersion("r", 1, 2.0, 7)]
+        self.assertEqual(self.violated_checks(versions=after_restart), set())
 
     def test_recovery(self) -> None:
         tail = [*(attempt(f"a{at}", at=21.0) for at in range(8)), refusal("b"), refusal("c")]
         late = [replace(each, sent_at=21.0) for each in tail]
-        self.assertEqual(self.broken(attempts=late, recovered_at=20.0), {"recovery"})
-        self.assertEqual(self.broken(attempts=late[:9], recovered_at=20.0), {"recovery"})
-        self.assertEqual(self.broken(attempts=late[:8], recovered_at=20.0), set())
+        self.assertEqual(self.violated_checks(attempts=late, recovery_deadline=20.0), {"recovery"})
+        self.assertEqual(
+            self.violated_checks(attempts=late[:9], recovery_deadline=20.0), {"recovery"}
+        )
+        self.assertEqual(self.violated_checks(attempts=late[:8], recovery_deadline=20.0), set())
 
     def test_lives(self) -> None:
-        self.assertEqual(self.broken(ended_by_themselves=["r"]), {"lives"})
+        self.assertEqual(self.violated_checks(unexpected_exits=["r"]), {"lives"})
 
     def test_errors(self) -> None:
-        self.assertEqual(self.broken(errors=["KeyError: 1", "KeyError: 1"]), {"errors"})
+        self.assertEqual(self.violated_checks(errors=["KeyError: 1", "KeyError: 1"]), {"errors"})
 
     def test_every_check_has_a_test(self) -> None:
         for name in CHECK_BY_NAME:
