--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the real programs: drawn faults from outside, promises checked from outside."""
+"""A soak test of the real programs: injects drawn faults and checks promises from outside."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -27,14 +27,14 @@
     load: bool = False,
     regressions: bool = False,
 ) -> None:
-    """Run one seed after the other, and say what broke a promise.
+    """Run one seed after the other, and print the violated promises.
 
     :param seed: the first seed
-    :param seeds: how many, counted up from it
-    :param minutes: for how long faults begin, in each
+    :param seeds: how many seeds, counted up from the first
+    :param minutes: for how long faults begin, in each run
     :param routers: the most routers that a seed may draw
-    :param load: have the routers manage load, and draw faults of load beside the others
-    :param regressions: run each seed that ever broke a promise instead
+    :param load: have the routers manage load, and draw load faults in addition
+    :param regressions: run the recorded seeds instead, each of which once broke a promise
     """
     plans = [draw_plan(seed + at, minutes * 60, routers, load) for at in range(seeds)]
     if regressions:
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the router's process is gone."""
+"""Callers, each of which stays on one connection, and so at one router, until it closes."""
 
 from __future__ import annotations
 
@@ -21,36 +21,36 @@
 )
 KEY = "key-1"
 BODY = b"body"
-#: Sent by a caller that reads slowly to a plain service, which gives it back: more than a router
-#: and the system hold for one connection.
+#: Sent by a slowly reading caller to a plain service, which echoes it: more than a router and the
+#: kernel buffer for one connection.
 LARGE_BODY = BODY * 100_000
-#: Bytes that such a caller reads at once.
+#: Bytes that a slowly reading caller reads at once.
 SLOW_CHUNK_BYTES = 32 * 1024
-#: Seconds between two of its reads.
+#: Seconds between two reads of a slowly reading caller.
 SLOW_PAUSE = 0.05
-#: Milliseconds that a caller waits, and seconds after which it gives a silent router up.
+#: Deadline sent with a request, in milliseconds, and seconds until a caller gives up on a router.
 DEADLINE_MS = 4000
 ANSWER_TIMEOUT = 6.0
-#: Seconds between two requests of one caller, on average, and in a burst.
+#: Mean seconds between two requests of one caller, normally and in a burst.
 MEAN_PAUSE, MEAN_BURST_PAUSE = 0.25, 0.05
 CHUNK_BYTES = 64 * 1024
 
 
 class Caller:
-    """One caller, who sends one request after the other."""
+    """A caller that sends one request after the other."""
 
     def __init__(self, fleet: SoakFleet, rng: random.Random) -> None:
         self._fleet = fleet
         self._rng = rng
         self._router = ""
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        #: Whether it sends many times its usual.
+        #: Whether it sends at the rate of a burst.
         self.is_in_burst = False
-        #: Faults under way that have it read slowly.
+        #: Number of current faults that make it read slowly.
         self.slow_read_faults = 0
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send requests until cancelled."""
         try:
             while True:
                 pause = MEAN_BURST_PAUSE if self.is_in_burst else MEAN_PAUSE
@@ -92,7 +92,7 @@
 
 
 class _Answer:
-    """One answer as far as it came."""
+    """One answer, as far as it was received."""
 
     def __init__(self, is_slow: bool = False) -> None:
         self.keeps_connection = False
@@ -140,7 +140,7 @@
         return await reader.read(SLOW_CHUNK_BYTES)
 
     def finished_attempt(self, started: Attempt) -> Attempt:
-        """Return the attempt with what became of it."""
+        """Return the attempt with its outcome."""
         return Attempt(
             started.id,
             started.route,
@@ -150,7 +150,7 @@
             self._status,
             self._signature,
             self._is_whole,
-            # Kept and checked as if it had asked for little.
+            # Recorded with the short body, so that checks need not know of slow reads.
             bytes(self._body).replace(LARGE_BODY, BODY, 1),
         )
 
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,4 +1,4 @@
-"""Promises, checked by what callers and engines saw; each returns what broke it."""
+"""Checks of the router's promises on the records of a run; each returns its violations."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from fakes._machines_engine import EVENTS
 from soak._records import Arrival, Attempt, Records
 
-#: Statuses by which a router promises that a request has not run and never will.
+#: Statuses by which a router promises that a request has not run and never will run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-#: Seconds after an answer that says so in which an engine that leaves may still get requests.
+#: Seconds after an answer that announced it during which a leaving engine may still get requests.
 LEAVING_GRACE = 2.0
-#: Seconds after an answer that asks for rest in which what is under way may still come.
+#: Seconds after an answer that asks for rest during which requests in flight may still arrive.
 REST_GRACE = 0.5
-#: Requests that may still reach an engine within a rest that it asked a router for.
+#: Most requests from one router that may reach an engine during a rest that it asked for.
 MAX_REQUESTS_IN_REST = 2
-#: Seconds after a disturbance in which it may still show.
+#: Seconds by which an attempt may miss a disturbance and still be affected by it.
 AFTER_EFFECT_SECONDS = 1.0
-#: Share of the requests of the calm end that must be served.
+#: Least share of the requests after the recovery that must be served.
 MIN_SERVED_SHARE = 0.9
 OK = 200
 WHOLE_STREAM = b"".join(b"id: %d\ndata: %d\n\n" % (at, at) for at in range(1, EVENTS + 1))
 
 
 def whole_answers(records: Records) -> list[str]:
-    """Check that a success is one engine's whole answer to that very request."""
+    """Check that a successful answer is complete, from one engine, and to the request sent."""
     found = []
     for each in records.attempts:
         if each.status != OK or not each.is_whole:
@@ -39,14 +39,14 @@
 
 
 def at_most_once(records: Records) -> list[str]:
-    """Check that what may not be repeated ran once at most."""
+    """Check that a request that may not be repeated ran at most once."""
     runs = Counter(each.id for each in records.arrivals if each.ran)
     once = [each.id for each in records.attempts if not each.route.is_repeatable]
     return [f"{each} ran {runs[each]} times" for each in once if runs[each] > 1]
 
 
 def true_refusals(records: Records) -> list[str]:
-    """Check that what a router said not to have run has not run."""
+    """Check that a request that a router refused as not run did not run."""
     ran = {each.id for each in records.arrivals if each.ran}
     return [
         f"{each.id} was answered {each.status} by {each.router}, and ran"
@@ -57,7 +57,7 @@
 
 
 def leaving_engines(records: Records) -> list[str]:
-    """Check that a router that was told by an engine that it leaves sends it nothing new."""
+    """Check that a router sends no new requests to an engine that told it that it leaves."""
     attempt_by_id = {each.id: each for each in records.attempts}
     found = []
     for engine, arrivals in _by_engine(records).items():
@@ -76,7 +76,7 @@
 
 
 def resting_engines(records: Records) -> list[str]:
-    """Check that an engine that asked a router for rest gets it."""
+    """Check that a router sends hardly any requests to an engine that asked it for rest."""
     router_by_id = {each.id: each.router for each in records.attempts}
     found = []
     for engine, arrivals in _by_engine(records).items():
@@ -102,7 +102,7 @@
 
 
 def planned_stops(records: Records) -> list[str]:
-    """Check that a router that is asked to stop answers what it has passed on."""
+    """Check that a router that is asked to stop still answers the requests that it forwarded."""
     arrivals_by_id = defaultdict(list)
     for arrival in records.arrivals:
         arrivals_by_id[arrival.id].append(arrival)
@@ -122,7 +122,7 @@
 
 
 def configuration_goes_on(records: Records) -> list[str]:
-    """Check that a router never goes back to an older configuration while it lives."""
+    """Check that a router never reverts to an older configuration without a restart."""
     newest: dict[tuple[str, int], int] = {}
     found = []
     for each in sorted(records.versions, key=lambda each: each.observed_at):
@@ -134,7 +134,7 @@
 
 
 def recovery(records: Records) -> list[str]:
-    """Check that nearly all is served once the faults are over."""
+    """Check that nearly all requests are served once the faults are over."""
     if math.isinf(records.recovery_deadline):
         return []
     tail = [each for each in records.attempts if each.sent_at >= records.recovery_deadline]
@@ -148,17 +148,17 @@
 
 
 def lives(records: Records) -> list[str]:
-    """Check that no process ended by itself."""
+    """Check that no process exited unexpectedly."""
     return [f"{name} ended by itself" for name in records.unexpected_exits]
 
 
 def errors(records: Records) -> list[str]:
-    """Check that no process met an error that it had no answer to."""
+    """Check that no process wrote the traceback of an error."""
     counted = Counter(records.errors).items()
     return [f"{times} times {error}" for error, times in counted]
 
 
-#: Every promise that is checked, by its name.
+#: Check of each promise, by the promise's name.
 CHECK_BY_NAME: dict[str, Callable[[Records], list[str]]] = {
     "whole answers": whole_answers,
     "at most once": at_most_once,
@@ -174,7 +174,7 @@
 
 
 def violations(records: Records) -> list[str]:
-    """Return everything that broke a promise, each with the promise's name."""
+    """Return all violations of all promises, each with the promise's name."""
     checked = CHECK_BY_NAME.items()
     return [f"{name}: {each}" for name, check in checked for each in check(records)]
 
@@ -189,7 +189,7 @@
 def _leaving_known_since(
     arrivals: list[Arrival], attempt_by_id: dict[str, Attempt]
 ) -> dict[str, float]:
-    """Return when each router had first passed on an answer that said that its engine leaves."""
+    """Return when each router first forwarded an answer by which the engine announced leaving."""
     known_since: dict[str, float] = {}
     for each in arrivals:
         attempt = attempt_by_id.get(each.id)
@@ -203,7 +203,7 @@
 
 
 def _is_excused(records: Records, attempt: Attempt, forwarded: list[Arrival]) -> bool:
-    """Return whether something else than the stop may have lost an answer."""
+    """Return whether a disturbance other than a stop may have lost an answer."""
     begins, ends = attempt.sent_at - AFTER_EFFECT_SECONDS, attempt.ended_at + AFTER_EFFECT_SECONDS
     other_disturbances = [each for each in records.disturbances if each.kind != "stop"]
     other_records = Records(disturbances=other_disturbances)
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""How each kind of fault is done to the processes of a run."""
+"""Injects each kind of fault into the processes of a run."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from soak._plan import ENGINE, ROUTER, STORE, Fault, target_kind_of
 from soak._relay import Relay
 
-#: Seconds in which a router that is asked to stop has to end.
+#: Seconds within which a router that is asked to stop must exit.
 STOP_GRACE = 10.0
-#: Seconds by which the platform's list is behind an answer that says that its engine leaves.
+#: Seconds by which the platform's listing lags behind an answer that announces leaving.
 LISTING_LAG = 1.0
-#: Seconds for which an engine serves on after it has said so everywhere.
+#: Seconds for which a leaving engine still serves after the platform lists it as leaving.
 LEAVING_SECONDS = 3.0
-#: Seconds by which a relay delays every part.
+#: Seconds by which a relay delays every chunk.
 RELAY_DELAY = 0.2
-#: More answers than a fault outlasts.
+#: More requests than can arrive during a fault.
 UNLIMITED_COUNT = 100_000
-#: Of so many callers one reads slowly, where some do.
+#: During a fault of slow readers, one in this many callers reads slowly.
 SLOW_CALLER_STRIDE = 3
-#: Engines of a service, and routers, that are left alone, so that some work is done.
+#: Engines of each service, and routers, that are always left undisturbed, so that some serve.
 MIN_UNDISTURBED = 1
-#: Faults that the stand-in of an engine knows, by their kind here.
+#: Name of the fault at the stand-in engine, by kind of fault.
 STAND_IN_FAULT_BY_KIND = {
     "engine-rests": "shed",
     "engine-refuses": "refuse",
@@ -39,21 +39,21 @@
     "engine-crosses": "cross",
     "engine-preempts": "pause",
 }
-#: Faults of the stand-in that last for their whole time, however many requests come.
+#: The same for faults that last for their whole time, however many requests arrive.
 LASTING_STAND_IN_FAULT_BY_KIND = {"engine-slow": "slow", "engine-garbles-load": "garble-load"}
 
 
 class FaultInjector:
-    """Does drawn faults, side by side."""
+    """Injects the faults of a plan, several at a time."""
 
     def __init__(self, fleet: SoakFleet, callers: Sequence[Caller]) -> None:
         self._fleet = fleet
         self._callers = callers
-        #: Routers and engines that something is done to that leaves no room for another.
+        #: Routers and engines that are under a fault and get no second one meanwhile.
         self._busy: set[str] = set()
 
     async def inject(self, fault: Fault) -> None:
-        """Do one fault, from its begin to its end."""
+        """Inject one fault; return when it is over."""
         target_kind = target_kind_of(fault.kind)
         if target_kind == ROUTER:
             await self._inject_at_one_of(self._free_routers(), fault, self._inject_router_fault)
@@ -75,7 +75,7 @@
         name = names[fault.target_number % len(names)]
         begins = time.monotonic()
         self._busy.add(name)
-        # At once as well, so that what is checked meanwhile is excused.
+        # Recorded at the start too, so that what is checked before the end is excused.
         self._fleet.record_disturbance(fault.kind, name, begins)
         try:
             await inject_at(name, fault)
@@ -155,7 +155,7 @@
         await in_thread(lambda: engine.arm(stand_in_fault, 0))
 
     async def _kill_and_replace(self, engine: Backend) -> None:
-        """End an engine without a word; another takes its place."""
+        """Kill an engine without notice and start another in its place."""
         await self._fleet.collect_arrivals(engine)
         self._fleet.ended_engines.add(engine.name)
         engine.process.kill()
@@ -164,14 +164,14 @@
         await self._fleet.add_engine(engine.service)
 
     async def _announce_and_replace(self, engine: Backend) -> None:
-        """Have an engine say that it leaves, in its answers first; another takes its place."""
+        """Let an engine announce that it leaves, first in its answers, and replace it."""
         await in_thread(lambda: engine.arm("leaving", UNLIMITED_COUNT))
         await asyncio.sleep(LISTING_LAG)
         await in_thread(lambda: self._fleet.machines_fleet.say(engine, "draining", Sequence=2))
         await asyncio.sleep(LEAVING_SECONDS)
         await self._kill_and_replace(engine)
 
-    # -- the store, and all of the fleet ------------------------------------------
+    # -- the store and the whole fleet --------------------------------------------
 
     async def _inject_store_fault(self, fault: Fault) -> None:
         begins, store = time.monotonic(), self._fleet.machines_fleet.objects
@@ -196,7 +196,7 @@
         self._fleet.record_disturbance(fault.kind, STORE_NAME, begins)
 
     async def _rewrite_lost_objects(self) -> None:
-        """Have the operator and the engines write again what the store lost."""
+        """Write the configuration and the engines' entries again after the store lost them."""
         await self._fleet.configure()
         for engine in self._fleet.engines:
             if engine.name not in self._busy:
@@ -216,7 +216,7 @@
             caller.is_in_burst = False
 
     async def _slow_down_readers(self, fault: Fault) -> None:
-        """Have a third of the callers ask for much and take it slowly."""
+        """Make one in three callers ask for large answers and read them slowly."""
         slow = self._callers[fault.target_number % SLOW_CALLER_STRIDE :: SLOW_CALLER_STRIDE]
         for caller in slow:
             caller.slow_read_faults += 1
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one run, with a relay before each engine and before the store."""
+"""The processes of one run, with a relay in front of each engine and of the store."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from soak._records import Arrival, Disturbance, ObservedVersion, Records
 from soak._relay import Relay
 
-#: Seconds for a router to start and know what it needs.
+#: Seconds for all routers to start and become ready.
 START_TIMEOUT = 60.0
-#: Seconds in which the store takes what the operator and engines write, and between two tries.
+#: Seconds within which a write to the store must succeed, and between two tries.
 STORE_WRITE_TIMEOUT = 60.0
 STORE_RETRY_PAUSE = 0.2
-#: Begins the trace of an error in what a process writes.
+#: First line of an error's traceback in the standard error of a process.
 TRACEBACK = "Traceback (most recent call last):"
-#: Status of the store where there is no such object.
+#: Status by which the store says that there is no such object.
 NOT_FOUND = 404
 SERVICES = ("lang", "portal")
-#: The store, among the things that are struck.
+#: Name of the store in ``relay_by_name`` and in disturbances.
 STORE_NAME = "store"
 T = TypeVar("T")
 
 
 class _RelayedFleet(MachinesFleet):
-    """A fleet whose routers reach engines and store through relays."""
+    """A fleet whose routers reach the engines and the store through relays."""
 
     def __init__(self, relay_by_name: dict[str, Relay]) -> None:
         super().__init__(log_level="ERROR")
@@ -47,7 +47,7 @@
         return self
 
     def errors(self) -> list[str]:
-        """Return the last line of each error that a process told of."""
+        """Return the error line of each traceback that a process wrote."""
         if self._errors is None:
             return []
         self._errors.seek(0)
@@ -55,11 +55,11 @@
         return [_error_line(part) for part in text.split(TRACEBACK)[1:]]
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object, again and again until the store says that it did."""
+        """Write an object, and retry until the store confirms it."""
         _retry_until_confirmed(functools.partial(super().put, kind, name, spec))
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object; one that is not there was removed by a try whose answer was lost."""
+        """Remove an object; if it is not there, a try whose answer was lost has removed it."""
         _retry_until_confirmed(functools.partial(super().remove, kind, name))
 
     def address_of(self, backend: Backend) -> str:
@@ -71,15 +71,15 @@
 
 @dataclass
 class SoakFleet:
-    """Starts all processes, keeps what was done to them, and ends those it started."""
+    """Starts all processes, records what was done to them, and ends those that it started."""
 
     records: Records = field(default_factory=Records)
     relay_by_name: dict[str, Relay] = field(default_factory=dict)
-    #: Routers whose process was ended on purpose and not started again yet.
+    #: Routers whose process has ended and was not restarted yet.
     down_routers: set[str] = field(default_factory=set)
-    #: Routers that were told to end, and have not been seen to.
+    #: Routers that were sent a signal to end, and whose exit was not seen yet.
     stopping_routers: set[str] = field(default_factory=set)
-    #: Engines that were ended on purpose, or are about to end.
+    #: Engines that were killed on purpose, or are about to be.
     ended_engines: set[str] = field(default_factory=set)
     configuration_version: int = CONFIGURATION["Version"]
     _restarts_by_router: dict[str, int] = field(default_factory=dict)
@@ -89,7 +89,7 @@
         self.machines_fleet = _RelayedFleet(self.relay_by_name)
 
     async def start(self, routers: int, engines: int, manages_load: bool = False) -> None:
-        """Start everything, and wait until every router serves."""
+        """Start all processes, and wait until every router is ready."""
         if manages_load:
             self.machines_fleet.rules = (*RULES, CONTENTION_RULE)
         await self._add_relay(STORE_NAME)
@@ -104,7 +104,7 @@
         await self._await_ready()
 
     async def stop(self) -> None:
-        """End what was started."""
+        """Collect the errors and end all processes that were started."""
         for relay in self.relay_by_name.values():
             relay.close()
         self.records.errors += self.machines_fleet.errors()
@@ -112,18 +112,18 @@
 
     @property
     def routers(self) -> list[MachinesRouter]:
-        """All routers, those included that are down."""
+        """All routers, including those that are down."""
         return self.machines_fleet.machines
 
     @property
     def engines(self) -> list[Backend]:
-        """The engines that were not ended."""
+        """The engines that were not killed."""
         return [
             each for each in self.machines_fleet.backends if each.name not in self.ended_engines
         ]
 
     async def add_engine(self, service: str) -> Backend:
-        """Start an engine under a name of its own."""
+        """Start an engine under a new name."""
         self._engines_started += 1
         name = f"i-{service}-{self._engines_started}"
         await self._add_relay(name)
@@ -131,24 +131,24 @@
         return await in_thread(lambda: self.machines_fleet.add_engine(name, service, hall))
 
     async def restart(self, router: MachinesRouter) -> None:
-        """Start a router again, and wait until it serves."""
+        """Restart a router, and wait until it is ready."""
         self._restarts_by_router[router.name] = self._restarts_by_router.get(router.name, 0) + 1
         await in_thread(lambda: self.machines_fleet.restart(router))
         self.down_routers.discard(router.name)
 
     async def configure(self) -> None:
-        """Put the next version of the configuration into the store."""
+        """Write the next version of the configuration to the store."""
         self.configuration_version += 1
         edited = changed(CONFIGURATION, self.configuration_version)
         edited["Routes"][0]["TimeoutMs"] = 7000 + self.configuration_version % 1000
         await in_thread(lambda: self.machines_fleet.put("config", "main", edited))
 
     def record_disturbance(self, kind: str, name: str, begins: float) -> None:
-        """Keep that something was done to a process from a moment until now."""
+        """Record a disturbance of a process that lasted from ``begins`` until now."""
         self.records.disturbances.append(Disturbance(kind, name, begins, time.monotonic()))
 
     async def observe_routers(self) -> None:
-        """Keep which configuration each router has in force, and who ended by itself."""
+        """Record the configuration version of each router, and routers that exited unexpectedly."""
         for router in tuple(self.routers):
             if router.name in self.down_routers | self.stopping_routers:
                 continue
@@ -166,7 +166,7 @@
                 self.records.versions.append(version)
 
     async def collect_arrivals(self, engine: Backend) -> None:
-        """Keep what an engine saw, if it still tells."""
+        """Record the requests that an engine saw, if the engine still answers."""
         seen = await in_thread(lambda: _requests_seen_by(engine))
         self.records.arrivals += [
             Arrival(
@@ -195,7 +195,7 @@
 
 
 def _error_line(trace: str) -> str:
-    """Return what a trace says that went wrong: its first line that is not indented."""
+    """Return the first line of a traceback that is not indented: it names the error."""
     lines = (line for line in trace.splitlines() if line and not line.startswith(" "))
     return next(lines, "an error that is cut off")
 
@@ -216,7 +216,7 @@
 
 
 async def in_thread(call: Callable[[], T]) -> T:
-    """Do what blocks without holding up callers and relays."""
+    """Make a blocking call in a thread, so that callers and relays go on."""
     return await asyncio.to_thread(call)
 
 
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -1,20 +1,20 @@
-"""What a seed draws: the fleet's size, its work, and a series of faults that overlap."""
+"""Draws a run from a seed: the size of the fleet, its callers and overlapping faults."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-#: Seconds from the first request to the first fault.
+#: Seconds from the first request to the earliest possible fault.
 WARM_UP_SECONDS = 2.0
-#: Seconds after the last fault in which the fleet must have recovered.
+#: Seconds after the last fault within which the fleet must have recovered.
 RECOVERY_SECONDS = 12.0
-#: Seconds at the end in which nearly all must be served.
+#: Seconds after the recovery during which nearly all requests must be served.
 TAIL_SECONDS = 4.0
-#: Faults for each second, where several last for seconds.
+#: Faults begun per second; they overlap, as several kinds last for seconds.
 FAULTS_PER_SECOND = 0.9
 
-#: What a fault strikes, by its kind.
+#: What a fault is injected at.
 ROUTER, ENGINE, STORE, FLEET = "router", "engine", "store", "fleet"
 TARGET_BY_KIND = {
     "kill": ROUTER,
@@ -43,7 +43,7 @@
     "configuration": FLEET,
     "burst": FLEET,
 }
-#: Faults that are drawn beside the others, where the fleet manages load.
+#: Faults that are drawn in addition if the routers manage load.
 TARGET_BY_LOAD_KIND = {
     "engine-slow": ENGINE,
     "engine-garbles-load": ENGINE,
@@ -51,35 +51,35 @@
     "slow-readers": FLEET,
     "burst": FLEET,
 }
-#: Number of faults of load for each of the others.
+#: Load faults for each of the other faults.
 LOAD_FAULT_RATIO = 0.5
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of a run."""
+    """One fault to inject during a run."""
 
     #: Seconds from the first request.
     starts_at: float
     kind: str
-    #: Which of the things of its kind it strikes, beyond their number counted from the start.
+    #: Selects the router or engine: its index among the candidates, modulo their number.
     target_number: int
-    #: For how long it lasts, where it lasts.
+    #: How long it lasts; unused by kinds that are instantaneous.
     seconds: float
-    #: How often it strikes, where it strikes so often.
+    #: How many requests it affects, for the kinds that count them.
     count: int
 
 
 @dataclass(frozen=True)
 class Plan:
-    """One run of the soak."""
+    """One run of the soak test."""
 
     seed: int
     routers: int
-    #: Engines of each service.
+    #: Engines per service.
     engines: int
     callers: int
-    #: Seconds in which faults begin.
+    #: Length of the window in which faults begin, in seconds.
     fault_seconds: float
     faults: tuple[Fault, ...]
     #: Whether the routers manage load.
@@ -87,16 +87,17 @@
 
 
 def target_kind_of(kind: str) -> str:
-    """Return what a kind of fault strikes."""
+    """Return what faults of a kind are injected at."""
     return TARGET_BY_KIND.get(kind) or TARGET_BY_LOAD_KIND[kind]
 
 
 def draw_plan(
     seed: int, fault_seconds: float, max_routers: int, manages_load: bool = False
 ) -> Plan:
-    """Return what a seed draws; the same for the same arguments.
+    """Return the plan drawn from a seed; equal arguments give equal plans.
 
-    The faults of load are drawn apart, so that a seed draws the same others with and without.
+    Load faults come from a generator of their own, so that a seed draws the same other faults
+    with and without load management.
     """
     rng = random.Random(seed)
     routers = rng.randint(2, max(2, max_routers))
--- a/soak/_records.py
+++ b/soak/_records.py
@@ -1,4 +1,4 @@
-"""What callers and engines saw in one run, and what was done to whom."""
+"""What callers and engines observed in one run, and the disturbances injected."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A kind of request, as callers know it."""
+    """A kind of request, by its path."""
 
     path: str
-    #: Whether it may run more than once.
+    #: Whether the request may run more than once.
     is_repeatable: bool
-    #: Whether its answer is a stream of events.
+    #: Whether the answer is a stream of events.
     is_stream: bool
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """One request as its caller saw it."""
+    """One request as the caller saw it."""
 
     id: str
     route: Route
     #: Name of the router that it was sent to.
     router: str
-    #: When it was sent, and when its answer was whole or its connection ended, in seconds of the
-    #: machine's steady clock.
+    #: When it was sent, and when its answer was complete or its connection ended, in seconds of
+    #: the machine's monotonic clock.
     sent_at: float
     ended_at: float
-    #: None where the connection ended before an answer's head.
+    #: None if the connection ended before the head of an answer.
     status: int | None = None
-    #: Who signed the answer; empty where nobody did.
+    #: The engine's signature, ENGINE.ATTEMPT; empty if no engine signed the answer.
     signature: str = ""
-    #: Whether the answer was framed as whole.
+    #: Whether the answer was complete by its HTTP framing.
     is_whole: bool = False
     body: bytes = b""
 
@@ -44,12 +44,12 @@
     id: str
     engine: str
     arrived_at: float
-    #: When its answer's head went out; None where none did.
+    #: When the head of its answer was sent; None if none was.
     answered_at: float | None
     ran: bool
-    #: Whether its answer said that the engine leaves.
+    #: Whether its answer announced that the engine leaves.
     announced_leaving: bool
-    #: Seconds of rest that its answer asked for.
+    #: Rest that its answer asked for, in seconds; 0 for none.
     rest_seconds: float
 
 
@@ -58,7 +58,7 @@
     """Something that was done to a router, an engine or the store."""
 
     kind: str
-    #: Name of what it struck.
+    #: Name of the router or engine, or of the store.
     name: str
     begins: float
     ends: float
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True)
 class ObservedVersion:
-    """The configuration that a router said to have in force."""
+    """The version of the configuration that a router reported as in force."""
 
     router: str
-    #: Counts the starts of the router's process.
+    #: How often the router's process had been restarted.
     restarts: int
     observed_at: float
     version: int
@@ -77,20 +77,20 @@
 
 @dataclass
 class Records:
-    """All of one run."""
+    """Everything recorded in one run."""
 
     attempts: list[Attempt] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     versions: list[ObservedVersion] = field(default_factory=list)
-    #: Processes that ended though nobody ended them.
+    #: Processes that exited without being stopped, or not as they should.
     unexpected_exits: list[str] = field(default_factory=list)
-    #: Errors that processes told of in what they write.
+    #: Errors whose tracebacks processes wrote.
     errors: list[str] = field(default_factory=list)
-    #: From when on nearly all must be served; infinite where that was not waited for.
+    #: When the fleet must serve nearly all requests again; infinite if the run ended before.
     recovery_deadline: float = float("inf")
 
     def is_disturbed(self, name: str, begins: float, ends: float) -> bool:
-        """Return whether something was done to one of the processes in a time."""
+        """Return whether a process was disturbed at any time from ``begins`` to ``ends``."""
         found = (each for each in self.disturbances if each.name == name)
         return any(each.begins <= ends and begins <= each.ends for each in found)
--- a/soak/_relay.py
+++ b/soak/_relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay on loopback that delays, resets, holds back or silences what passes it."""
+"""A TCP relay on loopback that can delay, block, reset or silence its connections."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class _Connection:
-    """One connection to the relay and the one that it opened for it."""
+    """An accepted connection and the one that the relay opened to the target for it."""
 
     def __init__(self, writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]) -> None:
         self.writers = writers
-        #: Whether nothing passes any more, for good.
+        #: Whether the relay drops all further data, for good.
         self.is_silent = False
 
     def abort(self) -> None:
@@ -23,15 +23,15 @@
 
 
 class Relay:
-    """Passes every connection on to one address, which may be set later."""
+    """Forwards every connection to one address, which may be set later."""
 
     def __init__(self) -> None:
         self.target = (HOST, 0)
-        #: Seconds by which every part is late.
+        #: Seconds by which every chunk is delayed.
         self.delay = 0.0
         self.port = 0
         self._connections: set[_Connection] = set()
-        #: Set while parts pass: from whoever connected, and back.
+        #: Set while data may pass: from the connecting side to the target, and back.
         self._unblocked = (asyncio.Event(), asyncio.Event())
         for event in self._unblocked:
             event.set()
@@ -43,32 +43,32 @@
         return f"{HOST}:{self.port}"
 
     async def start(self) -> None:
-        """Listen on a port of its own."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._accept, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Stop listening, and end all connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
     def reset(self) -> None:
-        """Reset all connections that are open now."""
+        """Reset all open connections."""
         for connection in tuple(self._connections):
             connection.abort()
 
     def silence(self) -> None:
-        """Pass nothing more on the connections that are open now; new ones work."""
+        """Drop all further data on the connections open now; new connections work."""
         for connection in self._connections:
             connection.is_silent = True
 
     def block(self, direction: int) -> None:
-        """Hold back what passes in one direction, on all connections, until released."""
+        """Hold back data in one direction, on all connections, until it is unblocked."""
         self._unblocked[direction].clear()
 
     def unblock(self, direction: int) -> None:
-        """Pass on what was held back, and what comes."""
+        """Forward the data that was held back and all that follows."""
         self._unblocked[direction].set()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -105,5 +105,5 @@
             if not connection.is_silent and writer.can_write_eof():
                 writer.write_eof()
         except OSError:
-            # The other side of a reset connection hears a reset as well.
+            # A reset on one side resets the other side as well.
             connection.abort()
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run of a seed, from the first process to the last check."""
+"""Runs one plan, from the start of the processes to the checks."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from soak._plan import RECOVERY_SECONDS, TAIL_SECONDS, Plan
 from soak._records import Records
 
-#: Seconds between two looks at the routers.
+#: Seconds between two observations of the routers.
 OBSERVATION_INTERVAL = 0.5
 
 
 async def run_plan(plan: Plan) -> tuple[Records, list[str]]:
-    """Run a plan; return what was seen, and what broke a promise."""
+    """Run a plan; return its records and the violations of promises."""
     fleet = SoakFleet()
     _cancel_on_sigterm()
     try:
@@ -33,7 +33,7 @@
 
 
 def _cancel_on_sigterm() -> None:
-    """Have a signal to end end what was started, too."""
+    """Cancel the run on SIGTERM, so that it ends the processes that it started."""
     task = asyncio.current_task()
     if task is not None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/soak/tests/test_checks.py
+++ b/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check fails where its promise is broken, and only there."""
+"""Each check reports the violation of its promise, and nothing else."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def attempt(name: str, route: Route = ONCE, at: float = 10.0, **changes: Any) -> Attempt:
-    """Return a request that engine e answered in whole, through router r."""
+    """Return a request that engine e answered completely, through router r."""
     body = WHOLE_STREAM if route.is_stream else b"body by e"
     whole = Attempt(name, route, "r", at, at + 0.1, 200, f"e.{name}", True, body)
     return replace(whole, **changes)
--- a/soak/tests/test_plan.py
+++ b/soak/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""What a seed draws."""
+"""Plans that are drawn from seeds."""
 
 from __future__ import annotations
 
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of one seed against the real programs."""
+"""Short runs of one seed each against the real programs."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from soak._plan import draw_plan
 from soak._run import run_plan
 
-#: Draws engines that leave and that ask for rest, a frozen and a killed router, among others.
+#: Draws, among others, leaving and resting engines, and a frozen and a killed router.
 SEED = 32
 SECONDS = 18.0
-#: Draws each kind of fault of load.
+#: Draws each kind of load fault.
 LOAD_SEED = 12
 
 
