--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures of the code that serves, and the demo."""
+"""Measures of the production code, and the demo."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,7 @@
 """Run the measures: ``python -m bench [NAME...]``; without names, all of them.
 
 Each prints JSON lines: name, value, unit, baseline, ratio. ``python -m bench policies --help``
-tells how ways of the code are compared on the users' bench.
+describes how ways of the code are compared on the users' bench.
 """
 
 from __future__ import annotations
--- a/bench/_abandoned_streams.py
+++ b/bench/_abandoned_streams.py
@@ -1,4 +1,4 @@
-"""What engines still do for callers that left, over loopback, through an engine's other router."""
+"""Engine work on streams whose callers left, through a router that does not own the engine."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 TOKENS = 150
 #: Seconds between two tokens; a stream left alone takes 3 s.
 TOKEN_INTERVAL = 0.02
-#: Seconds after which callers leave, drawn evenly.
+#: Range of seconds after which callers leave, drawn uniformly.
 LEAVE_AFTER = (0.1, 2.9)
-#: Seconds after the last close until all streams would have ended by themselves.
+#: Seconds after the last close until all streams would have ended uncancelled.
 SETTLE_SECONDS = TOKENS * TOKEN_INTERVAL + 1.0
-#: Seconds after a close from which an engine's work counts as worked on.
+#: Seconds after a close within which the engine should have cancelled the stream.
 CANCEL_GRACE = 0.5
 
 
 @dataclass(frozen=True)
 class AbandonedStream:
-    """One stream whose caller left; seconds of the clock that all processes share."""
+    """One stream whose caller left; times in seconds of the machine's monotonic clock."""
 
     closed_at: float
-    #: When the engine began and ended; the end is that of the whole stream where it ran on.
+    #: When the engine began and ended it; a stream that was not cancelled ends in full.
     began_at: float
     ended_at: float
 
     @property
     def natural_end(self) -> float:
-        """Return when it would have ended by itself."""
+        """Return when it would have ended uncancelled."""
         return self.began_at + TOKENS * TOKEN_INTERVAL
 
 
 async def _abandon_stream(base: str, number: int, leave_after: float) -> float:
-    """Begin a stream and close its connection after some seconds; return when that was."""
+    """Begin a stream, close its connection after a delay and return the time of the close."""
     url = urlsplit(base)
     _, writer = await asyncio.open_connection(url.hostname, url.port)
-    # The length of the prompt tells the engine's runs apart.
+    # The length of the prompt identifies the stream among the engine's runs.
     messages = [{"role": "user", "content": "x " * 20 * number}]
     request = {"model": "scene-writer", "messages": messages, "stream": True, "max_tokens": TOKENS}
     body = json.dumps(request).encode()
@@ -70,7 +70,10 @@
 
 
 def _match_runs(engine: Backend, closed_at: list[float]) -> list[AbandonedStream]:
-    """Return what became of each stream; a longer prompt is a later number."""
+    """Match the engine's runs to the streams: the length of the prompt grows with the number.
+
+    Raises RuntimeError unless there is one run for each stream.
+    """
     runs = sorted(fetch(f"{engine.url}/runs"), key=lambda run: int(run["prompt"]))
     if len(runs) != len(closed_at):
         raise RuntimeError(f"{len(runs)} runs of {len(closed_at)} streams")
@@ -79,7 +82,7 @@
 
 
 def measure_abandoned_streams() -> Iterator[Measure]:
-    """Measure engines' work on streams whose callers leave, against such streams left alone."""
+    """Measure engine work on abandoned streams against that of the same streams in full."""
     with LocalFleet(log_level="ERROR") as fleet:
         engine = fleet.add_backend(
             "engine", "engine-0", "scene-language", "recife-1", slots=STREAMS, step=TOKEN_INTERVAL
--- a/bench/_authority.py
+++ b/bench/_authority.py
@@ -1,4 +1,4 @@
-"""How long orders stand still at a planned and at an emergency change of holder."""
+"""How long no orders are given at a planned and at an emergency change of the lease's holder."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 from pondhatch.authority.tests._simulation import SimulatedRouter, Simulation, now
 
 CHANGES = 40
-#: Seconds until the first holder has settled down, and over which the change is drawn.
+#: Seconds until the first holder has settled, and range of the further delay until the change,
+#: drawn uniformly.
 SETTLE_SECONDS = 8.0
 CHANGE_WINDOW = 4.0
-#: Seconds within which an order must have come.
+#: Seconds within which the next order must be given.
 ORDER_TIMEOUT = 100.0
 
 
@@ -46,7 +47,7 @@
 
 
 def measure_authority() -> Iterator[Measure]:
-    """Measure both kinds of change by the code that serves, in stepped time."""
+    """Measure both kinds of change with the production code, in virtual time."""
     logger.disable("pondhatch.authority")
     rng = random.Random(1)
     delays = [rng.uniform(0, CHANGE_WINDOW) for _ in range(CHANGES)]
--- a/bench/_bare_relay.py
+++ b/bench/_bare_relay.py
@@ -1,6 +1,6 @@
-"""A bare relay with the same libraries and no decisions: the baseline of the relay's cost.
+"""A bare relay, the baseline of a router's cost: the same libraries, but no decisions.
 
-``python -m bench._bare_relay URL`` passes every request on to URL.
+``python -m bench._bare_relay URL`` forwards every request to URL.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class _AnswerForwarder(Protocol):
-    """Writes an answer to a caller's request as it comes."""
+    """Forwards the body of an answer to a caller as it arrives."""
 
     def __init__(self, request: Any) -> None:
         self.ended: Deferred[None] = Deferred()
--- a/bench/_chats.py
+++ b/bench/_chats.py
@@ -1,4 +1,4 @@
-"""Returning chats sent to a fleet by the stock client, and what came of them."""
+"""Sends multi-turn chats to a fleet with the stock client and counts the outcomes."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 import openai
 
-#: Tokens that an answer of the stand-in engine has unless asked otherwise.
+#: Default number of tokens in an answer of the stand-in engine.
 ANSWER_TOKENS = 16
-#: Share of a returning turn's known context that must be cached to count as found.
+#: Least share of the previous turn's prompt that must be cached for the context to count as found.
 FOUND_SHARE = 0.9
 
 
 @dataclass
 class Tally:
-    """What was sent and what came back."""
+    """Counts of the turns sent and of their outcomes."""
 
     sent: int = 0
     whole: int = 0
-    #: Refusals that said that nothing ran, by code.
+    #: Refusals by code; one without the statement that nothing ran is among ``bad`` too.
     refused: dict[str, int] = field(default_factory=dict)
-    #: Answers that were wrong, broken or refused without saying why.
+    #: Answers that were wrong, broken, or refused without the statement that nothing ran.
     bad: list[str] = field(default_factory=list)
     returning: int = 0
     context_found: int = 0
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True)
 class ChatLoad:
-    """How chats are sent."""
+    """What to send: chats of several turns, over some accounts."""
 
     model: str
-    #: Keys of the accounts that chat.
+    #: API keys of the accounts that chat.
     keys: tuple[str, ...]
     chats: int
     turns: int
-    #: Chats that run at once.
+    #: Chats that run concurrently.
     concurrency: int
-    #: Seconds of pause between two turns of one chat, at most.
+    #: Longest pause between two turns of a chat, in seconds.
     pause: float = 0.2
     seed: int = 1
 
--- a/bench/_connections.py
+++ b/bench/_connections.py
@@ -1,4 +1,4 @@
-"""Resident memory of a router by caller connection, idle and streaming."""
+"""Resident memory of a router per caller connection, idle and streaming."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 IDLE_COUNTS = (200, 1000)
 STREAMING_COUNTS = (STREAMS, 8 * STREAMS)
-#: Tokens of a stream that lasts through the measuring.
+#: Tokens of a stream, enough that it outlasts the measurement.
 TOKENS = 400
 
 
@@ -36,7 +36,7 @@
 
 
 def measure_connections() -> Iterator[Measure]:
-    """Measure the growth between two numbers of connections."""
+    """Measure the growth of memory between two numbers of connections."""
     with LocalFleet(log_level="ERROR") as fleet:
         fleet.add_backend("engine", "engine-0", "scene-language", "recife-1", slots=1000, step=0.05)
         fleet.add_routers(["recife-1"])
--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -1,4 +1,4 @@
-"""Processor time of decisions, from the code that serves."""
+"""Processor time of decisions, by the production code."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
 
 
 class InstantAnswer:
-    """An answer that is over at once."""
+    """An answer that ends at once."""
 
     status = 200
     headers: tuple[tuple[str, str], ...] = ()
 
     async def stream_to(self, sink: PartSink) -> None:
-        """Hand on nothing."""
+        """Write nothing."""
 
     def cancel(self) -> None:
         """Do nothing."""
@@ -65,7 +65,7 @@
 
 
 class EmptyKeyHolder:
-    """Another router as a holder of keys: it holds none."""
+    """A remote holder of keys that holds none."""
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
         return None
@@ -78,7 +78,7 @@
 
 
 class LocalGrants:
-    """Every router's owner side, in place: it grants as this router's own side does."""
+    """Stands in for the owners at all routers by this router's own owner, without messages."""
 
     def __init__(self, state: RouterState) -> None:
         self._owner = LocalOwner(
@@ -114,7 +114,7 @@
 
 
 def new_state(routers: int) -> RouterState:
-    """Return the state of one of so many routers, with 110 engines in its hall."""
+    """Return the state of one router in a fleet of ``routers``, with 110 engines in its hall."""
     own = Alive(short_id("self"), 1, Phase.LIVE, "self", "10.0.0.1", 7000, "hall-0")
     gossip = Gossip(own, MembershipLimits(), random.Random(1))
     for at in range(routers - 1):
@@ -166,7 +166,7 @@
 
 
 def measure_decisions() -> Iterator[Measure]:
-    """Time a placement, a change of configuration and a round."""
+    """Time a placement, a configuration change, the reading of a snapshot and a tick."""
     small, large = new_state(8), new_state(ROUTERS)
     few = asyncio.run(_seconds_per_decision(small))
     many = asyncio.run(_seconds_per_decision(large))
--- a/bench/_fleet_size.py
+++ b/bench/_fleet_size.py
@@ -1,4 +1,4 @@
-"""Control traffic, processor, memory, platform calls and time to force against fleet size."""
+"""Control traffic, processor, memory, platform calls and configuration delay by fleet size."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 SIZES = (8, 16, 32, 64)
 HALLS = 4
 ENGINES = 4
-#: Numbers of engines that are compared, before so many routers.
+#: Numbers of engines that are compared, and the number of routers of both fleets.
 ENGINE_COUNTS = (4, 28)
 ROUTERS_BEFORE_ENGINES = 8
-#: Seconds of quiet over which traffic is counted.
+#: Seconds without requests over which the traffic is counted.
 QUIET_SECONDS = 12.0
 #: Changes applied one after the other.
 CHANGES = 5
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True)
 class FleetFigures:
-    """What one size of fleet showed."""
+    """Figures of a fleet of one size."""
 
     routers: int
-    #: Bytes a second of one router, sent and received, mean and largest.
+    #: Gossip bytes per second of one router, sent and received: mean and maximum.
     control_rate: float
     control_rate_max: float
-    #: Processor seconds a second of one idle router.
+    #: Processor seconds per second of one idle router.
     processor: float
     memory_kb: float
     platform_calls: float
-    #: Seconds from accepted to in force at the last router: median and longest.
+    #: Seconds from a change's acceptance until the last router has it in force: median and maximum.
     in_force_median: float
     in_force_max: float
 
@@ -50,7 +50,7 @@
 
 
 def _seconds_until_in_force(fleet: LocalFleet, folder: Path) -> list[float]:
-    """Apply changes; return for each the seconds until the last router had it in force."""
+    """Apply changes; return the seconds until the last router had each in force, sorted."""
     text = (ROOT / "bench/fleet.yaml").read_text()
     delays = []
     for number in range(CHANGES):
@@ -100,7 +100,7 @@
 
 
 def measure_fleet_sizes(sizes: tuple[int, ...] = SIZES) -> Iterator[Measure]:
-    """Measure each size, then the slopes over sizes."""
+    """Measure each size, then the slopes over the sizes."""
     found = [measure_size(size) for size in sizes]
     for each in found:
         name = f"fleet_{each.routers}"
@@ -123,7 +123,7 @@
 
 
 def measure_engine_counts() -> Iterator[Measure]:
-    """Measure what one more engine costs the fleet in control and idle processor."""
+    """Measure the control traffic, idle processor and memory that an owned engine adds."""
     few, many = (measure_size(ROUTERS_BEFORE_ENGINES, count) for count in ENGINE_COUNTS)
     added_per_router = (ENGINE_COUNTS[1] - ENGINE_COUNTS[0]) / ROUTERS_BEFORE_ENGINES
     yield Measure(
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -1,7 +1,7 @@
-"""What membership costs and how fast it is, from the serving core at fleet sizes up to 470.
+"""Cost and speed of membership, by the production code at fleet sizes up to 470.
 
-Packets are handed over in memory and the clock is stepped; bytes count the seal
-and the headers of UDP and IP.
+Packets are delivered in memory and the clock is simulated; bytes include the seal and the
+headers of UDP and IP.
 """
 
 from __future__ import annotations
@@ -29,31 +29,31 @@
 OVERHEAD = 28 + 8
 HOST = "127.0.0.1"
 FIRST_PORT = 1000
-#: One way between two halls of a region, in seconds.
+#: One-way delay between two halls of a region, in seconds.
 ONE_WAY_DELAY = 0.0015
-#: Seconds between a router's rounds, as the process has them.
+#: Seconds between a router's ticks, as in the router process.
 TICK_INTERVAL = 0.1
 HALLS = 11
-#: Services of which one router owns engines, and how many engines of each.
+#: Number of services of which one router owns engines.
 SERVICES_OWNED = 3
 
 
 @dataclass(frozen=True)
 class GossipFigures:
-    """What one run showed."""
+    """Figures of one run."""
 
     routers: int
-    #: Bytes a second of one router, sent and received.
+    #: Bytes per second of one router, sent and received.
     bytes_a_second: float
-    #: Processor seconds a second of one router.
+    #: Processor seconds per second of one router.
     processor: float
-    #: The fleet's load as a router knows it, over the true one: mean.
+    #: The fleet's load as a router knows it, as a share of the true load; mean over the routers.
     load_known: float
-    #: Pairs of live routers of which one suspects the other, as a share.
+    #: Share of the pairs of live routers of which one does not count the other as a member.
     false_suspicion: float
-    #: Seconds until nobody trusts a frozen router any more.
+    #: Seconds until no router counts a frozen one as a member.
     detection: float
-    #: Seconds until a new version is known everywhere.
+    #: Seconds until all routers know a new version.
     version_spread: float
 
 
@@ -115,7 +115,7 @@
 def measure(
     routers: int, limits: MembershipLimits, seed: int = 1, seconds: float = 20.0
 ) -> GossipFigures:
-    """Let a fleet form, then measure a quiet stretch, a frozen router and a new version."""
+    """Let a fleet form; then measure its idle traffic, a new version and a frozen router."""
     fleet = _SimulatedFleet(routers, limits, seed)
     warm_up = 30.0 + routers / 10
     fleet.run_until(warm_up)
@@ -143,7 +143,7 @@
 
 
 def _version_spread_seconds(fleet: _SimulatedFleet) -> float:
-    """Spread a new version as a router does: whoever learns of it tells some at once."""
+    """Spread a new version as routers do: each that learns of it announces it to some at once."""
     started = fleet.now
     informed = {0}
     _announce_version(fleet, 0)
@@ -180,7 +180,7 @@
 
 
 def measure_gossip(sizes: tuple[int, ...] = (8, 32, 128)) -> Iterator[Measure]:
-    """Measure membership and the summing of loads at several fleet sizes."""
+    """Measure membership and the known total load at several fleet sizes."""
     for size in sizes:
         figures = measure(size, MembershipLimits())
         name = f"gossip_{size}"
--- a/bench/_grants.py
+++ b/bench/_grants.py
@@ -1,4 +1,4 @@
-"""Bytes and processor that a grant costs its entry router and its owner."""
+"""Bytes, packets and processor time of a grant at its entry router and at its owner."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from fakes._local_fleet import ROOT, LocalFleet, Router
 
 REQUESTS = 400
-#: Requests that run at once.
+#: Requests that run concurrently.
 CONCURRENCY = 8
-#: Seconds of quiet over which the rest of the traffic is counted.
+#: Seconds without requests over which the background traffic is counted.
 QUIET_SECONDS = 8.0
 
 
 @dataclass(frozen=True)
 class Usage:
-    """What a router had used by a moment."""
+    """What a router had used by a point in time."""
 
     at: float
     control_bytes: int
@@ -28,7 +28,7 @@
     processor: float
 
     def since(self, before: Usage) -> Usage:
-        """Return what was used since then; ``at`` is the time that passed."""
+        """Return the usage since ``before``; its ``at`` is the elapsed time in seconds."""
         return Usage(
             self.at - before.at,
             self.control_bytes - before.control_bytes,
@@ -50,7 +50,7 @@
 
 
 def measure_grants() -> Iterator[Measure]:
-    """Send requests through the router that does not own the engine; what is idle is taken off."""
+    """Measure requests through the router that does not own the engine, less the idle usage."""
     with LocalFleet(log_level="ERROR") as fleet:
         fleet.add_backend("engine", "engine-0", "scene-language", "recife-1", slots=64)
         fleet.add_routers(["recife-1", "recife-1"])
--- a/bench/_large_fleets.py
+++ b/bench/_large_fleets.py
@@ -1,4 +1,4 @@
-"""What a router's start costs, and what each other router costs it while it runs."""
+"""Processor time of a router's start, and of the other routers of its fleet while it runs."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from fakes._many_routers import ManyRouters
 from pondhatch.membership import Phase
 
-#: Numbers of routers: of the users' fleets, and of the size to design for.
+#: Numbers of routers: those of the users' fleets, and the size to design for.
 SIZES = (19, 62, 195, 470)
 UPSTREAMS = 43
-#: Times that each thing is done.
+#: Repetitions of each measured operation.
 CHANGES = 300
 PACKETS = 2000
 STARTS = 7
-#: What a router of the prepared machines has loaded when it serves.
+#: Imports all that a router on the prepared machines has loaded when it serves.
 IMPORT_STATEMENTS = (
     "import gc; gc.disable(); import pondhatch.cli, pondhatch.cli._router_process, "
     "pondhatch.platform"
@@ -28,13 +28,13 @@
 
 
 def measure_starts() -> Iterator[Measure]:
-    """Measure the processor time until all that a router uses is loaded, over the bare one."""
+    """Measure the processor time of loading a router's code, against a bare interpreter."""
     bare, loaded = _median_processor_seconds("pass"), _median_processor_seconds(IMPORT_STATEMENTS)
     yield Measure("start.loaded", loaded * 1e3, "ms of processor", bare * 1e3, "bare interpreter")
 
 
 def measure_members() -> Iterator[Measure]:
-    """Measure what one of so many routers pays for the others."""
+    """Measure the processor time that a router spends on the others, by fleet size."""
     for routers in SIZES:
         fleet = ManyRouters(routers, UPSTREAMS)
 
@@ -60,7 +60,7 @@
 
 
 def _seconds_per_call(work: Callable[[int], None], times: int) -> float:
-    """Return the processor seconds of each time that something is done."""
+    """Return the mean processor seconds of a call, over ``times`` calls."""
     begun = time.process_time()
     for at in range(times):
         work(at)
@@ -68,7 +68,7 @@
 
 
 def _median_processor_seconds(code: str) -> float:
-    """Return the median processor seconds of some processes that run a piece of code."""
+    """Return the median processor seconds of an interpreter that runs ``code``."""
     command = [sys.executable, "-c", code + PRINT_PROCESSOR_TIME]
     runs = [subprocess.run(command, capture_output=True, check=True) for _ in range(STARTS)]
     return statistics.median(float(run.stdout) for run in runs)
--- a/bench/_load_polls.py
+++ b/bench/_load_polls.py
@@ -1,4 +1,4 @@
-"""Bytes of an owner's questions after its engines' load, counted on the way."""
+"""Traffic of the load polls that an owner sends to its engines, counted by a relay."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from bench._measures import Measure
 from fakes._local_fleet import ROOT, LocalFleet
 
-#: Seconds over which questions are counted.
+#: Seconds over which polls are counted.
 COUNT_SECONDS = 15.0
 #: Bytes of the IP and TCP headers of one segment, with timestamps.
 SEGMENT_HEADERS = 52
-#: Segments of one exchange over a standing connection: question, answer, and an
-#: acknowledgement of each.
+#: Segments of one poll over a persistent connection: request, answer, and an acknowledgement of
+#: each.
 SEGMENTS = 4
 
 
 @dataclass
 class TrafficCount:
-    """What passed."""
+    """What a relay has forwarded."""
 
     payload: int = 0
-    #: Parts of answers that passed, one for each question.
+    #: Chunks from the engine, one for each poll.
     answers: int = 0
     connections: int = 0
 
 
 class CountingRelay:
-    """Passes an engine's connections on and counts their bytes."""
+    """Forwards connections to an engine and counts their bytes."""
 
     def __init__(self, url: str) -> None:
         parts = urlsplit(url)
@@ -39,7 +39,7 @@
         self.traffic = TrafficCount()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pass one connection on, to its end."""
+        """Forward one connection until it ends."""
         self.traffic.connections += 1
         to_reader, to_writer = await asyncio.open_connection(self._host, self._port)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
@@ -72,7 +72,7 @@
 
 
 def measure_load_polls() -> Iterator[Measure]:
-    """Count one engine's questions; headers of IP and TCP are added as worked out."""
+    """Count the polls of one engine; the headers of IP and TCP are computed, not counted."""
     with LocalFleet(log_level="ERROR") as fleet:
         fleet.add_backend("engine", "engine-0", "scene-language", "recife-1")
         fleet.add_routers(["recife-1"])
--- a/bench/_measures.py
+++ b/bench/_measures.py
@@ -1,4 +1,4 @@
-"""How a measure is told: one JSON line with name, value, unit, baseline and ratio."""
+"""A measure, printed as one JSON line with name, value, unit, baseline and ratio."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-#: Clock ticks a second in /proc.
+#: Clock ticks per second, the unit of processor time in /proc.
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True)
 class Measure:
-    """One figure, with what it is held against in the same run."""
+    """One figure, with its baseline from the same run."""
 
     name: str
     value: float
@@ -37,13 +37,13 @@
 
 
 def processor_seconds(pid: int) -> float:
-    """Return the processor time that a process has used, user and system."""
+    """Return the processor seconds that a process has used, user and system."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 def resident_kb(pid: int) -> int:
-    """Return a process's resident memory."""
+    """Return a process's resident memory in KB."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") // 1024
 
--- a/bench/_memory.py
+++ b/bench/_memory.py
@@ -1,4 +1,4 @@
-"""Memory of what a router holds, from allocations traced around the serving code."""
+"""Memory of a router's state, from traced allocations of the production code."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def account_edits(count: int) -> tuple[Edit, ...]:
-    """Return so many accounts, each with a key and a rate of its own."""
+    """Return ``count`` accounts, each with its own key and a rate."""
     return tuple(
         Edit(
             "account",
@@ -34,7 +34,7 @@
 
 
 def configuration_with_accounts(count: int) -> FleetConfiguration:
-    """Return a configuration with so many accounts."""
+    """Return a configuration with ``count`` accounts."""
     edits = (SERVICE, TEMPLATE, *account_edits(count))
     configuration = FleetConfiguration().with_change(Change(1, "first", "bench", 0.0, "", edits))
     if not isinstance(configuration, FleetConfiguration):
@@ -91,7 +91,7 @@
 
 
 def measure_memory() -> Iterator[Measure]:
-    """Measure the bytes of each thing that a router's state has many of."""
+    """Measure the bytes per entry of the large tables in a router's state."""
     yield Measure("memory.spilled_chat", _bytes_per_item(_spilled_chats, 1000, 20_000), "B")
     yield Measure("memory.account", _bytes_per_item(configuration_with_accounts, 200, 3000), "B")
     yield Measure("memory.upstream", _bytes_per_item(_upstreams, 100, 2100), "B")
--- a/bench/_placement.py
+++ b/bench/_placement.py
@@ -1,8 +1,8 @@
-"""Reuse and skew of placement, by the code that serves, next to simpler policies.
+"""Context reuse and load skew of the production placement and of simpler policies.
 
-A bench of decisions: chats return, requests take some 14 s, engines keep the
-contexts of the last chats they served, and a tenth of the engines is replaced
-during the run. Engines here are a count and a table of contexts, nothing more.
+A simulation of decisions: chats return, requests take about 14 s, engines keep the contexts of
+the chats that they served last, and a tenth of the engines is replaced during the run. An engine
+is modelled by a count of requests and a table of contexts.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 )
 
 ENGINES = 10
-#: Contexts that one engine keeps, and chats for each engine.
+#: Contexts that one engine keeps, and number of chats per engine.
 CONTEXTS_PER_ENGINE = 500
 CHATS_PER_ENGINE = 400
-#: Seconds that a request takes, drawn evenly from this range.
+#: Range of the seconds that a request takes, drawn uniformly.
 DURATION = (7.0, 21.0)
 RUN_SECONDS = 900.0
 #: Seconds at the start that are not counted.
 WARM_UP = 400.0
-#: Share of engines that are replaced while counting.
+#: Share of the engines that are replaced during the counted time.
 REPLACED_SHARE = 0.1
-#: Seconds by which the known total of the service is behind.
+#: Seconds by which the known total of the service lags.
 VIEW_LAG = 1.0
 #: Seconds that a returning chat waits for its engine.
 CONTEXT_WAIT = 0.2
@@ -48,7 +48,7 @@
 
 @dataclass
 class Engine:
-    """An engine's load and the contexts that it keeps."""
+    """An engine's load and cached contexts."""
 
     name: str
     in_flight: int = 0
@@ -66,7 +66,7 @@
 
 @dataclass
 class Simulation:
-    """What a policy may look at."""
+    """The state of the simulation, from which policies choose."""
 
     engines: dict[str, Engine]
     bound: float
@@ -76,7 +76,7 @@
     seen: set[int] = field(default_factory=set)
     #: When an engine joined.
     joined_at: dict[str, float] = field(default_factory=dict)
-    #: (when, total in flight), for views that are behind.
+    #: (time, total in flight), for the lagging view of the total.
     totals: deque[tuple[float, int]] = field(default_factory=lambda: deque(maxlen=4000))
 
     def total(self) -> int:
@@ -84,7 +84,7 @@
         return sum(engine.in_flight for engine in self.engines.values())
 
     def is_young(self, name: str) -> bool:
-        """Return whether an engine joined a short while ago."""
+        """Return whether an engine joined less than YOUNG_SECONDS ago."""
         return self.now - self.joined_at.get(name, -YOUNG_SECONDS) < YOUNG_SECONDS
 
     def lagged_total(self) -> int:
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """Where a request goes, after waiting for so long."""
+    """The engine chosen for a request, and the seconds waited for it."""
 
     engine: str
     waited: float = 0.0
@@ -105,14 +105,14 @@
 
 
 class ServingPolicy:
-    """The policy that serves: plan, gates of the owners, memory of spilled chats."""
+    """The production policy: plans, the owners' gates and the locations of spilled contexts."""
 
     def __init__(self) -> None:
         self._locations = ContextLocations()
         self._gate = Gate()
 
     def __call__(self, simulation: Simulation, chat: int) -> Choice:
-        """Walk the plan as an entry router does."""
+        """Follow the plan as an entry router does."""
         plan = Plan(str(chat), tuple(simulation.engines))
         while not isinstance(step := plan.next_step(), Exhausted):
             if step.engine == plan.home and not step.is_forced and chat in simulation.seen:
@@ -164,7 +164,7 @@
 
 
 def all_knowing(simulation: Simulation, chat: int) -> Choice:
-    """Go to the context if its engine is under the ceiling, else to the least loaded."""
+    """Choose an engine that holds the context and is under the ceiling, else the least loaded."""
     ceiling = admission_ceiling(simulation.bound, simulation.total(), len(simulation.engines))
     holders = [
         e for e in simulation.engines.values() if chat in e.contexts and e.in_flight < ceiling
@@ -174,30 +174,30 @@
 
 
 def rendezvous(simulation: Simulation, chat: int) -> Choice:
-    """Go to the home engine whatever its load."""
+    """Choose the home engine whatever its load."""
     return Choice(winner(str(chat), simulation.engines) or "")
 
 
 def least_of_two(simulation: Simulation, chat: int) -> Choice:
-    """Go to the less loaded of two engines drawn at random."""
+    """Choose the less loaded of two engines drawn at random."""
     two = simulation.rng.sample(list(simulation.engines.values()), 2)
     return Choice(min(two, key=lambda engine: engine.in_flight).name)
 
 
 def at_random(simulation: Simulation, chat: int) -> Choice:
-    """Go anywhere."""
+    """Choose an engine at random."""
     return Choice(simulation.rng.choice(list(simulation.engines)))
 
 
 @dataclass(frozen=True)
 class Figures:
-    """What one run showed."""
+    """Figures of one run."""
 
     #: Share of returning turns that found their context.
     reuse: float
-    #: 99th percentile over time of largest load over mean.
+    #: 99th percentile over time of the largest load relative to the mean load.
     skew: float
-    #: Share of starts that put an engine above the true ceiling of that moment.
+    #: Share of starts that put an engine above its true ceiling at that time.
     above_ceiling: float
 
 
@@ -261,7 +261,7 @@
 
 
 def _replace(simulation: Simulation, ends: list[tuple[float, int, str]]) -> None:
-    """Replace the first engine by a new, empty one; its requests end there unfinished."""
+    """Replace the first engine by a new, empty one; the requests of the old one are lost."""
     old = next(iter(simulation.engines))
     del simulation.engines[old]
     fresh = f"{old}-new"
@@ -270,7 +270,7 @@
 
 
 def measure_placement() -> Iterator[Measure]:
-    """Measure the serving policy and the baselines at three loads."""
+    """Measure the production policy and the baselines at several loads and bounds."""
     for in_flight, bound in ((2, 1.25), (8, 1.25), (8, 1.5), (70, 1.25)):
         best = run(all_knowing, in_flight, bound)
         name = f"placement_{in_flight}_in_flight_bound_{bound}"
--- a/bench/_quarantine.py
+++ b/bench/_quarantine.py
@@ -1,4 +1,4 @@
-"""What watching for requests that end engines costs every request, and what each end costs."""
+"""Cost of the quarantine: for every request, and for each engine that crashes under requests."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from pondhatch.requests import digest_of
 
 ROUNDS = 20_000
-#: Requests that one engine runs as it ends, the most of the users' engines.
+#: Requests that one engine runs as it crashes: the maximum of the users' engines.
 REQUESTS_PER_ENGINE = 64
-#: Bytes of a body: a prompt of 10,000 tokens is some four times as long, most are shorter.
+#: Body of a request; a prompt of 10,000 tokens is some four times as long, most are shorter.
 BODY = b"x" * 10_240
-#: Bytes of a packet's mark and seal, IP and UDP.
+#: Bytes of a packet's type tag and seal and of the IP and UDP headers.
 PACKET_OVERHEAD = 1 + 8 + 28
-#: A digest that nothing is known of.
+#: A digest without evidence against it.
 UNKNOWN = 2**63
 
 
@@ -31,7 +31,7 @@
 
 
 def _full_suspects() -> Suspects:
-    """Return what a router holds at the most: engine after engine ended under 64 requests."""
+    """Return a full table of suspects: each engine crashed under 64 requests."""
     suspects = Suspects()
     for at in range(MAX_SUSPECTS):
         suspects.add(Evidence(at, f"i-{at // REQUESTS_PER_ENGINE:010x}", 0), 0.0)
@@ -41,7 +41,7 @@
 
 
 def measure_quarantine() -> Iterator[Measure]:
-    """Measure the digest, the question before each send, memory and bytes."""
+    """Measure the digest, the check before each send, the memory and the bytes sent."""
     yield Measure(
         "digest of a request, 10 KB",
         _microseconds(lambda: digest_of("a", "POST", "/a/b", BODY)),
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -1,4 +1,4 @@
-"""What a request and a streamed chunk cost a router, next to a bare relay."""
+"""Processor time of a request and of a streamed chunk at a router, against a bare relay."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 from fakes._local_fleet import ROOT, LocalFleet, Router
 
 KEY = "bench-key"
-#: Streams that run at once, and how long they are: two lengths make a slope.
+#: Streams that run concurrently, and their lengths in tokens; the slope over the lengths is the
+#: cost of a chunk.
 STREAMS = 40
 LENGTHS = (20, 120, 220)
 ROUNDS = 2
-#: Seconds between two tokens of a stream, so that each chunk is relayed by itself.
+#: Seconds between two tokens of a stream; long enough that each chunk is relayed on its own.
 TOKEN_INTERVAL = 0.02
 
 
 async def stream_events(base: str, number: int, tokens: int) -> tuple[int, float]:
-    """Run one stream; return its events and the seconds to the first one."""
+    """Run one stream; return the number of its events and the seconds until the first."""
     url = urlsplit(base)
     reader, writer = await asyncio.open_connection(url.hostname, url.port)
     messages = [{"role": "user", "content": f"bench {number} {tokens}"}]
@@ -51,7 +52,10 @@
 
 
 def _cost(base: str, pids: list[int]) -> tuple[float, float, float]:
-    """Return processor seconds a chunk and a request, and the median first-token time."""
+    """Return the processor seconds of a chunk and of a request, and the median first-token time.
+
+    Raises RuntimeError if events are missing.
+    """
     points: list[tuple[float, float]] = []
     firsts: list[float] = []
     asyncio.run(_run_streams(base, LENGTHS[0]))
@@ -75,7 +79,7 @@
 
 
 def measure_relay() -> Iterator[Measure]:
-    """Measure, in one run, a router that owns the engine, one that asks its owner, a bare relay."""
+    """Measure a router that owns the engine, one that asks the owner, and a bare relay."""
     with LocalFleet(log_level="ERROR") as fleet:
         engine = fleet.add_backend(
             "engine", "engine-0", "scene-language", "recife-1", slots=64, step=TOKEN_INTERVAL
--- a/bench/_retries.py
+++ b/bench/_retries.py
@@ -1,4 +1,4 @@
-"""How many more requests upstreams get when half of them refuse or lose what comes."""
+"""How many more requests upstreams get when half of them refuse or lose requests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _HalfFailingUpstreams:
-    """Upstreams of which every second one loses or refuses all that it is sent."""
+    """Upstreams of which every second one refuses or loses every request."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -62,7 +62,7 @@
 
 
 def measure_retries() -> Iterator[Measure]:
-    """Measure the requests sent to upstreams for each request that came."""
+    """Measure the requests sent to upstreams, and those answered, per request received."""
     sent, answered = asyncio.run(_send_all())
     yield Measure("retries.sent_half_failed", sent, "requests", REQUESTS, "requests that came")
     yield Measure(
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -1,7 +1,7 @@
-"""What a surge of one account costs the others before full engines, by the lines alone.
+"""What one account's surge costs the others at full engines, limited by the wait queues only.
 
-One router's entry and owner sides, engines that take a drawn time, stepped clock.
-No account has a rate limit here: limits would end the surge at once.
+Simulates the entry and the owner of one router and engines with random service times, in virtual
+time. No account has a rate limit: limits would end the surge at once.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 ENGINES = ("e0", "e1", "e2", "e3")
 SLOTS = 8
 LOAD_BOUND = 1.25
-#: Mean seconds of a request; drawn exponentially.
+#: Mean duration of a request in seconds; exponentially distributed.
 MEAN_SECONDS = 1.0
 ACCOUNTS = 10
-#: Requests a second of each account: together 75% of what the engines can do.
+#: Requests per second of each account; together 75% of the engines' capacity.
 RATE = 0.75 * len(ENGINES) * SLOTS / MEAN_SECONDS / ACCOUNTS
 SURGE_FACTOR = 10
 SECONDS = 120.0
@@ -49,7 +49,7 @@
 
 
 class _TimedAnswer:
-    """An answer that takes its time."""
+    """An answer that takes a given number of seconds."""
 
     status = 200
     headers: tuple[tuple[str, str], ...] = ()
@@ -65,7 +65,7 @@
 
 
 class _Engines:
-    """See Upstreams."""
+    """Engines that answer after a random time; implements Upstreams."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -77,7 +77,7 @@
 
 
 class _DiscardingSink:
-    """A caller who takes everything."""
+    """A caller that accepts and discards everything."""
 
     def write(self, part: bytes) -> bool:
         return True
@@ -87,7 +87,7 @@
 
 
 class _RouterView:
-    """One router that owns all engines; see EntryView and OwnerView."""
+    """A router that owns all engines; implements EntryView and OwnerView."""
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
@@ -137,7 +137,7 @@
 
 
 async def _answered_by_account(surge_factor: int, seed: int) -> Counter[str]:
-    """Return the requests answered by account, the first of which surges."""
+    """Return the number of answered requests by account; the first account surges."""
     rng = random.Random(seed)
     clock = asyncio.get_running_loop().time
     gate = Gate()
@@ -164,7 +164,7 @@
             answered[account] += 1
 
     async def send(account: str, rate: float) -> None:
-        # Of its own, so that an account sends the same whatever another does.
+        # A generator per account: the arrivals of one do not depend on those of others.
         arrivals = random.Random(f"{seed} {account}")
         running = []
         number = 0
@@ -180,7 +180,7 @@
 
 
 def measure_surge() -> Iterator[Measure]:
-    """Measure the others' throughput with and without one account's surge."""
+    """Measure the other accounts' throughput with and without the surge."""
     for seed in (1, 2, 3):
         calm = run_virtually(_answered_by_account(1, seed))
         surge = run_virtually(_answered_by_account(SURGE_FACTOR, seed))
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,6 +1,6 @@
-"""Both users' fleets on loopback, with returning chats and a readable report.
+"""Runs both users' fleets on loopback with multi-turn chats and prints a report.
 
-Run by ``make demo``. Exits 0 where every answer was whole or honestly refused.
+Run by ``make demo``. Exits 0 if every request was answered completely or refused as not run.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class User:
-    """One of the users, as the brief describes it."""
+    """One of the users of the brief, with its fleet and accounts."""
 
     name: str
     example: str
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What one user's run showed."""
+    """Results of one user's run."""
 
     tally: Tally
-    #: Largest number of requests at one engine over the mean.
+    #: Largest number of requests served by one engine, relative to the mean.
     skew: float
-    #: Control bytes a second of one router, sent and received: mean and largest.
+    #: Gossip bytes per second of one router, sent and received: mean and largest.
     control: tuple[float, float]
     plain_whole: int
     plain_sent: int
@@ -88,7 +88,7 @@
 
 
 def measure(fleet: LocalFleet, user: User) -> Report:
-    """Send a user's chats and plain requests, and read off what happened."""
+    """Send a user's chats and plain requests and return the results."""
     keys = tuple(f"example-{account}" for account in user.accounts)
     load = ChatLoad(user.model, keys, chats=60, turns=5, concurrency=20)
     before = [_counters(router) for router in fleet.routers]
@@ -112,7 +112,7 @@
 
 
 def show(user: User, report: Report) -> None:
-    """Print a report for people."""
+    """Print a report in readable form."""
     tally = report.tally
     print(f"\n{user.name}: {ROUTERS} routers, {ENGINES} engines, {report.seconds:.1f} s")
     print(f"  chat answers whole      {tally.whole} of {tally.sent}")
