--- a/bench/_placement.py
+++ b/bench/_placement.py
@@ -131,8 +131,8 @@
             if choice is not None:
                 self._record_location(plan, chat, step.engine)
                 return choice
-        least = min(simulation.engines.values(), key=lambda engine: engine.in_flight)
-        return Choice(least.name)
+        least_loaded = min(simulation.engines.values(), key=lambda engine: engine.in_flight)
+        return Choice(least_loaded.name)
 
     def _ask_engine(self, simulation: Simulation, plan: Plan, ask: Ask) -> Choice | None:
         decision = self._try_grant(simulation, plan, ask.engine, 0)
@@ -264,9 +264,9 @@
     """Replace the first engine by a new, empty one; the requests of the old one are lost."""
     old = next(iter(simulation.engines))
     del simulation.engines[old]
-    fresh = f"{old}-new"
-    simulation.engines[fresh] = Engine(fresh)
-    simulation.joined_at[fresh] = simulation.now
+    new = f"{old}-new"
+    simulation.engines[new] = Engine(new)
+    simulation.joined_at[new] = simulation.now
 
 
 def measure_placement() -> Iterator[Measure]:
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -57,18 +57,22 @@
     Raises RuntimeError if events are missing.
     """
     points: list[tuple[float, float]] = []
-    firsts: list[float] = []
+    all_first_event_times: list[float] = []
     asyncio.run(_run_streams(base, LENGTHS[0]))
     for tokens in LENGTHS * ROUNDS:
         before = sum(processor_seconds(pid) for pid in pids)
-        events, first = asyncio.run(_run_streams(base, tokens))
+        events, first_event_times = asyncio.run(_run_streams(base, tokens))
         used = sum(processor_seconds(pid) for pid in pids) - before
         if events != STREAMS * (tokens + 2):
             raise RuntimeError(f"{events} events for {STREAMS} streams of {tokens} tokens")
         points.append((events, used))
-        firsts.extend(first)
-    chunk, intercept = slope(points)
-    return chunk, intercept / STREAMS, sorted(firsts)[len(firsts) // 2]
+        all_first_event_times.extend(first_event_times)
+    chunk_cost, intercept = slope(points)
+    return (
+        chunk_cost,
+        intercept / STREAMS,
+        sorted(all_first_event_times)[len(all_first_event_times) // 2],
+    )
 
 
 def non_owner_router(fleet: LocalFleet) -> Router:
