--- a/bench/_bare_relay.py
+++ b/bench/_bare_relay.py
@@ -1,6 +1,6 @@
-"""A bare relay with the same libraries and no decisions: the baseline of the relay's cost.
+"""A bare relay, the baseline of a router's cost: the same libraries, but no decisions.
 
-``python -m bench._bare_relay URL`` passes every request on to URL.
+``python -m bench._bare_relay URL`` forwards every request to URL.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from pondhatch.kernel import install_reactor
 
 
-class _Copy(Protocol):
-    """Writes an answer to a caller's request as it comes."""
+class _AnswerForwarder(Protocol):
+    """Forwards the body of an answer to a caller as it arrives."""
 
     def __init__(self, request: Any) -> None:
         self.ended: Deferred[None] = Deferred()
@@ -50,9 +50,9 @@
         response: Any = await agent.request(request.method, url, headers, body)
         request.setResponseCode(response.code)
         request.setHeader("Content-Type", "text/event-stream")
-        copy = _Copy(request)
-        response.deliverBody(copy)
-        await copy.ended
+        forwarder = _AnswerForwarder(request)
+        response.deliverBody(forwarder)
+        await forwarder.ended
 
     site = Site(app.resource())
     site.log = lambda request: None  # type: ignore[method-assign]
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -1,7 +1,7 @@
-"""What a surge of one account costs the others before full engines, by the lines alone.
+"""What one account's surge costs the others at full engines, limited by the wait queues only.
 
-One router's entry and owner sides, engines that take a drawn time, stepped clock.
-No account has a rate limit here: limits would end the surge at once.
+Simulates the entry and the owner of one router and engines with random service times, in virtual
+time. No account has a rate limit: limits would end the surge at once.
 """
 
 from __future__ import annotations
@@ -36,20 +36,20 @@
 
 ENGINES = ("e0", "e1", "e2", "e3")
 SLOTS = 8
-BOUND = 1.25
-#: Mean seconds of a request; drawn exponentially.
+LOAD_BOUND = 1.25
+#: Mean duration of a request in seconds; exponentially distributed.
 MEAN_SECONDS = 1.0
 ACCOUNTS = 10
-#: Requests a second of each account: together 75% of what the engines can do.
+#: Requests per second of each account; together 75% of the engines' capacity.
 RATE = 0.75 * len(ENGINES) * SLOTS / MEAN_SECONDS / ACCOUNTS
-SURGE = 10
+SURGE_FACTOR = 10
 SECONDS = 120.0
-PATIENCE = WaitLimits(0.2, 2.0)
+WAIT_LIMITS = WaitLimits(0.2, 2.0)
 DEADLINE = 30.0
 
 
-class _Timed:
-    """An answer that takes its time."""
+class _TimedAnswer:
+    """An answer that takes a given number of seconds."""
 
     status = 200
     headers: tuple[tuple[str, str], ...] = ()
@@ -65,7 +65,7 @@
 
 
 class _Engines:
-    """See Upstreams."""
+    """Engines that answer after a random time; implements Upstreams."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -73,11 +73,11 @@
     async def send(
         self, target: Target, head: RequestHead, body: BodySource
     ) -> AnswerStarted | NotRun | Unknown:
-        return AnswerStarted(_Timed(self._rng.expovariate(1 / MEAN_SECONDS)))
+        return AnswerStarted(_TimedAnswer(self._rng.expovariate(1 / MEAN_SECONDS)))
 
 
-class _NoSink:
-    """A caller who takes everything."""
+class _DiscardingSink:
+    """A caller that accepts and discards everything."""
 
     def write(self, part: bytes) -> bool:
         return True
@@ -86,14 +86,14 @@
         """Return at once."""
 
 
-class _View:
-    """One router that owns all engines; see EntryView and OwnerView."""
+class _RouterView:
+    """A router that owns all engines; implements EntryView and OwnerView."""
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
 
     def target(self, engine: str) -> Target | None:
-        return Target(engine, "", OPEN, BOUND, len(ENGINES), SLOTS)
+        return Target(engine, "", OPEN, LOAD_BOUND, len(ENGINES), SLOTS)
 
     def note_served(self, chat: int, engine: str) -> None:
         """Remember nothing."""
@@ -136,33 +136,35 @@
         return False
 
 
-async def _answered(surge: int, seed: int) -> Counter[str]:
-    """Return the requests answered by account, the first of which surges."""
+async def _answered_by_account(surge_factor: int, seed: int) -> Counter[str]:
+    """Return the number of answered requests by account; the first account surges."""
     rng = random.Random(seed)
     clock = asyncio.get_running_loop().time
     gate = Gate()
-    view = _View(gate)
+    view = _RouterView(gate)
     owner = LocalOwner("r0", view, gate, ContextLocations(), clock, Health())
-    ways = Collaborators(
+    collaborators = Collaborators(
         EntryGrants("r0", short_id("r0"), owner, lambda *_: None, 0), _Engines(rng)
     )
     budget = RetryBudget()
     answered: Counter[str] = Counter()
 
     async def request(account: str, number: int) -> None:
-        until = clock() + DEADLINE
+        deadline = clock() + DEADLINE
         head = RequestHead(
             f"{account}-{number}", account, "s", 0, "POST", "/", (), True, DEADLINE, 5
         )
         body = ReplayableBody(b"")
-        walk = Dispatch(view, ways, budget, head, body, lambda: until - clock(), PATIENCE)
-        placed = await walk.run()
+        dispatch = Dispatch(
+            view, collaborators, budget, head, body, lambda: deadline - clock(), WAIT_LIMITS
+        )
+        placed = await dispatch.run()
         if isinstance(placed, Placed):
-            await Delivery(walk, placed, _NoSink()).run()
+            await Delivery(dispatch, placed, _DiscardingSink()).run()
             answered[account] += 1
 
     async def send(account: str, rate: float) -> None:
-        # Of its own, so that an account sends the same whatever another does.
+        # A generator per account: the arrivals of one do not depend on those of others.
         arrivals = random.Random(f"{seed} {account}")
         running = []
         number = 0
@@ -172,16 +174,16 @@
             running.append(asyncio.ensure_future(request(account, number)))
         await asyncio.gather(*running)
 
-    rates = {f"a{at}": RATE * (surge if at == 0 else 1) for at in range(ACCOUNTS)}
+    rates = {f"a{at}": RATE * (surge_factor if at == 0 else 1) for at in range(ACCOUNTS)}
     await asyncio.gather(*(send(account, rate) for account, rate in rates.items()))
     return answered
 
 
 def measure_surge() -> Iterator[Measure]:
-    """Measure the others' throughput with and without one account's surge."""
+    """Measure the other accounts' throughput with and without the surge."""
     for seed in (1, 2, 3):
-        calm = run_virtually(_answered(1, seed))
-        surge = run_virtually(_answered(SURGE, seed))
+        calm = run_virtually(_answered_by_account(1, seed))
+        surge = run_virtually(_answered_by_account(SURGE_FACTOR, seed))
         others = [sum(n for a, n in each.items() if a != "a0") for each in (calm, surge)]
         against = "the same without the surge"
         yield Measure(f"surge.others_{seed}", others[1], "requests answered", others[0], against)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,6 +1,6 @@
-"""Both users' fleets on loopback, with returning chats and a readable report.
+"""Runs both users' fleets on loopback with multi-turn chats and prints a report.
 
-Run by ``make demo``. Exits 0 where every answer was whole or honestly refused.
+Run by ``make demo``. Exits 0 if every request was answered completely or refused as not run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bench._chats import Load, Tally, send_chats
+from bench._chats import ChatLoad, Tally, send_chats
 from fakes._local_fleet import ROOT, LocalFleet, fetch
 
 ROUTERS = 8
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class User:
-    """One of the users, as the brief describes it."""
+    """One of the users of the brief, with its fleet and accounts."""
 
     name: str
     example: str
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What one user's run showed."""
+    """Results of one user's run."""
 
     tally: Tally
-    #: Largest number of requests at one engine over the mean.
+    #: Largest number of requests served by one engine, relative to the mean.
     skew: float
-    #: Control bytes a second of one router, sent and received: mean and largest.
+    #: Gossip bytes per second of one router, sent and received: mean and largest.
     control: tuple[float, float]
     plain_whole: int
     plain_sent: int
@@ -88,14 +88,14 @@
 
 
 def measure(fleet: LocalFleet, user: User) -> Report:
-    """Send a user's chats and plain requests, and read off what happened."""
+    """Send a user's chats and plain requests and return the results."""
     keys = tuple(f"example-{account}" for account in user.accounts)
-    load = Load(user.model, keys, chats=60, turns=5, at_once=20)
+    load = ChatLoad(user.model, keys, chats=60, turns=5, concurrency=20)
     before = [_counters(router) for router in fleet.routers]
     started = time.monotonic()
     tally = asyncio.run(send_chats([router.callers for router in fleet.routers], load))
     plain_sent = 40
-    plain_whole = sum(_plain(fleet, user, keys[0], at) for at in range(plain_sent))
+    plain_whole = sum(_is_plain_answer_whole(fleet, user, keys[0], at) for at in range(plain_sent))
     seconds = time.monotonic() - started
     rates = [
         (sum(_counters(router)) - sum(old)) / seconds
@@ -112,18 +112,20 @@
 
 
 def show(user: User, report: Report) -> None:
-    """Print a report for people."""
+    """Print a report in readable form."""
     tally = report.tally
     print(f"\n{user.name}: {ROUTERS} routers, {ENGINES} engines, {report.seconds:.1f} s")
     print(f"  chat answers whole      {tally.whole} of {tally.sent}")
     print(f"  refused, not run        {tally.refused or 'none'}")
     print(f"  broken or wrong         {tally.bad or 'none'}")
     print(f"  plain answers whole     {report.plain_whole} of {report.plain_sent}")
-    print(f"  returning chats         {tally.found} of {tally.returning} found their context")
+    print(
+        f"  returning chats         {tally.context_found} of {tally.returning} found their context"
+    )
     print(f"  reuse                   {tally.reuse:.3f}")
     print(f"  skew over the run       {report.skew:.2f} (most requests at one engine over mean)")
-    mean, most = report.control
-    print(f"  control per router      {mean:.0f} B/s, most {most:.0f} B/s (sent and received)")
+    mean, largest = report.control
+    print(f"  control per router      {mean:.0f} B/s, most {largest:.0f} B/s (sent and received)")
 
 
 def main() -> int:
@@ -148,7 +150,7 @@
     return state["gossip_bytes_sent"], state["gossip_bytes_received"]
 
 
-def _plain(fleet: LocalFleet, user: User, key: str, at: int) -> bool:
+def _is_plain_answer_whole(fleet: LocalFleet, user: User, key: str, at: int) -> bool:
     router = fleet.routers[at % len(fleet.routers)]
     body = f"asset {at}".encode()
     request = urllib.request.Request(
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -27,24 +27,24 @@
     load: bool = False,
     regressions: bool = False,
 ) -> None:
-    """Run one seed after the other, and say what broke a promise.
+    """Run one seed after the other, and print the violated promises.
 
     :param seed: the first seed
-    :param seeds: how many, counted up from it
-    :param minutes: for how long faults begin, in each
+    :param seeds: how many seeds, counted up from the first
+    :param minutes: for how long faults begin, in each run
     :param routers: the most routers that a seed may draw
-    :param load: have the routers manage load, and draw faults of load beside the others
-    :param regressions: run each seed that ever broke a promise instead
+    :param load: have the routers manage load, and draw load faults in addition
+    :param regressions: run the recorded seeds instead, each of which once broke a promise
     """
     plans = [draw_plan(seed + at, minutes * 60, routers, load) for at in range(seeds)]
     if regressions:
-        kept = tomllib.loads(REGRESSIONS.read_text())["run"]
+        recorded = tomllib.loads(REGRESSIONS.read_text())["run"]
         plans = [
             draw_plan(each["seed"], each["minutes"] * 60, each["routers"], each.get("load", False))
-            for each in kept
+            for each in recorded
         ]
     broken = [plan.seed for plan in plans if not _is_clean(plan)]
-    print(f"{len(plans) - len(broken)} clean, {len(broken)} broken{_listed(broken)}")
+    print(f"{len(plans) - len(broken)} clean, {len(broken)} broken{_format_seeds(broken)}")
     sys.exit(1 if broken else 0)
 
 
@@ -63,12 +63,12 @@
         "faults": dict(Counter(each.kind for each in plan.faults)),
         "attempts": len(records.attempts),
         "statuses": dict(sorted(statuses.items())),
-        "said_leaving": sum(each.said_leaving for each in records.arrivals),
-        "asked_for_rest": sum(each.rest > 0 for each in records.arrivals),
+        "said_leaving": sum(each.announced_leaving for each in records.arrivals),
+        "asked_for_rest": sum(each.rest_seconds > 0 for each in records.arrivals),
     }
 
 
-def _listed(seeds: list[int]) -> str:
+def _format_seeds(seeds: list[int]) -> str:
     return f": {', '.join(map(str, seeds))}" if seeds else ""
 
 
