--- a/fakes/_machines_engine.py
+++ b/fakes/_machines_engine.py
@@ -56,7 +56,7 @@
 EVENT_INTERVAL = 0.02
 #: Duration of work at a slow engine, in percent of the usual one.
 SLOW_PACE = 250
-#: A load header that no engine can mean: negative, empty and far too large figures.
+#: A load header with figures that no engine can mean.
 GARBLED_LOAD = "7,-1,,1e9"
 
 
--- a/fakes/_machines_fleet.py
+++ b/fakes/_machines_fleet.py
@@ -178,7 +178,7 @@
         }
         settings: dict[str, Any] = yaml.safe_load(fill_template(TEMPLATE.read_text(), values))
         settings["log"] = {"level": self.log_level}
-        # The template's fixed port assumes one router per machine; here routers share one.
+        # Each deployed router has a machine of its own; here routers share one, and need own ports.
         settings["metrics"]["port"] = ports.metrics
         return settings
 
--- a/fakes/_platform.py
+++ b/fakes/_platform.py
@@ -34,7 +34,7 @@
     name: str
     version: int
     value: Any
-    #: When it was last written, in seconds since the epoch.
+    #: When it was last written, in seconds since 1970.
     at: float = field(default_factory=time.time)
 
 
--- a/fakes/_silent_relay.py
+++ b/fakes/_silent_relay.py
@@ -21,7 +21,7 @@
 
 HOST = "127.0.0.1"
 CHUNK_BYTES = 64 * 1024
-#: Seconds within which the peer's kernel acknowledges; a delayed acknowledgement takes 0.04 s.
+#: Seconds within which the peer's kernel acknowledges; it may delay that by 0.04 s.
 ACKNOWLEDGEMENT_TIMEOUT = 1.0
 POLL_SECONDS = 0.005
 #: Linux socket option that attaches a BPF filter to a socket's incoming packets.
--- a/fakes/tests/_fleet_case.py
+++ b/fakes/tests/_fleet_case.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a plain request got."""
+    """The answer to a plain request."""
 
     status: int
     headers: Any
@@ -41,7 +41,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """Starts a small render desk; see the class attributes for its size."""
+    """Starts the fleet of the example render desk; class attributes set its size."""
 
     HALLS: ClassVar[tuple[str, ...]] = ("recife-1", "recife-1")
     ENGINES: ClassVar[int] = 2
@@ -72,12 +72,12 @@
 
     @classmethod
     def caller_settings(cls) -> dict[str, Any]:
-        """Return more settings of the callers' endpoint."""
+        """Return additional settings of the callers' endpoint."""
         return {}
 
     @classmethod
     def peer_settings(cls) -> dict[str, Any]:
-        """Return more settings of the peers' endpoint."""
+        """Return additional settings of the peers' endpoint."""
         return {}
 
     @property
@@ -100,7 +100,7 @@
     def stream_into(
         self, received: list[str], content: str, router: int = 0, tokens: int = 16
     ) -> None:
-        """Append what comes as it comes, so that it can be read after an error."""
+        """Append each piece as it arrives, so that the text is available after an error."""
         messages = [{"role": "user", "content": content}]
         parts = self.chat(router).create(
             model="scene-writer", messages=messages, stream=True, max_tokens=tokens
@@ -150,7 +150,7 @@
         deadline = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > deadline:
-                self.fail(f"did not come to hold within {seconds} s")
+                self.fail(f"the condition did not hold within {seconds} s")
             time.sleep(0.05)
 
     def owner_of(self, engine: str) -> Router:
--- a/fakes/tests/test_accepted_configuration.py
+++ b/fakes/tests/test_accepted_configuration.py
@@ -1,7 +1,6 @@
-"""Routers as processes, and a configuration that the platform accepted and they do not expect.
+"""Router processes apply a configuration that the platform accepts, even an unexpected one.
 
-The incident that this guards against is told in
-``pondhatch/platform/tests/test_accepted.py``.
+Guards against the incident described in ``pondhatch/platform/tests/test_accepted.py``.
 """
 
 from __future__ import annotations
@@ -13,14 +12,14 @@
 from fakes.tests.test_prepared_machines import MachinesCase
 from pondhatch.platform.tests._wire import CONFIGURATION
 
-#: Seconds for a change to be in force, and for routers to serve after their start: the
-#: users allow 2 and 12 s on machines that are not shared with other tests.
+#: Seconds until a change is in force, and until started routers serve. The users' limits are 2
+#: and 12 s, on machines that run nothing else.
 IN_FORCE_SECONDS = 5.0
 RESTART_SECONDS = 12.0
 
 
 def with_more_keys(version: int) -> dict[str, Any]:
-    """Return a configuration with an account of many keys and a route that is new."""
+    """Return a configuration with an account of 17 keys, a new account and a new route."""
     newer = with_version(CONFIGURATION, version)
     newer["Tenants"][1]["ApiKeys"] = [f"rosa-{at}" for at in range(17)]
     newer["Tenants"].append({"Name": "nova", "ApiKeys": ["key-nova"]})
--- a/fakes/tests/test_caller_resets.py
+++ b/fakes/tests/test_caller_resets.py
@@ -1,4 +1,4 @@
-"""Callers that reset their connections while a router does not read from them."""
+"""Callers that reset their connection while the router does not read from it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from fakes.tests._fleet_case import KEY, FleetCase
 
 MEGABYTE = 1024 * 1024
-#: Far more than the buffers between a caller and a service that reads nothing take.
+#: Far more than the buffers between a caller and a service that reads nothing can hold.
 BODY_BYTES = 256 * MEGABYTE
-#: Seconds after a close in which a router must have given the request up.
+#: Seconds after the reset within which the router must have ended the request.
 RELEASE_SECONDS = 0.5
 #: Seconds without progress after which a body counts as stuck.
 STUCK_SECONDS = 0.2
@@ -30,7 +30,7 @@
         return number
 
     def stuck_caller(self) -> socket.socket:
-        """Return a caller whose body goes no further, since its service stands still."""
+        """Return a caller whose body is stuck because the service is frozen."""
         os.kill(self.portal.process.pid, signal.SIGSTOP)
         self.addCleanup(os.kill, self.portal.process.pid, signal.SIGCONT)
         port = int(self.fleet.routers[0].callers.rsplit(":", 1)[1])
--- a/fakes/tests/test_callers.py
+++ b/fakes/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers may send, over real sockets: slow, malformed, too large, encrypted."""
+"""Callers over real sockets: slow, malformed, oversized and encrypted requests."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         return connected
 
     def response_to(self, sent: bytes) -> bytes:
-        """Return all that comes until the router closes or is silent for 10 s."""
+        """Return all bytes until the router closes; raises TimeoutError after 10 s of silence."""
         connected = self.connect()
         connected.sendall(sent)
         return self.read_all(connected)
@@ -154,7 +154,7 @@
 
 
 class PeerPortTest(FleetCase):
-    """Nobody without the fleet key is heard by routers."""
+    """Routers ignore peers that lack the fleet key."""
 
     HALLS = ("recife-1",)
     ENGINES = 1
@@ -223,7 +223,7 @@
 
 
 class TlsTest(FleetCase):
-    """Callers over TLS, with the stock client; routers over TLS among themselves."""
+    """Callers use TLS with the stock client; routers use mutual TLS among themselves."""
 
     HALLS = ("recife-1", "recife-1")
     ENGINES = 2
@@ -270,7 +270,7 @@
         http = openai.DefaultHttpxClient(verify=trusted)
         self.addCleanup(http.close)
         for router in self.fleet.routers:
-            # Whichever router owns an engine, the other one reaches it over both kinds of TLS.
+            # For each engine one router is not the owner, so its requests use TLS to the peer, too.
             base = f"{router.callers}/v1"
             self.assertTrue(base.startswith("https://"))
             client = openai.OpenAI(base_url=base, api_key=KEY, max_retries=0, http_client=http)
--- a/fakes/tests/test_command_line.py
+++ b/fakes/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line as a process: what it prints and its exit codes."""
+"""The command line run as a process: its output and exit codes."""
 
 from __future__ import annotations
 
--- a/fakes/tests/test_crashing_requests.py
+++ b/fakes/tests/test_crashing_requests.py
@@ -1,13 +1,9 @@
-"""A request under which every engine ends that begins to run it, sent again and again.
-
-What was seen: engines ended one after the other, each as it began to run the same request, and
-with each of them up to twenty requests of others. 21 ended where three should have been enough
-to know better. How it came about: the caller repeats its request, each time under an id of its
-own and at whichever router its new connection reaches; each attempt may go to two engines.
-The cause: nothing outlived an attempt. A router forgot under which request an engine had ended
-as soon as it had told the caller, and no other router ever heard of it. What proved it: in the
-record each attempt ended the two engines it was sent to, 0.04 to 0.12 s after they had begun to
-run it, at router after router; here the same happens with nothing else going on.
+"""A request that crashes every engine that runs it may end at most three engines.
+
+Guards against routers that forget under which request an engine ended once they have answered
+the caller, and never tell each other. The caller repeated the request under new ids at other
+routers, each attempt went to two engines, and 21 of them ended within 0.04 to 0.12 s of starting
+it, each with up to twenty requests of others.
 """
 
 from __future__ import annotations
@@ -21,16 +17,16 @@
 from fakes._machines_fleet import HALLS, eventually
 from fakes.tests.test_prepared_machines import WHOLE_STREAM, Answer, MachinesCase
 
-#: Engines that one request may end before it is held back, the users' aim.
+#: Engines that one request may end before it is quarantined; the users' limit.
 MAX_ENDED_ENGINES = 3
-#: Attempts of its caller; each may be sent to two engines.
+#: Attempts of the caller; each may be sent to two engines.
 ATTEMPTS = 6
-#: Seconds within which its caller hears that there will be no more tries.
+#: Seconds within which a quarantined request is refused.
 REFUSAL_SECONDS = 0.5
 
 
 class CrashingRequestTest(MachinesCase):
-    """As many engines at each attempt: those that ended are back under new ids."""
+    """Engines that ended are replaced under new ids, so that each attempt finds as many."""
 
     engine_numbers = itertools.count(2)
 
@@ -46,7 +42,7 @@
         cls.fleet.add_engine(f"i-lang-{number}", "lang", HALLS[number % len(HALLS)])
 
     def replace_ended(self) -> int:
-        """Start an engine for each that ended; return how many did."""
+        """Start an engine for each that ended; return the number of ended engines."""
         ended = [each for each in self.engines("lang") if self.has_ended(each)]
         for engine in ended:
             self.fleet.backends.remove(engine)
@@ -58,9 +54,9 @@
         return engine.process.poll() is not None
 
     def send_repeatedly(self, body: bytes) -> tuple[int, Answer, float]:
-        """Send a request again and again, to each router in turn.
+        """Send a request ATTEMPTS times, to each router in turn.
 
-        Returns how many engines ended, the last answer and the seconds until it.
+        Returns the number of engines that ended, the last answer and the seconds it took.
         """
         ended = 0
         for attempt in range(ATTEMPTS):
@@ -76,7 +72,7 @@
         with self.subTest("engines that ended"):
             self.assertLessEqual(ended, MAX_ENDED_ENGINES)
         with self.subTest("what its caller hears at last"):
-            # That it ran is true, so no status that promises the contrary; and no other try.
+            # The request did run, so the status must not imply that it did not, nor invite a retry.
             self.assertEqual(answer.status, 400)
             self.assertLess(took, REFUSAL_SECONDS)
 
--- a/fakes/tests/test_end_to_end.py
+++ b/fakes/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes, driven by the stock client, unchanged."""
+"""End-to-end tests over real processes, with the unmodified OpenAI client."""
 
 from __future__ import annotations
 
--- a/fakes/tests/test_engine_entries.py
+++ b/fakes/tests/test_engine_entries.py
@@ -1,4 +1,4 @@
-"""Engines that start again under their id, and entries that another writer has spoilt."""
+"""Engines that restart under the same id, and engine entries that another writer made invalid."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fakes._machines_fleet import HALLS, eventually
 from fakes.tests.test_prepared_machines import MachinesCase
 
-#: Requests of one look at who serves.
+#: Requests sent to each router to find the engines that serve.
 REQUESTS_PER_ROUTER = 12
 
 
@@ -20,7 +20,7 @@
         eventually(lambda: self.serving_engines() == {"i-portal-0", "i-portal-1"})
 
     def serving_engines(self) -> set[str]:
-        """Return who answers some requests at each router; all of them must be answered."""
+        """Return the engines that answer requests at all routers; every request must succeed."""
         answers = [
             self.send_request(router, f"/proofs/{uuid.uuid4().hex}", b"x")
             for router in self.fleet.machine_routers
--- a/fakes/tests/test_faults.py
+++ b/fakes/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of upstreams over real sockets: what the caller gets, and what ran."""
+"""Faults of upstreams over real sockets: what the caller receives and what ran."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from fakes._local_fleet import ROOT, fetch
 from fakes.tests._fleet_case import FleetCase
 
-#: How the words of an answer to a single message begin.
+#: Prefixes of the words in the answer to a single message.
 WORD_PREFIXES = [f"1.{at}" for at in range(16)]
 
 
@@ -92,7 +92,7 @@
 
 
 class OneEngineTest(FleetCase):
-    """An engine that nothing can stand in for."""
+    """A single engine, so that no request can be retried elsewhere."""
 
     HALLS = ("recife-1",)
     ENGINES = 1
@@ -159,7 +159,7 @@
 
 
 class FrozenRouterTest(OwnerCase):
-    """An owner that stops answering without closing anything."""
+    """An owner that stops replying without closing its connections."""
 
     ENGINES = 4
 
@@ -241,7 +241,7 @@
 
 
 class LeavingTest(FleetCase):
-    """Upstreams that leave get no new work within three seconds."""
+    """A leaving upstream gets no new work once three seconds have passed."""
 
     ENGINES = 3
 
@@ -264,7 +264,7 @@
         self.assert_gets_no_work(1)
         self.engines[1].arm("leaving", count=0)
         self.eventually(lambda: self.gets_work(1), 15)
-        # The next test writes there.
+        # The next test writes to the platform.
         self.eventually(self.is_platform_reachable, 15)
 
     def is_platform_reachable(self) -> bool:
@@ -296,7 +296,7 @@
 
 
 class DrainTest(FleetCase):
-    """A planned stop cuts nothing."""
+    """A planned stop cuts no request."""
 
     HALLS = ("recife-1", "recife-1", "recife-2")
 
@@ -310,7 +310,7 @@
         ]
         for caller in callers:
             caller.start()
-        # Each is long enough to be running still when the last has begun.
+        # Each stream is long enough to be still running when the last has begun.
         self.eventually(lambda: len(self.all_runs()) == 12, 60)
         for router in self.fleet.routers[:2]:
             router.process.send_signal(signal.SIGTERM)
@@ -323,7 +323,7 @@
 
 
 class StopSignalTest(FleetCase):
-    """One router, asked to stop more than once."""
+    """One router that gets several stop signals."""
 
     HALLS = ("recife-1",)
     ENGINES = 1
--- a/fakes/tests/test_intake.py
+++ b/fakes/tests/test_intake.py
@@ -1,7 +1,7 @@
-"""What lies between an upstream that is up and one that is gone, over sockets.
+"""Restrictions on engines that are listed as ready, over sockets.
 
-A data hall that is evacuated, an engine that is cold, a request that may run in some regions
-alone: in each case the engine is listed as ready, and may still not be sent what comes.
+An engine in an evacuated data hall, a cold engine, or one outside the regions allowed for a
+request is ready and still must not get every request.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from fakes.tests import test_prepared_machines as prepared
 from pondhatch.platform.tests._wire import CONFIGURATION
 
-#: Seconds from the platform's word to when no router sends a hall's engines anything more.
+#: Seconds from the platform's evacuation until no router sends requests to the hall's engines.
 EVACUATION_SECONDS = 5.0
-#: Seconds within which a refusal comes at once; its caller waits five.
+#: Seconds within which a refusal must arrive; the caller's deadline is 5 s.
 REFUSAL_SECONDS = 1.0
-#: Seconds for which a caller that is refused comes back, as it is told.
+#: Seconds for which a refused caller retries as Retry-After says.
 RETRY_SECONDS = 20.0
-#: Requests a second that an engine of the test's service bears while it is cold.
+#: Requests a second that a cold engine of the service handles.
 COLD_PACE = 4
-#: The most that may reach it in any one second.
+#: Requests that may reach it in any one second, by the platform's bounds.
 MAX_COLD_ARRIVALS = round(COLD_PACE * BOUNDS["ColdOvershoot"] + BOUNDS["ColdSlack"])
 
 
 def set_field(kind: str, name: str, field: str, value: Any) -> Callable[[dict[str, Any]], None]:
-    """Return what sets a field of one entry of the configuration."""
+    """Return an edit that sets a field of one entry of a configuration."""
 
     def edit(configuration: dict[str, Any]) -> None:
         for entry in configuration[kind]:
@@ -45,7 +45,7 @@
     version = 7
 
     def configure(self, *edits: Callable[[dict[str, Any]], None]) -> None:
-        """Put an edited configuration in force at every router."""
+        """Write an edited configuration and wait until every router applies it."""
         type(self).version += 1
         edited = with_version(CONFIGURATION, self.version)
         for edit in edits:
@@ -68,7 +68,7 @@
         return len(fetch(f"{self.engine(name).url}/asked"))
 
     def send_to_all(self, path: str, count: int = 10, **headers: Any) -> list[prepared.Answer]:
-        """Ask every router so often, each request on its own."""
+        """Send ``count`` separate requests to every router."""
         return [
             self.send_request(router, path, b"x", **headers)
             for _ in range(count)
@@ -139,7 +139,7 @@
 
 class ColdEngineTest(IntakeCase):
     def final_status(self, router: MachinesRouter) -> int:
-        """Return what a caller is told that comes back when it is told to."""
+        """Return the last status of a caller that retries as Retry-After says."""
         until = time.monotonic() + RETRY_SECONDS
         answer = self.send_request(router, "/notes/a", b"x")
         while answer.status == 503 and time.monotonic() < until:
@@ -154,7 +154,7 @@
         time.sleep(1.0)
         fetch(f"{cold.url}/cold", {"seconds": 5.0, "most": MAX_COLD_ARRIVALS})
         before = self.received_count("i-lang-0")
-        # Twice as many at once as the warm engine has places.
+        # Twice as many concurrent requests as the warm engine has slots.
         with ThreadPoolExecutor(16) as pool:
             statuses = set(pool.map(self.final_status, self.fleet.machine_routers * 64))
         self.assertIsNone(cold.process.poll(), "the cold engine fell over")
@@ -164,7 +164,7 @@
 
 class RegionTest(IntakeCase):
     def engines_that_ran(self, path: str, **headers: Any) -> set[str]:
-        """Return who ran requests sent to every router; empty where all were refused."""
+        """Return the engines that ran requests sent to all routers; "" stands for a refusal."""
         found = set()
         for answer in self.send_to_all(path, **headers):
             found.add(answer.body.decode().rpartition(" by ")[2] if answer.status == 200 else "")
--- a/fakes/tests/test_orders.py
+++ b/fakes/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines over processes: rolled out, handed over, taken over."""
+"""Orders to engines across processes: rollout, planned handover and failover of the holder."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from fakes._local_fleet import ROOT, LocalFleet, Router, fetch
 
-#: Stands in the example's service, to which orders are added.
+#: The line of the bench's configuration after which orders are added to its service.
 MODELS_LINE = "    models: [scene-writer]\n"
 LINES_WITH_ORDERS = (
     MODELS_LINE + "    orders: {{model: scene-writer, version: {version}, at_once: 2}}\n"
 )
-#: Seconds that a lost holder's lease, and what comes after it, may take.
+#: Seconds within which orders continue after the holder was killed and its lease expires.
 FAILOVER_SECONDS = 40.0
 HANDOVER_SECONDS = 15.0
 
 
 class OrdersTest(unittest.TestCase):
-    """Three routers before one engine that checks numbers and one that ignores them."""
+    """Three routers, one engine that checks fencing numbers and one that ignores them."""
 
     fleet: ClassVar[LocalFleet]
 
@@ -76,6 +76,6 @@
         self.await_version(3, FAILOVER_SECONDS)
         for numbers in self.fencing_numbers():
             self.assertEqual(numbers, sorted(numbers))
-            # Each change of holder raised the number; routers that start may hand over, too.
+            # Each change of holder raises the fencing number; starting routers may cause one, too.
             self.assertEqual(len(set(numbers)), len(numbers))
             self.assertGreaterEqual(len(numbers), 3)
--- a/fakes/tests/test_owned_headers.py
+++ b/fakes/tests/test_owned_headers.py
@@ -1,4 +1,4 @@
-"""Headers that only routers or engines may set, sent by callers, over processes."""
+"""Headers that only routers or engines may set, sent by callers to router processes."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     ROUTERS_HEADERS,
 )
 
-#: What an engine that has no such copy, or nothing set aside, does not run.
+#: Headers with which an engine refuses a request, as it holds no such copy or reservation.
 MISSING_STATE_HEADERS = (
     ("Kv-From", "10.9.9.9:80/h1"),
     ("hold", "h2"),
     ("KV-FROM", "10.9.9.9:80/h3"),
 )
-#: What it would run, and keep, fetch or copy for it.
+#: Headers with which an engine would run it, but pin, back up or fetch memory for it.
 MEMORY_HEADERS = (("Pin-Ms", "60000"), ("Kv-Backup", "10.9.9.9:80"), ("kv-fetch", "10.9.9.9:80"))
-#: A route of each kind, one of them public, and whose engines serve it.
+#: Method, path and service of a route of each kind; the last is public.
 ROUTES = (
     ("POST", "/notes/a", "lang"),
     ("POST", "/proofs/a", "portal"),
@@ -34,12 +34,12 @@
 )
 
 
-#: Host of a route that leads all paths to a model service.
+#: Host of a route that sends all paths to a model service.
 MODELS_HOST = "models.example"
 
 
 def send(url: str, method: str, *headers: tuple[str, str]) -> tuple[int, Any]:
-    """Send headers as they are, repeated ones too; return the status and the answer's."""
+    """Send headers unchanged, repeated ones included; return the status and answer headers."""
     address = urllib.parse.urlsplit(url)
     connection = http.client.HTTPConnection(address.netloc, timeout=30)
     connection.putrequest(method, address.path, skip_host=True)
@@ -56,7 +56,7 @@
     def send(
         self, method: str, path: str, *headers: tuple[str, str], host: str = "desk.example"
     ) -> tuple[int, str]:
-        """Return the status and the attempt's id."""
+        """Send a request with more headers; return the status and the attempt's id."""
         attempt = uuid.uuid4().hex[:16]
         plain = (
             ("Host", host),
@@ -68,7 +68,7 @@
         return status, attempt
 
     def received_headers(self, service: str, attempt: str) -> list[list[list[str]]]:
-        """Return the headers of each request that engines got of an attempt, refused or not."""
+        """Return the headers of each request of an attempt that engines got, refused or not."""
         all_received = [
             each for engine in self.engines(service) for each in fetch(f"{engine.url}/asked")
         ]
@@ -82,7 +82,7 @@
         )
         listed = ("Connection", "Kv-From, hold, X-Hop")
         owned_names = {name.lower() for name in (*ROUTERS_HEADERS, *ENGINES_HEADERS)}
-        # What the router itself says to every engine.
+        # Headers that the router itself sends to every engine.
         owned_names -= {"tenant", "expect-instance", "request-priority"}
         for method, path, service in ROUTES:
             with self.subTest(path=path):
@@ -107,7 +107,7 @@
                 status, attempt = self.send(method, path, host=MODELS_HOST)
                 self.assertEqual(self.received_headers("lang", attempt), [])
                 self.assertEqual(status, 404)
-                # A plain service's paths are its own.
+                # The same paths of a plain service are not reserved.
                 status, attempt = self.send(method, path)
                 self.assertEqual(len(self.received_headers("portal", attempt)), 1)
 
--- a/fakes/tests/test_prepared_machines.py
+++ b/fakes/tests/test_prepared_machines.py
@@ -1,4 +1,4 @@
-"""The routers of the prepared machines as processes, over sockets, settings included."""
+"""Router processes with the settings of the prepared machines, over sockets."""
 
 from __future__ import annotations
 
@@ -136,7 +136,7 @@
         self.assertEqual(len(self.runs("portal", attempt)), 1)
 
     def test_a_request_reported_as_not_run_did_not_run(self) -> None:
-        # As often as it asks: a request goes once more to an engine that was full.
+        # Enough refusals for all tries: a request is sent once more to an engine that was full.
         for engine in self.engines("portal"):
             engine.arm("refuse", 100)
         attempt = uuid.uuid4().hex[:16]
--- a/fakes/tests/test_readiness.py
+++ b/fakes/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""A router that says it is ready takes new connections."""
+"""A router reports that it is ready only while it accepts new connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fakes._machines_fleet import HALLS, MachinesRouter, eventually
 from fakes.tests.test_prepared_machines import MachinesCase
 
-#: Descriptors that the router may open: few, so that a test reaches the limit.
+#: File descriptors that the router may open: few, so that the test can exhaust them.
 DESCRIPTOR_LIMIT = 150
 
 
@@ -41,7 +41,7 @@
         limits = resource.prlimit(router.process.pid, resource.RLIMIT_NOFILE)
         balancer = http.client.HTTPConnection(*address_of(router.readiness_url))
         self.addCleanup(balancer.close)
-        # The balancer may ask on a connection that it keeps, for which none is needed.
+        # The balancer may use a kept connection, which needs no new descriptor.
         self.assertEqual(self._readiness_status(balancer), 200)
         resource.prlimit(router.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, limits[1]))
         with contextlib.ExitStack() as held:
--- a/fakes/tests/test_recovery.py
+++ b/fakes/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Routers lost under load, and the platform out: what callers see meanwhile."""
+"""What callers see while routers are lost under load or the platform is out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fakes._local_fleet import fetch
 from fakes.tests._fleet_case import KEY, FleetCase
 
-#: Codes that are honest while owners move.
+#: Refusal codes that are acceptable while ownership of engines moves.
 ALLOWED_CODES = {"engines-full", "router-unreachable", "upstream-unreachable", "rate-limited"}
 
 
@@ -24,7 +24,7 @@
     RESUMES = True
 
     def start_load(self, entries: list[int], chats: int = 40) -> tuple[threading.Thread, Tally]:
-        """Start chats through some routers; the tally is filled when the thread ends."""
+        """Start chats through some routers; the tally is complete when the thread ends."""
         bases = [self.fleet.routers[at].callers for at in entries]
         load = Load("scene-writer", (KEY,), chats=chats, turns=4, at_once=8, pause=0.5)
         tally = Tally()
--- a/fakes/tests/test_silent_connections.py
+++ b/fakes/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent for good, without a reset, while new ones work."""
+"""Connections that fall silent permanently, without a reset, while new ones work."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from pondhatch.platform.tests._wire import CONFIGURATION
 from pondhatch.transport._http_client import HEARD_SECONDS
 
-#: Seconds within which silence must show: far over the router's own bounds, which are 2 to
-#: 2.5 s, and far under the minutes after which the system gives a connection up by itself.
+#: Seconds within which silence must be detected: well above the router's own limits of 2 to
+#: 2.5 s, and far below the minutes after which the kernel gives up a connection.
 DETECTION_SECONDS = 8.0
-#: Seconds between two events of a slow engine: beyond all bounds on silence.
+#: Seconds between two events of a slow engine: longer than every limit on silence.
 PAUSE_SECONDS = 4.0
-#: First tries after which a router may send a service two repeats: half of the fleet's fifth
-#: is given out among routers, and this one is alone.
+#: First tries that allow a router two retries to a service: the fleet's retry budget is a fifth
+#: of its first tries, half of it is shared out among routers, and this router is alone.
 TRIES_FOR_TWO_RETRIES = 20
 NOTES_ROUTE = next(each for each in CONFIGURATION["Routes"] if each["Name"] == "r-notes")
 UNRESUMABLE_ROUTE = {
@@ -30,12 +30,12 @@
     "PathPrefix": "/notes/once/",
     "Resumable": False,
 }
-#: With a route whose streams may not be resumed.
+#: The configuration with one more route, whose streams may not be resumed.
 EXTENDED_CONFIGURATION = {**CONFIGURATION, "Routes": [*CONFIGURATION["Routes"], UNRESUMABLE_ROUTE]}
 
 
 class RelayedCase(MachinesCase):
-    """All connections of one router to engines and to the store go through relays."""
+    """All connections of one router to engines and to the store pass through relays."""
 
     relays: ClassVar[list[SilentRelay]]
     store_relay: ClassVar[SilentRelay]
@@ -73,7 +73,7 @@
             relay.fall_silent()
 
     def send_in_background(self, path: str, attempt: str) -> Future[Answer]:
-        """Ask in a thread of its own."""
+        """Send a request in a separate thread."""
         pool = self.enterContext(ThreadPoolExecutor(1))
         return pool.submit(self.send_request, self.router, path, b"x", Attempt_Id=attempt)
 
@@ -133,7 +133,7 @@
         self.assertEqual(self.outcomes("lang", attempt), ["whole"])
 
     def _send_paused_stream(self, path: str, attempt: str) -> Future[Answer]:
-        """Ask for a stream whose engine stands in its middle."""
+        """Send a request for a stream and wait until its engine pauses in the middle."""
         self.arm_all("lang", "pause", 1, 60.0)
         pending = self.send_in_background(path, attempt)
         eventually(lambda: self.outcomes("lang", attempt) == ["paused"])
--- a/fakes/tests/test_store_restores.py
+++ b/fakes/tests/test_store_restores.py
@@ -1,9 +1,8 @@
-"""The platform's store comes back from a copy some seconds old.
+"""The platform's store is restored from a copy some seconds old.
 
-What was written there since is gone, and revisions are given out again. A router that takes the
-higher number for the newer word holds whatever it knew before the drill against all that is
-written after it, until the numbers have caught up: an engine that comes then gets no work, and
-one that leaves goes on getting it.
+Later writes are lost and their revisions are assigned again. Guards against a router that takes
+the higher revision for the newer state: until revisions catch up, it would ignore what is written
+after the restore, so that a new engine gets no work and a leaving one keeps getting it.
 """
 
 from __future__ import annotations
@@ -14,17 +13,17 @@
 from fakes.tests.test_prepared_machines import MachinesCase
 from pondhatch.platform.tests._wire import CONFIGURATION
 
-#: Changes of an engine's entry between the copy and the return, so that numbers are far behind.
+#: Changes of an engine's entry between copy and restore, so that revisions are far behind after.
 CHANGES_AFTER_COPY = 40
-#: Seconds for which the store is away.
+#: Seconds for which the store is unavailable during a restore.
 OUTAGE_SECONDS = 0.5
-#: Seconds after the store's return by when all is as it was: engines write themselves again
-#: within two, and a change is to be in force in two more.
+#: Seconds after the restore within which routers are up to date: engines write their entries
+#: again within 2 s, and a change takes effect within 2 s more.
 SETTLE_SECONDS = 4.0
 
 
 class StoreRestoreTest(MachinesCase):
-    """Three routers: one of them watches for no hall, and hears of all from the others."""
+    """Three routers; one watches the store for no hall, and learns everything from its peers."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -34,7 +33,7 @@
         eventually(lambda: cls.is_served(router))
 
     def restore_older_copy(self) -> None:
-        """Have the store keep a copy, take more in, and come back from the copy."""
+        """Have the store save a copy, take more writes, and restore the copy."""
         self.fleet.object_store.arm("copy", 1)
         self.fleet.put_object("servers", "touch", {})
         for at in range(CHANGES_AFTER_COPY):
@@ -93,7 +92,7 @@
         until = time.monotonic() + SETTLE_SECONDS
         while time.monotonic() < until:
             for router in self.fleet.machine_routers:
-                # The key was taken away, whatever the copy shows.
+                # The key was revoked, although the restored copy still holds it.
                 self.assertEqual(self.send_request(router, "/proofs/a", b"x").status, 401)
                 answer = self.send_request(router, "/proofs/a", b"x", Authorization="Bearer key-40")
                 self.assertEqual(answer.status, 200)
--- a/fakes/tests/test_upstream_notices.py
+++ b/fakes/tests/test_upstream_notices.py
@@ -1,6 +1,6 @@
-"""What engines say of themselves in their answers binds who hears it, over sockets.
+"""Routers obey the notices that engines send in their answers, over sockets.
 
-The platform's list says "ready" all the while: it is behind, or cannot be written.
+The platform lists the engines as ready throughout: its list is behind, or cannot be written.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from fakes.tests import _fleet_case as chats
 from fakes.tests import test_intake as intake
 
-#: More answers than a test asks for.
+#: Occurrences of a fault: more than a test has requests.
 UNLIMITED = 100_000
-#: Seconds for which an engine may still get what came before its word was known.
+#: Seconds for which an engine may still get requests until routers know its notice.
 PROPAGATION_SECONDS = 0.5
 #: Seconds of rest that an engine asks for.
 REST_SECONDS = 3.0
-#: Seconds of a rest that outlasts a test.
+#: Seconds of a rest that lasts longer than the test.
 LONG_REST_SECONDS = 60.0
-#: Seconds within which an engine's report that it stays is believed and known to its owner.
+#: Seconds within which an engine's owner knows and accepts its report that it stays.
 REPORT_SECONDS = 20.0
-#: Seconds within which the end of a rest is told exactly enough to come back by.
+#: Seconds by which Retry-After may miss the end of a rest.
 RETRY_AFTER_TOLERANCE = 0.3
 
 
@@ -33,7 +33,7 @@
             engine.arm("shed", 0)
 
     def send_until_received(self, engine: str) -> None:
-        """Ask every router until an engine got something."""
+        """Send requests to every router until an engine has received one."""
         before = self.received_count(engine)
         eventually(
             lambda: bool(self.send_to_all("/notes/a", 2)) and self.received_count(engine) > before
@@ -41,7 +41,7 @@
 
 
 class LeavingTest(NoticeCase):
-    # Requests reached an engine for seconds after its answers had said that it leaves.
+    # Guards against requests that reach an engine for seconds after it announced leaving.
     def test_an_engine_that_announces_leaving_gets_no_more_from_any_router(self) -> None:
         self.engine("i-lang-0").arm("leaving", UNLIMITED)
         self.send_until_received("i-lang-0")
@@ -52,7 +52,8 @@
 
 
 class RestingTest(NoticeCase):
-    # Requests reached an engine within the rest that it had asked for, the same one twice at once.
+    # Guards against requests that reach an engine during the rest that it asked for; the same
+    # request even came twice at the same time.
     def test_an_engine_that_asks_for_rest_gets_no_requests_until_it_is_over(self) -> None:
         self.engine("i-lang-0").arm("shed", UNLIMITED, REST_SECONDS)
         self.send_until_received("i-lang-0")
@@ -89,7 +90,7 @@
 
 
 class ChatTest(chats.FleetCase):
-    """The same in the product's own words, at engines that serve the OpenAI API."""
+    """The same with the project's own headers, at engines that serve the OpenAI API."""
 
     def tearDown(self) -> None:
         self.disarm()
@@ -98,7 +99,7 @@
         return len(self.runs(self.engines[engine]))
 
     def is_used(self, engine: int) -> bool:
-        """Return whether one of some chats runs at an engine."""
+        """Return whether an engine runs one of eight chats."""
         before = self.run_count(engine)
         for at in range(8):
             self.stream(f"chat {at} of {before}", router=at % 2)
@@ -107,12 +108,12 @@
     def test_an_engine_that_announces_leaving_or_rest_gets_no_chat(self) -> None:
         for fault, seconds in (("says-leaving", 0.0), ("shed", LONG_REST_SECONDS)):
             with self.subTest(fault):
-                # Once it reports again that it stays, it is used again.
+                # It is used again once it reports that it stays.
                 self.eventually(lambda: self.is_used(0), REPORT_SECONDS)
                 self.engines[0].arm(fault, UNLIMITED, seconds)
                 for at in range(8):
                     self.stream(f"{fault} {at}", router=at % 2)
-                # From here on it would serve what came.
+                # From now on the engine itself would accept requests.
                 self.engines[0].arm(fault, 0)
                 time.sleep(PROPAGATION_SECONDS)
                 before = self.run_count(0)
