--- a/fakes/_engine.py
+++ b/fakes/_engine.py
@@ -283,7 +283,7 @@
 def _answer_words(texts: list[str], count: int | None) -> list[str]:
     """Return the words of the answer, determined by the messages so that tests can check it."""
     last = texts[-1]
-    return [f"{len(texts)}.{at}.{len(last)} " for at in range(count or DEFAULT_ANSWER_TOKENS)]
+    return [f"{len(texts)}.{index}.{len(last)} " for index in range(count or DEFAULT_ANSWER_TOKENS)]
 
 
 def _usage(words: list[str], run: Run) -> dict[str, Any]:
--- a/fakes/_machines_store.py
+++ b/fakes/_machines_store.py
@@ -132,7 +132,11 @@
             return self._create(request, kind)
         if b"Watch" in request.args:
             return await self._watch(request, kind)
-        found = [each for (of, _), each in self.store.object_by_key.items() if of == kind]
+        found = [
+            each
+            for (stored_kind, _), each in self.store.object_by_key.items()
+            if stored_kind == kind
+        ]
         page = {"Entries": found, "HasMore": False, "Timestamp": self.store.revision}
         return json.dumps(page).encode()
 
@@ -146,8 +150,8 @@
         while time.monotonic() < until and watched is self.store:
             events = [
                 {"Deleted": removal, "Object": found}
-                for of, revision, removal, found in self.store.events
-                if of == kind and revision > since
+                for event_kind, revision, removal, found in self.store.events
+                if event_kind == kind and revision > since
             ]
             if events:
                 return json.dumps({"events": events, "Timestamp": self.store.revision}).encode()
--- a/fakes/_many_routers.py
+++ b/fakes/_many_routers.py
@@ -20,8 +20,8 @@
     """The state of router r0, which knows all other routers and the upstreams."""
 
     def __init__(self, routers: int, upstreams: int) -> None:
-        own = _alive_record("r0", 0, 1, Phase.LIVE)
-        gossip = Gossip(own, MembershipLimits(), random.Random(1))
+        own_record = _alive_record("r0", 0, 1, Phase.LIVE)
+        gossip = Gossip(own_record, MembershipLimits(), random.Random(1))
         self.state = RouterState("r0", hall_of(0), gossip, lambda: 0.0, _no_key_holder)
         listed = tuple(listed_upstream(number, hall_of(number)) for number in range(upstreams))
         self.state.apply_listed_upstreams(Listed(upstreams, listed))
--- a/fakes/_platform.py
+++ b/fakes/_platform.py
@@ -127,7 +127,11 @@
     async def _list(self, request: Any, kind: str) -> bytes:
         if not await self._is_call_accepted(request, "read"):
             return b""
-        objects = [vars(each) for (of, _), each in self.store.object_by_key.items() if of == kind]
+        objects = [
+            vars(each)
+            for (stored_kind, _), each in self.store.object_by_key.items()
+            if stored_kind == kind
+        ]
         return json.dumps({"version": self.store.version, "objects": objects}).encode()
 
     async def _handle_object(self, request: Any, kind: str, name: str) -> bytes:
@@ -175,7 +179,11 @@
         _write_event(request, {"type": "bookmark", "version": since})
         quiet_since = time.monotonic()
         while not disconnected.is_set() and time.monotonic() >= self._outage_until:
-            new_events = [e for of, e in self.store.events if of == kind and e["version"] > since]
+            new_events = [
+                e
+                for event_kind, e in self.store.events
+                if event_kind == kind and e["version"] > since
+            ]
             for event in new_events:
                 _write_event(request, event)
                 since = event["version"]
--- a/fakes/_platform_in_memory.py
+++ b/fakes/_platform_in_memory.py
@@ -53,7 +53,11 @@
         self.stale_tolerant_calls += may_be_old
         if self._is_call_refused():
             return Unavailable("outage")
-        found = [each for (of, _), each in self.store.object_by_key.items() if of == kind]
+        found = [
+            each
+            for (stored_kind, _), each in self.store.object_by_key.items()
+            if stored_kind == kind
+        ]
         version = position_of(self.era, self.store.version)
         return Listed(version, tuple(self._to_stored_object(each) for each in found))
 
--- a/fakes/tests/test_callers.py
+++ b/fakes/tests/test_callers.py
@@ -244,8 +244,8 @@
 
     @classmethod
     def peer_settings(cls) -> dict[str, Any]:
-        own = cls.caller_settings()
-        return {**own, "authority": own["certificate"]}
+        tls_settings = cls.caller_settings()
+        return {**tls_settings, "authority": tls_settings["certificate"]}
 
     def test_a_call_between_routers_without_a_certificate_is_refused(self) -> None:
         from pondhatch.transport import _wire as wire
