--- a/bench/_abandoned_streams.py
+++ b/bench/_abandoned_streams.py
@@ -89,7 +89,7 @@
         )
         fleet.add_routers(["recife-1", "recife-1"])
         fleet.apply(ROOT / "bench/fleet.yaml")
-        fleet.await_agreement(1)
+        fleet.await_convergence(1)
         closed_at = asyncio.run(_abandon_all(non_owner_router(fleet).callers))
         streams = _match_runs(engine, closed_at)
     work = sum(each.ended_at - each.began_at for each in streams)
--- a/bench/_load_polls.py
+++ b/bench/_load_polls.py
@@ -63,7 +63,7 @@
     server = await asyncio.start_server(relay.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     relayed_engine = replace(engine, url=f"http://127.0.0.1:{port}")
-    await asyncio.to_thread(fleet.list_upstream, relayed_engine, "live")
+    await asyncio.to_thread(fleet.put_upstream, relayed_engine, "live")
     await asyncio.sleep(3)
     relay.traffic = TrafficCount()
     await asyncio.sleep(COUNT_SECONDS)
@@ -77,7 +77,7 @@
         fleet.add_backend("engine", "engine-0", "scene-language", "recife-1")
         fleet.add_routers(["recife-1"])
         fleet.apply(ROOT / "bench/fleet.yaml")
-        fleet.await_agreement(1)
+        fleet.await_convergence(1)
         traffic = asyncio.run(_count_traffic(fleet))
     each = traffic.payload / traffic.answers
     yield Measure("load_question.payload", each, "B a question and its answer")
--- a/fakes/_faults.py
+++ b/fakes/_faults.py
@@ -1,8 +1,8 @@
-"""One small way to tell any stand-in to fail.
+"""Fault injection shared by all stand-ins.
 
 ``POST /faults`` with ``{"name": "stall", "count": 1, "seconds": 2.0}`` arms a
-fault; ``count`` says how often it strikes, and 0 disarms it; ``after`` how many
-chances it lets pass first.
+fault. ``count`` is the number of times that it occurs, and 0 disarms it; ``after``
+is the number of occasions that it skips first.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
     """An armed fault."""
 
     name: str
-    #: How often it still strikes.
+    #: Remaining occurrences.
     count: int
-    #: Length of what it does, where it has a length.
+    #: Duration of its effect, for faults that have one.
     seconds: float = 0.0
-    #: Chances to strike that it lets pass first.
+    #: Occasions that it skips first.
     after: int = 0
 
 
 @dataclass
 class Faults:
-    """Faults by name."""
+    """The armed faults of one stand-in, by name."""
 
     by_name: dict[str, Fault] = field(default_factory=dict)
 
@@ -37,8 +37,8 @@
         """Arm a fault, or disarm it with count 0."""
         self.by_name[name] = Fault(name, count, seconds, after)
 
-    def strike(self, name: str) -> Fault | None:
-        """Return the fault if it is armed, and use it up once."""
+    def consume(self, name: str) -> Fault | None:
+        """Return the fault if it is due now, and count one occurrence; None otherwise."""
         fault = self.by_name.get(name)
         if fault is None or fault.count <= 0:
             return None
@@ -48,12 +48,12 @@
         fault.count -= 1
         return fault
 
-    def route(self, app: Klein) -> None:
+    def add_route(self, app: Klein) -> None:
         """Serve ``POST /faults``."""
 
         @app.route("/faults", methods=["POST"])
         def arm(request: Any) -> bytes:
-            told = json.loads(request.content.read())
-            count, seconds = told.get("count", 1), told.get("seconds", 0.0)
-            self.arm(told["name"], count, seconds, told.get("after", 0))
+            body = json.loads(request.content.read())
+            count, seconds = body.get("count", 1), body.get("seconds", 0.0)
+            self.arm(body["name"], count, seconds, body.get("after", 0))
             return b"ok\n"
--- a/fakes/_machines_engine.py
+++ b/fakes/_machines_engine.py
@@ -1,16 +1,25 @@
-"""An engine of the prepared machines: runs what is meant for it, and says what it did.
-
-A path under ``/notes/`` is answered as a stream of events, any other as a whole. Faults:
-``refuse`` (full, not run), ``shed`` (not run, and nothing more is wanted for ``seconds``),
-``leaving`` (an answer says that the engine is about to end), ``cut`` (a stream that began
-here breaks in the middle), ``pause`` (it waits there), ``stall`` (an answer waits), ``cross``
-(the answer of another request), ``fail`` (500 of its own), ``echo`` (an answer repeats what the
-router said), ``slow`` (a stream takes 2.5 times as long, and the engine says so beside its
-load), ``garble-load`` (what it says of its load makes no sense). A request whose body begins
-with one of ``ENDING_BODIES`` ends the engine's process as it begins to run. A request that
-names a copy or a reservation which is not here is refused and not run. ``POST /cold`` with
-``{"seconds": 5, "most": 11}`` makes it cold: its process ends where more requests come within
-one second than it then bears.
+"""Stand-in for an engine of the prepared machines; records the requests that it received and ran.
+
+A path under ``/notes/`` is answered by a stream of events, any other by a whole body. A request
+that is addressed to another instance is refused with 421, and one that names a copy or a
+reservation which this engine does not hold is refused and not run. A request whose body begins
+with one of ``CRASH_BODIES`` ends the engine's process as it begins to run. ``POST /cold`` with
+``{"seconds": 5, "most": 11}`` makes the engine cold for 5 s: its process ends if more than 11
+requests arrive within one second.
+
+Faults:
+
+- ``refuse``: full, not run
+- ``shed``: not run, and ask for no requests for ``seconds``
+- ``leaving``: announce in an answer that the engine is about to end
+- ``cut``: break a stream that began here in the middle
+- ``pause``: pause such a stream in the middle for ``seconds``
+- ``stall``: delay an answer by ``seconds``
+- ``cross``: answer under another request's id
+- ``fail``: a 500 of the engine's own
+- ``echo``: repeat the router's request headers in the answer
+- ``slow``: a stream takes 2.5 times as long, and the engine reports this pace with its load
+- ``garble-load``: report an invalid load
 """
 
 from __future__ import annotations
@@ -29,61 +38,61 @@
 from fakes._faults import Faults
 from pondhatch.kernel import as_deferred
 
-#: Events of a stream.
-EVENTS = 6
-#: Requests that it works on at once, as its entry says.
+#: Events in a stream.
+STREAM_EVENTS = 6
+#: Requests that it runs concurrently, as stated in its entry.
 SLOTS = 8
-#: Headers that name what an engine must have to run the request.
-MUST_BE_HERE = ("Kv-From", "Hold")
-#: What a router says to an engine, and an echo repeats.
-ECHOED = ("Expect-Instance", "Request-Priority")
-#: Bodies under which the engine ends: before its answer begins, and right after.
-ENDS_AT_ONCE = b"ends its engine at once"
-ENDS_AFTER_HEAD = b"ends its engine after the head"
-ENDING_BODIES = (ENDS_AT_ONCE, ENDS_AFTER_HEAD)
-#: Seconds from an answer's head to the engine's end.
-END_AFTER = 0.05
-#: Seconds between two events.
-STEP = 0.02
-#: How long work takes at a slow engine, in percent of usual.
+#: Headers that name state (a copy, a reservation) that an engine must hold to run the request.
+LOCAL_STATE_HEADERS = ("Kv-From", "Hold")
+#: Headers from router to engine that the fault ``echo`` repeats.
+ECHOED_HEADERS = ("Expect-Instance", "Request-Priority")
+#: Bodies that crash the engine: before its answer begins, and just after the head.
+CRASH_BEFORE_HEAD = b"ends its engine at once"
+CRASH_AFTER_HEAD = b"ends its engine after the head"
+CRASH_BODIES = (CRASH_BEFORE_HEAD, CRASH_AFTER_HEAD)
+#: Seconds from the head of an answer to the crash.
+CRASH_DELAY = 0.05
+#: Seconds between two events of a stream.
+EVENT_INTERVAL = 0.02
+#: Duration of work at a slow engine, in percent of the usual one.
 SLOW_PACE = 250
-#: Figures of its load that no engine can mean.
+#: A load header with figures that no engine can mean.
 GARBLED_LOAD = "7,-1,,1e9"
 
 
 @dataclass
-class _Seen:
-    """One request that came."""
+class _ReceivedRequest:
+    """One received request; served as JSON on ``/seen``."""
 
     id: str
-    #: In seconds of the machine's steady clock.
+    #: In seconds of the machine's monotonic clock.
     came_at: float
-    #: When the head of its answer went out; None where none did.
+    #: When the head of its answer was sent; None if none was.
     answered_at: float | None = None
     ran: bool = False
-    #: Whether the answer said that the engine leaves, and for how many seconds it wants rest.
+    #: Whether the answer announced that the engine leaves, and the seconds of rest it asked for.
     leaving: bool = False
     rest: float = 0.0
 
 
 class MachinesEngine:
-    """One engine's HTTP interface."""
+    """One engine's state and its HTTP interface."""
 
     def __init__(self, name: str) -> None:
         self.faults = Faults()
         self.app = Klein()
-        #: What ran here: the id, the account, the headers, and how it ended.
+        #: Requests that ran: id, headers and outcome of each.
         self.runs: list[dict[str, Any]] = []
-        #: Headers of every request that came, refused ones too: pairs, names in lower case.
-        self.asked: list[list[tuple[str, str]]] = []
-        #: What came and what was said to it, in the order of arrival; see _Seen.
-        self.seen: list[_Seen] = []
+        #: Headers of each received request, refused ones included: pairs, names in lower case.
+        self.received_headers: list[list[tuple[str, str]]] = []
+        #: Received requests and how each was answered, in the order of arrival.
+        self.received_requests: list[_ReceivedRequest] = []
         self._name = name
         self._cold_until = 0.0
-        #: Requests within one second that it bears while it is cold.
-        self._most_cold = 0
-        #: When the requests of the last second came.
-        self._came_at: deque[float] = deque()
+        #: Requests within one second that it survives while it is cold.
+        self._cold_limit = 0
+        #: Arrival times of the requests of the last second.
+        self._recent_arrivals: deque[float] = deque()
         self._route()
 
     def _route(self) -> None:
@@ -93,20 +102,20 @@
 
         @self.app.route("/asked")
         def asked(request: Any) -> bytes:
-            return json.dumps(self.asked).encode()
+            return json.dumps(self.received_headers).encode()
 
         @self.app.route("/cold", methods=["POST"])
         def cold(request: Any) -> bytes:
-            told = json.loads(request.content.read())
-            self._cold_until = time.monotonic() + told["seconds"]
-            self._most_cold = told["most"]
+            body = json.loads(request.content.read())
+            self._cold_until = time.monotonic() + body["seconds"]
+            self._cold_limit = body["most"]
             return b"ok\n"
 
         @self.app.route("/seen")
         def seen(request: Any) -> bytes:
-            return json.dumps([asdict(each) for each in self.seen]).encode()
+            return json.dumps([asdict(each) for each in self.received_requests]).encode()
 
-        self.faults.route(self.app)
+        self.faults.add_route(self.app)
 
         @self.app.route("/", branch=True)
         def run(request: Any) -> Deferred[bytes | None]:
@@ -114,25 +123,27 @@
 
     async def _answer(self, request: Any) -> bytes:
         request.setHeader("Keep-Alive", "timeout=5")
-        self.asked.append(_pairs(request))
-        seen = _Seen(request.getHeader("Attempt-Id") or "", time.monotonic())
-        self.seen.append(seen)
-        if self.faults.strike("leaving"):
+        self.received_headers.append(_header_pairs(request))
+        received = _ReceivedRequest(request.getHeader("Attempt-Id") or "", time.monotonic())
+        self.received_requests.append(received)
+        if self.faults.consume("leaving"):
             request.setHeader("Server-Leaving", "1")
-            seen.leaving = True
+            received.leaving = True
         if request.getHeader("Expect-Instance") != self._name:
             request.setResponseCode(421)
-            seen.leaving = False
+            received.leaving = False
             return b""
-        self._bear()
-        if fault := self.faults.strike("shed"):
+        self._record_arrival()
+        if fault := self.faults.consume("shed"):
             request.setResponseCode(503)
             request.setHeader("Not-Executed", "1")
             request.setHeader("Retry-After", f"{fault.seconds:g}")
-            seen.answered_at, seen.rest = time.monotonic(), fault.seconds
+            received.answered_at, received.rest = time.monotonic(), fault.seconds
             return b""
-        unknown_here = any(request.getHeader(name) is not None for name in MUST_BE_HERE)
-        if unknown_here or self.faults.strike("refuse"):
+        needs_missing_state = any(
+            request.getHeader(name) is not None for name in LOCAL_STATE_HEADERS
+        )
+        if needs_missing_state or self.faults.consume("refuse"):
             request.setResponseCode(503)
             request.setHeader("Not-Executed", "1")
             return b""
@@ -143,83 +154,87 @@
         }
         run = {"id": attempt, "headers": headers, "outcome": "running"}
         self.runs.append(run)
-        seen.ran = True
-        gone = asyncio.Event()
-        request.notifyFinish().addErrback(lambda _: gone.set())
-        if fault := self.faults.strike("stall"):
+        received.ran = True
+        disconnected = asyncio.Event()
+        request.notifyFinish().addErrback(lambda _: disconnected.set())
+        if fault := self.faults.consume("stall"):
             await asyncio.sleep(fault.seconds)
-        await self._end_with(request, request.content.read())
+        await self._crash_if_asked(request, request.content.read())
         request.content.seek(0)
-        seen.answered_at = time.monotonic()
-        step = self._tell_load(request)
-        request.setHeader("Attempt-Id", "another" if self.faults.strike("cross") else attempt)
+        received.answered_at = time.monotonic()
+        step = self._set_load_header(request)
+        request.setHeader("Attempt-Id", "another" if self.faults.consume("cross") else attempt)
         request.setHeader("Instance-Signature", f"{self._name}.{attempt}")
-        if self.faults.strike("echo"):
+        if self.faults.consume("echo"):
             request.setHeader("X-Echoed", "1")
-            for name in ECHOED:
+            for name in ECHOED_HEADERS:
                 request.setHeader(name, request.getHeader(name) or "")
-        if self.faults.strike("fail"):
+        if self.faults.consume("fail"):
             request.setResponseCode(500)
             return b"failed"
         if not request.path.startswith(b"/notes/"):
-            run["outcome"] = "gone" if gone.is_set() else "whole"
+            run["outcome"] = "gone" if disconnected.is_set() else "whole"
             return b"%s by %s" % (request.content.read() or b"nothing", self._name.encode())
-        run["outcome"] = await self._stream(request, run, gone, step)
+        run["outcome"] = await self._stream(request, run, disconnected, step)
         return b""
 
-    def _tell_load(self, request: Any) -> float:
-        """Say how loaded the engine is, where a fault has it do so; return a stream's step."""
-        if self.faults.strike("garble-load"):
+    def _set_load_header(self, request: Any) -> float:
+        """Set the load header if a fault demands it; return the seconds between two events."""
+        if self.faults.consume("garble-load"):
             request.setHeader("Instance-Load", GARBLED_LOAD)
-        if not self.faults.strike("slow"):
-            return STEP
+        if not self.faults.consume("slow"):
+            return EVENT_INTERVAL
         running = sum(run["outcome"] == "running" for run in self.runs)
         request.setHeader("Instance-Load", f"{running},0,{SLOTS},{SLOW_PACE}")
-        return STEP * SLOW_PACE / 100
+        return EVENT_INTERVAL * SLOW_PACE / 100
 
-    def _bear(self) -> None:
-        """Take one more request in, or fall over under it where the engine is cold."""
+    def _record_arrival(self) -> None:
+        """Record an arrival, and end the process if a cold engine gets too many in one second."""
         now = time.monotonic()
-        self._came_at.append(now)
-        while self._came_at[0] <= now - 1.0:
-            self._came_at.popleft()
-        if now < self._cold_until and len(self._came_at) > self._most_cold:
+        self._recent_arrivals.append(now)
+        while self._recent_arrivals[0] <= now - 1.0:
+            self._recent_arrivals.popleft()
+        if now < self._cold_until and len(self._recent_arrivals) > self._cold_limit:
             os._exit(1)
 
-    async def _end_with(self, request: Any, body: bytes) -> None:
-        """End the whole process, as a request does that an engine cannot bear."""
-        if body == ENDS_AFTER_HEAD:
+    async def _crash_if_asked(self, request: Any, body: bytes) -> None:
+        """End the process if the body is one of CRASH_BODIES."""
+        if body == CRASH_AFTER_HEAD:
             request.setHeader("Attempt-Id", request.getHeader("Attempt-Id") or "")
             request.setHeader("Content-Type", "text/event-stream")
             request.write(b"id: ")
-            await asyncio.sleep(END_AFTER)
-        if body.startswith(ENDING_BODIES):
+            await asyncio.sleep(CRASH_DELAY)
+        if body.startswith(CRASH_BODIES):
             os._exit(1)
 
     async def _stream(
-        self, request: Any, run: dict[str, Any], gone: asyncio.Event, step: float
+        self, request: Any, run: dict[str, Any], disconnected: asyncio.Event, step: float
     ) -> str:
         request.setHeader("Content-Type", "text/event-stream")
         after = int(request.getHeader("Last-Event-Id") or 0)
-        for at in range(after + 1, EVENTS + 1):
-            if gone.is_set():
+        for number in range(after + 1, STREAM_EVENTS + 1):
+            if disconnected.is_set():
                 return "gone"
-            if at == EVENTS // 2 and not after and self.faults.strike("cut"):
-                request.write(b"id: %d\ndata: ha" % at)
+            if number == STREAM_EVENTS // 2 and not after and self.faults.consume("cut"):
+                request.write(b"id: %d\ndata: ha" % number)
                 request.channel.forceAbortClient()
                 return "cut"
-            if at == EVENTS // 2 and not after and (fault := self.faults.strike("pause")):
+            if (
+                number == STREAM_EVENTS // 2
+                and not after
+                and (fault := self.faults.consume("pause"))
+            ):
                 run["outcome"] = "paused"
                 await asyncio.sleep(fault.seconds)
-            request.write(b"id: %d\ndata: %d\n\n" % (at, at))
+            request.write(b"id: %d\ndata: %d\n\n" % (number, number))
             await asyncio.sleep(step)
         return "whole"
 
 
-def _pairs(request: Any) -> list[tuple[str, str]]:
-    every = request.requestHeaders.getAllRawHeaders()
+def _header_pairs(request: Any) -> list[tuple[str, str]]:
+    raw_headers = request.requestHeaders.getAllRawHeaders()
     return [
         (name.decode("latin-1").lower(), value.decode("latin-1"))
-        for name, values in every
+        for name, values in raw_headers
         for value in values
     ]
--- a/fakes/_machines_fleet.py
+++ b/fakes/_machines_fleet.py
@@ -1,4 +1,4 @@
-"""Routers as the prepared machines run them, as processes on loopback."""
+"""A fleet of processes on loopback with router settings as on the prepared machines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 TEMPLATE = ROOT / "deploy" / "router.yaml"
 HALLS = ("hall-1", "hall-2")
-#: What the platform says of its bounds to whom it starts.
+#: The bounds that the platform fills into a router's settings.
 BOUNDS = {
     "CapacityFactor": 2,
     "GraceS": 8,
@@ -31,16 +31,16 @@
 }
 #: Names of the platform's rules in force.
 RULES: tuple[str, ...] = ("base", "engine", "stream", "tenants", "platform")
-#: What the platform says of the VM that it starts a router on.
+#: The limits of a router's VM that the platform fills into its settings.
 LIMITS = {"MemoryMb": 1024, "CpuQuota": 0.5, "Cores": 2.15, "LinkMbps": 100}
 #: The region of each hall.
 REGIONS = {"hall-1": "north", "hall-2": "south"}
 
 
-def fill(template: str, values: dict[str, Any]) -> str:
-    """Fill a template's gaps as the platform does, as far as ours uses them.
+def fill_template(template: str, values: dict[str, Any]) -> str:
+    """Fill a template's placeholders as the platform does, as far as our template uses them.
 
-    A name that the platform does not know leaves nothing in its gap.
+    A placeholder whose name the platform does not know becomes empty.
     """
 
     def value(match: re.Match[str]) -> str:
@@ -56,8 +56,8 @@
 class RouterPorts:
     """The ports of one router."""
 
-    clients: int
-    ready: int
+    callers: int
+    readiness: int
     peers: int
     admin: int
     metrics: int
@@ -65,61 +65,61 @@
 
 @dataclass
 class MachinesRouter:
-    """One router process and where it is reached."""
+    """One router process and its addresses."""
 
     name: str
-    clients: str
-    ready: str
-    metrics: str
+    caller_url: str
+    readiness_url: str
+    metrics_url: str
     #: "IP:port".
-    admin: str
+    admin_address: str
     process: Popen[bytes]
 
     def is_ready(self) -> bool:
-        """Return what the balancer would be told."""
+        """Return whether the router's readiness check succeeds, as the balancer sees it."""
         try:
-            with urllib.request.urlopen(f"{self.ready}/readyz", timeout=5) as answer:
+            with urllib.request.urlopen(f"{self.readiness_url}/readyz", timeout=5) as answer:
                 return bool(answer.status == 200)
         except OSError:
             return False
 
 
 class MachinesFleet(LocalFleet):
-    """Starts a store, engines and routers, and ends them."""
+    """Starts a store, engines and routers, and kills them on exit."""
 
     #: Names of the platform's rules in force.
     rules = RULES
 
     def __enter__(self) -> MachinesFleet:
         super().__enter__()
-        url, process = self._stand_in("machines-store")
-        self.objects = Backend("store", "", url, "", process)
-        self.machines: list[MachinesRouter] = []
+        url, process = self._start_stand_in("machines-store")
+        self.object_store = Backend("store", "", url, "", process)
+        self.machine_routers: list[MachinesRouter] = []
         return self
 
-    def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object as the operator or an engine would."""
-        told = {"Metadata": {"Name": name}, "Spec": spec}
+    def put_object(self, kind: str, name: str, spec: Any) -> None:
+        """Write an object as the operator or an engine would; create it if it is missing."""
+        document = {"Metadata": {"Name": name}, "Spec": spec}
         try:
-            fetch(f"{self.objects.url}/objects/{kind}/{name}", told, "PUT")
+            fetch(f"{self.object_store.url}/objects/{kind}/{name}", document, "PUT")
         except urllib.error.HTTPError as error:
             error.close()
-            fetch(f"{self.objects.url}/objects/{kind}", told, "POST")
+            fetch(f"{self.object_store.url}/objects/{kind}", document, "POST")
 
-    def remove(self, kind: str, name: str) -> None:
+    def remove_object(self, kind: str, name: str) -> None:
         """Remove an object."""
-        fetch(f"{self.objects.url}/objects/{kind}/{name}", method="DELETE")
+        fetch(f"{self.object_store.url}/objects/{kind}/{name}", method="DELETE")
 
     def add_engine(self, name: str, service: str, hall: str) -> Backend:
-        """Start an engine, which lists itself."""
-        url, process = self._stand_in("machines-engine", f"--name={name}")
+        """Start an engine and write its entry."""
+        url, process = self._start_stand_in("machines-engine", f"--name={name}")
         engine = Backend(name, service, url, hall, process)
         self.backends.append(engine)
-        self.say(engine, "ready")
+        self.put_engine(engine, "ready")
         return engine
 
-    def say(self, engine: Backend, state: str, **changes: Any) -> None:
-        """Write an engine's entry, with some fields set to something else."""
+    def put_engine(self, engine: Backend, state: str, **changes: Any) -> None:
+        """Write an engine's entry; ``changes`` override or add fields."""
         entry = {
             "Service": engine.service,
             "Address": self.address_of(engine),
@@ -131,68 +131,68 @@
             "Sequence": 1,
             **changes,
         }
-        self.put("servers", engine.name, entry)
+        self.put_object("servers", engine.name, entry)
 
     def address_of(self, backend: Backend) -> str:
         """Return the "IP:port" at which routers reach a stand-in."""
         return backend.url.removeprefix("http://")
 
     def restart(self, router: MachinesRouter) -> None:
-        """Start a router whose process has ended once more, with the settings that it had."""
+        """Start a router whose process has ended again, with its previous settings."""
         path = self.folder / f"{router.name}.yaml"
         router.process = self._start("pondhatch", "run", str(path))
 
     def add_router(self, hall: str) -> MachinesRouter:
-        """Start a router with the settings that the deploy folder makes."""
+        """Start a router with settings made from the template in the deploy folder."""
         ports = RouterPorts(*free_ports(len(fields(RouterPorts))))
-        name = f"edge-{len(self.machines)}"
+        name = f"edge-{len(self.machine_routers)}"
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(self._settings(name, hall, ports)))
         router = MachinesRouter(
             name,
-            f"http://{HOST}:{ports.clients}",
-            f"http://{HOST}:{ports.ready}",
+            f"http://{HOST}:{ports.callers}",
+            f"http://{HOST}:{ports.readiness}",
             f"http://{HOST}:{ports.metrics}/metrics",
             f"{HOST}:{ports.admin}",
             self._start("pondhatch", "run", str(path)),
         )
-        self.machines.append(router)
+        self.machine_routers.append(router)
         return router
 
     def _settings(self, name: str, hall: str, ports: RouterPorts) -> dict[str, Any]:
-        """Return a router's settings: the template as the platform would fill it."""
-        gaps = {
+        """Return a router's settings: the template filled as the platform does."""
+        values = {
             "NodeName": name,
             "Zone": hall,
             "Zones": REGIONS,
             "Ip": HOST,
             "Listen": {
-                "Frontend": f"{HOST}:{ports.clients}",
-                "Ready": f"{HOST}:{ports.ready}",
+                "Frontend": f"{HOST}:{ports.callers}",
+                "Ready": f"{HOST}:{ports.readiness}",
             },
             "PortRange": [ports.peers, ports.admin],
-            "Platform": {"Address": self.address_of(self.objects)},
+            "Platform": {"Address": self.address_of(self.object_store)},
             "Bounds": BOUNDS,
             "Contracts": self.rules,
             "Limits": LIMITS,
         }
-        settings: dict[str, Any] = yaml.safe_load(fill(TEMPLATE.read_text(), gaps))
+        settings: dict[str, Any] = yaml.safe_load(fill_template(TEMPLATE.read_text(), values))
         settings["log"] = {"level": self.log_level}
-        # Each router has a machine of its own there; here they share one.
+        # Each deployed router has a machine of its own; here routers share one, and need own ports.
         settings["metrics"]["port"] = ports.metrics
         return settings
 
 
-def eventually(holds: Callable[[], bool], seconds: float = 30.0) -> None:
-    """Wait until something holds. Raises AssertionError where it does not in time."""
+def eventually(condition: Callable[[], bool], seconds: float = 30.0) -> None:
+    """Wait until a condition holds; raise AssertionError if it does not within ``seconds``."""
     deadline = time.monotonic() + seconds
-    while not holds():
+    while not condition():
         if time.monotonic() > deadline:
-            raise AssertionError(f"did not come to hold within {seconds} s")
+            raise AssertionError(f"the condition did not hold within {seconds} s")
         time.sleep(0.05)
 
 
-def changed(configuration: dict[str, Any], version: int) -> dict[str, Any]:
+def with_version(configuration: dict[str, Any], version: int) -> dict[str, Any]:
     """Return a copy of a configuration under another version."""
     copied = copy.deepcopy(configuration)
     copied["Version"] = version
--- a/fakes/_orders.py
+++ b/fakes/_orders.py
@@ -1,7 +1,7 @@
-"""Orders to a stand-in engine: what it holds, and who ordered what under which number.
+"""Orders to a stand-in engine: its state, and a log of orders with their fencing numbers.
 
-Faults: ``order-lost`` (the order is carried out, its answer is lost), ``order-refused``
-(503, nothing done).
+Faults: ``order-lost`` (the order takes effect, but its answer is lost), ``order-refused``
+(503, no effect).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One order as it took effect."""
+    """One order that took effect."""
 
     fencing: int
     wanted: DesiredState
@@ -30,28 +30,30 @@
 
 @dataclass
 class OrderBook:
-    """An engine's side of orders, without I/O."""
+    """An engine's handling of orders, without I/O."""
 
-    #: Whether it refuses an old fencing number, or ignores it.
+    #: Whether the engine refuses old fencing numbers; otherwise it ignores them.
     checks_fencing: bool
-    #: Seconds that an order takes.
-    load_seconds: float = 0.1
+    #: Seconds for which an order keeps the engine busy.
+    order_seconds: float = 0.1
     state: EngineState = field(default_factory=lambda: EngineState(None))
     orders: list[Order] = field(default_factory=list)
     _busy_until: float = 0.0
 
-    def told(self, now: float) -> EngineState:
-        """Return what the engine says of itself."""
+    def state_at(self, now: float) -> EngineState:
+        """Return the state that the engine reports at a time."""
         return msgspec.structs.replace(self.state, busy=now < self._busy_until)
 
-    def take(self, wanted: DesiredState, fencing: int, now: float) -> Taken | OldNumber | NotTaken:
-        """Carry an order out, or refuse it."""
+    def execute(
+        self, desired: DesiredState, fencing: int, now: float
+    ) -> Taken | OldNumber | NotTaken:
+        """Execute an order, or refuse it for its old fencing number."""
         if self.checks_fencing and fencing < self.state.fencing:
             return OldNumber(self.state.fencing)
-        seen = max(fencing, self.state.fencing) if self.checks_fencing else 0
-        self.state = EngineState(wanted, fencing=seen)
-        self._busy_until = now + self.load_seconds
-        self.orders.append(Order(fencing, wanted, now))
+        highest_fencing = max(fencing, self.state.fencing) if self.checks_fencing else 0
+        self.state = EngineState(desired, fencing=highest_fencing)
+        self._busy_until = now + self.order_seconds
+        self.orders.append(Order(fencing, desired, now))
         return Taken()
 
 
@@ -60,7 +62,7 @@
 
     @app.route("/orders", methods=["GET"])
     def state(request: Any) -> bytes:
-        return msgspec.json.encode(book.told(time.monotonic()))
+        return msgspec.json.encode(book.state_at(time.monotonic()))
 
     @app.route("/orders/log")
     def log(request: Any) -> bytes:
@@ -68,17 +70,17 @@
 
     @app.route("/orders", methods=["PUT"])
     def order(request: Any) -> Deferred[bytes | None]:
-        return as_deferred(_order(request, book, faults))
+        return as_deferred(_handle_order(request, book, faults))
 
 
-async def _order(request: Any, book: OrderBook, faults: Faults) -> bytes:
-    told = msgspec.json.decode(request.content.read())
-    if faults.strike("order-refused"):
+async def _handle_order(request: Any, book: OrderBook, faults: Faults) -> bytes:
+    body = msgspec.json.decode(request.content.read())
+    if faults.consume("order-refused"):
         request.setResponseCode(503)
         return b""
-    wanted = msgspec.convert(told["wanted"], DesiredState)
-    outcome = book.take(wanted, told["fencing"], time.monotonic())
-    if faults.strike("order-lost"):
+    desired = msgspec.convert(body["wanted"], DesiredState)
+    outcome = book.execute(desired, body["fencing"], time.monotonic())
+    if faults.consume("order-lost"):
         request.channel.forceAbortClient()
         await asyncio.sleep(0)
         return b""
--- a/fakes/_prefix_cache.py
+++ b/fakes/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache in limited memory."""
+"""An engine's prefix cache with limited capacity."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def tokens_of(text: str) -> int:
-    """Return how many tokens a text counts as."""
+    """Return the number of tokens that a text counts as."""
     return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
 class PrefixCache:
-    """Least recently used prefixes of message lists, bounded in tokens."""
+    """An LRU cache of the prefixes of message lists, bounded in tokens."""
 
     def __init__(self, capacity_tokens: int) -> None:
-        self.capacity = capacity_tokens
-        self.used = 0
+        self.capacity_tokens = capacity_tokens
+        self.used_tokens = 0
         self._tokens_by_prefix: OrderedDict[str, int] = OrderedDict()
 
     def cached_tokens(self, messages: Sequence[str]) -> int:
-        """Return the tokens of the longest cached prefix, and mark it used."""
+        """Return the tokens of the longest cached prefix, and mark the cached prefixes used."""
         cached = total = 0
         for prefix, tokens in _prefixes(messages):
             total += tokens
@@ -34,15 +34,15 @@
         return cached
 
     def insert(self, messages: Sequence[str]) -> None:
-        """Keep a message list's prefixes, dropping the least recently used."""
+        """Cache a message list's prefixes, evicting the least recently used ones."""
         for prefix, tokens in _prefixes(messages):
             if prefix not in self._tokens_by_prefix:
                 self._tokens_by_prefix[prefix] = tokens
-                self.used += tokens
+                self.used_tokens += tokens
             self._tokens_by_prefix.move_to_end(prefix)
-        while self.used > self.capacity and self._tokens_by_prefix:
+        while self.used_tokens > self.capacity_tokens and self._tokens_by_prefix:
             _, tokens = self._tokens_by_prefix.popitem(last=False)
-            self.used -= tokens
+            self.used_tokens -= tokens
 
 
 def _prefixes(messages: Sequence[str]) -> list[tuple[str, int]]:
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -79,7 +79,7 @@
             each for each in self._fleet.routers if each.name not in self._fleet.down_routers
         ]
         router = self._rng.choice(running or self._fleet.routers)
-        host, _, port = router.clients.removeprefix("http://").rpartition(":")
+        host, _, port = router.caller_url.removeprefix("http://").rpartition(":")
         self._router = router.name
         async with asyncio.timeout(ANSWER_TIMEOUT):
             self._streams = await asyncio.open_connection(host, int(port))
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -167,14 +167,16 @@
         """Let an engine announce that it leaves, first in its answers, and replace it."""
         await in_thread(lambda: engine.arm("leaving", UNLIMITED_COUNT))
         await asyncio.sleep(LISTING_LAG)
-        await in_thread(lambda: self._fleet.machines_fleet.say(engine, "draining", Sequence=2))
+        await in_thread(
+            lambda: self._fleet.machines_fleet.put_engine(engine, "draining", Sequence=2)
+        )
         await asyncio.sleep(LEAVING_SECONDS)
         await self._kill_and_replace(engine)
 
     # -- the store and the whole fleet --------------------------------------------
 
     async def _inject_store_fault(self, fault: Fault) -> None:
-        begins, store = time.monotonic(), self._fleet.machines_fleet.objects
+        begins, store = time.monotonic(), self._fleet.machines_fleet.object_store
         relay, effect = self._fleet.relay_by_name[STORE_NAME], fault.kind.removeprefix("store-")
         if effect == "out":
             await in_thread(lambda: store.arm("outage", 1, fault.seconds))
@@ -200,7 +202,9 @@
         await self._fleet.configure()
         for engine in self._fleet.engines:
             if engine.name not in self._busy:
-                await in_thread(functools.partial(self._fleet.machines_fleet.say, engine, "ready"))
+                await in_thread(
+                    functools.partial(self._fleet.machines_fleet.put_engine, engine, "ready")
+                )
 
     async def _inject_fleet_fault(self, fault: Fault) -> None:
         if fault.kind == "configuration":
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -13,7 +13,7 @@
 from typing import Any, TypeVar
 
 from fakes._local_fleet import Backend, fetch
-from fakes._machines_fleet import HALLS, RULES, MachinesFleet, MachinesRouter, changed
+from fakes._machines_fleet import HALLS, RULES, MachinesFleet, MachinesRouter, with_version
 from pondhatch.platform._names import CONTENTION_RULE
 from pondhatch.platform.tests._wire import CONFIGURATION
 from soak._records import Arrival, Disturbance, ObservedVersion, Records
@@ -42,25 +42,25 @@
         self._relay_by_name = relay_by_name
 
     def __enter__(self) -> _RelayedFleet:
-        self._errors = tempfile.TemporaryFile(prefix="pondhatch-soak-")
+        self._stderr = tempfile.TemporaryFile(prefix="pondhatch-soak-")
         super().__enter__()
         return self
 
     def errors(self) -> list[str]:
         """Return the error line of each traceback that a process wrote."""
-        if self._errors is None:
+        if self._stderr is None:
             return []
-        self._errors.seek(0)
-        text = self._errors.read().decode(errors="replace")
+        self._stderr.seek(0)
+        text = self._stderr.read().decode(errors="replace")
         return [_error_line(part) for part in text.split(TRACEBACK)[1:]]
 
     def put(self, kind: str, name: str, spec: Any) -> None:
         """Write an object, and retry until the store confirms it."""
-        _retry_until_confirmed(functools.partial(super().put, kind, name, spec))
+        _retry_until_confirmed(functools.partial(super().put_object, kind, name, spec))
 
     def remove(self, kind: str, name: str) -> None:
         """Remove an object; if it is not there, a try whose answer was lost has removed it."""
-        _retry_until_confirmed(functools.partial(super().remove, kind, name))
+        _retry_until_confirmed(functools.partial(super().remove_object, kind, name))
 
     def address_of(self, backend: Backend) -> str:
         host, _, port = backend.url.removeprefix("http://").rpartition(":")
@@ -113,7 +113,7 @@
     @property
     def routers(self) -> list[MachinesRouter]:
         """All routers, including those that are down."""
-        return self.machines_fleet.machines
+        return self.machines_fleet.machine_routers
 
     @property
     def engines(self) -> list[Backend]:
@@ -139,7 +139,7 @@
     async def configure(self) -> None:
         """Write the next version of the configuration to the store."""
         self.configuration_version += 1
-        edited = changed(CONFIGURATION, self.configuration_version)
+        edited = with_version(CONFIGURATION, self.configuration_version)
         edited["Routes"][0]["TimeoutMs"] = 7000 + self.configuration_version % 1000
         await in_thread(lambda: self.machines_fleet.put("config", "main", edited))
 
@@ -222,7 +222,7 @@
 
 def _state_of(router: MachinesRouter) -> dict[str, Any] | None:
     try:
-        found: dict[str, Any] = fetch(f"http://{router.admin}/state.json")
+        found: dict[str, Any] = fetch(f"http://{router.admin_address}/state.json")
     except (OSError, http.client.HTTPException):
         return None
     return found
