--- a/pondhatch/authority/_engine.py
+++ b/pondhatch/authority/_engine.py
@@ -73,6 +73,6 @@
         """Ask an engine what it holds."""
 
     async def order(
-        self, url: str, wanted: DesiredState, fencing: int, seconds: float
+        self, url: str, desired: DesiredState, fencing: int, seconds: float
     ) -> OrderOutcome:
         """Give one order, with a timeout of ``seconds``."""
--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -181,7 +181,7 @@
         return StateReported(self._simulation.book_by_engine[url].state_at(now()))
 
     async def order(
-        self, url: str, wanted: DesiredState, fencing: int, seconds: float
+        self, url: str, desired: DesiredState, fencing: int, seconds: float
     ) -> OrderOutcome:
         asked_at = now()
         await self._pauses.step()
@@ -191,7 +191,7 @@
         if fault == "unreachable":
             return NotTaken("unreachable")
         await asyncio.sleep(ORDER_LATENESS if fault == "late" else 0.005)
-        outcome = self._simulation.book_by_engine[url].execute(wanted, fencing, now())
+        outcome = self._simulation.book_by_engine[url].execute(desired, fencing, now())
         if len(self._simulation.book_by_engine[url].orders) > self._executed_count(url):
             executed = ExecutedOrder(url, self._router, fencing, now(), within_safe_pause)
             self._simulation.executed_orders.append(executed)
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -199,6 +199,8 @@
         """Return that engines cannot be queried."""
         return NoReply("this platform's engines take no orders from routers")
 
-    async def order(self, url: str, wanted: DesiredState, fencing: int, seconds: float) -> NotTaken:
+    async def order(
+        self, url: str, desired: DesiredState, fencing: int, seconds: float
+    ) -> NotTaken:
         """Return that the order was not executed."""
         return NotTaken("this platform's engines take no orders from routers")
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -67,12 +67,12 @@
 
     def __init__(self, parts: CallerParts) -> None:
         self._state = parts.state
-        self._starting = parts.startup_wait
+        self._startup_wait = parts.startup_wait
         self._limits = parts.limits
         self._metrics = parts.metrics
         self._note_dropped = dropped_header_counter(parts.metrics)
         self._answers = OpenAiAnswers(parts.metrics)
-        self._serving = RequestRunner(parts, self._answers)
+        self._request_runner = RequestRunner(parts, self._answers)
         #: Requests whose callers are still connected.
         self._connected_requests = 0
         #: Cleared by a stopping router. Not read here: the router's state refuses requests at once.
@@ -83,7 +83,7 @@
     @property
     def in_flight(self) -> int:
         """Requests that have not ended; a stopping router waits for them."""
-        return self._connected_requests + len(self._serving.detached_tasks)
+        return self._connected_requests + len(self._request_runner.detached_tasks)
 
     def resource(self) -> Resource:
         """Return the resource that a site serves."""
@@ -112,11 +112,11 @@
         started = time.monotonic()
         self._connected_requests += 1
         try:
-            prepared = await self._prepare_work(request, prepare)
+            prepared = await self._prepare_request(request, prepare)
             if isinstance(prepared, NotRun):
                 self._answers.refuse(request, prepared)
                 return
-            await self._serving.run(request, prepared, started)
+            await self._request_runner.run(request, prepared, started)
         except CallerGone:
             self._metrics.count("callers.gone")
             request.abort()
@@ -133,8 +133,8 @@
         finally:
             self._connected_requests -= 1
 
-    async def _prepare_work(self, request: Any, prepare: Prepare) -> AdmittedRequest | NotRun:
-        await self._starting.wait()
+    async def _prepare_request(self, request: Any, prepare: Prepare) -> AdmittedRequest | NotRun:
+        await self._startup_wait.wait()
         unready = not_ready_refusal(self._state)
         if unready is not None:
             return unready
@@ -142,13 +142,13 @@
         if isinstance(account, NotRun):
             return account
         held_counter = self._state.held_bytes.counter(account.name)
-        work: AdmittedRequest | NotRun | None = None
+        prepared: AdmittedRequest | NotRun | None = None
         try:
-            work = await prepare(request, account, held_counter)
+            prepared = await prepare(request, account, held_counter)
         finally:
-            if not isinstance(work, AdmittedRequest):
+            if not isinstance(prepared, AdmittedRequest):
                 held_counter.close()
-        return work
+        return prepared
 
     def _memory_refusal(self, limited: Limited) -> NotRun:
         self._metrics.count("held.refused")
--- a/pondhatch/standard/_orders.py
+++ b/pondhatch/standard/_orders.py
@@ -64,10 +64,10 @@
             return NoReply(f"{type(error).__name__}: {error}")
 
     async def order(
-        self, url: str, wanted: DesiredState, fencing: int, seconds: float
+        self, url: str, desired: DesiredState, fencing: int, seconds: float
     ) -> OrderOutcome:
         """Send one order, with a timeout in seconds."""
-        body = msgspec.json.encode(_Order(wanted, fencing))
+        body = msgspec.json.encode(_Order(desired, fencing))
         try:
             async with asyncio.timeout(seconds):
                 response = await _request("PUT", url, body)
--- a/pondhatch/store/_upstream_reader.py
+++ b/pondhatch/store/_upstream_reader.py
@@ -19,7 +19,7 @@
     """Decodes the platform's upstream entries; an invalid one does not affect the others."""
 
     def __init__(self) -> None:
-        self._reported = LogOnce()
+        self._logged_errors = LogOnce()
 
     def read_listing(self, listed: Listed) -> UpstreamUpdate:
         """Return a platform listing as an update, with the names of its invalid entries apart."""
@@ -38,11 +38,11 @@
         try:
             found = _convert_upstream(name, value)
         except msgspec.ValidationError as error:
-            if self._reported.is_first((name, version)):
+            if self._logged_errors.is_first((name, version)):
                 log.error("Upstream {} is ignored, its entry is invalid: {}.", name, error)
             return None
         if found.state == LIVE and not _has_address(found.url):
-            if self._reported.is_first((name, version)):
+            if self._logged_errors.is_first((name, version)):
                 log.error(
                     "Upstream {} gets no new work, its address is invalid: {!r}.", name, found.url
                 )
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -123,17 +123,19 @@
         #: Tasks of keyed requests that continue after their callers left.
         self.detached_tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, request: CallerRequest, work: AdmittedRequest, started_at: float) -> None:
+    async def run(
+        self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
+    ) -> None:
         """Serve one request; a caller that leaves cancels it, unless it has an idempotency key."""
-        if work.key is None:
+        if admitted_request.key is None:
             try:
-                await self._serve(request, work, started_at)
+                await self._serve(request, admitted_request, started_at)
             finally:
-                work.body_counter.close()
+                admitted_request.body_counter.close()
             return
-        task = self._tasks.start(self._serve(request, work, started_at))
+        task = self._tasks.start(self._serve(request, admitted_request, started_at))
         # Not in the task itself: a task cancelled before its first step runs no cleanup.
-        task.add_done_callback(lambda _: work.body_counter.close())
+        task.add_done_callback(lambda _: admitted_request.body_counter.close())
         try:
             await asyncio.shield(task)
         except asyncio.CancelledError:
@@ -151,26 +153,26 @@
         task.add_done_callback(self.detached_tasks.discard)
 
     async def _serve(
-        self, request: CallerRequest, work: AdmittedRequest, started_at: float
+        self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
     ) -> None:
         """Serve one request to its end, then release it from its account's concurrency."""
         try:
-            if work.key is not None:
-                await self._run_keyed(request, work, work.key, started_at)
+            if admitted_request.key is not None:
+                await self._run_keyed(request, admitted_request, admitted_request.key, started_at)
             else:
-                await self._run(request, work, started_at, AnswerCopy())
+                await self._run(request, admitted_request, started_at, AnswerCopy())
         finally:
-            if work.account is not ANONYMOUS:
-                self._state.limits.end_request(work.account.name)
+            if admitted_request.account is not ANONYMOUS:
+                self._state.limits.end_request(admitted_request.account.name)
 
     async def _run_keyed(
-        self, request: CallerRequest, work: AdmittedRequest, key: str, started_at: float
+        self, request: CallerRequest, admitted_request: AdmittedRequest, key: str, started_at: float
     ) -> None:
         """Run a request under its key, or replay the answer of the first one with that key."""
-        head = work.head
-        digest = f"{head.method} {head.path} {work.body.length}"
+        head = admitted_request.head
+        digest = f"{head.method} {head.path} {admitted_request.body.length}"
         record = KeyRecord(digest, self._state.name, head.request_id)
-        keyed = KeyedRun(self._state, key, record, work.head.regions)
+        keyed = KeyedRun(self._state, key, record, admitted_request.head.regions)
         claim = await keyed.begin()
         if isinstance(claim, UsedKey) and claim.record.digest == digest and claim.record.answer:
             replay(request, self._answers, claim.record.answer, head.request_id)
@@ -182,22 +184,26 @@
         copy = AnswerCopy()
         outcome: ServedOutcome = CALLER_GONE
         try:
-            outcome = await self._run(request, work, started_at, copy)
+            outcome = await self._run(request, admitted_request, started_at, copy)
         finally:
             self._tasks.start(_finish_keyed(keyed, outcome, copy))
 
     async def _run(
-        self, request: CallerRequest, work: AdmittedRequest, started_at: float, copy: AnswerCopy
+        self,
+        request: CallerRequest,
+        admitted_request: AdmittedRequest,
+        started_at: float,
+        copy: AnswerCopy,
     ) -> ServedOutcome:
-        deadline = started_at + work.admitted.deadline
+        deadline = started_at + admitted_request.admitted.deadline
         dispatch = Dispatch(
             self._state,
             self._collaborators,
-            self._state.retry_budgets.for_service(work.head.service),
-            work.head,
-            work.body,
+            self._state.retry_budgets.for_service(admitted_request.head.service),
+            admitted_request.head,
+            admitted_request.body,
             lambda: deadline - time.monotonic(),
-            work.wait_limits,
+            admitted_request.wait_limits,
         )
         outcome: ServedOutcome = CALLER_GONE
         timings = _Timings()
@@ -206,7 +212,9 @@
             if isinstance(reply, Placed):
                 timings.placed = time.monotonic() - started_at
                 self._metrics.timing("requests.placed", timings.placed)
-                outcome = await self._relay(request, work, dispatch, reply, copy, timings)
+                outcome = await self._relay(
+                    request, admitted_request, dispatch, reply, copy, timings
+                )
             else:
                 outcome = reply.refusal
                 self._answers.refuse(request, reply.refusal)
@@ -215,13 +223,13 @@
         finally:
             dispatch.close()
             timings.total = time.monotonic() - started_at
-            self._record_outcome(work, dispatch, outcome, timings)
+            self._record_outcome(admitted_request, dispatch, outcome, timings)
         return outcome
 
     async def _relay(
         self,
         request: CallerRequest,
-        work: AdmittedRequest,
+        admitted_request: AdmittedRequest,
         dispatch: Dispatch,
         placed: Placed,
         copy: AnswerCopy,
@@ -230,11 +238,15 @@
         """Forward the answer to the caller and return how it ended."""
 
         def begin(answer: AnswerStream) -> None:
-            self._answers.begin(request, answer.status, answer.headers, work.head.request_id)
+            self._answers.begin(
+                request, answer.status, answer.headers, admitted_request.head.request_id
+            )
             copy.status, copy.headers = answer.status, answer.headers
 
-        writer = CallerWriter(request, self._state.held_bytes.counter(work.account.name))
-        sink = _CopyingSink(copy, writer) if work.key else writer
+        writer = CallerWriter(
+            request, self._state.held_bytes.counter(admitted_request.account.name)
+        )
+        sink = _CopyingSink(copy, writer) if admitted_request.key else writer
         delivery = Delivery(dispatch, placed, sink, begin)
         try:
             delivered = await delivery.run()
@@ -251,14 +263,18 @@
         return delivered.outcome
 
     def _record_outcome(
-        self, work: AdmittedRequest, dispatch: Dispatch, outcome: ServedOutcome, timings: _Timings
+        self,
+        admitted_request: AdmittedRequest,
+        dispatch: Dispatch,
+        outcome: ServedOutcome,
+        timings: _Timings,
     ) -> None:
         code = "whole" if isinstance(outcome, Whole) else outcome.code
         self._metrics.count(f"requests.{code}")
         self._metrics.timing("requests.whole", timings.total)
         self._count_queue_outcome(dispatch)
-        self._record_decision(work, dispatch, code, timings.total)
-        self._write_record(work, dispatch, code, timings)
+        self._record_decision(admitted_request, dispatch, code, timings.total)
+        self._write_record(admitted_request, dispatch, code, timings)
 
     def _count_queue_outcome(self, dispatch: Dispatch) -> None:
         """Count the result of waiting in the queues of full engines."""
@@ -271,14 +287,14 @@
             self._metrics.count("queue.kept-in-vain")
 
     def _record_decision(
-        self, work: AdmittedRequest, dispatch: Dispatch, code: str, seconds: float
+        self, admitted_request: AdmittedRequest, dispatch: Dispatch, code: str, seconds: float
     ) -> None:
         """Store the routing decision for the state dump."""
         self._state.decisions.append(
             RoutingDecision(
-                request_id=work.head.request_id,
-                account=work.account.name,
-                service=work.head.service,
+                request_id=admitted_request.head.request_id,
+                account=admitted_request.account.name,
+                service=admitted_request.head.service,
                 engine=dispatch.engine,
                 passed_over=_passed_over(dispatch),
                 outcome=code,
@@ -288,20 +304,20 @@
         )
 
     def _write_record(
-        self, work: AdmittedRequest, dispatch: Dispatch, code: str, timings: _Timings
+        self, admitted_request: AdmittedRequest, dispatch: Dispatch, code: str, timings: _Timings
     ) -> None:
         """Write the record of the request's end to the decision log."""
         self._records.write(
             RequestEnded(
-                id=work.head.caller_id or work.head.request_id,
-                account=work.account.name,
-                service=work.head.service,
+                id=admitted_request.head.caller_id or admitted_request.head.request_id,
+                account=admitted_request.account.name,
+                service=admitted_request.head.service,
                 outcome=code,
                 ms=_milliseconds(timings.total),
                 asking_ms=_milliseconds(dispatch.grant_wait_seconds),
                 placed_ms=_milliseconds(timings.placed),
                 pause_ms=_milliseconds(timings.longest_pause),
-                context=f"{work.head.chat:x}" if work.head.chat else "",
+                context=f"{admitted_request.head.chat:x}" if admitted_request.head.chat else "",
                 configuration=self._state.fleet.version,
                 upstream=dispatch.engine or "",
                 in_flight=dispatch.last_grant.in_flight,
@@ -309,7 +325,7 @@
                 passed_over=_passed_over(dispatch),
                 resumes=dispatch.resumes,
                 cut_at=tuple(dispatch.cut_at),
-                digest=f"{work.head.digest:x}" if _needs_digest(dispatch, code) else "",
+                digest=f"{admitted_request.head.digest:x}" if _needs_digest(dispatch, code) else "",
                 predicted_ms=dispatch.queue_result.predicted_ms,
             )
         )
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -94,12 +94,12 @@
         started_at = time.monotonic()
         self.in_flight += 1
         try:
-            work = await self._read_request(request, started_at)
-            if isinstance(work, NotRun):
-                self._answers.refuse(request, work)
-                self._record_unserved(request, work.code, started_at)
+            prepared = await self._read_request(request, started_at)
+            if isinstance(prepared, NotRun):
+                self._answers.refuse(request, prepared)
+                self._record_unserved(request, prepared.code, started_at)
             else:
-                await self._request_runner.run(request, work, started_at)
+                await self._request_runner.run(request, prepared, started_at)
         except CallerGone:
             self._metrics.count("callers.gone")
             request.abort()
@@ -124,14 +124,14 @@
     ) -> AdmittedRequest | NotRun:
         """Read a request and admit it; return its refusal once the body is read or discarded."""
         try:
-            work = await self._prepare(request)
-            if isinstance(work, NotRun):
-                await self._drop_body(request, work)
+            prepared = await self._prepare(request)
+            if isinstance(prepared, NotRun):
+                await self._drop_body(request, prepared)
         except (CallerGone, asyncio.CancelledError):
             # Without a record, a request that its caller gave up would look lost.
             self._record_unserved(request, CALLER_GONE.code, started_at)
             raise
-        return work
+        return prepared
 
     async def _drop_body(self, request: CallerRequest, refusal: NotRun) -> None:
         """Read and discard a refused request's body, if that lets its connection be reused.
@@ -166,13 +166,13 @@
             return found
         _, account = found
         counter = self._state.held_bytes.counter(account.name)
-        work: AdmittedRequest | NotRun | None = None
+        prepared: AdmittedRequest | NotRun | None = None
         try:
-            work = await self._read_and_admit(request, facts, headers, counter)
+            prepared = await self._read_and_admit(request, facts, headers, counter)
         finally:
-            if not isinstance(work, AdmittedRequest):
+            if not isinstance(prepared, AdmittedRequest):
                 counter.close()
-        return work
+        return prepared
 
     async def _read_and_admit(
         self, request: CallerRequest, facts: CallerFacts, headers: Headers, counter: HeldCounter
@@ -193,8 +193,8 @@
         if isinstance(found, NotRun):
             return found
         route, account = found
-        work = self._admit(request, route, account, facts, headers, ReplayableBody(body))
-        return work if isinstance(work, NotRun) else replace(work, body_counter=counter)
+        prepared = self._admit(request, route, account, facts, headers, ReplayableBody(body))
+        return prepared if isinstance(prepared, NotRun) else replace(prepared, body_counter=counter)
 
     def _route_and_account(
         self, request: CallerRequest, facts: CallerFacts
