--- a/pondhatch/requests/_keyed_runs.py
+++ b/pondhatch/requests/_keyed_runs.py
@@ -41,21 +41,21 @@
 class LocalKeyHolder:
     """A holder of keys in this process; see KeyHolder."""
 
-    def __init__(self, keys: KeyTable, clock: Callable[[], float]) -> None:
-        self._keys = keys
+    def __init__(self, key_table: KeyTable, clock: Callable[[], float]) -> None:
+        self._key_table = key_table
         self._clock = clock
 
     async def claim(self, key: str, record: KeyRecord) -> Claim | None:
         """Claim a key here; see KeyHolder."""
-        return self._keys.claim(key, record, self._clock())
+        return self._key_table.claim(key, record, self._clock())
 
     async def settle(self, key: str, record: KeyRecord) -> None:
         """Record the outcome of a claimed request; see KeyHolder."""
-        self._keys.settle(key, record, self._clock())
+        self._key_table.settle(key, record, self._clock())
 
     async def release(self, key: str, request_id: str) -> None:
         """Forget a claim; see KeyHolder."""
-        self._keys.release(key, request_id)
+        self._key_table.release(key, request_id)
 
 
 class HolderView(Protocol):
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -90,21 +90,21 @@
         name: str,
         view: OwnerView,
         gate: Gate,
-        memory: ContextLocations,
+        spill_locations: ContextLocations,
         clock: Callable[[], float],
         health: Health,
-        cold_paces: ColdPacer | None = None,
-        tokens: TokenCounts | None = None,
+        cold_pacer: ColdPacer | None = None,
+        token_counts: TokenCounts | None = None,
     ) -> None:
         self._name = name
         self._view = view
         self._gate = gate
-        self._memory = memory
+        self._spill_locations = spill_locations
         self._clock = clock
         self._queues = EngineQueues(self._return_slot, clock, view.is_load_managed)
         self._health = health
-        self._cold_paces = cold_paces or ColdPacer()
-        self._engine_memory = EngineMemory(tokens or TokenCounts(), view.is_load_managed)
+        self._cold_pacer = cold_pacer or ColdPacer()
+        self._engine_memory = EngineMemory(token_counts or TokenCounts(), view.is_load_managed)
         self.leases = Leases()
         self._cleaned_up_at = float("-inf")
 
@@ -189,11 +189,11 @@
         if lease is None:
             return
         # Recorded first, since freeing the slot grants the next request in the queue.
-        self._learn(lease.engine, end_reason)
+        self._record_end(lease.engine, end_reason)
         self._engine_memory.remove(lease.engine, holder)
         self._return_slot(lease.engine, was_used=end_reason in RUN_END_REASONS)
 
-    def _learn(self, engine: str, end_reason: EndReason) -> None:
+    def _record_end(self, engine: str, end_reason: EndReason) -> None:
         """Record how a request ended at its engine, while its grant still counts as in flight."""
         now = self._clock()
         if end_reason == EndReason.ANSWERED:
@@ -254,7 +254,7 @@
 
     def note_spill(self, chat: int, engine: str) -> None:
         """Record the engine that served a chat instead of its home engine."""
-        self._memory.remember(chat, engine)
+        self._spill_locations.remember(chat, engine)
 
     def tick(self) -> None:
         """Do the periodic work: end expired leases, and serve queues if ceilings have risen."""
@@ -270,9 +270,9 @@
         owner = self._view.owner_name(grant_request.engine)
         if owner != self._name and not grant_request.instead_of_owner:
             return NotOwner(owner)
-        believed = self._context_engine(grant_request)
-        if believed != grant_request.engine:
-            return ContextElsewhere(believed)
+        context_holder = self._context_engine(grant_request)
+        if context_holder != grant_request.engine:
+            return ContextElsewhere(context_holder)
         return self._health_refusal(grant_request, target)
 
     def _health_refusal(self, grant_request: GrantRequest, target: Target) -> NotRun | None:
@@ -292,7 +292,7 @@
             return grant_request.engine
         is_young = self._view.is_young(grant_request.engine)
         return context_engine(
-            self._memory,
+            self._spill_locations,
             grant_request.chat,
             grant_request.engine,
             grant_request.settled_engine,
@@ -324,13 +324,13 @@
         """Grant a request up to an upstream's ceiling and, if it is cold, at its pace."""
         pace, now = target.intake.cold_pace, self._clock()
         if pace is None:
-            self._cold_paces.forget(target.name)
+            self._cold_pacer.forget(target.name)
             return self._ask_ceiling(target, grant_request)
-        if not self._cold_paces.is_due(target.name, pace, now):
+        if not self._cold_pacer.is_due(target.name, pace, now):
             return self._cold_refusal(target)
         decision = self._ask_ceiling(target, grant_request)
         if isinstance(decision, Granted):
-            self._cold_paces.record_grant(target.name, pace, now)
+            self._cold_pacer.record_grant(target.name, pace, now)
         return decision
 
     def _cold_refusal(self, target: Target) -> Full:
@@ -393,7 +393,7 @@
 
     def _record_grant(self, grant_request: GrantRequest, granted: Granted) -> Granted:
         if grant_request.is_home:
-            self._memory.forget(grant_request.chat)
+            self._spill_locations.forget(grant_request.chat)
         self.leases.start_or_renew(grant_request.holder, grant_request.engine, self._clock())
         return granted
 
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -106,7 +106,7 @@
             counts = TokenCounts()
             view = OneEngineView(memory=10_000)
             owner = LocalOwner(
-                "r0", view, Gate(), ContextLocations(), lambda: 1.0, Health(), tokens=counts
+                "r0", view, Gate(), ContextLocations(), lambda: 1.0, Health(), token_counts=counts
             )
             owner.decide(GrantRequest(1, 1, ENGINE, "a", 0, 5, tokens=100))
             too_large = GrantRequest(2, 1, ENGINE, "b", 0, 5, max_wait_ms=100, tokens=999_999_999)
--- a/pondhatch/router/_authority.py
+++ b/pondhatch/router/_authority.py
@@ -42,14 +42,14 @@
         platform: Platform,
         engines: EngineOrders,
         rng: random.Random,
-        terms: LeaseTimings = LeaseTimings(),  # noqa: B008
+        timings: LeaseTimings = LeaseTimings(),  # noqa: B008
     ) -> None:
         self._state = state
         self._duties = OrderDuties(state)
         self._platform = platform
         self._engines = engines
         self._rng = rng
-        self._terms = terms
+        self._timings = timings
         self._tasks = Tasks()
         self._running_by_service: dict[str, _Running] = {}
 
@@ -87,7 +87,7 @@
 
     def _new_orderer(self, service: str) -> Orderer:
         keeper = LeaseKeeper(
-            self._state.name, self._terms, lambda: f"{self._rng.getrandbits(NONCE_BITS):016x}"
+            self._state.name, self._timings, lambda: f"{self._rng.getrandbits(NONCE_BITS):016x}"
         )
         return Orderer(
             service,
