--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -13,10 +13,10 @@
 class EngineMemory:
     """Counts the tokens of granted requests; see TokenCounts."""
 
-    def __init__(self, counts: TokenCounts, load_managed: Callable[[], bool]) -> None:
+    def __init__(self, counts: TokenCounts, is_load_managed: Callable[[], bool]) -> None:
         self._counts = counts
         #: Returns whether load management is on; without it memory is not checked.
-        self._load_managed = load_managed
+        self._is_load_managed = is_load_managed
 
     def shortage(self, target: Target, grant_request: GrantRequest, held: int, now: float) -> int:
         """Return the tokens that an engine lacks for a request; 0 if memory is not checked.
@@ -26,7 +26,7 @@
         """
         if target.memory_tokens is None or grant_request.resuming or held == 0:
             return 0
-        if not self._load_managed():
+        if not self._is_load_managed():
             return 0
         limit, need = usable_tokens(target.memory_tokens), requested_need(grant_request)
         return self._counts.shortage(
@@ -41,7 +41,7 @@
 
     def record_adopted(self, target: Target | None, holder: Holder) -> None:
         """Count a request that another owner granted, whose need is unknown."""
-        if target is not None and target.memory_tokens is not None and self._load_managed():
+        if target is not None and target.memory_tokens is not None and self._is_load_managed():
             self._counts.adopt(target.name, holder)
 
     def record_refusal(self) -> None:
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -48,7 +48,7 @@
     #: Seconds that are left of the upstream's rest.
     rest: float
     #: Whether it has free places all the same.
-    has_places: bool = False
+    has_free_slots: bool = False
     #: Its processing time in percent of usual; 0, and left out of the packet, where not reported.
     pace: Annotated[int, msgspec.Meta(ge=0, le=MAX_PACE)] = 0
 
@@ -97,7 +97,10 @@
             return
         for wire_notice in packet.notices:
             notice = Notice(
-                wire_notice.is_leaving, wire_notice.rest, wire_notice.has_places, wire_notice.pace
+                wire_notice.is_leaving,
+                wire_notice.rest,
+                wire_notice.has_free_slots,
+                wire_notice.pace,
             )
             self._state.apply_notice(wire_notice.upstream, notice, is_for_this_router=False)
 
