--- a/pondhatch/membership/_members.py
+++ b/pondhatch/membership/_members.py
@@ -13,7 +13,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A router that may be given work or sent questions."""
+    """A router that may be given work or sent requests."""
 
     name: str
     address: Address
@@ -50,7 +50,7 @@
         self._unreachable_until_by_router: dict[int, float] = {}
         self._members: tuple[Member, ...] = ()
         #: The other routers among them, by short id. Of hundreds only few change at a time, and
-        #: the others are reused: making 195 again was a third of the cost of a change.
+        #: the others are reused: creating 195 again was a third of the cost of a change.
         self._cached_by_router: dict[int, _CachedMember] = {}
         #: The table's revisions from which the members, and the other routers, were computed.
         self._revision = -1
--- a/pondhatch/membership/_ownership.py
+++ b/pondhatch/membership/_ownership.py
@@ -2,7 +2,7 @@
 
 Owners are chosen by rendezvous hashing over the live routers of the engine's hall, or over all
 live routers if the hall has none, weighted by capacity. Two routers that disagree on which are
-live, or on a capacity, may both believe to own an engine; docs/DESIGN.md says what holds then.
+live, or on a capacity, may both believe to own an engine; docs/DESIGN.md states the consequences.
 """
 
 from __future__ import annotations
--- a/pondhatch/placement/_cold_pacer.py
+++ b/pondhatch/placement/_cold_pacer.py
@@ -3,7 +3,7 @@
 A cold upstream fails when it gets requests well above its pace (requests per second), no matter
 which routers sent them. Only its owner grants requests, but two routers may both believe to be
 the owner for a while: after a network partition, after a restart, or before a change of the
-owner has spread. So each router uses at most half of what the upstream bears, and a router that
+owner has spread. So each router uses at most half of what the upstream can take, and a router that
 sees only a part of the fleet uses only that part of its half. All sides of a partition together
 then stay within the limit.
 """
--- a/pondhatch/placement/_intake.py
+++ b/pondhatch/placement/_intake.py
@@ -43,7 +43,8 @@
     is_evacuated: bool = False
     #: Region of its data hall; empty where unknown.
     region: str = ""
-    #: Requests a second that it bears while it is cold; None where it is warm or nothing is known.
+    #: Requests a second that it can take while it is cold; None where it is warm or nothing is
+    #: known.
     cold_pace: float | None = None
     #: Remaining time for which it asked for no requests.
     rest: Rest = NO_REST
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -24,7 +24,7 @@
 #: Engines found at their ceiling from which on their mean load is an estimate for all engines.
 MIN_SAMPLES = 8
 #: Full engines asked once more after the wait for the last one, since a slot may have come free
-#: meanwhile. Each costs a question to its owner, and some milliseconds for a request that is
+#: meanwhile. Each costs a grant request to its owner, and some milliseconds for a request that is
 #: about to be refused; the least loaded engines have the best chance.
 MAX_RECHECKS = 2
 
--- a/pondhatch/placement/_rendezvous.py
+++ b/pondhatch/placement/_rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous hashing: every router ranks the same names the same way.
 
 XXH3 with the key as its seed costs a tenth of a keyed blake2b. A cryptographic hash is not
-needed, since nobody gains by choosing where a hash falls.
+needed, since an attacker who can choose where a hash falls gains nothing.
 """
 
 from __future__ import annotations
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -24,7 +24,8 @@
 #: other requests.
 CRASHES_TO_QUARANTINE = 3
 #: Seconds after the last crash for which the request is not run. After that one run at a time is
-#: allowed, since a newer version of the engine may bear it: one engine in ten minutes at worst.
+#: allowed, since a newer version of the engine may survive it; at worst one engine crashes every
+#: ten minutes.
 QUARANTINE_SECONDS = 600.0
 #: Seconds after which a crash is dropped. Callers repeat a failed request for minutes.
 EVIDENCE_LIFETIME = 3600.0
--- a/pondhatch/requests/_dispatch_results.py
+++ b/pondhatch/requests/_dispatch_results.py
@@ -79,7 +79,7 @@
     predicted = [reply.predicted_ms for reply in busy]
     retry_after = [reply.retry_after_ms for reply in busy if reply.retry_after_ms]
     if not busy:
-        # No owner reported how its engine's queue stands.
+        # No owner reported the state of its engine's queue.
         return QueueResult()
     was_queued = not all(predicted)
     return QueueResult(
--- a/pondhatch/requests/_entry_grants.py
+++ b/pondhatch/requests/_entry_grants.py
@@ -164,7 +164,7 @@
     def _handle_late_reply(
         self, packet: ReplyPacket, send_back: Callable[[GrantPacket], None]
     ) -> None:
-        """Release a grant or a queue position whose request has ended or went elsewhere.
+        """Release a grant or a queue position whose request ended or was granted elsewhere.
 
         A grant request may arrive after its own release, which the owner then ignored.
         """
--- a/pondhatch/requests/_messages.py
+++ b/pondhatch/requests/_messages.py
@@ -82,7 +82,7 @@
 
 
 class ReplayableBody:
-    """A body held in memory, which each try can read anew."""
+    """A body held in memory, which each try can read from the start."""
 
     def __init__(self, content: bytes) -> None:
         self.content = content
--- a/pondhatch/requests/_outcomes.py
+++ b/pondhatch/requests/_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of a request; callers are told no others."""
+"""All outcomes of a request that are reported to callers."""
 
 from __future__ import annotations
 
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -123,8 +123,8 @@
             self.release(grant_request.holder, EndReason.NEUTRAL)
             return target
         if grant_request.holder in self.leases.by_holder:
-            # Asked again because the first reply was lost. The engine's state is not checked
-            # anew: this very request may be the one probing it.
+            # Asked again because the first reply was lost. The engine's state is not checked a
+            # second time: this very request may be the one probing it.
             return Granted(self._gate.in_flight(target.name, self._clock()), target.slots)
         refusal = self._placement_refusal(grant_request, target)
         if refusal is not None:
@@ -239,7 +239,8 @@
     def router_restarted(self, router: int) -> None:
         """End the grants that an entry router held before it restarted.
 
-        Its new process may have asked already; a start takes longer than the news of it.
+        Its new process may hold grants already, which are kept: starting a process takes longer
+        than learning of the restart, so the newest grants can only be those of the new process.
         """
         self._release_all(self.leases.of_router(router, self._clock() - MIN_START_SECONDS))
 
--- a/pondhatch/requests/_parallel_waits.py
+++ b/pondhatch/requests/_parallel_waits.py
@@ -125,7 +125,7 @@
         return left > 0 and any(self._lacks_queue_reply(engine) for engine in engines)
 
     def _lacks_queue_reply(self, engine: str) -> bool:
-        """Return whether an engine's final reply says nothing of its owner's queue.
+        """Return whether an engine's final reply did not come from its owner's queue.
 
         This happens if the owner died and another router decided in its place.
         """
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -27,7 +27,7 @@
 #: evidence on the engine; an address that another engine answers at counts as unreachable.
 END_REASON_BY_REFUSAL = {
     EngineRefusal.FULL: EndReason.FULL,
-    # Lowering its limit would go on with each refusal, down to nothing.
+    # Not FULL: that would lower the engine's limit further with each refusal.
     EngineRefusal.DECLINED: EndReason.ENGINE_ERROR,
     # The rest that it asks for is announced separately, and is no sign of a fault.
     EngineRefusal.OVERLOADED: EndReason.NEUTRAL,
@@ -198,7 +198,7 @@
             return ""
         if self._watch.is_suspected():
             # A damaged context may have crashed the last engine instead of the request: with
-            # its prompt processed anew the request runs, and is cleared.
+            # its prompt processed again the request runs, and is cleared.
             return ""
         last = self._view.last_served(head.chat)
         if last == target.name:
--- a/pondhatch/router/_grant_exchange.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -20,13 +20,13 @@
 
 #: First byte of a grant packet; no membership packet begins with it.
 GRANT_PACKET_PREFIX = b"\x01"
-#: Nanoseconds of the start time per question number. A restarted router so begins beyond all
-#: numbers it used before, as long as it asks fewer than a million questions a second and restarts
-#: within an hour.
+#: Nanoseconds of the start time per grant request number. So a restarted router begins beyond all
+#: numbers it used before, as long as it sends fewer than a million grant requests a second and
+#: restarts within an hour.
 NANOSECONDS_PER_NUMBER = 1000
 
 #: Step of a router's incarnation from which it counts as a new process. An incarnation starts as
-#: milliseconds since 1970 and grows by one with each suspicion that the router contradicts.
+#: milliseconds since 1970 and grows by one with each suspicion that the router refutes.
 RESTART_INCARNATION_STEP = 500
 
 SendAll = Callable[[Iterable[Datagram]], None]
@@ -77,8 +77,8 @@
     def follow_members(self) -> None:
         """Move the grants that requests hold to the new owners once the members changed.
 
-        A new owner that is not told of them takes its engines for idle, and grants up to their
-        ceiling on top of the requests that run there.
+        Otherwise a new owner would count its engines as idle, and grant up to their ceiling on top
+        of the requests that run there.
         """
         members = self._state.members()
         if members is not self._followed_members:
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -57,6 +57,6 @@
         return self._note_reopened(before, self.evacuations.settle(now), now)
 
     def _note_reopened(self, before: frozenset[str], changed: bool, now: float) -> bool:
-        """Record the halls whose evacuation has ended; return ``changed`` as it is."""
+        """Record the halls whose evacuation has ended; return ``changed`` unaltered."""
         self._reopened_at |= dict.fromkeys(before - self.evacuations.halls, now)
         return changed
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -1,8 +1,8 @@
 """Shares the notices that upstreams send in their answers with the routers concerned.
 
 The router that reads a notice passes it on. That an upstream is leaving goes to all routers. That
-it rests without free places goes to the owners of the upstreams of its service, which grant the
-requests sent there and elsewhere in its place. That it rests with free places goes to its owner
+it rests without free slots goes to the owners of the upstreams of its service, which grant the
+requests sent there and elsewhere in its place. That it rests with free slots goes to its owner
 alone, which then refuses requests that can run elsewhere. Only changes are sent, at once and again
 0.1 s later. Three routers send the current notices to a router that is new or back, and the routers
 that know of a rest send it to a new owner of the upstream. A router that missed all of this learns
@@ -47,7 +47,7 @@
     is_leaving: bool
     #: Seconds that are left of the upstream's rest.
     rest: float
-    #: Whether it has free places all the same.
+    #: Whether it states that it has free slots nevertheless.
     has_free_slots: bool = False
     #: Its processing time in percent of usual; 0, and left out of the packet, where not reported.
     pace: Annotated[int, msgspec.Meta(ge=0, le=MAX_PACE)] = 0
--- a/pondhatch/router/_pace_reports.py
+++ b/pondhatch/router/_pace_reports.py
@@ -24,7 +24,7 @@
     def is_due(self, engine: str, pace: int, now: float) -> bool:
         """Return whether a pace that was just read should be reported to the engine's owner.
 
-        Only engines that take at least half as long again as usual are reported: without a report
+        Only engines that take at least 1.5 times as long as usual are reported: without a report
         the owner assumes the usual pace, and a fast engine gets no more requests than that.
         """
         reported_at = self._reported_at_by_engine.get(engine, float("-inf"))
--- a/pondhatch/router/_startup_wait.py
+++ b/pondhatch/router/_startup_wait.py
@@ -13,8 +13,8 @@
 from pondhatch.router._state import RouterState
 
 #: Seconds after a router's start in which requests wait for its initial state. A healthy platform
-#: delivers it within 0.1 s of the start; another may take minutes, and callers are then refused at
-#: once.
+#: delivers it within 0.1 s of the start; one with an outage may take minutes, and callers are then
+#: refused at once.
 STARTUP_SECONDS = 0.5
 #: Maximum seconds for which one request waits: half of the shortest objective of a site (0.2 s), so
 #: that the request can still be answered in time.
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -62,7 +62,7 @@
 )
 
 #: Seconds after its start in which a router grants no requests at cold upstreams: until it has
-#: discovered its peers, it takes itself for the owner of all upstreams.
+#: discovered its peers, it considers itself the owner of all upstreams.
 NO_COLD_GRANTS_SECONDS = 0.5
 #: Seconds for which load stays managed after a pace was last read. Engines that report a pace do
 #: so in each answer, but a service may get no request for a while.
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -179,7 +179,7 @@
 
 
 def _notice_text(notice: Notice) -> str:
-    """Return "leaving", "resting" or both, as the notice says."""
+    """Return "leaving", "resting" or both, according to the notice."""
     words = ["leaving"] if notice.is_leaving else []
     return " ".join([*words, "resting"] if notice.rest > 0 else words)
 
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -55,7 +55,7 @@
 SLOW_PULL_SECONDS = 0.5
 #: Seconds after which a pull that is pending is hedged by a pull from another peer. A peer takes
 #: 0.1 s for a change and up to 0.6 s for a large configuration on a narrow link. Two silent peers
-#: in a row so cost 1.4 s of the 2 s in which a change is to be in force in small fleets, and not
+#: in a row thus cost 1.4 s of the 2 s in which a change is to be in force in small fleets, and not
 #: the 4 s of two call timeouts. With a shorter delay the whole fleet would pull large
 #: configurations twice.
 PULL_HEDGE_SECONDS = 0.7
@@ -271,8 +271,8 @@
     async def _pull_if_behind(self) -> None:
         """Pull from peers until none is known to hold anything newer.
 
-        Each packet of a peer that is ahead leads here. Were there a pull for each, many peers
-        would be asked for the same, and whole configurations would wait in memory.
+        Each packet of a peer that is ahead calls this. With a pull for each, many peers would be
+        asked for the same content, and whole configurations would wait in memory.
         """
         if self._is_pulling:
             return
@@ -287,7 +287,8 @@
     async def _pull_recent_joins(self) -> None:
         """Pull the whole list of upstreams from a peer that has run longer, for its join times.
 
-        Where all routers start at once, as after a power cut, none knows them and none is asked.
+        Where all routers start at once, as after a power cut, none knows join times and none is
+        asked.
         """
         others = [member for member in self._state.members() if member.name != self._state.name]
         own_start = self._state.gossip.membership.own_record.incarnation
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -64,7 +64,7 @@
     ) -> None:
         """Merge the join times of a peer if it has known the list for longer.
 
-        A router that restarts in a running fleet so knows the same upstreams as young as its
+        So a router that restarts in a running fleet counts the same upstreams as young as its
         peers do. Otherwise it would send chats to young engines that do not hold their context.
         """
         if known_for <= self.known_for(now) + JOIN_TIME_SKEW_SECONDS:
