--- a/pondhatch/membership/_pinging.py
+++ b/pondhatch/membership/_pinging.py
@@ -69,8 +69,8 @@
     def record(self, number: int, asker: Address, askers_number: int, now: float) -> None:
         """Record a ping on behalf of another router, and drop expired ones."""
         self._relayed_by_number = {
-            made: relayed
-            for made, relayed in self._relayed_by_number.items()
+            relayed_number: relayed
+            for relayed_number, relayed in self._relayed_by_number.items()
             if relayed.until > now
         }
         self._relayed_by_number[number] = RelayedPing(asker, askers_number, now + RELAY_SECONDS)
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -243,8 +243,8 @@
 
     def can_resume(self, engine: str) -> bool:
         """Return whether an engine's broken stream may be resumed."""
-        can = self._head.resumes_anywhere or self._view.can_resume(engine)
-        return can and isinstance(self._body, ReplayableBody)
+        is_resumable = self._head.resumes_anywhere or self._view.can_resume(engine)
+        return is_resumable and isinstance(self._body, ReplayableBody)
 
     async def resume(self, engine: str, position: StreamPosition) -> Placed | RetryLater | None:
         """Resume a broken stream after the last event that its caller has.
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -56,8 +56,8 @@
         """
         memory, need = target.memory_tokens, requested_need(grant_request)
         if memory is not None and need.total <= usable_tokens(memory):
-            kept = Reservation(grant_request.holder, need, grant_request.priority)
-            self._counts.reserve(target.name, kept)
+            reservation = Reservation(grant_request.holder, need, grant_request.priority)
+            self._counts.reserve(target.name, reservation)
 
     def remove(self, engine: str, holder: Holder) -> bool:
         """Free what a request uses or has reserved; return whether there was anything."""
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -75,14 +75,14 @@
 
     def __init__(
         self,
-        give_back: Callable[[str], None],
+        return_slot: Callable[[str], None],
         clock: Callable[[], float] = _now,
         is_managed: Callable[[], bool] = _never,
     ) -> None:
         self._interval_by_engine: dict[str, ReleaseInterval] = {}
         self._queue_by_engine: dict[str, _EngineQueue] = {}
         #: Releases a grant that came too late for its request.
-        self._give_back = give_back
+        self._return_slot = return_slot
         self._clock = clock
         #: Returns whether load management is on.
         self._is_managed = is_managed
@@ -131,16 +131,18 @@
 
     def drop_gone(self, is_gone: Callable[[str], bool]) -> None:
         """Drop the state of engines that are gone and have no waiting requests."""
-        for known in (
+        for state_by_engine in (
             self._interval_by_engine,
             self._schedule_by_engine,
             self._refused_until_by_engine,
         ):
             gone = [
-                engine for engine in known if is_gone(engine) and not self.waiting_count(engine)
+                engine
+                for engine in state_by_engine
+                if is_gone(engine) and not self.waiting_count(engine)
             ]
             for engine in gone:
-                del known[engine]
+                del state_by_engine[engine]
 
     def note_released(self, engine: str, now: float, was_used: bool = True) -> None:
         """Note that a grant was released, and serve the queue.
@@ -320,7 +322,7 @@
             and isinstance(decision_future.result(), Granted)
         )
         if granted:
-            self._give_back(engine)
+            self._return_slot(engine)
 
 
 def _evict_last(queue: _EngineQueue, full: Full) -> None:
--- a/pondhatch/requests/_grant_packets.py
+++ b/pondhatch/requests/_grant_packets.py
@@ -178,7 +178,7 @@
     if isinstance(packet, NotOwnerReply):
         return NotOwner(packet.owner)
     if isinstance(packet, NotRunReply):
-        declined = NotRun(packet.code, packet.reason)
+        not_run = NotRun(packet.code, packet.reason)
         after = packet.retry_after_ms / MS_PER_SECOND
-        return replace(declined, retry_after=after) if after else declined
+        return replace(not_run, retry_after=after) if after else not_run
     return None
--- a/pondhatch/requests/_owner_timeouts.py
+++ b/pondhatch/requests/_owner_timeouts.py
@@ -112,9 +112,9 @@
     def drop_expired(self, now: float) -> None:
         """Drop timed-out grant requests that are too old to learn from."""
         self._timed_out_by_number = {
-            number: given_up
-            for number, given_up in self._timed_out_by_number.items()
-            if now - given_up.sent_at <= TIMED_OUT_SECONDS
+            number: timed_out
+            for number, timed_out in self._timed_out_by_number.items()
+            if now - timed_out.sent_at <= TIMED_OUT_SECONDS
         }
 
     def _recent_times(self, owner: str, now: float) -> ReplyTimes | None:
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -83,9 +83,9 @@
 
     async def run(self, grant_request: GrantRequest, head: RequestHead) -> TryResult:
         """Ask the engine's owner; if it grants, send the request to the engine."""
-        closed = self._open_target(grant_request, head)
-        if isinstance(closed, NotRun):
-            return closed
+        target = self._open_target(grant_request, head)
+        if isinstance(target, NotRun):
+            return target
         started = asyncio.get_running_loop().time()
         reply = await self._request_grant(grant_request)
         self._collaborators.preference.note_reply(grant_request.engine, reply)
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -282,7 +282,7 @@
         state = self.view(RouterState)
         return {
             "spilled_chats": len(state.spill_locations.engine_by_chat),
-            "decisions": [msgspec.to_builtins(note) for note in reversed(state.decisions)],
+            "decisions": [msgspec.to_builtins(decision) for decision in reversed(state.decisions)],
         }
 
 
