--- a/pondhatch/membership/_reconnection.py
+++ b/pondhatch/membership/_reconnection.py
@@ -54,7 +54,7 @@
         return sorted(addresses - live, key=lambda each: (each.host, each.port))
 
     def _sync_request(self, address: Address, known: Entry | None) -> Datagram:
-        """Return a request for a full sync; a dead router gets the rumor about it, to refute."""
+        """Return a request for a full sync; to a dead router with the rumor that it must refute."""
         own_record = self._dissemination.own_record
         about = (known.rumor(),) if known is not None else ()
         return datagram_to(address, Sync(own_record.router, True, (own_record, *about)))
--- a/pondhatch/membership/_records.py
+++ b/pondhatch/membership/_records.py
@@ -62,7 +62,7 @@
 
 
 class Fault(_Message, frozen=True, tag=2):
-    """Says that a router does not answer, by another router."""
+    """A report by another router that a router does not answer."""
 
     router: int
     incarnation: int
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -81,7 +81,7 @@
     ) -> None:
         self._interval_by_engine: dict[str, ReleaseInterval] = {}
         self._queue_by_engine: dict[str, _EngineQueue] = {}
-        #: Releases a grant that came too late for its request.
+        #: Frees the slot of a grant that was made too late for its request.
         self._return_slot = return_slot
         self._clock = clock
         #: Returns whether load management is on.
--- a/pondhatch/requests/_owner_timeouts.py
+++ b/pondhatch/requests/_owner_timeouts.py
@@ -110,7 +110,7 @@
         return times is not None and times.mean > TOO_SLOW_SECONDS
 
     def drop_expired(self, now: float) -> None:
-        """Drop timed-out grant requests that are too old to learn from."""
+        """Drop timed-out grant requests that were sent more than TIMED_OUT_SECONDS ago."""
         self._timed_out_by_number = {
             number: timed_out
             for number, timed_out in self._timed_out_by_number.items()
