--- a/pondhatch/authority/_lease.py
+++ b/pondhatch/authority/_lease.py
@@ -134,7 +134,7 @@
             # A released lease can be claimed at once.
             facts.next_call_at = now if record.released else facts.next_call_at
             return
-        self._acquired(record, outcome.object.version, started_at)
+        self._record_acquired(record, outcome.object.version, started_at)
 
     def handle_write(self, now: float, outcome: WriteOutcome) -> None:
         """Apply the outcome of a write."""
@@ -153,7 +153,7 @@
                 facts.set_observed(written, outcome.version, now)
                 self._state.lost()
             else:
-                self._acquired(written, outcome.version, facts.call_started_at)
+                self._record_acquired(written, outcome.version, facts.call_started_at)
             return
         if isinstance(outcome, Conflict | OutcomeUnknown):
             # Read the lease back; the nonce shows whether this write took effect.
@@ -197,7 +197,7 @@
             return None
         return facts.start_call(facts.renewal(facts.record), now, facts.timings.renew_every)
 
-    def _acquired(self, record: LeaseRecord, version: int, started_at: float) -> None:
+    def _record_acquired(self, record: LeaseRecord, version: int, started_at: float) -> None:
         """Record that this router holds the lease, by a write started at ``started_at``."""
         if not self._state.is_holder():
             self._facts.set_unfenced_from(started_at)
--- a/pondhatch/authority/_lease_facts.py
+++ b/pondhatch/authority/_lease_facts.py
@@ -92,11 +92,16 @@
 
     def set_unfenced_from(self, started_at: float) -> None:
         """Set the time from which a new holder may order engines that ignore fencing numbers."""
-        planned = self.record is None or self.record.released
+        old_orders_ended = self.record is None or self.record.released
         # Soon after a new era began, it is unknown whether the last holder stepped down. Its
         # orders have ended after the lease duration and then the unfenced delay.
-        planned = planned and started_at >= self.old_leases_end_at() + self.timings.unfenced_delay
-        self.unfenced_from = float("-inf") if planned else started_at + self.timings.unfenced_delay
+        old_orders_ended = (
+            old_orders_ended
+            and started_at >= self.old_leases_end_at() + self.timings.unfenced_delay
+        )
+        self.unfenced_from = (
+            float("-inf") if old_orders_ended else started_at + self.timings.unfenced_delay
+        )
 
     def old_leases_end_at(self) -> float:
         """Return the time from which no lease of an earlier era is valid."""
--- a/pondhatch/authority/_orderer.py
+++ b/pondhatch/authority/_orderer.py
@@ -39,7 +39,7 @@
 #: Orders kept for the state dump.
 MAX_LAST_ORDERS = 20
 #: Seconds between two steps.
-ROUND_SECONDS = 0.25
+STEP_PAUSE_SECONDS = 0.25
 #: Seconds until the next step after one that raised; this also limits how often it is logged.
 FAILURE_PAUSE_SECONDS = 5.0
 
@@ -123,7 +123,7 @@
     async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
         """Repeat a step forever; one that raises is logged and does not end the loop."""
         while True:
-            pause = ROUND_SECONDS
+            pause = STEP_PAUSE_SECONDS
             try:
                 await step()
             except Exception:
@@ -191,8 +191,8 @@
         self._state_by_engine.clear()
         self._next_check_at = float("-inf")
         if self.keeper.is_holder() and self.keeper.record is not None:
-            number = self.keeper.record.fencing
-            log.info("Orders of service {} are given here, number {}.", self.service, number)
+            fencing = self.keeper.record.fencing
+            log.info("Orders of service {} are given here, number {}.", self.service, fencing)
         else:
             log.info("Orders of service {} are no longer given here.", self.service)
 
@@ -236,28 +236,28 @@
         if engine is None or self.view.orders_of(self.service) != self._spec:
             return
         self.keeper.observe_era(self.clock(), self.view.platform_era())
-        number = self.keeper.order_fencing(self.clock(), engine.checks_fencing)
-        if number is None:
+        fencing = self.keeper.order_fencing(self.clock(), engine.checks_fencing)
+        if fencing is None:
             return
         self._orders_in_flight += 1
         try:
             seconds = self.keeper.order_timeout
-            outcome = await self.engines.order(engine.url, due.desired, number, seconds)
+            outcome = await self.engines.order(engine.url, due.desired, fencing, seconds)
         finally:
             self._orders_in_flight -= 1
-        self._record_outcome(due, number, outcome)
+        self._record_outcome(due, fencing, outcome)
 
-    def _record_outcome(self, due: DueOrder, number: int, outcome: OrderOutcome) -> None:
+    def _record_outcome(self, due: DueOrder, fencing: int, outcome: OrderOutcome) -> None:
         outcome_name = type(outcome).__name__
-        self._last_orders = [*self._last_orders, (due.engine, number, outcome_name)][
+        self._last_orders = [*self._last_orders, (due.engine, fencing, outcome_name)][
             -MAX_LAST_ORDERS:
         ]
         if isinstance(outcome, OldNumber):
             self.keeper.observe_fencing(outcome.highest)
         if isinstance(outcome, Taken):
-            log.info("Engine {} took order {}.", due.engine, number)
+            log.info("Engine {} took order {}.", due.engine, fencing)
         else:
-            log.warning("Engine {}, order {}: {}.", due.engine, number, outcome)
+            log.warning("Engine {}, order {}: {}.", due.engine, fencing, outcome)
 
     def _desired(self) -> dict[str, DesiredState]:
         return desired_by_engine(self._spec, self._engine_names) if self._spec is not None else {}
--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -183,9 +183,9 @@
     async def order(
         self, url: str, desired: DesiredState, fencing: int, seconds: float
     ) -> OrderOutcome:
-        asked_at = now()
+        called_at = now()
         await self._pauses.step()
-        within_safe_pause = now() - asked_at <= MAX_SAFE_PAUSE
+        within_safe_pause = now() - called_at <= MAX_SAFE_PAUSE
         faults = self._simulation.order_faults
         fault = faults.pop(0) if faults else "none"
         if fault == "unreachable":
@@ -242,12 +242,12 @@
 def violations(simulation: Simulation) -> list[str]:
     """Return every violation of fencing in the order in which engines executed orders."""
     found_violations = []
-    routers_by_number: dict[int, set[str]] = {}
+    routers_by_fencing: dict[int, set[str]] = {}
     for executed in simulation.executed_orders:
-        routers_by_number.setdefault(executed.fencing, set()).add(executed.router)
-    for number, routers in routers_by_number.items():
+        routers_by_fencing.setdefault(executed.fencing, set()).add(executed.router)
+    for fencing, routers in routers_by_fencing.items():
         if len(routers) > 1:
-            found_violations.append(f"number {number} was used by {sorted(routers)}")
+            found_violations.append(f"number {fencing} was used by {sorted(routers)}")
     for engine in simulation.book_by_engine:
         highest = 0
         for executed in (each for each in simulation.executed_orders if each.engine == engine):
--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -15,7 +15,11 @@
 
 from fakes._virtual_loop import run_virtually
 from pondhatch.authority import LEASE_KIND, DesiredState, EngineState, desired_by_engine, due_orders
-from pondhatch.authority._orderer import IDLE_CHECK_SECONDS, PENDING_CHECK_SECONDS, ROUND_SECONDS
+from pondhatch.authority._orderer import (
+    IDLE_CHECK_SECONDS,
+    PENDING_CHECK_SECONDS,
+    STEP_PAUSE_SECONDS,
+)
 from pondhatch.authority.tests._simulation import (
     ORDER_FAULTS,
     PLATFORM_FAULTS,
@@ -59,7 +63,7 @@
 
 class DueOrdersTest(unittest.TestCase):
     def test_which_orders_are_due(self) -> None:
-        wanted = {"a": V2, "b": V2, "c": V2}
+        desired = {"a": V2, "b": V2, "c": V2}
         old, new = EngineState(V1), EngineState(V2)
         busy = EngineState(V2, busy=True)
         cases = [
@@ -75,14 +79,14 @@
         ]
         for reported, at_once, engines in cases:
             with self.subTest(reported=reported, at_once=at_once):
-                due = due_orders(wanted, reported, at_once)
+                due = due_orders(desired, reported, at_once)
                 self.assertEqual([each.engine for each in due], engines)
 
     def test_roles_of_single_engines(self) -> None:
         spec = OrdersSpec("m", 1, ("x",), "combined", {"b": "prefill"})
-        wanted = desired_by_engine(spec, ("b", "a"))
-        self.assertEqual(wanted["a"], DesiredState("m", 1, ("x",), "combined"))
-        self.assertEqual(wanted["b"].role, "prefill")
+        desired = desired_by_engine(spec, ("b", "a"))
+        self.assertEqual(desired["a"], DesiredState("m", 1, ("x",), "combined"))
+        self.assertEqual(desired["b"].role, "prefill")
 
 
 class HolderTest(unittest.TestCase):
@@ -97,10 +101,10 @@
         return routers
 
     async def wait_until_held(
-        self, simulation: Simulation, wanted: DesiredState, engine: str
+        self, simulation: Simulation, desired: DesiredState, engine: str
     ) -> float:
         began = now()
-        while simulation.holds(engine) != wanted:
+        while simulation.holds(engine) != desired:
             await asyncio.sleep(0.05)
             if now() - began > 100:
                 raise AssertionError(f"{engine} still holds {simulation.holds(engine)}")
@@ -111,7 +115,7 @@
             simulation = Simulation()
             routers = await self.start(simulation)
             routers[0].should_hold, routers[1].should_hold = False, True
-            await asyncio.sleep(2 * ROUND_SECONDS)
+            await asyncio.sleep(2 * STEP_PAUSE_SECONDS)
             simulation.spec = replace(simulation.spec, version=2)
             await self.wait_until_held(simulation, V2, "checking")
             await self.wait_until_held(simulation, V2, "ignoring")
@@ -164,7 +168,7 @@
             simulation.platform_faults.clear()
             await self.wait_until_held(simulation, V2, "ignoring")
             self.assertTrue(routers[0].orderer.is_holder())
-            return sorted({effect.fencing for effect in simulation.executed_orders})
+            return sorted({executed.fencing for executed in simulation.executed_orders})
 
         self.assertEqual(run_virtually(main()), [1])
 
@@ -172,7 +176,7 @@
         async def main() -> list[int]:
             simulation = Simulation(platform_faults=["none", "lost-answer"])
             await self.start(simulation)
-            return [effect.fencing for effect in simulation.executed_orders]
+            return [executed.fencing for executed in simulation.executed_orders]
 
         self.assertEqual(run_virtually(main()), [1, 1])
 
@@ -257,7 +261,7 @@
             self.assertGreaterEqual(
                 simulation.executed_orders[0].at, repaired_at + TIMINGS.duration
             )
-            return [effect.fencing for effect in simulation.executed_orders]
+            return [executed.fencing for executed in simulation.executed_orders]
 
         for value in self.MALFORMED:
             with self.subTest(value=value):
@@ -401,12 +405,12 @@
                 router.pauses.stop()
             simulation.spec = replace(simulation.spec, version=simulation.spec.version + 1)
             await asyncio.sleep(RECOVERY_SECONDS)
-            wanted = DesiredState("m", simulation.spec.version)
+            desired = DesiredState("m", simulation.spec.version)
             held = {simulation.holds(engine) for engine in simulation.book_by_engine}
             for router in routers:
                 router.kill()
-            return violations(simulation), held, wanted
+            return violations(simulation), held, desired
 
-        found, held, wanted = run_virtually(history())
+        found, held, desired = run_virtually(history())
         self.assertEqual(found, [])
-        self.assertEqual(held, {wanted})
+        self.assertEqual(held, {desired})
--- a/pondhatch/authority/tests/test_eras.py
+++ b/pondhatch/authority/tests/test_eras.py
@@ -26,14 +26,14 @@
 
 def new_holder(era: int = 1) -> tuple[LeaseKeeper, float]:
     """Return the first holder of a lease, and the time at which it became the holder."""
-    held = keeper()
-    held.observe_era(0.0, era)
+    holder = keeper()
+    holder.observe_era(0.0, era)
     at = TIMINGS.duration
-    assert isinstance(held.next_call(at, True, False), ReadLease)
-    held.handle_read(at, Missing(position_of(era, 5)))
-    assert isinstance(held.next_call(at, True, False), WriteLease)
-    held.handle_write(at, Accepted(position_of(era, 6)))
-    return held, at
+    assert isinstance(holder.next_call(at, True, False), ReadLease)
+    holder.handle_read(at, Missing(position_of(era, 5)))
+    assert isinstance(holder.next_call(at, True, False), WriteLease)
+    holder.handle_write(at, Accepted(position_of(era, 6)))
+    return holder, at
 
 
 class HolderTest(unittest.TestCase):
@@ -81,10 +81,10 @@
             found_record(record_value("gone", 3), 2, 5),
         )
         for outcome in outcomes:
-            for remembers in (False, True):
-                with self.subTest(told=outcome, remembers=remembers):
+            for knows_earlier_era in (False, True):
+                with self.subTest(told=outcome, remembers=knows_earlier_era):
                     candidate = keeper("r1")
-                    if remembers:
+                    if knows_earlier_era:
                         candidate.observe_era(0.0, 1)
                     candidate.next_call(50.0, True, False)
                     self.assertFalse(self.claims_at(candidate, outcome, 50.0))
@@ -92,15 +92,15 @@
 
     def test_its_fencing_number_is_above_those_of_earlier_eras(self) -> None:
         former, at = new_holder()
-        used = former.order_fencing(at, True)
+        former_fencing = former.order_fencing(at, True)
         candidate = keeper("r1")
         candidate.observe_era(at, 2)
         at += TIMINGS.duration
         candidate.next_call(at, True, False)
         candidate.handle_read(at, Missing(position_of(2, 1)))
         claim = candidate.next_call(at + TIMINGS.read_every, True, False)
-        assert isinstance(claim, WriteLease) and used is not None
-        self.assertGreater(claim.record.fencing, used)
+        assert isinstance(claim, WriteLease) and former_fencing is not None
+        self.assertGreater(claim.record.fencing, former_fencing)
 
     def test_a_new_era_delays_orders_to_engines_that_ignore_fencing(self) -> None:
         candidate = keeper("r1")
@@ -114,7 +114,7 @@
         self.assertIsNone(candidate.order_fencing(at, checks_fencing=False))
         self.assertIsNotNone(candidate.order_fencing(at, checks_fencing=True))
 
-    def test_a_missing_or_released_record_in_a_new_era_delays_them_too(self) -> None:
+    def test_a_missing_or_released_record_in_a_new_era_delays_such_orders_too(self) -> None:
         for outcome in (
             Missing(position_of(2, 5)),
             found_record(record_value("gone", 3, released=True), 2, 5),
--- a/pondhatch/cli/_change_commands.py
+++ b/pondhatch/cli/_change_commands.py
@@ -120,7 +120,7 @@
 def _inverse_edits(before: FleetConfiguration, undone: Change) -> tuple[Edit, ...]:
     """Return edits that restore the entries as they were before a change."""
     return tuple(
-        Edit(edit.kind, edit.name, before.value_or_none(edit.kind, edit.name))
+        Edit(edit.kind, edit.name, before.entry_or_none(edit.kind, edit.name))
         for edit in undone.edits
     )
 
--- a/pondhatch/configuration/_files.py
+++ b/pondhatch/configuration/_files.py
@@ -60,8 +60,8 @@
         for edit in _document_edits(document):
             first = document_by_entry.setdefault((edit.kind, edit.name), document)
             if first is not document:
-                where = (SECTION_BY_KIND[edit.kind], edit.name)
-                problems.append(document.problem(where, f"already defined in {first.file}"))
+                entry_path = (SECTION_BY_KIND[edit.kind], edit.name)
+                problems.append(document.problem(entry_path, f"already defined in {first.file}"))
             edits.append(edit)
     if problems:
         raise ConfigurationError(tuple(problems))
--- a/pondhatch/configuration/_fleet.py
+++ b/pondhatch/configuration/_fleet.py
@@ -76,7 +76,7 @@
         """Return an entry as written, as plain data. Raises KeyError if there is none."""
         return msgspec.json.decode(self.raw_by_entry[kind, name])
 
-    def value_or_none(self, kind: str, name: str) -> Any | None:
+    def entry_or_none(self, kind: str, name: str) -> Any | None:
         """Return an entry as written, or None where there is none."""
         raw = self.raw_by_entry.get((kind, name))
         return msgspec.json.decode(raw) if raw is not None else None
@@ -183,7 +183,7 @@
         changed = self.entry_versions.changed_since(version)
         if changed is None:
             return None
-        edits = tuple(Edit(*key, self.value_or_none(*key)) for key in sorted(changed))
+        edits = tuple(Edit(*key, self.entry_or_none(*key)) for key in sorted(changed))
         return Difference(version, self.version, edits, self.fingerprint)
 
     def with_difference(self, difference: Difference) -> FleetConfiguration | None:
--- a/pondhatch/configuration/_templates.py
+++ b/pondhatch/configuration/_templates.py
@@ -18,7 +18,7 @@
 #: Prefix of a value in a template's body that names a parameter.
 REFERENCE_MARK = "$"
 
-_TYPES: dict[str, tuple[type, ...]] = {
+_PYTHON_TYPES: dict[str, tuple[type, ...]] = {
     "integer": (int,),
     "number": (int, float),
     "string": (str,),
@@ -90,7 +90,7 @@
 
 def _value_error(spec: ParameterSpec, value: Scalar) -> str | None:
     boolean_as_number = isinstance(value, bool) and spec.type != "boolean"
-    if boolean_as_number or not isinstance(value, _TYPES[spec.type]):
+    if boolean_as_number or not isinstance(value, _PYTHON_TYPES[spec.type]):
         return f"expected {_describe_allowed(spec)}, found {value!r}"
     if spec.choices and value not in spec.choices:
         return f"expected {_describe_allowed(spec)}, found {value!r}"
--- a/pondhatch/configuration/_yaml.py
+++ b/pondhatch/configuration/_yaml.py
@@ -45,7 +45,7 @@
         self.line_by_path: dict[FieldPath, int] = {}
         self.problems: list[Problem] = []
         self._file = file
-        self._scalars = yaml.SafeLoader("")
+        self._scalar_loader = yaml.SafeLoader("")
 
     def build(self, node: yaml.Node, path: FieldPath) -> Any:
         self.line_by_path.setdefault(path, node.start_mark.line + 1)
@@ -68,7 +68,7 @@
 
     def _scalar(self, node: yaml.Node, path: FieldPath) -> Any:
         try:
-            return self._scalars.construct_object(node)
+            return self._scalar_loader.construct_object(node)
         except (yaml.YAMLError, ValueError):
             self._add_problem(node, path, "expected a plain value of YAML")
             return None
--- a/pondhatch/configuration/tests/test_differences.py
+++ b/pondhatch/configuration/tests/test_differences.py
@@ -82,9 +82,9 @@
         self.assertEqual(other.with_snapshot(giver.snapshot()).fingerprint, giver.fingerprint)
 
     def test_a_difference_also_covers_a_log_of_changes(self) -> None:
-        void = change(3, account("c", rate=-1.0))
+        rejected = change(3, account("c", rate=-1.0))
         giver = with_changes(
-            with_changes(START, change(2, account("b"))).with_skipped_change(void), change(4)
+            with_changes(START, change(2, account("b"))).with_skipped_change(rejected), change(4)
         )
         updated = START.with_difference(over_the_wire(giver.difference_since(1)))
         assert updated is not None
--- a/pondhatch/configuration/tests/test_publishing.py
+++ b/pondhatch/configuration/tests/test_publishing.py
@@ -126,13 +126,13 @@
     async def test_readers_start_from_the_snapshot(self) -> None:
         for version in range(2, 12):
             await publish(self.platform, change(version, f"op-{version}"), no_pause)
-        whole = await self.fleet()
-        self.assertTrue(await write_snapshot(self.platform, whole.snapshot()))
+        latest = await self.fleet()
+        self.assertTrue(await write_snapshot(self.platform, latest.snapshot()))
         before = self.platform.calls
         restored = await self.fleet()
         self.assertLess(self.platform.calls - before, 5)
-        self.assertEqual(restored.policy_by_account, whole.policy_by_account)
-        self.assertEqual(restored.version, whole.version)
+        self.assertEqual(restored.policy_by_account, latest.policy_by_account)
+        self.assertEqual(restored.version, latest.version)
 
     async def test_an_older_snapshot_never_replaces_a_newer_one(self) -> None:
         old = (await self.fleet()).snapshot()
