--- a/pondhatch/authority/_lease.py
+++ b/pondhatch/authority/_lease.py
@@ -41,7 +41,7 @@
 
 
 class LeaseKeeper:
-    """Decides on the calls for one lease; see the module.
+    """Decides on one router's calls for one lease; see the module.
 
     Make the call that ``next_call`` returns, and pass its outcome to ``handle_read`` or
     ``handle_write``.
@@ -137,7 +137,7 @@
         self._record_acquired(record, outcome.object.version, started_at)
 
     def handle_write(self, now: float, outcome: WriteOutcome) -> None:
-        """Apply the outcome of a write."""
+        """Apply the outcome of a write. Raises ValueError if no write is in flight."""
         facts = self._facts
         written = facts.pending_write
         if written is None:
@@ -162,10 +162,10 @@
             facts.valid_until = float("-inf")
 
     def observe_fencing(self, highest: int) -> None:
-        """Apply a fencing number seen by an engine, which is higher than this router's.
+        """Apply an engine's highest fencing number, which is higher than this router's.
 
-        A router that still holds the lease then raises its own number above it. For one that
-        has lost the lease, that write conflicts, and so it learns of the loss.
+        A router that still holds the lease then raises its own number above it. If the router
+        has lost the lease, its write conflicts, and so it learns of the loss.
         """
         self._facts.highest_fencing = max(self._facts.highest_fencing, highest)
 
--- a/pondhatch/authority/_lease_facts.py
+++ b/pondhatch/authority/_lease_facts.py
@@ -19,10 +19,12 @@
     router: str
     timings: LeaseTimings
     new_nonce: Callable[[], str]
-    #: The record as last read or written, its version, and when that version was first seen;
-    #: infinity means that the lease must be read.
+    #: The record as last read or written; None if there is none or it is unknown.
     record: LeaseRecord | None = None
+    #: Version of the record at the platform; None if there is none or it is unknown.
     version: Position | None = None
+    #: When this version was first seen, or when this router's write of it started; infinity
+    #: means that the lease must be read.
     seen_at: float = float("inf")
     #: Time at which the next call is due.
     next_call_at: float = float("-inf")
@@ -37,8 +39,9 @@
     valid_until: float = float("-inf")
     #: Time from which engines that ignore fencing numbers may be given orders.
     unfenced_from: float = float("-inf")
-    #: How often the platform was restored from an older copy, and since when that is known.
+    #: How often the platform was restored from an older copy.
     era: int = NO_ERA
+    #: When this router first learned of the era.
     era_since: float = float("-inf")
 
     def needs_read(self) -> bool:
@@ -91,10 +94,15 @@
         self.valid_until = started_at + self.timings.duration - self.timings.clock_margin
 
     def set_unfenced_from(self, started_at: float) -> None:
-        """Set the time from which a new holder may order engines that ignore fencing numbers."""
+        """Set the time from which a new holder may order engines that ignore fencing numbers.
+
+        ``started_at`` is the start of the write that made this router the holder.
+        """
+        # A holder releases its lease only after its last order has ended; a missing lease counts
+        # as released.
         old_orders_ended = self.record is None or self.record.released
         # Soon after a new era began, it is unknown whether the last holder stepped down. Its
-        # orders have ended after the lease duration and then the unfenced delay.
+        # orders have ended once the lease duration and then the unfenced delay have passed.
         old_orders_ended = (
             old_orders_ended
             and started_at >= self.old_leases_end_at() + self.timings.unfenced_delay
--- a/pondhatch/authority/_lease_record.py
+++ b/pondhatch/authority/_lease_record.py
@@ -44,9 +44,10 @@
 
 
 class WriteLease(msgspec.Struct, frozen=True):
-    """Write the lease if it still has this version; None means if there is no lease."""
+    """Write the lease if it still has ``version``."""
 
     record: LeaseRecord
+    #: Version that the lease must still have; None if there must be no lease yet.
     version: int | None
 
 
--- a/pondhatch/authority/_orderer.py
+++ b/pondhatch/authority/_orderer.py
@@ -85,6 +85,8 @@
     clock: Callable[[], float]
     sleep: Sleep = asyncio.sleep
     _state_by_engine: dict[str, EngineState] = msgspec.field(default_factory=dict)
+    #: The configured orders and the engines at the last step; if either changes, the engines'
+    #: states are checked at once.
     _spec: OrdersSpec | None = None
     _engine_names: tuple[str, ...] = ()
     _next_check_at: float = float("-inf")
@@ -173,7 +175,7 @@
             return OutcomeUnknown(str(error))
 
     def _log_malformed(self) -> None:
-        """Log once when the lease becomes malformed, and once when it is valid again."""
+        """Log when the lease becomes malformed, if the reason changes, and when it no longer is."""
         malformed = self.keeper.malformed_reason
         if malformed == self._logged_malformed:
             return
@@ -185,16 +187,20 @@
                 malformed,
             )
         else:
-            log.info("The lease of service {} is valid again.", self.service)
+            log.info("The lease of service {} is no longer malformed.", self.service)
 
     def _holder_changed(self) -> None:
         self._state_by_engine.clear()
         self._next_check_at = float("-inf")
         if self.keeper.is_holder() and self.keeper.record is not None:
             fencing = self.keeper.record.fencing
-            log.info("Orders of service {} are given here, number {}.", self.service, fencing)
+            log.info(
+                "This router now holds the lease of service {}, with fencing number {}.",
+                self.service,
+                fencing,
+            )
         else:
-            log.info("Orders of service {} are no longer given here.", self.service)
+            log.info("This router no longer holds the lease of service {}.", self.service)
 
     # -- the engines ----------------------------------------------------------
 
@@ -255,9 +261,14 @@
         if isinstance(outcome, OldNumber):
             self.keeper.observe_fencing(outcome.highest)
         if isinstance(outcome, Taken):
-            log.info("Engine {} took order {}.", due.engine, fencing)
+            log.info("Engine {} accepted an order with fencing number {}.", due.engine, fencing)
         else:
-            log.warning("Engine {}, order {}: {}.", due.engine, fencing, outcome)
+            log.warning(
+                "An order with fencing number {} to engine {} was not confirmed: {}.",
+                fencing,
+                due.engine,
+                outcome,
+            )
 
     def _desired(self) -> dict[str, DesiredState]:
         return desired_by_engine(self._spec, self._engine_names) if self._spec is not None else {}
--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -43,9 +43,10 @@
 ORDER_FAULTS = ("none", "unreachable", "answer-lost", "late")
 #: Delay of a late order, in seconds; shorter than the holder's timeout of an order.
 ORDER_LATENESS = 1.5
-#: Longest pause, in seconds, between a holder's check of its lease and the sending of an order
-#: for which an engine that ignores fencing numbers never gets an older order after a newer one:
-#: the time that a candidate waits beyond the lease, less the time that the order travels.
+#: Longest pause, in seconds, that a holder may make between checking its lease and sending an
+#: order. Up to it, an engine that ignores fencing numbers never gets this order after one of the
+#: next holder. It is the time from the last check that allows an order to the first order of the
+#: next holder to such an engine, less the time that a late order travels.
 MAX_SAFE_PAUSE = (
     TIMINGS.clock_margin + TIMINGS.unfenced_delay + TIMINGS.order_timeout - ORDER_LATENESS - 0.1
 )
@@ -149,7 +150,7 @@
         return written
 
     async def list(self, kind: str, may_be_old: bool = False) -> Unavailable:
-        return Unavailable("not asked for here")
+        return Unavailable("not simulated")
 
     def watch(self, kind: str, since: int | None) -> Any:
         raise NotImplementedError
@@ -240,20 +241,24 @@
 
 
 def violations(simulation: Simulation) -> list[str]:
-    """Return every violation of fencing in the order in which engines executed orders."""
+    """Return every violation of fencing.
+
+    Either routers shared a fencing number, or an engine executed an order with a lower number
+    after one with a higher.
+    """
     found_violations = []
     routers_by_fencing: dict[int, set[str]] = {}
     for executed in simulation.executed_orders:
         routers_by_fencing.setdefault(executed.fencing, set()).add(executed.router)
     for fencing, routers in routers_by_fencing.items():
         if len(routers) > 1:
-            found_violations.append(f"number {fencing} was used by {sorted(routers)}")
+            found_violations.append(f"fencing number {fencing} was used by {sorted(routers)}")
     for engine in simulation.book_by_engine:
         highest = 0
         for executed in (each for each in simulation.executed_orders if each.engine == engine):
             if executed.fencing < highest and (executed.within_safe_pause or engine == "checking"):
                 found_violations.append(
-                    f"{engine} obeyed {executed.fencing} after {highest} at {executed.at}"
+                    f"{engine} executed {executed.fencing} after {highest} at {executed.at}"
                 )
             highest = max(highest, executed.fencing)
     return found_violations
--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -328,6 +328,8 @@
 
 
 PAUSE = st.one_of(st.just(0.0), st.just(0.0), st.floats(0.0, LONGEST_PAUSE))
+#: "want" and "unwant" set whether a router should hold the lease, "kill" restarts the router, and
+#: "change" changes the desired state of all engines.
 EVENT = st.tuples(
     st.floats(0.0, 8.0),  # seconds after the previous event
     st.sampled_from(("want", "unwant", "kill", "change")),
@@ -339,7 +341,7 @@
     st.lists(st.sampled_from(PLATFORM_FAULTS), max_size=25),
     st.lists(st.sampled_from(ORDER_FAULTS), max_size=8),
 )
-#: A drill restores the platform to its state at the previous event.
+#: "drill" restores the platform to its state at the previous event.
 EVENT_OR_RESTORE = st.tuples(
     st.floats(0.0, 8.0),
     st.sampled_from(("want", "unwant", "kill", "change", "drill", "drill")),
--- a/pondhatch/authority/tests/test_eras.py
+++ b/pondhatch/authority/tests/test_eras.py
@@ -71,6 +71,7 @@
 
 class CandidateTest(unittest.TestCase):
     def claims_at(self, candidate: LeaseKeeper, outcome: Found | Missing, at: float) -> bool:
+        """Return whether a candidate that reads the lease at a time claims it at its next call."""
         candidate.handle_read(at, outcome)
         return isinstance(candidate.next_call(at + TIMINGS.read_every, True, False), WriteLease)
 
@@ -82,7 +83,7 @@
         )
         for outcome in outcomes:
             for knows_earlier_era in (False, True):
-                with self.subTest(told=outcome, remembers=knows_earlier_era):
+                with self.subTest(outcome=outcome, knows_earlier_era=knows_earlier_era):
                     candidate = keeper("r1")
                     if knows_earlier_era:
                         candidate.observe_era(0.0, 1)
@@ -119,7 +120,7 @@
             Missing(position_of(2, 5)),
             found_record(record_value("gone", 3, released=True), 2, 5),
         ):
-            with self.subTest(told=outcome):
+            with self.subTest(outcome=outcome):
                 candidate = keeper("r1")
                 candidate.observe_era(0.0, 2)
                 at = TIMINGS.duration
--- a/pondhatch/configuration/_editing.py
+++ b/pondhatch/configuration/_editing.py
@@ -47,7 +47,7 @@
 def apply_edits(base: FleetConfiguration, edits: Iterable[Edit]) -> EditResult:
     """Apply edits to a configuration.
 
-    The result depends on the entries only, not on the steps in which they came: entries with
+    The result depends on the entries only, not on the edits that led to them: entries with
     misfits are validated again each time, and of two conflicting entries the one whose name
     sorts first wins.
     """
--- a/pondhatch/configuration/_entry_versions.py
+++ b/pondhatch/configuration/_entry_versions.py
@@ -1,7 +1,7 @@
 """The version at which each entry of a configuration changed last, as far back as known.
 
-From it a router computes, in one step, what differs for a peer at any version since
-``EntryVersions.since``, whichever versions the peer skipped.
+With these versions a router computes one difference for a peer at any version from
+``EntryVersions.since`` on, whichever versions the peer skipped.
 """
 
 from __future__ import annotations
--- a/pondhatch/configuration/_fleet.py
+++ b/pondhatch/configuration/_fleet.py
@@ -37,7 +37,7 @@
 
 
 class VersionGap(msgspec.Struct, frozen=True):
-    """The change does not directly follow the current version; others are missing between."""
+    """The change does not directly follow the current version: it is not newer, or skips some."""
 
     current: int
     offered: int
@@ -61,7 +61,7 @@
     recent_changes: tuple[Change, ...] = ()
     #: Versions at which entries changed last, for peers that are behind.
     entry_versions: EntryVersions = msgspec.field(default_factory=EntryVersions)
-    #: Hash of all entries as written, independent of the steps in which they came.
+    #: Hash of all entries as written, independent of the edits that led to them.
     fingerprint: int = 0
 
     def is_fully_applied(self, kind: str) -> bool:
@@ -141,7 +141,7 @@
     def with_edits(self, edits: Iterable[Edit]) -> FleetConfiguration | Rejected:
         """Return the configuration with all edits applied, at the same version, or Rejected.
 
-        For edits that are validated before they are accepted.
+        For edits that are not accepted yet; if they cause a misfit, all are rejected.
         """
         edits = tuple(edits)
         edited = apply_edits(self, edits)
--- a/pondhatch/configuration/_publishing.py
+++ b/pondhatch/configuration/_publishing.py
@@ -85,8 +85,8 @@
 ) -> FleetConfiguration | Unavailable | Inconsistent:
     """Return the configuration at the platform, starting from one already known.
 
-    ``until_version`` asks for an older version; from an empty configuration, the oldest
-    available one is that of the latest snapshot.
+    ``until_version`` asks for an older version instead of the newest. Starting from an empty
+    configuration, no version before that of the latest snapshot is available.
     """
     if configuration.version == 0:
         start = await _read_snapshot(platform)
@@ -125,7 +125,7 @@
 
 
 def _unreadable(version: int, reason: str) -> Change:
-    log.error("Change {} is void: {}.", version, reason)
+    log.error("Change {} is unreadable and has no effect: {}.", version, reason)
     return Change(version, "", "", 0.0, f"unreadable: {reason}", ())
 
 
--- a/pondhatch/configuration/_settings.py
+++ b/pondhatch/configuration/_settings.py
@@ -14,7 +14,8 @@
 from pondhatch.configuration._yaml import YamlDocument, load_yaml
 
 #: Most characters in the name of a router or a hall. A gossip packet of at most 65,507 bytes
-#: describes 20 routers, and a character takes up to 4 bytes: 20 * 2 * 255 * 4 = 40,800.
+#: describes 20 routers, each with both names, and a character takes up to 4 bytes:
+#: 20 * 2 * 255 * 4 = 40,800.
 MAX_NAME_LENGTH = 255
 #: A name given by the platform. It may have any form, because routers only compare and hash
 #: names, and escape them where they are written into paths or metric names.
@@ -171,7 +172,8 @@
     #: Seconds after the stop signal during which it still accepts requests: until the load
     #: balancer has noticed, callers have no other router to use.
     accept_seconds: Annotated[float, Meta(ge=0, le=600)] = 0.0
-    #: Seconds after the stop signal at which it exits, whatever is still running.
+    #: Seconds after the stop signal at which it exits, whatever is still running; None for
+    #: ``Settings.drain_seconds``.
     whole_seconds: Annotated[float, Meta(gt=0, le=3600)] | None = None
 
 
--- a/pondhatch/configuration/_templates.py
+++ b/pondhatch/configuration/_templates.py
@@ -18,6 +18,7 @@
 #: Prefix of a value in a template's body that names a parameter.
 REFERENCE_MARK = "$"
 
+#: Python types of a parameter's values, by ``ParameterSpec.type``.
 _PYTHON_TYPES: dict[str, tuple[type, ...]] = {
     "integer": (int,),
     "number": (int, float),
@@ -125,6 +126,7 @@
 
 
 def _references(body: Any, path: tuple[str | int, ...]) -> list[tuple[tuple[str | int, ...], str]]:
+    """Return the path and the parameter's name of each reference in a template's body."""
     if isinstance(body, dict):
         nested = [_references(value, (*path, key)) for key, value in body.items()]
         return [found for each in nested for found in each]
--- a/pondhatch/configuration/tests/test_validation.py
+++ b/pondhatch/configuration/tests/test_validation.py
@@ -119,7 +119,7 @@
         ]
         self.assertGreater(len(schemas), 15)
         for schema in schemas:
-            with self.subTest(shape=schema.__name__):
+            with self.subTest(schema=schema.__name__):
                 self.assertTrue(schema.__struct_config__.forbid_unknown_fields)
 
     @given(
@@ -145,6 +145,6 @@
 
     def test_valid_data_is_not_validated_by_parts(self) -> None:
         with mock.patch.object(
-            _validation, "_validate_by_parts", side_effect=AssertionError("walked")
+            _validation, "_validate_by_parts", side_effect=AssertionError("validated by parts")
         ):
             self.assertEqual(validate(Inner, {"number": 3}), Inner(3))
