--- a/pondhatch/authority/_lease.py
+++ b/pondhatch/authority/_lease.py
@@ -41,7 +41,7 @@
 
 
 class LeaseKeeper:
-    """Decides on the calls for one lease; see the module.
+    """Decides on one router's calls for one lease; see the module.
 
     Make the call that ``next_call`` returns, and pass its outcome to ``handle_read`` or
     ``handle_write``.
@@ -134,10 +134,10 @@
             # A released lease can be claimed at once.
             facts.next_call_at = now if record.released else facts.next_call_at
             return
-        self._acquired(record, outcome.object.version, started_at)
+        self._record_acquired(record, outcome.object.version, started_at)
 
     def handle_write(self, now: float, outcome: WriteOutcome) -> None:
-        """Apply the outcome of a write."""
+        """Apply the outcome of a write. Raises ValueError if no write is in flight."""
         facts = self._facts
         written = facts.pending_write
         if written is None:
@@ -153,7 +153,7 @@
                 facts.set_observed(written, outcome.version, now)
                 self._state.lost()
             else:
-                self._acquired(written, outcome.version, facts.call_started_at)
+                self._record_acquired(written, outcome.version, facts.call_started_at)
             return
         if isinstance(outcome, Conflict | OutcomeUnknown):
             # Read the lease back; the nonce shows whether this write took effect.
@@ -162,10 +162,10 @@
             facts.valid_until = float("-inf")
 
     def observe_fencing(self, highest: int) -> None:
-        """Apply a fencing number seen by an engine, which is higher than this router's.
+        """Apply an engine's highest fencing number, which is higher than this router's.
 
-        A router that still holds the lease then raises its own number above it. For one that
-        has lost the lease, that write conflicts, and so it learns of the loss.
+        A router that still holds the lease then raises its own number above it. If the router
+        has lost the lease, its write conflicts, and so it learns of the loss.
         """
         self._facts.highest_fencing = max(self._facts.highest_fencing, highest)
 
@@ -197,7 +197,7 @@
             return None
         return facts.start_call(facts.renewal(facts.record), now, facts.timings.renew_every)
 
-    def _acquired(self, record: LeaseRecord, version: int, started_at: float) -> None:
+    def _record_acquired(self, record: LeaseRecord, version: int, started_at: float) -> None:
         """Record that this router holds the lease, by a write started at ``started_at``."""
         if not self._state.is_holder():
             self._facts.set_unfenced_from(started_at)
