--- a/pondhatch/kernel/_registry.py
+++ b/pondhatch/kernel/_registry.py
@@ -70,10 +70,12 @@
         if plugin is None:
             known = ", ".join(self.names(kind)) or "none"
             raise RegistryError(f"no {kind} named {name!r}; known: {known}")
-        missing = [need.__name__ for need in plugin.DEPENDENCIES if need not in views]
+        missing = [
+            view_type.__name__ for view_type in plugin.DEPENDENCIES if view_type not in views
+        ]
         if missing:
             raise RegistryError(f"{kind} {name!r} needs {', '.join(missing)}")
-        return plugin({need: views[need] for need in plugin.DEPENDENCIES})
+        return plugin({view_type: views[view_type] for view_type in plugin.DEPENDENCIES})
 
 
 #: The registry of the plug-ins that pondhatch ships.
--- a/pondhatch/placement/_cold_pacer.py
+++ b/pondhatch/placement/_cold_pacer.py
@@ -28,9 +28,9 @@
     #: Requests on top of that multiple.
     slack: float = 0.0
 
-    def max_per_second(self, pace: float) -> float:
+    def max_per_second(self, cold_pace: float) -> float:
         """Return the maximum number of requests to one upstream in any one second."""
-        return pace * self.overshoot + self.slack
+        return cold_pace * self.overshoot + self.slack
 
 
 class ColdPacer(msgspec.Struct):
@@ -47,20 +47,20 @@
     #: Scheduled time of the next grant for each cold upstream, in the clock's seconds.
     _next_grant_by_upstream: dict[str, float] = msgspec.field(default_factory=dict)
 
-    def is_due(self, upstream: str, pace: float, now: float) -> bool:
+    def is_due(self, upstream: str, cold_pace: float, now: float) -> bool:
         """Return whether a request may be granted for a cold upstream now."""
-        if not self.fleet_share or not self.allowance.max_per_second(pace):
+        if not self.fleet_share or not self.allowance.max_per_second(cold_pace):
             return False
-        interval, burst = self._interval_and_burst(pace)
+        interval, burst = self._interval_and_burst(cold_pace)
         next_grant = self._next_grant_by_upstream.get(upstream)
         if next_grant is None and self.fleet_share < 1:
             # Routers on other sides of a partition may just have granted their first request.
             next_grant = self._next_grant_by_upstream[upstream] = now + interval
         return next_grant is None or next_grant - (burst - 1) * interval <= now
 
-    def record_grant(self, upstream: str, pace: float, now: float) -> None:
+    def record_grant(self, upstream: str, cold_pace: float, now: float) -> None:
         """Record that a request was granted for a cold upstream."""
-        interval, _ = self._interval_and_burst(pace)
+        interval, _ = self._interval_and_burst(cold_pace)
         next_grant = self._next_grant_by_upstream.get(upstream, now)
         self._next_grant_by_upstream[upstream] = max(next_grant, now) + interval
 
@@ -68,12 +68,12 @@
         """Forget an upstream that is warm or gone."""
         self._next_grant_by_upstream.pop(upstream, None)
 
-    def _interval_and_burst(self, pace: float) -> tuple[float, int]:
+    def _interval_and_burst(self, cold_pace: float) -> tuple[float, int]:
         """Return the seconds between two scheduled grants, and the size of a burst.
 
         Any one second has at most the burst and the grants scheduled in that second.
         """
-        own_rate = self.allowance.max_per_second(pace) / CONCURRENT_OWNERS * self.fleet_share
+        own_rate = self.allowance.max_per_second(cold_pace) / CONCURRENT_OWNERS * self.fleet_share
         burst = BURST if self.fleet_share == 1 and own_rate >= 2 * BURST else 1
         steady_rate = max(own_rate - burst, own_rate / 2)
         return 1.0 / steady_rate, burst
--- a/pondhatch/placement/_gate.py
+++ b/pondhatch/placement/_gate.py
@@ -102,7 +102,7 @@
         engine: str,
         now: float,
         load_bound: float,
-        elsewhere: int,
+        in_flight_elsewhere: int,
         engines: int,
         slots: int = UNLIMITED_SLOTS,
         slack: int = 0,
@@ -110,7 +110,7 @@
     ) -> GateDecision:
         """Grant or refuse one request.
 
-        ``elsewhere`` is the last known total of requests in flight at the service's other
+        ``in_flight_elsewhere`` is the last known total of requests in flight at the service's other
         engines; ``engines`` counts the service's engines, this one included; ``slots`` is the
         limit of one engine whatever the mean, ``slack`` the number of requests allowed above the
         multiple of the mean; ``pace`` is the engine's processing time in percent of usual. A slow
@@ -119,7 +119,7 @@
         """
         count = self.by_engine.get(engine, EngineCount())
         in_flight = count.in_flight(now)
-        bounded = admission_ceiling(load_bound, elsewhere + in_flight, engines) + slack
+        bounded = admission_ceiling(load_bound, in_flight_elsewhere + in_flight, engines) + slack
         ceiling = min(slots, bounded, count.limit(now))
         if pace > USUAL_PACE:
             ceiling = max(1, ceiling * USUAL_PACE // pace)
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -126,7 +126,7 @@
         """Return the load of the other engines asked so far: newer than any gossiped total."""
         return sum(held for other, held in self.in_flight_by_engine.items() if other != engine)
 
-    def estimate_elsewhere(self, engine: str, engines: int) -> int:
+    def estimate_in_flight_elsewhere(self, engine: str, engines: int) -> int:
         """Return an estimate of the load of the other engines by the mean seen; 0 for none.
 
         While load rises, gossiped totals lag behind. Of 8 engines drawn by the chat's order, the
--- a/pondhatch/placement/_token_counts.py
+++ b/pondhatch/placement/_token_counts.py
@@ -95,15 +95,15 @@
         The other half is for long requests from before, so that the reserved memory comes free
         although not all of those have ended.
         """
-        size, current = self.added_tokens(need), self.reservation
-        missing = self.used + size - limit
+        added, current = self.added_tokens(need), self.reservation
+        missing = self.used + added - limit
         if current is None or current.request == request or current.priority > priority:
             return max(0, missing)
         reserved = self.added_tokens(current.need)
-        later = sum(self.tokens_since_reserved.values())
-        missing = max(missing, later + size - (limit - reserved) // 2)
+        granted_since = sum(self.tokens_since_reserved.values())
+        missing = max(missing, granted_since + added - (limit - reserved) // 2)
         if self.used + reserved <= limit:
-            missing = max(missing, self.used + reserved + size - limit)
+            missing = max(missing, self.used + reserved + added - limit)
         return missing + reserved if missing > 0 else 0
 
     def add(self, request: Hashable, need: TokenNeed, now: float, uncached: int) -> None:
--- a/pondhatch/placement/_weighted_rendezvous.py
+++ b/pondhatch/placement/_weighted_rendezvous.py
@@ -41,6 +41,6 @@
     score, log = scorer(key), math.log
     scored = [(score(name), name, weight) for name, weight in weight_by_name.items()]
     return [
-        (-weight / log(((each >> _DROPPED_BITS) + 0.5) / _STEPS), each, name)
-        for each, name, weight in scored
+        (-weight / log(((name_score >> _DROPPED_BITS) + 0.5) / _STEPS), name_score, name)
+        for name_score, name, weight in scored
     ]
--- a/pondhatch/placement/tests/test_weighted_rendezvous.py
+++ b/pondhatch/placement/tests/test_weighted_rendezvous.py
@@ -36,10 +36,10 @@
 
     def test_each_wins_in_proportion_to_its_weight(self) -> None:
         weight_by_name = {"small": 0.1, "usual": 1.0, "large": 2.2}
-        whole = sum(weight_by_name.values())
+        total_weight = sum(weight_by_name.values())
         winners = [weighted_winner(key, weight_by_name) for key in KEYS]
         for name, weight in weight_by_name.items():
-            share = weight / whole
+            share = weight / total_weight
             # Four standard deviations of this number of independent draws.
             deviation = 4 * math.sqrt(share * (1 - share) / len(KEYS))
             self.assertAlmostEqual(winners.count(name) / len(KEYS), share, delta=deviation)
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -88,7 +88,7 @@
     max_connections: int = 0
 
 
-class _EngineKind(WireStruct, frozen=True):
+class _EngineProperties(WireStruct, frozen=True):
     #: Whether engines copy the prompt context that they hold to each other.
     moves: bool = False
     #: Tokens that the memory of one engine holds; 0 if not configured.
@@ -161,17 +161,21 @@
 
 
 def _service(service: _Service, defaults: ServiceDefaults) -> dict[str, Any]:
-    kind = service.engine_id
-    engines = read_entry(_EngineKind, kind).entry if isinstance(kind, Mapping) else _EngineKind()
+    raw_engine = service.engine_id
+    engine = (
+        read_entry(_EngineProperties, raw_engine).entry
+        if isinstance(raw_engine, Mapping)
+        else _EngineProperties()
+    )
     stated = {
         "max_connections": service.max_connections,
-        "engine_tokens": engines.kv_capacity_tokens,
+        "engine_tokens": engine.kv_capacity_tokens,
     }
     return {
-        "kind": "plain" if kind is None else "model",
+        "kind": "plain" if raw_engine is None else "model",
         "load_bound": defaults.load_bound,
         "load_slack": defaults.load_slack,
-        "shares_context": engines.moves,
+        "shares_context": engine.moves,
         "cold_pace": service.cold_per_s if service.cold_per_s > 0 else None,
         # Omitted if not configured, so that routers that do not know them yet accept the service.
         **{name: number for name, number in stated.items() if number > 0},
--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -40,9 +40,9 @@
             for at in range(100)
         ]
         with patch("msgspec.structs.fields", side_effect=AssertionError) as fields:
-            whole = decode_configuration(many, DEFAULTS)
+            snapshot = decode_configuration(many, DEFAULTS)
         fields.assert_not_called()
-        self.assertGreater(len(whole.edits), 300)
+        self.assertGreater(len(snapshot.edits), 300)
 
     def test_only_changed_entries_are_read_again(self) -> None:
         reader = ConfigurationReader(DEFAULTS)
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -251,7 +251,7 @@
         self.assertEqual(context(""), 0)
 
     def test_paths_that_an_engine_could_take_for_a_router_call(self) -> None:
-        own = (
+        router_calls = (
             "/report",
             "/kv-events?since=1",
             "/kv-move",
@@ -261,7 +261,7 @@
             "/%6bv-list",
             "/notes/../kv-handle/h1",
         )
-        for path in own:
+        for path in router_calls:
             with self.subTest(path=path):
                 self.assertTrue(self.dialect.is_router_only_call(path, "/"))
         for path in ("/", "/x", "/report/2f", "/kv-pin", "/notes/report", "/a?b=/report", "/a%2e"):
--- a/pondhatch/platform/tests/test_malformed_entries.py
+++ b/pondhatch/platform/tests/test_malformed_entries.py
@@ -231,10 +231,10 @@
     def ways_to_learn(self) -> list[Callable[[], None]]:
         """Return the ways in which a router learns of the malformed entry, at version 6."""
         unreadable = WatchEvent("unreadable", 6, "i-1")
-        senseless = WatchEvent("set", 6, "i-1", {"name": "i-1"})
+        incomplete = WatchEvent("set", 6, "i-1", {"name": "i-1"})
         return [
             lambda: self.assertTrue(self.state.apply_upstream_event(unreadable)),
-            lambda: self.assertTrue(self.state.apply_upstream_event(senseless)),
+            lambda: self.assertTrue(self.state.apply_upstream_event(incomplete)),
             lambda: self.apply_listing(),
         ]
 
--- a/pondhatch/platform/tests/test_store.py
+++ b/pondhatch/platform/tests/test_store.py
@@ -87,8 +87,8 @@
 
     async def test_a_listing_is_read_page_by_page(self) -> None:
         first = page(entry("a", 1, 1), entry("b", 2, 2), at=5, more=True)
-        found, calls = store((200, first), (200, page(entry("c", 3, 3), at=6)))
-        listed = await found.list("upstream")
+        platform, calls = store((200, first), (200, page(entry("c", 3, 3), at=6)))
+        listed = await platform.list("upstream")
         assert isinstance(listed, Listed)
         self.assertEqual([each.name for each in listed.objects], ["a", "b", "c"])
         self.assertEqual([path for _, path, _ in calls.requests][1], "/objects/servers?SinceRev=b")
@@ -97,9 +97,9 @@
 
     async def test_stale_reads_are_requested_on_each_page(self) -> None:
         first = page(entry("a", 1, 1), at=5, more=True)
-        found, calls = store((200, first), (200, page(at=6)), (404, None))
-        await found.list("upstream", may_be_old=True)
-        await found.get("upstream", "a", may_be_old=True)
+        platform, calls = store((200, first), (200, page(at=6)), (404, None))
+        await platform.list("upstream", may_be_old=True)
+        await platform.get("upstream", "a", may_be_old=True)
         queries = [parse_qs(urlsplit(path).query) for _, path, _ in calls.requests]
         self.assertEqual(
             queries,
@@ -112,8 +112,10 @@
         self.assertEqual(found.object.value["twice"], 8)
 
     async def test_a_malformed_object_hides_no_other(self) -> None:
-        found, _ = store((200, page(entry("a", 1, 1), entry("b", 2, "?"), entry("c", 3, 3), at=5)))
-        listed = await found.list("upstream")
+        platform, _ = store(
+            (200, page(entry("a", 1, 1), entry("b", 2, "?"), entry("c", 3, 3), at=5))
+        )
+        listed = await platform.list("upstream")
         assert isinstance(listed, Listed)
         self.assertEqual([each.name for each in listed.objects], ["a", "c"])
 
@@ -121,15 +123,15 @@
         for name in ("a b", "a&Watch=1", "a/b#c", "são", "100%"):
             with self.subTest(name=name):
                 first = page(entry(name, 1, 1), at=5, more=True)
-                found, calls = store((200, first), (200, page(at=6)))
-                await found.list("upstream")
+                platform, calls = store((200, first), (200, page(at=6)))
+                await platform.list("upstream")
                 path = calls.requests[1][1]
                 self.assertTrue(path.isascii() and path.count("/") == 2, path)
                 self.assertEqual(parse_qs(urlsplit(path).query), {"SinceRev": [name]})
 
     async def test_a_name_is_escaped_in_a_path(self) -> None:
-        found, calls = store((404, None))
-        await found.get("own", "Boa Viagem/1?")
+        platform, calls = store((404, None))
+        await platform.get("own", "Boa Viagem/1?")
         self.assertEqual(calls.requests[0][1], "/objects/own/Boa%20Viagem%2F1%3F")
 
     async def test_a_page_without_new_names_ends_an_incomplete_listing(self) -> None:
@@ -140,8 +142,8 @@
             page(entry("", 1), "no object", at=5, more=True),
         ):
             with self.subTest(last=last):
-                found, _ = store((200, repeated), (200, last))
-                listed = await found.list("upstream")
+                platform, _ = store((200, repeated), (200, last))
+                listed = await platform.list("upstream")
                 assert isinstance(listed, Listed)
                 self.assertEqual({each.name for each in listed.objects}, {"a"})
                 self.assertFalse(listed.is_whole)
@@ -162,17 +164,17 @@
             number = logger.add(lines.append, level="ERROR", format="{message}")
             with self.subTest(entry=each):
                 answer = (200, page(entry("a", 1, 1), each, entry("c", 3, 3), at=5))
-                found, _ = store(answer, answer)
+                platform, _ = store(answer, answer)
                 for _ in range(2):
-                    listed = await found.list("upstream")
+                    listed = await platform.list("upstream")
                     assert isinstance(listed, Listed)
                     self.assertEqual([each.name for each in listed.objects], ["a", "c"])
                 self.assertEqual(len(lines), 1, lines)
             logger.remove(number)
 
     async def test_the_name_of_a_malformed_object_is_reported(self) -> None:
-        found, _ = store((200, page(entry("a", 1, 1), entry("b", 2, "?"), at=5)))
-        listed = await found.list("upstream")
+        platform, _ = store((200, page(entry("a", 1, 1), entry("b", 2, "?"), at=5)))
+        listed = await platform.list("upstream")
         assert isinstance(listed, Listed)
         self.assertEqual((listed.left_out, listed.is_whole), ({"b"}, True))
 
@@ -180,10 +182,10 @@
         answers: tuple[Any, ...] = (None, [], {"Entries": 1}, {"Metadata": {"Revision": 1}})
         for answer in answers:
             with self.subTest(answer=answer):
-                found, _ = store((200, answer), (200, answer), (200, answer))
-                self.assertIsInstance(await found.list("upstream"), Unavailable)
-                self.assertIsInstance(await found.get("upstream", "a"), Unavailable)
-                self.assertIsInstance(await found.update("own", "a", 1, 8), OutcomeUnknown)
+                platform, _ = store((200, answer), (200, answer), (200, answer))
+                self.assertIsInstance(await platform.list("upstream"), Unavailable)
+                self.assertIsInstance(await platform.get("upstream", "a"), Unavailable)
+                self.assertIsInstance(await platform.update("own", "a", 1, 8), OutcomeUnknown)
 
 
 class WritingTest(unittest.IsolatedAsyncioTestCase):
@@ -203,9 +205,9 @@
                 self.assertIsInstance(await store(answer)[0].update("own", "a", 1, 8), kind)
 
     async def test_the_expected_revision_is_sent_with_the_object(self) -> None:
-        found, calls = store((200, entry("a", 9)), (201, entry("b", 10)))
-        await found.update("own", "a", {"x": 1}, 8)
-        await found.create("own", "b", 2)
+        platform, calls = store((200, entry("a", 9)), (201, entry("b", 10)))
+        await platform.update("own", "a", {"x": 1}, 8)
+        await platform.create("own", "b", 2)
         replaced = {"Metadata": {"Name": "a", "Revision": 8}, "Spec": {"x": 1}}
         created = {"Metadata": {"Name": "b"}, "Spec": 2}
         expected = [("PUT", "/objects/own/a", replaced), ("POST", "/objects/own", created)]
@@ -214,10 +216,10 @@
 
 class WatchingTest(unittest.IsolatedAsyncioTestCase):
     async def watched(self, *answers: Answer) -> tuple[list[WatchEvent], Exception, CannedCalls]:
-        found, calls = store(*answers)
+        platform, calls = store(*answers)
         events: list[WatchEvent] = []
         try:
-            async for event in found.watch("upstream", 3):
+            async for event in platform.watch("upstream", 3):
                 events.append(event)
         except Exception as error:
             return events, error, calls
@@ -271,52 +273,52 @@
 class OlderCopyTest(unittest.IsolatedAsyncioTestCase):
     """The store is restored from an older copy: its era rises, its revisions go back."""
 
-    async def read_version(self, found: PlatformStore) -> int:
-        read = await found.get("upstream", "a")
+    async def read_version(self, platform: PlatformStore) -> int:
+        read = await platform.get("upstream", "a")
         assert isinstance(read, Found), read
         return read.object.version
 
     async def test_a_later_era_is_newer_whatever_the_revisions(self) -> None:
-        found, _ = store((200, entry("a", 130, 1), 4), (200, entry("a", 90, 1), 5))
-        self.assertLess(await self.read_version(found), await self.read_version(found))
+        platform, _ = store((200, entry("a", 130, 1), 4), (200, entry("a", 90, 1), 5))
+        self.assertLess(await self.read_version(platform), await self.read_version(platform))
 
     async def test_an_answer_of_an_earlier_era_is_a_failure(self) -> None:
-        found, _ = store(
+        platform, _ = store(
             (200, entry("a", 90, 1), 5),
             (200, entry("a", 130, 1), 4),
             (201, entry("a", 131), 4),
             (200, entry("a", 91, 1), 5),
         )
-        first = await self.read_version(found)
-        self.assertIsInstance(await found.get("upstream", "a"), Unavailable)
-        self.assertIsInstance(await found.create("upstream", "a", {}), OutcomeUnknown)
-        self.assertGreater(await self.read_version(found), first)
+        first = await self.read_version(platform)
+        self.assertIsInstance(await platform.get("upstream", "a"), Unavailable)
+        self.assertIsInstance(await platform.create("upstream", "a", {}), OutcomeUnknown)
+        self.assertGreater(await self.read_version(platform), first)
 
     async def test_an_answer_without_an_era_belongs_to_the_known_one(self) -> None:
-        found, _ = store((200, entry("a", 90, 1), 5), (200, entry("a", 91, 1)))
-        self.assertEqual(await self.read_version(found) + 1, await self.read_version(found))
+        platform, _ = store((200, entry("a", 90, 1), 5), (200, entry("a", 91, 1)))
+        self.assertEqual(await self.read_version(platform) + 1, await self.read_version(platform))
         for wrong in ("", "-1", "x", "\u0665", "9" * 30):
             with self.subTest(wrong=wrong):
-                found, _ = store((200, entry("a", 7, 1), wrong))  # type: ignore[arg-type]
-                self.assertEqual(await self.read_version(found), 7)
+                platform, _ = store((200, entry("a", 7, 1), wrong))  # type: ignore[arg-type]
+                self.assertEqual(await self.read_version(platform), 7)
 
     async def test_an_update_expecting_a_version_of_a_past_era_is_not_sent(self) -> None:
-        found, calls = store((200, entry("a", 130, 1), 4), (404, None, 5))
-        before = await self.read_version(found)
-        await found.get("upstream", "b")
-        self.assertIsInstance(await found.update("upstream", "a", {}, before), Conflict)
+        platform, calls = store((200, entry("a", 130, 1), 4), (404, None, 5))
+        before = await self.read_version(platform)
+        await platform.get("upstream", "b")
+        self.assertIsInstance(await platform.update("upstream", "a", {}, before), Conflict)
         self.assertEqual(len(calls.requests), 2)
 
     async def test_a_write_answered_in_a_later_era_has_an_unknown_outcome(self) -> None:
-        found, calls = store((200, entry("a", 130, 1), 4), (200, entry("a", 101), 5))
-        before = await self.read_version(found)
-        self.assertIsInstance(await found.update("upstream", "a", {}, before), OutcomeUnknown)
+        platform, calls = store((200, entry("a", 130, 1), 4), (200, entry("a", 101), 5))
+        before = await self.read_version(platform)
+        self.assertIsInstance(await platform.update("upstream", "a", {}, before), OutcomeUnknown)
         self.assertEqual(calls.requests[1][2]["Metadata"]["Revision"], 130)
 
     async def test_a_watch_answered_in_a_later_era_is_too_old(self) -> None:
         watched = {"events": [], "Timestamp": 140}
-        found, calls = store((200, page(at=130), 4), (200, watched, 5))
-        events = found.watch("upstream", None)
+        platform, calls = store((200, page(at=130), 4), (200, watched, 5))
+        events = platform.watch("upstream", None)
         self.assertEqual((await anext(events)).type, "bookmark")
         with self.assertRaises(TooOld):
             await anext(events)
@@ -324,5 +326,5 @@
 
     async def test_a_listing_across_two_eras_is_unavailable(self) -> None:
         first = page(entry("a", 1, 1), at=130, more=True)
-        found, _ = store((200, first, 4), (200, page(at=100), 5))
-        self.assertIsInstance(await found.list("upstream"), Unavailable)
+        platform, _ = store((200, first, 4), (200, page(at=100), 5))
+        self.assertIsInstance(await platform.list("upstream"), Unavailable)
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -356,7 +356,7 @@
         if target is not None and self._remaining_at_start - self._remaining() <= SEEN_LOAD_SECONDS:
             seen = max(
                 grant_request.seen_in_flight_elsewhere,
-                self.plan.estimate_elsewhere(engine, target.peers),
+                self.plan.estimate_in_flight_elsewhere(engine, target.peers),
             )
         return msgspec.structs.replace(
             grant_request,
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -277,8 +277,8 @@
             plan.record_owner_full(held, held)
         least = plan.queue_engines(4)[0]
         self.assertEqual(plan.in_flight_by_engine[least], 8)
-        self.assertEqual(plan.estimate_elsewhere(least, 30), 120 * 30 // 12 - 8)
-        self.assertEqual(plan.estimate_elsewhere(plan.queue_engines(4)[1], 30), 0)
+        self.assertEqual(plan.estimate_in_flight_elsewhere(least, 30), 120 * 30 // 12 - 8)
+        self.assertEqual(plan.estimate_in_flight_elsewhere(plan.queue_engines(4)[1], 30), 0)
 
     def test_a_cold_engine_or_too_few_engines_give_no_mean(self) -> None:
         for engines, is_cold in ((7, False), (9, True)):
@@ -286,7 +286,7 @@
                 plan = Plan("c", [f"e{at}" for at in range(engines)])
                 while isinstance(ask := plan.next_step(), Ask) and not ask.is_last:
                     plan.record_owner_full(9, 9, is_cold)
-                self.assertEqual(plan.estimate_elsewhere(plan.queue_engines(1)[0], 30), 0)
+                self.assertEqual(plan.estimate_in_flight_elsewhere(plan.queue_engines(1)[0], 30), 0)
 
 
 class QueueRulesTest(unittest.TestCase):
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -79,15 +79,15 @@
         """Apply a listing of the platform; return whether it changed anything."""
         was_known, self.is_known = self.is_known, True
         self._listed_at = max(self._listed_at, listed.version)
-        shown = {
+        listed_by_hall = {
             each.name: HallEvacuation(_is_in_force(each.value), each.version)
             for each in listed.objects
         }
         # An unreadable object counts as an evacuation in force, which its existence means.
-        shown |= {hall: HallEvacuation(True, listed.version) for hall in listed.left_out}
-        changes = [self._set(hall, evacuation) for hall, evacuation in shown.items()]
+        listed_by_hall |= {hall: HallEvacuation(True, listed.version) for hall in listed.left_out}
+        changes = [self._set(hall, evacuation) for hall, evacuation in listed_by_hall.items()]
         if listed.is_whole:
-            changes += self._end_unlisted(shown, listed.version, now)
+            changes += self._end_unlisted(listed_by_hall, listed.version, now)
         return any(changes) or not was_known
 
     def apply_event(self, event: WatchEvent) -> bool:
@@ -134,11 +134,11 @@
         return any(changes)
 
     def _end_unlisted(
-        self, shown: Mapping[str, HallEvacuation], listed_at: Position, now: float
+        self, listed_by_hall: Mapping[str, HallEvacuation], listed_at: Position, now: float
     ) -> list[bool]:
         """End evacuations missing from a complete listing: at once within an era, else later."""
         ended = []
-        for hall in self.halls - shown.keys():
+        for hall in self.halls - listed_by_hall.keys():
             if era_of(self.evacuation_by_hall[hall].version) < era_of(listed_at):
                 self._settles_at = min(self._settles_at, now + SETTLE_SECONDS)
             else:
--- a/pondhatch/store/_upstreams.py
+++ b/pondhatch/store/_upstreams.py
@@ -229,8 +229,8 @@
         known = self.entry_by_name.get(self._with_known_start(entry.upstream).named_by_start().name)
         if known is None or entry.upstream.state != LIVE:
             return False
-        is_of_era = era_of(known.version) == era_of(entry.version)
-        return known.upstream.state != LIVE and not is_of_era
+        is_same_era = era_of(known.version) == era_of(entry.version)
+        return known.upstream.state != LIVE and not is_same_era
 
     def settle(self) -> bool:
         """Remove upstreams neither written nor listed in this era; return whether any were."""
--- a/pondhatch/store/_vanished.py
+++ b/pondhatch/store/_vanished.py
@@ -28,24 +28,24 @@
 class VanishedUpstreams(msgspec.Struct):
     """Upstreams that vanished within the last RETURN_SECONDS, by id."""
 
-    _at_by_id: dict[str, tuple[Upstream, float]] = msgspec.field(default_factory=dict)
+    _vanished_by_id: dict[str, tuple[Upstream, float]] = msgspec.field(default_factory=dict)
 
     def __bool__(self) -> bool:
-        return bool(self._at_by_id)
+        return bool(self._vanished_by_id)
 
     def add(self, upstream: Upstream, now: float) -> None:
         """Add an upstream whose entry was removed although it was not leaving."""
-        self._at_by_id[upstream.id] = (upstream, now)
+        self._vanished_by_id[upstream.id] = (upstream, now)
 
     def discard(self, upstream_id: str) -> None:
         """Discard an upstream whose entry is back, for any start of it, or is now leaving."""
-        self._at_by_id.pop(upstream_id, None)
+        self._vanished_by_id.pop(upstream_id, None)
 
     def forget_old(self, now: float) -> bool:
         """Drop upstreams that have not returned in time; return whether there were any."""
-        old = [each for each, (_, at) in self._at_by_id.items() if now - at >= RETURN_SECONDS]
+        old = [each for each, (_, at) in self._vanished_by_id.items() if now - at >= RETURN_SECONDS]
         for each in old:
-            del self._at_by_id[each]
+            del self._vanished_by_id[each]
         return bool(old)
 
     def in_doubt(self, service: str, listed: int) -> tuple[Upstream, ...]:
@@ -53,22 +53,24 @@
 
         ``listed`` is the number of its upstreams that are still listed.
         """
-        vanished = [each for each in self._at_by_id.values() if each[0].service == service]
-        enough = max(TOGETHER_MIN, TOGETHER_SHARE * (listed + len(vanished)))
+        vanished = [each for each in self._vanished_by_id.values() if each[0].service == service]
+        min_together = max(TOGETHER_MIN, TOGETHER_SHARE * (listed + len(vanished)))
         return tuple(
-            upstream for upstream, at in vanished if _count_vanished_around(at, vanished) >= enough
+            upstream
+            for upstream, at in vanished
+            if _count_vanished_around(at, vanished) >= min_together
         )
 
     def upstream(self, name: str) -> Upstream | None:
         """Return a recently vanished upstream by name, or None."""
         # An id may itself look like the name of a start, if its upstream states no start time.
         for key in (name, upstream_id_of(name)):
-            found = self._at_by_id.get(key)
+            found = self._vanished_by_id.get(key)
             if found is not None and found[0].name == name:
                 return found[0]
         return None
 
 
-def _count_vanished_around(at: float, vanished: list[tuple[Upstream, float]]) -> int:
+def _count_vanished_around(vanished_at: float, vanished: list[tuple[Upstream, float]]) -> int:
     """Return how many vanished at about the same time, including the one itself."""
-    return sum(abs(other - at) <= TOGETHER_SECONDS for _, other in vanished)
+    return sum(abs(other - vanished_at) <= TOGETHER_SECONDS for _, other in vanished)
