--- a/pondhatch/placement/_cold_pacer.py
+++ b/pondhatch/placement/_cold_pacer.py
@@ -1,19 +1,19 @@
 """Rate limit for requests to a cold upstream, shared by all routers that may grant them.
 
-A cold upstream fails when it gets requests well above its pace (requests per second), no matter
-which routers sent them. Only its owner grants requests, but two routers may both believe to be
-the owner for a while: after a network partition, after a restart, or before a change of the
-owner has spread. So each router uses at most half of what the upstream can take, and a router that
-sees only a part of the fleet uses only that part of its half. All sides of a partition together
-then stay within the limit.
+A cold upstream fails when it gets requests well above its cold pace (requests per second), no
+matter which routers sent them. Only its owner grants requests, but two routers may both believe
+that they are the owner for a while: after a network partition, after a restart, or before a change
+of the owner has spread. So each router uses at most half of what the upstream can take, and a
+router that sees only a part of the fleet uses only that part of its half. All sides of a partition
+together then stay within the limit.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-#: Routers on one side of a partition that may believe to be an upstream's owner at the same
-#: time: the old and the new owner, until both have learned of the change.
+#: Maximum number of routers on one side of a partition that believe at the same time that they are
+#: an upstream's owner: the old and the new owner, until both have learned of the change.
 CONCURRENT_OWNERS = 2
 #: Requests that may be granted at once for an idle upstream, so that two requests that a caller
 #: sends together need not wait for each other.
@@ -21,9 +21,9 @@
 
 
 class ColdAllowance(msgspec.Struct, frozen=True):
-    """How far the requests of any one second may exceed a cold upstream's pace."""
+    """How far the requests of any one second may exceed an upstream's cold pace."""
 
-    #: Multiple of the pace.
+    #: Multiple of the cold pace.
     overshoot: float = 1.0
     #: Requests on top of that multiple.
     slack: float = 0.0
--- a/pondhatch/placement/_engine_paces.py
+++ b/pondhatch/placement/_engine_paces.py
@@ -13,7 +13,7 @@
 USUAL_PACE = 100
 #: Largest accepted pace, in percent.
 MAX_PACE = 10_000
-#: Seconds for which a pace is used after it was read: engines keep one for about as long.
+#: Seconds for which a pace is used after it was read: an engine's pace lasts about as long.
 PACE_LIFETIME = 0.6
 
 
--- a/pondhatch/placement/_fair_queue.py
+++ b/pondhatch/placement/_fair_queue.py
@@ -1,9 +1,9 @@
 """The queue of a full engine: bounded, ordered by priority, fair between accounts.
 
-Within a priority, accounts take turns by weight (start-time fair queueing): an account with many
-requests waits behind its own, so that an account with few is served next however many the other
-has queued. Requests that are too late for their latency objective come after all others of their
-priority.
+Within a priority, accounts take turns by weight (start-time fair queueing): the requests of an
+account with many wait for each other, so that an account with few is served next however many the
+other has queued. Requests that are too late for their latency objective come after all others of
+their priority.
 """
 
 from __future__ import annotations
@@ -54,11 +54,14 @@
     _shares: list[float] = msgspec.field(default_factory=list)
     #: Heap of the tickets' deadlines, each with the ticket's number.
     _deadlines: list[tuple[float, int]] = msgspec.field(default_factory=list)
-    #: Number of late tickets, when one of them was last served, and the newest time given, both
-    #: in the clock's seconds.
+    #: Number of late tickets.
     _late_count: int = 0
+    #: When a late ticket was last served or, if later, when the first of the present ones became
+    #: late, in the clock's seconds.
     _late_served_at: float = 0.0
+    #: The latest time given to ``advance_time``, in the clock's seconds.
     _now: float = 0.0
+    #: Virtual finish time of each account's latest request, the earliest start of its next one.
     _finish_by_account: dict[str, float] = msgspec.field(default_factory=dict)
     _virtual_time: float = 0.0
     _next_number: Callable[[], int] = msgspec.field(
--- a/pondhatch/placement/_forecast.py
+++ b/pondhatch/placement/_forecast.py
@@ -1,7 +1,7 @@
 """Predicts the wait for a slot of a full engine and the time to retry; no I/O.
 
 Both follow from the time between two releases of a slot, and from the number of requests that
-the engine's queue has to serve before.
+the engine's queue has to serve first.
 """
 
 from __future__ import annotations
--- a/pondhatch/placement/_gate.py
+++ b/pondhatch/placement/_gate.py
@@ -110,12 +110,12 @@
     ) -> GateDecision:
         """Grant or refuse one request.
 
-        ``in_flight_elsewhere`` is the last known total of requests in flight at the service's other
-        engines; ``engines`` counts the service's engines, this one included; ``slots`` is the
-        limit of one engine whatever the mean, ``slack`` the number of requests allowed above the
-        multiple of the mean; ``pace`` is the engine's processing time in percent of usual. A slow
-        engine has a lower ceiling, but of at least one request, whose answer shows when it is
-        fast again; a fast engine has no higher one.
+        ``in_flight_elsewhere`` is the last known total of requests in flight at the service's
+        other engines; ``engines`` counts the service's engines, this one included; ``slots`` is
+        the limit of one engine whatever the mean, ``slack`` the number of requests allowed above
+        the multiple of the mean; ``pace`` is the engine's processing time in percent of usual. A
+        slow engine has a lower ceiling, but of at least one request, whose answer shows when it
+        is fast again; a fast engine has no higher ceiling.
         """
         count = self.by_engine.get(engine, EngineCount())
         in_flight = count.in_flight(now)
--- a/pondhatch/placement/_notices.py
+++ b/pondhatch/placement/_notices.py
@@ -2,9 +2,9 @@
 
 An upstream that is leaving (about to shut down) says so in each response, and one that is
 overloaded may refuse a request and ask for a rest, some seconds without requests. Routers learn
-of both here before the platform lists them, or where it never does. A notice concerns the start
-(process) of the upstream that gave it: each start has a name of its own where the platform says
-when it began.
+of both from the headers before the platform lists them, or where it never does. A notice concerns
+the start (process) of the upstream that gave it: each start has a name of its own where the
+platform says when it began.
 """
 
 from __future__ import annotations
@@ -51,12 +51,12 @@
 class Rest(msgspec.Struct, frozen=True):
     """Remaining seconds of the rests that one upstream asked for; 0 for none."""
 
-    #: For which this router is to send it no requests.
+    #: Seconds for which this router is to send it no requests.
     for_this_router: float = 0.0
-    #: For which no router is to: it has no free slots.
+    #: Seconds for which no router is to send it any, as it has no free slots.
     for_all_routers: float = 0.0
-    #: For which it refuses some routers though it has free slots. The others send it only
-    #: requests that no other upstream takes.
+    #: Seconds for which it refuses some routers although it has free slots. The other routers
+    #: send it only requests that no other upstream takes.
     for_some_routers: float = 0.0
 
 
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -21,7 +21,8 @@
 MAX_AILING_SKIPPED = 2
 #: Refusals as full by one engine after which the request no longer waits for it.
 MAX_ENGINE_FULL = 2
-#: Engines found at their ceiling from which on their mean load is an estimate for all engines.
+#: Minimum number of engines found at their ceiling whose mean load is used as an estimate for all
+#: engines.
 MIN_SAMPLES = 8
 #: Full engines asked once more after the wait for the last one, since a slot may have come free
 #: meanwhile. Each costs a grant request to its owner, and some milliseconds for a request that is
@@ -153,14 +154,14 @@
         return (*self._ailing, *least_loaded)[:limit]
 
     def record_wait(self, engine: str) -> None:
-        """Record which engine's answer to a wait at several engines is recorded next."""
+        """Make an engine the one whose answer is recorded next, after a wait at several engines."""
         self._pending = Ask(engine, is_forced=True, is_last=True)
 
     def record_grant(self, engine: str) -> None:
         """Record which of several engines granted the request.
 
-        If it refuses the request, the others are waited for, and this one too if it refused as
-        full for the first time.
+        If that engine then refuses the request, the request waits for the others, and for this
+        one too if it refused as full for the first time.
         """
         self._has_been_granted = True
         self.record_wait(engine)
@@ -171,7 +172,7 @@
         self._has_asked_last = False
 
     def cancel_rechecks(self) -> None:
-        """Ask no engine once more, as the wait has used up the time for that."""
+        """Drop the rechecks, as the wait has used up the time for them."""
         self._rechecks = []
 
     def record_owner_full(
@@ -214,7 +215,7 @@
         return can_ask_last or bool(self._rechecks)
 
     def update_engines(self, engines: Collection[str]) -> None:
-        """Replace the list of engines, which is outdated since the plan began."""
+        """Replace the list of engines by a newer one; those that joined are asked last."""
         self._engines = engines
         joined = [
             name for name in ranked(self._chat, engines, self._max_asks) if name not in self.order
--- a/pondhatch/placement/_token_counts.py
+++ b/pondhatch/placement/_token_counts.py
@@ -55,7 +55,7 @@
 
 
 class SharedPart(msgspec.Struct, frozen=True):
-    """A prompt part that several running requests share and the engine holds once."""
+    """A prompt part that the engine holds once for all running requests that use it."""
 
     tokens: int
     #: Number of running requests that use it.
@@ -90,10 +90,10 @@
     def shortage(self, request: Hashable, need: TokenNeed, limit: int, priority: int) -> int:
         """Return how many tokens must come free before a request fits; 0 if it fits.
 
-        Free memory that is reserved for another request is not used. Until the reserved memory is
-        free, requests granted after the reservation use at most half of the rest of the memory.
-        The other half is for long requests from before, so that the reserved memory comes free
-        although not all of those have ended.
+        Free memory that is reserved for another request is not used. Requests granted after the
+        reservation use at most half of the memory that is not reserved. The other half is left to
+        long-running requests granted before, so that the reserved memory comes free even if not
+        all of those have ended.
         """
         added, current = self.added_tokens(need), self.reservation
         missing = self.used + added - limit
@@ -187,7 +187,7 @@
 
     by_engine: dict[str, EngineTokens] = msgspec.field(default_factory=dict)
     cached_parts: CachedParts = msgspec.field(default_factory=CachedParts)
-    #: Questions refused for lack of memory; one request may ask several.
+    #: Grant requests refused for lack of memory; one client request may cause several.
     refusals: int = 0
 
     def used(self, engine: str) -> int:
@@ -219,7 +219,7 @@
         self.cached_parts.record_use(engine, need, now)
 
     def adopt(self, engine: str, request: Hashable) -> None:
-        """Count a request that another owner granted, with the mean size of the known ones."""
+        """Count a request that another owner granted, with the mean size of those counted here."""
         requests = sum(len(count.need_by_request) for count in self.by_engine.values())
         if requests == 0:
             return
--- a/pondhatch/placement/_weighted_rendezvous.py
+++ b/pondhatch/placement/_weighted_rendezvous.py
@@ -1,6 +1,6 @@
 """Weighted rendezvous hashing: each name wins keys in proportion to its weight.
 
-A name's rating for a key is -weight / ln(hash as a fraction); the highest wins. A change of one
+A name's rating for a key is -weight / ln(score as a fraction); the highest wins. A change of one
 name's weight moves only keys that this name gains or loses. Names of equal weight have the order
 of plain rendezvous hashing.
 """
@@ -12,7 +12,7 @@
 
 from pondhatch.placement._rendezvous import ranked, scorer, winner
 
-#: Dropped low bits of a hash, and the number of values that remain: with one half added, each
+#: Dropped low bits of a score, and the number of values that remain: with one half added, each
 #: fraction fits a float's 53 bits, so that none is rounded to 0 or 1.
 _DROPPED_BITS = 12
 _STEPS = 2.0**52
@@ -37,7 +37,7 @@
 
 
 def _rated(key: str, weight_by_name: Mapping[str, float]) -> list[tuple[float, int, str]]:
-    """Return each name with its rating, and its hash to order names of equal rating."""
+    """Return each name with its rating, and its score to order names of equal rating."""
     score, log = scorer(key), math.log
     scored = [(score(name), name, weight) for name, weight in weight_by_name.items()]
     return [
--- a/pondhatch/placement/tests/test_intake.py
+++ b/pondhatch/placement/tests/test_intake.py
@@ -68,7 +68,7 @@
 
 
 class ColdPacerTest(unittest.TestCase):
-    """Several routers believe to own a cold upstream, and all are asked all the time."""
+    """Several routers believe that they own a cold upstream, and all are asked all the time."""
 
     @settings(max_examples=200, deadline=None)
     @given(
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -170,7 +170,7 @@
         load = read_load(value_by_name)
         if not load.is_readable and self._unreadable_throttle.allows(self._clock()):
             value = value_by_name[names.LOAD.lower()][:LOGGED_CHARACTERS]
-            log.warning("an engine's {} cannot be read: {!r}", names.LOAD, value)
+            log.warning("An engine's {} header cannot be read: {!r}.", names.LOAD, value)
         retry_after = value_by_name.get(names.RETRY_AFTER.lower())
         if retry_after is None or status not in names.FULL_STATUSES:
             return Notice(is_leaving, pace=load.pace)
--- a/pondhatch/platform/_era.py
+++ b/pondhatch/platform/_era.py
@@ -48,7 +48,9 @@
         if era < self.era:
             raise CallFailed("answered as it was before it came back from a copy", sent=True)
         if self.era != NO_ERA and era > self.era:
-            log.warning("The store came back from an older copy: era {} after {}.", era, self.era)
+            log.warning(
+                "The store was restored from an older copy: era {} after {}.", era, self.era
+            )
         self.era = era
         return EraAnswer(answer.status, answer.content, era)
 
--- a/pondhatch/platform/_header_owners.py
+++ b/pondhatch/platform/_header_owners.py
@@ -24,7 +24,7 @@
         names.EXPECTED_WEIGHTS: Owner.ROUTER,
         names.PRIORITY: Owner.ROUTER,
         names.ROLE: Owner.ROUTER,
-        # They ask an engine to keep, reserve, take over or back up memory, at the expense of
+        # These ask an engine to keep, reserve, take over or back up memory, at the expense of
         # others; an engine refuses a copy that it does not have.
         names.KEEP_MS: Owner.ROUTER,
         names.RESERVED: Owner.ROUTER,
--- a/pondhatch/platform/tests/test_engine_load.py
+++ b/pondhatch/platform/tests/test_engine_load.py
@@ -1,6 +1,7 @@
 """Guards against misreading the load header.
 
-Unless its fourth number, the pace, is expected, a refusal with slots free counts as "full".
+A reader that accepts only three numbers rejects the header of an engine that adds its pace, and
+then counts a refusal by an engine with free slots as "full".
 """
 
 from __future__ import annotations
--- a/pondhatch/platform/tests/test_malformed_entries.py
+++ b/pondhatch/platform/tests/test_malformed_entries.py
@@ -1,8 +1,9 @@
 """Guards against malformed engine entries, which any writer may have stored.
 
-A missing or mistyped field, an unknown state, invalid UTF-8, endless numbers or nesting a thousand
-deep must neither give an engine to use nor hide other entries. An engine whose entry was valid and
-becomes malformed gets no new requests, while those that run there continue.
+An entry with a missing or mistyped field, an unknown state, invalid UTF-8, a number of thousands of
+digits or nesting thousands deep must neither count as a usable engine nor hide other entries. An
+engine whose entry was valid and becomes malformed gets no new requests, while those that run there
+continue.
 """
 
 from __future__ import annotations
@@ -38,14 +39,14 @@
 GARBAGE: dict[str, bytes] = {
     "bytes that are no text": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":"\xff\xfe"}',
     "a name that is no text": b'{"Metadata":{"Name":7,"Revision":5},"Spec":{}}',
-    "half of a character": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":"\\ud800"}',
-    "a number without end": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":' + b"9" * 5000 + b"}",
-    "no number": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":NaN}',
-    "a thousand deep": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":'
+    "a lone surrogate": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":"\\ud800"}',
+    "5000 digits": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":' + b"9" * 5000 + b"}",
+    "NaN": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":NaN}',
+    "nested 2000 deep": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":'
     + b"[" * 2000
     + b"]" * 2000
     + b"}",
-    "a megabyte deep": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":'
+    "nested 200,000 deep": b'{"Metadata":{"Name":"i-2","Revision":5},"Spec":'
     + b'{"a":' * 200_000
     + b"1"
     + b"}" * 200_000
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -50,7 +50,7 @@
     evacuation_by_hall: dict[str, HallEvacuation] = msgspec.field(default_factory=dict)
     #: Position of the newest listing that this router read.
     _listed_at: Position = 0
-    #: When evacuations of an older era that are not listed end, in the clock's seconds.
+    #: When unlisted evacuations of an older era end, in the clock's seconds.
     _settles_at: float = float("inf")
 
     @property
--- a/pondhatch/store/_position.py
+++ b/pondhatch/store/_position.py
@@ -20,7 +20,8 @@
 #: The highest era that a position can hold; a higher one is treated as not reported.
 MAX_ERA = 2**13 - 1
 #: Seconds until an era of the platform's store has settled: live writers renew their entries
-#: within two seconds of its return, and entries that ended unseen lapse in three or four.
+#: within two seconds of its return, and entries of writers that ended unseen lapse in three or
+#: four.
 SETTLE_SECONDS = 3.0
 #: The era of a platform that reports none.
 NO_ERA = 0
--- a/pondhatch/store/_upstreams.py
+++ b/pondhatch/store/_upstreams.py
@@ -130,6 +130,7 @@
         return changed
 
     def _set(self, upstream: Upstream, version: int) -> bool:
+        """Apply one entry like ``set``, but keep removed entries beyond MAX_REMOVED."""
         upstream = self._with_known_start(upstream).named_by_start()
         known = self.entry_by_name.get(upstream.name)
         if known is not None and known.version >= version:
@@ -149,8 +150,9 @@
         return msgspec.structs.replace(upstream, start=known.upstream.start)
 
     def _supersede(self, upstream: Upstream, version: int) -> bool:
-        """Mark an older start of an upstream as removed; return False if that start is newer.
+        """Mark the known start of an upstream as removed if the given one replaces it.
 
+        Return False if the known start is the newer one, so that the given one is not applied.
         The platform's version decides which start is newer, since clocks of upstreams may step
         back.
         """
--- a/pondhatch/store/_vanished.py
+++ b/pondhatch/store/_vanished.py
@@ -17,7 +17,7 @@
 #: about two; an upstream that has really ended must get no new work after two, including the time
 #: for its removal to reach this router.
 RETURN_SECONDS = 1.6
-#: Share and least number of a service's upstreams that must vanish together to be in doubt.
+#: Share and minimum number of a service's upstreams that must vanish together to be in doubt.
 TOGETHER_SHARE = 0.5
 TOGETHER_MIN = 2
 #: Largest number of seconds between removals that count as together: a store that returns drops
@@ -28,6 +28,7 @@
 class VanishedUpstreams(msgspec.Struct):
     """Upstreams that vanished within the last RETURN_SECONDS, by id."""
 
+    #: Each upstream, and when it vanished, in the clock's seconds.
     _vanished_by_id: dict[str, tuple[Upstream, float]] = msgspec.field(default_factory=dict)
 
     def __bool__(self) -> bool:
