--- a/pondhatch/kernel/_backoff.py
+++ b/pondhatch/kernel/_backoff.py
@@ -4,8 +4,8 @@
 
 import random
 
-#: Least fraction of a pause that is waited. The rest is jitter, so that callers that failed
-#: together retry spread over half of the pause.
+#: Minimum fraction of a pause that ``next`` returns. The rest is jitter, so that callers that
+#: failed together retry spread over half of the pause.
 MIN_FRACTION = 0.5
 
 
--- a/pondhatch/kernel/_registry.py
+++ b/pondhatch/kernel/_registry.py
@@ -1,8 +1,8 @@
 """The plug-in registry.
 
 A plug-in is a class that registers itself under a kind and a name, and declares in the class
-attribute ``DEPENDENCIES`` the types of the views that it reads. The registry passes it instances
-of just these when it builds it, so no plug-in looks up another.
+attribute ``DEPENDENCIES`` the types of its views, the objects that it uses. The registry passes it
+instances of just these when it builds it, so no plug-in looks up another.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class Plugin:
     """Base class of plug-ins, which receive only the views that they declare."""
 
-    #: Types of the views that the plug-in reads.
+    #: Types of the views that the plug-in uses.
     DEPENDENCIES: ClassVar[tuple[type[Any], ...]] = ()
 
     def __init__(self, views: Mapping[type[Any], Any]) -> None:
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -112,7 +112,7 @@
 
 
 class _Configuration(WireStruct, frozen=True):
-    """The whole configuration; its entries are read later, so that none fails another."""
+    """The whole configuration; its entries are read later, each independently of the others."""
 
     version: int
     routes: tuple[Any, ...] | None = None
--- a/pondhatch/platform/_json_split.py
+++ b/pondhatch/platform/_json_split.py
@@ -1,4 +1,4 @@
-"""Splitting of JSON into its items if one of them keeps the whole from being decoded.
+"""Splitting of JSON into its items, for answers in which an item cannot be decoded.
 
 Any writer may store an object that is not valid UTF-8 or is nested too deep to decode. Only
 brackets and strings are scanned here, without recursion, so that the other objects of the same
--- a/pondhatch/platform/_objects.py
+++ b/pondhatch/platform/_objects.py
@@ -68,7 +68,7 @@
 def decode_answer(content: bytes, shape: type[Answer], list_key: str) -> Answer:
     """Decode an answer whose array ``list_key`` holds elements that are decoded later.
 
-    An element that is no valid JSON does not fail the answer: the array is then split without
+    An element that is not valid JSON does not make this fail: the array is then split without
     decoding it. Raises JSON_ERRORS if anything but an element cannot be decoded.
     """
     try:
