--- a/pondhatch/kernel/_registry.py
+++ b/pondhatch/kernel/_registry.py
@@ -1,8 +1,8 @@
 """The plug-in registry.
 
 A plug-in is a class that registers itself under a kind and a name, and declares in the class
-attribute ``DEPENDENCIES`` the types of the views that it reads. The registry passes it instances
-of just these when it builds it, so no plug-in looks up another.
+attribute ``DEPENDENCIES`` the types of its views, the objects that it uses. The registry passes it
+instances of just these when it builds it, so no plug-in looks up another.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class Plugin:
     """Base class of plug-ins, which receive only the views that they declare."""
 
-    #: Types of the views that the plug-in reads.
+    #: Types of the views that the plug-in uses.
     DEPENDENCIES: ClassVar[tuple[type[Any], ...]] = ()
 
     def __init__(self, views: Mapping[type[Any], Any]) -> None:
@@ -70,10 +70,12 @@
         if plugin is None:
             known = ", ".join(self.names(kind)) or "none"
             raise RegistryError(f"no {kind} named {name!r}; known: {known}")
-        missing = [need.__name__ for need in plugin.DEPENDENCIES if need not in views]
+        missing = [
+            view_type.__name__ for view_type in plugin.DEPENDENCIES if view_type not in views
+        ]
         if missing:
             raise RegistryError(f"{kind} {name!r} needs {', '.join(missing)}")
-        return plugin({need: views[need] for need in plugin.DEPENDENCIES})
+        return plugin({view_type: views[view_type] for view_type in plugin.DEPENDENCIES})
 
 
 #: The registry of the plug-ins that pondhatch ships.
