--- a/pondhatch/cli/_change_commands.py
+++ b/pondhatch/cli/_change_commands.py
@@ -37,9 +37,11 @@
     :param files: YAML files, or folders of them
     """
     entries = read_files(files)
-    fleet = checked_configuration(FleetConfiguration(), entries, entries.edits)
-    services, accounts = len(fleet.service_by_name), len(fleet.policy_by_account)
-    print(f"ok: {services} services, {len(fleet.template_by_name)} templates, {accounts} accounts")
+    checked = checked_configuration(FleetConfiguration(), entries, entries.edits)
+    services, accounts = len(checked.service_by_name), len(checked.policy_by_account)
+    print(
+        f"ok: {services} services, {len(checked.template_by_name)} templates, {accounts} accounts"
+    )
     return EXIT_DONE
 
 
@@ -72,13 +74,13 @@
     """
     entries = read_files(files)
 
-    async def work(store: Platform, fleet: FleetConfiguration) -> int:
-        edits = changed_edits(fleet, entries, prune)
-        edited = checked_configuration(fleet, entries, edits)
-        print_edits(edits, fleet, edited)
+    async def work(store: Platform, configuration: FleetConfiguration) -> int:
+        edits = changed_edits(configuration, entries, prune)
+        edited = checked_configuration(configuration, entries, edits)
+        print_edits(edits, configuration, edited)
         if dry_run or not edits:
             return EXIT_DONE
-        return await _publish(store, _change(fleet, edits, author, note), edited)
+        return await _publish(store, _new_change(configuration, edits, author, note), edited)
 
     return run_with_configuration(platform, work)
 
@@ -91,8 +93,10 @@
     :param author: who reverts it; kept in the history
     """
 
-    async def work(store: Platform, fleet: FleetConfiguration) -> int:
-        undone = next((each for each in fleet.recent_changes if each.version == version), None)
+    async def work(store: Platform, configuration: FleetConfiguration) -> int:
+        undone = next(
+            (each for each in configuration.recent_changes if each.version == version), None
+        )
         if undone is None:
             print(
                 f"change {version} is not among those kept since the last snapshot", file=sys.stderr
@@ -102,19 +106,21 @@
         if not isinstance(before, FleetConfiguration):
             return report_unreadable(before)
         edits = _inverse_edits(before, undone)
-        edited = fleet.with_edits(edits)
+        edited = configuration.with_edits(edits)
         if not isinstance(edited, FleetConfiguration):
             print(f"cannot take back change {version}: {edited}", file=sys.stderr)
             return EXIT_INPUT
-        print_edits(edits, fleet, edited)
-        change = _change(fleet, edits, author, f"takes back {version}")
+        print_edits(edits, configuration, edited)
+        change = _new_change(configuration, edits, author, f"takes back {version}")
         return await _publish(store, change, edited)
 
     return run_with_configuration(platform, work)
 
 
-def _change(fleet: FleetConfiguration, edits: tuple[Edit, ...], author: str, note: str) -> Change:
-    return Change(fleet.version + 1, uuid.uuid4().hex, author, time.time(), note, edits)
+def _new_change(
+    configuration: FleetConfiguration, edits: tuple[Edit, ...], author: str, note: str
+) -> Change:
+    return Change(configuration.version + 1, uuid.uuid4().hex, author, time.time(), note, edits)
 
 
 def _inverse_edits(before: FleetConfiguration, undone: Change) -> tuple[Edit, ...]:
@@ -136,6 +142,6 @@
 async def _snapshot_if_due(store: Platform, edited: FleetConfiguration, version: int) -> None:
     if version % CHANGES_PER_SNAPSHOT != 0:
         return
-    fleet = await read_configuration(store, FleetConfiguration())
-    if isinstance(fleet, FleetConfiguration) and fleet.version >= version:
-        await write_snapshot(store, fleet.snapshot())
+    configuration = await read_configuration(store, FleetConfiguration())
+    if isinstance(configuration, FleetConfiguration) and configuration.version >= version:
+        await write_snapshot(store, configuration.snapshot())
--- a/pondhatch/cli/_configuration_task.py
+++ b/pondhatch/cli/_configuration_task.py
@@ -22,9 +22,9 @@
         from pondhatch.standard import HttpPlatform
 
         platform = HttpPlatform(url)
-        fleet = await read_configuration(platform, FleetConfiguration())
-        if not isinstance(fleet, FleetConfiguration):
-            return report_unreadable(fleet)
-        return await task(platform, fleet)
+        configuration = await read_configuration(platform, FleetConfiguration())
+        if not isinstance(configuration, FleetConfiguration):
+            return report_unreadable(configuration)
+        return await task(platform, configuration)
 
     return run_on_reactor(read_and_run())
--- a/pondhatch/cli/_explain_command.py
+++ b/pondhatch/cli/_explain_command.py
@@ -9,8 +9,7 @@
 import msgspec
 
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT
-from pondhatch.explaining import Story, read_lines
-from pondhatch.explaining import explain as explained
+from pondhatch.explaining import Timeline, build_timeline, read_lines
 
 
 def explain(name: str, *files: Path, json: bool = False) -> int:
@@ -29,20 +28,20 @@
             print(f"{file}: {error.strerror}", file=sys.stderr)
             return EXIT_INPUT
     parsed = read_lines(texts)
-    story = explained(name, parsed.lines)
-    if not story.events:
+    timeline = build_timeline(name, parsed.lines)
+    if not timeline.events:
         counts = f"{len(parsed.lines)} lines, {parsed.skipped} others"
         print(f"nothing is said of {name!r} in {len(files)} files ({counts})", file=sys.stderr)
         return EXIT_INPUT
-    print(msgspec.json.encode(story).decode() if json else _format_story(story))
+    print(msgspec.json.encode(timeline).decode() if json else _format_timeline(timeline))
     return EXIT_DONE
 
 
-def _format_story(story: Story) -> str:
-    lines = [f"{_format_time(each.at)}  {each.router}: {each.text}" for each in story.events]
-    if story.known:
+def _format_timeline(timeline: Timeline) -> str:
+    lines = [f"{_format_time(each.at)}  {each.router}: {each.text}" for each in timeline.events]
+    if timeline.known:
         lines += ["", "What its router held to be so as it ended:"]
-        lines += [f"  since {_format_time(each.at)}: {each.text}" for each in story.known]
+        lines += [f"  since {_format_time(each.at)}: {each.text}" for each in timeline.known]
     return "\n".join(lines)
 
 
--- a/pondhatch/cli/_hall_commands.py
+++ b/pondhatch/cli/_hall_commands.py
@@ -76,8 +76,10 @@
         return EXIT_UNREACHABLE
     live = _live_upstreams(listed)
     if hall not in {upstream.hall for upstream in live}:
-        known = ", ".join(sorted({upstream.hall for upstream in live})) or "none"
-        print(f"HALL: no upstream stands in {hall!r}; expected one of: {known}", file=sys.stderr)
+        known_halls = ", ".join(sorted({upstream.hall for upstream in live})) or "none"
+        print(
+            f"HALL: no upstream stands in {hall!r}; expected one of: {known_halls}", file=sys.stderr
+        )
         return EXIT_INPUT
     evacuations = Evacuations()
     evacuations.apply_listing(listed_evacuations, now=0.0)
@@ -118,13 +120,15 @@
     return [each.upstream for each in entries if each.upstream.state == LIVE]
 
 
-def _print_effect(live: list[Upstream], hall: str, closed: frozenset[str], in_force: bool) -> None:
+def _print_effect(
+    live: list[Upstream], hall: str, evacuated_halls: frozenset[str], in_force: bool
+) -> None:
     """Print, for each service in the hall, how many upstreams are left to serve it."""
     upstreams_in_hall = Counter(each.service for each in live if each.hall == hall)
-    remaining = Counter(each.service for each in live if each.hall not in closed)
+    remaining = Counter(each.service for each in live if each.hall not in evacuated_halls)
     print(f"{hall} is {'evacuated' if in_force else 'open'}:")
-    for service, number in sorted(upstreams_in_hall.items()):
+    for service, count in sorted(upstreams_in_hall.items()):
         effect = "get nothing more" if in_force else "are used again"
-        print(f"  {service}: {number} upstreams {effect}, {remaining[service]} carry it")
+        print(f"  {service}: {count} upstreams {effect}, {remaining[service]} carry it")
         if not remaining[service]:
             print(f"  {service}: nobody is left, its requests are refused")
--- a/pondhatch/cli/_main.py
+++ b/pondhatch/cli/_main.py
@@ -23,7 +23,7 @@
     """Run one command and return its exit code."""
     arguments = list(sys.argv[1:] if argv is None else argv)
     try:
-        code = _run_command(arguments)
+        code = _dispatch(arguments)
     except ConfigurationError as error:
         for problem in error.problems:
             print(problem, file=sys.stderr)
@@ -33,7 +33,7 @@
     return int(code)
 
 
-def _run_command(arguments: list[str]) -> int:
+def _dispatch(arguments: list[str]) -> int:
     open_early(arguments)
     if arguments[:1] == [run.__name__] and len(arguments) > 1 and arguments[1][:1] != "-":
         # Callers may wait for a router to start, and it runs for long. Parsing its arguments here
--- a/pondhatch/cli/_reports.py
+++ b/pondhatch/cli/_reports.py
@@ -27,15 +27,15 @@
 ) -> None:
     """Print what edits change, and every account that they affect."""
     for edit in edits:
-        known = (edit.kind, edit.name) in before.raw_by_entry
-        sign = "-" if edit.value is None else "~" if known else "+"
+        exists = (edit.kind, edit.name) in before.raw_by_entry
+        sign = "-" if edit.value is None else "~" if exists else "+"
         print(f"{sign} {edit.kind} {edit.name}")
-    touched = [
+    affected_accounts = [
         account
         for account, policy in after.policy_by_account.items()
         if before.policy_by_account.get(account, policy) != policy
     ]
-    for account in sorted(touched):
+    for account in sorted(affected_accounts):
         print(f"  changes account {account}: {after.policy_by_account[account]}")
     if not edits:
         print("nothing to change")
--- a/pondhatch/cli/_shutdown.py
+++ b/pondhatch/cli/_shutdown.py
@@ -55,8 +55,8 @@
         drain = self.settings().drain
         await asyncio.sleep(max(MIN_ACCEPT_SECONDS, drain.accept_seconds))
         self.callers.accepts_requests = False
-        whole = drain.whole_seconds
-        seconds = self.settings().drain_seconds if whole is None else whole
+        total_seconds = drain.whole_seconds
+        seconds = self.settings().drain_seconds if total_seconds is None else total_seconds
         deadline = started_at + seconds
         while self.callers.in_flight > 0 and time.monotonic() < deadline:
             await asyncio.sleep(POLL_SECONDS)
@@ -75,8 +75,8 @@
                 if holder is not None:
                     await holder.settle(key, record)
 
-    def _record_phase(self, now: str) -> None:
-        self.state_recorder.record_process(now, f"{self.callers.in_flight} requests in flight")
+    def _record_phase(self, phase: str) -> None:
+        self.state_recorder.record_process(phase, f"{self.callers.in_flight} requests in flight")
 
     def _announce_phase(self) -> None:
         """Announce this router's phase to peers."""
--- a/pondhatch/cli/_view_commands.py
+++ b/pondhatch/cli/_view_commands.py
@@ -18,12 +18,12 @@
     :param name: show only this account
     """
 
-    async def work(_: Platform, fleet: FleetConfiguration) -> int:
-        print(f"version {fleet.version}")
-        for account, policy in sorted(fleet.policy_by_account.items()):
+    async def work(_: Platform, configuration: FleetConfiguration) -> int:
+        print(f"version {configuration.version}")
+        for account, policy in sorted(configuration.policy_by_account.items()):
             if name in ("", account):
                 print(f"{account}: {policy}")
-        if name and name not in fleet.policy_by_account:
+        if name and name not in configuration.policy_by_account:
             print(f"no account {name!r}", file=sys.stderr)
             return EXIT_INPUT
         return EXIT_DONE
@@ -37,11 +37,11 @@
     :param platform: the platform's URL
     """
 
-    async def work(_: Platform, fleet: FleetConfiguration) -> int:
-        for change in fleet.recent_changes:
+    async def work(_: Platform, configuration: FleetConfiguration) -> int:
+        for change in configuration.recent_changes:
             at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(change.made_at))
-            what = ", ".join(f"{edit.kind} {edit.name}" for edit in change.edits)
-            print(f"{change.version}  {at} UTC  {change.author}  {change.note or '-'}: {what}")
+            entries = ", ".join(f"{edit.kind} {edit.name}" for edit in change.edits)
+            print(f"{change.version}  {at} UTC  {change.author}  {change.note or '-'}: {entries}")
         return EXIT_DONE
 
     return run_with_configuration(platform, work)
--- a/pondhatch/cli/tests/test_explain_command.py
+++ b/pondhatch/cli/tests/test_explain_command.py
@@ -11,7 +11,7 @@
 
 from pondhatch.cli._main import main
 from pondhatch.cli._reports import EXIT_DONE, EXIT_INPUT
-from pondhatch.explaining.tests.test_story import LOST, in_force, line
+from pondhatch.explaining.tests.test_timeline import LOST, in_force, line
 
 
 class ExplainTest(unittest.TestCase):
@@ -29,13 +29,13 @@
             code = main(["explain", *arguments])
         return code, out.getvalue(), err.getvalue()
 
-    def test_a_story_is_printed_as_sentences(self) -> None:
+    def test_a_timeline_is_printed_as_sentences(self) -> None:
         code, out, _ = self.run_with("9c41", str(self.file))
         self.assertEqual(code, EXIT_DONE)
         self.assertIn("00:00:02.500  r0: request 9c41 of pina for lang", out)
         self.assertIn("since 00:00:01.000: configuration is in force as of 7", out)
 
-    def test_a_story_is_printed_as_json(self) -> None:
+    def test_a_timeline_is_printed_as_json(self) -> None:
         code, out, _ = self.run_with("9c41", str(self.file), "--json")
         self.assertEqual((code, json.loads(out)["name"]), (EXIT_DONE, "9c41"))
 
--- a/pondhatch/cli/tests/test_periodic_jobs.py
+++ b/pondhatch/cli/tests/test_periodic_jobs.py
@@ -67,20 +67,20 @@
                 self.assertIn(f"in {failing}", self.lines[0])
 
 
-class LoopTurnsTest(unittest.TestCase):
-    def test_a_round_is_one_turn_of_the_loop(self) -> None:
+class LoopIterationsTest(unittest.TestCase):
+    def test_a_round_is_one_iteration_of_the_loop(self) -> None:
         async def main() -> tuple[int, int]:
             loop: Any = asyncio.get_running_loop()
             jobs = PeriodicJobs({"counted": lambda: None}, loop.time)
-            with mock.patch.object(loop, "_run_once", wraps=loop._run_once) as turns:
+            with mock.patch.object(loop, "_run_once", wraps=loop._run_once) as iterations:
                 task = asyncio.ensure_future(jobs.run())
                 await asyncio.sleep(RUN_SECONDS)
                 task.cancel()
-            return turns.call_count, round(RUN_SECONDS / ROUND_SECONDS)
+            return iterations.call_count, round(RUN_SECONDS / ROUND_SECONDS)
 
-        turns, rounds = run_virtually(main())
+        iterations, rounds = run_virtually(main())
         # The start and the end take some more.
-        self.assertLess(turns, rounds + 10)
+        self.assertLess(iterations, rounds + 10)
 
 
 def _nested_attribute(parts: Any, name: str) -> Any:
--- a/pondhatch/explaining/_story.py
+++ b/pondhatch/explaining/_timeline.py
@@ -39,7 +39,7 @@
 }
 
 
-class StoryLine(msgspec.Struct, frozen=True):
+class TimelineEvent(msgspec.Struct, frozen=True):
     """One event of a story, as text."""
 
     router: str
@@ -47,17 +47,17 @@
     text: str
 
 
-class Story(msgspec.Struct, frozen=True):
+class Timeline(msgspec.Struct, frozen=True):
     """The events about one name in the lines of all routers, in causal order."""
 
     name: str
     #: The ended requests and the state changes around them.
-    events: tuple[StoryLine, ...]
+    events: tuple[TimelineEvent, ...]
     #: The latest state changes before the request's end, at the routers that received it.
-    known: tuple[StoryLine, ...] = ()
+    known: tuple[TimelineEvent, ...] = ()
 
 
-def explain(name: str, lines: Sequence[LoggedLine]) -> Story:
+def build_timeline(name: str, lines: Sequence[LoggedLine]) -> Timeline:
     """Return the story of a request by its id or digest, or of an object by its name.
 
     Objects are upstreams, routers, halls and configuration entries; a number is a version of the
@@ -67,13 +67,13 @@
     requests = [each for each in ordered if _matches_request(each, name)]
     if not requests:
         about = [each for each in ordered if _matches_state_change(each, name)]
-        return Story(name, tuple(_story_line(each) for each in about))
+        return Timeline(name, tuple(_timeline_event(each) for each in about))
     known = [line for each in requests for line in _known_before(each, ordered)]
     event_by_number = {
         each.number: each for end in requests for each in (end, *_related_changes(end, ordered))
     }
     events_in_order = [each for each in ordered if each.number in event_by_number]
-    return Story(name, tuple(_story_line(each) for each in events_in_order), tuple(known))
+    return Timeline(name, tuple(_timeline_event(each) for each in events_in_order), tuple(known))
 
 
 def _matches_request(line: LoggedLine, name: str) -> bool:
@@ -109,7 +109,7 @@
     ]
 
 
-def _known_before(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[StoryLine]:
+def _known_before(end: LoggedLine, lines: Iterable[LoggedLine]) -> list[TimelineEvent]:
     """Return the latest state changes before a request's end at the router that received it.
 
     These are the changes of the request's upstreams, of the configuration and of the platform.
@@ -127,13 +127,13 @@
             continue
         if record.name in names or record.about in ("configuration", "platform"):
             latest[record.about, record.name] = each
-    return [_story_line(each) for each in latest.values()]
+    return [_timeline_event(each) for each in latest.values()]
 
 
-def _story_line(line: LoggedLine) -> StoryLine:
+def _timeline_event(line: LoggedLine) -> TimelineEvent:
     record = line.record
     text = _request_text(record) if isinstance(record, RequestEnded) else _state_change_text(record)
-    return StoryLine(line.router, line.at, text)
+    return TimelineEvent(line.router, line.at, text)
 
 
 def _request_text(ended: RequestEnded) -> str:
--- a/pondhatch/explaining/tests/test_story.py
+++ b/pondhatch/explaining/tests/test_timeline.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pondhatch.explaining import Story, causal_order, explain, read_lines
+from pondhatch.explaining import Timeline, build_timeline, causal_order, read_lines
 from pondhatch.observing import Record, RequestEnded, StateChange
 
 LOST = RequestEnded(
@@ -66,9 +66,9 @@
         self.assertEqual(found, [("r0", 10.0), ("r1", 6.1), ("r0", 10.5), ("r1", 6.7)])
 
 
-class StoryTest(unittest.TestCase):
-    def story(self, name: str, *texts: str) -> Story:
-        return explain(name, read_lines(texts).lines)
+class TimelineTest(unittest.TestCase):
+    def timeline(self, name: str, *texts: str) -> Timeline:
+        return build_timeline(name, read_lines(texts).lines)
 
     def test_a_failed_request_shows_what_was_known_and_what_followed(self) -> None:
         texts = (
@@ -79,12 +79,12 @@
             line("r1", 20.4, StateChange("upstream", "i-1", "removed", 9, "was live")),
             line("r1", 90.0, StateChange("upstream", "i-1", "live", 12, "was removed")),
         )
-        story = self.story("9c41", *texts)
-        self.assertEqual([each.router for each in story.events], ["r0", "r1"])
-        self.assertIn("nobody can say whether it did", story.events[0].text)
-        self.assertIn("i-1 did not take it: upstream-lost", story.events[0].text)
-        self.assertIn("upstream i-1 is removed as of 9 (was live)", story.events[1].text)
-        known = [each.text for each in story.known]
+        timeline = self.timeline("9c41", *texts)
+        self.assertEqual([each.router for each in timeline.events], ["r0", "r1"])
+        self.assertIn("nobody can say whether it did", timeline.events[0].text)
+        self.assertIn("i-1 did not take it: upstream-lost", timeline.events[0].text)
+        self.assertIn("upstream i-1 is removed as of 9 (was live)", timeline.events[1].text)
+        known = [each.text for each in timeline.known]
         self.assertEqual(
             known[0], "configuration is in force as of 7 (follows 1, from the platform)"
         )
@@ -95,9 +95,9 @@
         other = msgspec.structs.replace(cut, id="9c42")
         suspected = StateChange("request", "ab", "suspected", why="i-1 ended while it ran it")
         texts = (line("r0", 1.0, cut), line("r1", 1.1, suspected), line("r1", 3.0, other))
-        story = self.story("ab", *texts)
-        self.assertEqual([each.router for each in story.events], ["r0", "r1", "r1"])
-        self.assertIn("its run was cut at i-1, which ended", story.events[0].text)
+        timeline = self.timeline("ab", *texts)
+        self.assertEqual([each.router for each in timeline.events], ["r0", "r1", "r1"])
+        self.assertIn("its run was cut at i-1, which ended", timeline.events[0].text)
 
     def test_state_changes_are_found_by_name_or_version(self) -> None:
         texts = (
@@ -105,6 +105,6 @@
             line("r1", 1.2, in_force(7, "r0")),
             line("r1", 2.0, StateChange("notice", "i-1", "resting", why="new")),
         )
-        self.assertEqual([each.router for each in self.story("7", *texts).events], ["r0", "r1"])
-        self.assertEqual(self.story("i-1", *texts).events[0].text, "notice i-1 is resting (new)")
-        self.assertEqual(self.story("i-9", *texts).events, ())
+        self.assertEqual([each.router for each in self.timeline("7", *texts).events], ["r0", "r1"])
+        self.assertEqual(self.timeline("i-1", *texts).events[0].text, "notice i-1 is resting (new)")
+        self.assertEqual(self.timeline("i-9", *texts).events, ())
--- a/pondhatch/limits/_held_bytes.py
+++ b/pondhatch/limits/_held_bytes.py
@@ -108,33 +108,33 @@
 class HeldCounter:
     """The bytes that one body, pipe or buffer holds for its account, until it is closed."""
 
-    __slots__ = ("_account", "_is_closed", "_table", "amount")
+    __slots__ = ("_account", "_held_bytes", "_is_closed", "amount")
 
-    def __init__(self, table: HeldBytes, account: str) -> None:
+    def __init__(self, held_bytes: HeldBytes, account: str) -> None:
         #: Bytes held now.
         self.amount = 0
-        self._table = table
+        self._held_bytes = held_bytes
         self._account = account
         self._is_closed = False
 
     def set(self, amount: int) -> None:
         """Set the number of bytes held, regardless of the bound; no effect once closed."""
         if amount != self.amount and not self._is_closed:
-            self._table.change(self._account, amount - self.amount)
+            self._held_bytes.change(self._account, amount - self.amount)
             self.amount = amount
 
     def try_set(self, amount: int) -> Limited | None:
         """Set the number of bytes held for a new request, or return the limit it exceeds."""
         if self._is_closed:
             return None
-        if not self._table.may_hold(self._account, amount - self.amount):
+        if not self._held_bytes.may_hold(self._account, amount - self.amount):
             return Limited(MEMORY_LIMIT, MEMORY_RETRY_AFTER)
         self.set(amount)
         return None
 
     def is_slowed(self) -> bool:
         """Return whether the source of these bytes should be read more slowly."""
-        return self._table.is_slowed(self._account)
+        return self._held_bytes.is_slowed(self._account)
 
     def close(self) -> None:
         """Release all bytes; safe to call twice."""
--- a/pondhatch/limits/_shares.py
+++ b/pondhatch/limits/_shares.py
@@ -58,53 +58,61 @@
 
     own_demand_by_account: dict[str, AccountDemand] = msgspec.field(default_factory=dict)
     share_by_account: dict[str, tuple[Share, float]] = msgspec.field(default_factory=dict)
-    _next_ask: float = float("-inf")
+    _next_ask_at: float = float("-inf")
 
     def record_arrival(self, account: str, running: int, now: float) -> None:
         """Record a request that arrived while ``running`` others of its account ran here."""
-        use = self.own_demand_by_account.setdefault(account, AccountDemand(now))
-        use.arrivals += 1
-        use.peak_running = max(use.peak_running, running + 1)
+        own_demand = self.own_demand_by_account.setdefault(account, AccountDemand(now))
+        own_demand.arrivals += 1
+        own_demand.peak_running = max(own_demand.peak_running, running + 1)
 
-    def limits(self, account: str, whole: AccountLimits, routers: int, now: float) -> AccountLimits:
+    def limits(
+        self, account: str, fleet_limits: AccountLimits, routers: int, now: float
+    ) -> AccountLimits:
         """Return the account's limits at this router; ``whole`` are those of the fleet."""
         if routers <= 1:
-            return whole
-        use = self.own_demand_by_account.get(account)
+            return fleet_limits
+        own_demand = self.own_demand_by_account.get(account)
         share, until = self.share_by_account.get(account, (Share(account, 0.0, 0.0), now))
         answered = until > now
-        if not answered and (use is None or now - use.first_at < FIRST_SHARE_GRACE):
-            return whole
+        if not answered and (own_demand is None or now - own_demand.first_at < FIRST_SHARE_GRACE):
+            return fleet_limits
         extra = share if answered else Share(account, 0.0, 0.0)
-        rate = whole.requests_per_second * BASE_PART / routers + extra.requests_per_second
-        part = rate / whole.requests_per_second
-        concurrency = whole.concurrency * BASE_PART / routers + extra.concurrency
+        rate = fleet_limits.requests_per_second * BASE_PART / routers + extra.requests_per_second
+        rate_fraction = rate / fleet_limits.requests_per_second
+        concurrency = fleet_limits.concurrency * BASE_PART / routers + extra.concurrency
         return replace(
-            whole,
+            fleet_limits,
             requests_per_second=rate,
-            burst=max(1, round(whole.burst * min(1.0, part))),
+            burst=max(1, round(fleet_limits.burst * min(1.0, rate_fraction))),
             concurrency=max(1, round(concurrency)),
         )
 
     def due_demands(
-        self, now: float, routers: int, limits_of: dict[str, AccountLimits]
+        self, now: float, routers: int, fleet_limits_by_account: dict[str, AccountLimits]
     ) -> tuple[Demand, ...]:
         """Return the demands to report to homes now; empty until the next interval."""
-        if now < self._next_ask:
+        if now < self._next_ask_at:
             return ()
-        self._next_ask = now + ASK_INTERVAL
-        wanted = []
-        for account, use in tuple(self.own_demand_by_account.items()):
-            demand = Demand(account, use.arrivals / ASK_INTERVAL, float(use.peak_running))
-            idle = use.arrivals == 0 and use.last_demand is not None and use.last_demand.rate == 0
-            use.last_demand, use.arrivals, use.peak_running = demand, 0, 0
+        self._next_ask_at = now + ASK_INTERVAL
+        demands = []
+        for account, own_demand in tuple(self.own_demand_by_account.items()):
+            demand = Demand(
+                account, own_demand.arrivals / ASK_INTERVAL, float(own_demand.peak_running)
+            )
+            idle = (
+                own_demand.arrivals == 0
+                and own_demand.last_demand is not None
+                and own_demand.last_demand.rate == 0
+            )
+            own_demand.last_demand, own_demand.arrivals, own_demand.peak_running = demand, 0, 0
             if idle:
                 del self.own_demand_by_account[account]
                 continue
-            whole = limits_of.get(account)
-            if whole is not None and _exceeds_ask_threshold(demand, whole, routers):
-                wanted.append(demand)
-        return tuple(wanted)
+            fleet_limits = fleet_limits_by_account.get(account)
+            if fleet_limits is not None and _exceeds_ask_threshold(demand, fleet_limits, routers):
+                demands.append(demand)
+        return tuple(demands)
 
     def record_share(self, share: Share, now: float) -> None:
         """Store a share that a home allocated."""
@@ -126,7 +134,7 @@
     )
 
     def allocate_share(
-        self, router: str, demand: Demand, whole: AccountLimits, now: float
+        self, router: str, demand: Demand, fleet_limits: AccountLimits, now: float
     ) -> Share:
         """Record a router's demand and return its share of the limits beyond all base shares."""
         demands = self.demand_by_account.setdefault(demand.account, {})
@@ -138,8 +146,8 @@
         pool_fraction = 1.0 - BASE_PART
         return Share(
             demand.account,
-            whole.requests_per_second * pool_fraction * _fraction(demand.rate, total_rate),
-            whole.concurrency * pool_fraction * _fraction(demand.running, total_running),
+            fleet_limits.requests_per_second * pool_fraction * _fraction(demand.rate, total_rate),
+            fleet_limits.concurrency * pool_fraction * _fraction(demand.running, total_running),
         )
 
     def forget_old(self, now: float) -> None:
@@ -149,10 +157,10 @@
                 del self.demand_by_account[account]
 
 
-def _exceeds_ask_threshold(demand: Demand, whole: AccountLimits, routers: int) -> bool:
+def _exceeds_ask_threshold(demand: Demand, fleet_limits: AccountLimits, routers: int) -> bool:
     live = max(1, routers)  # The last router counts no live ones while it stops.
-    base_rate = whole.requests_per_second * BASE_PART / live
-    base_running = max(1.0, whole.concurrency * BASE_PART / live)
+    base_rate = fleet_limits.requests_per_second * BASE_PART / live
+    base_running = max(1.0, fleet_limits.concurrency * BASE_PART / live)
     return demand.rate > base_rate * ASK_THRESHOLD or demand.running > base_running * ASK_THRESHOLD
 
 
--- a/pondhatch/quarantine/__init__.py
+++ b/pondhatch/quarantine/__init__.py
@@ -1,6 +1,7 @@
 """Quarantine of requests that crash engines: evidence, decision, and claims for trial runs."""
 
-from pondhatch.quarantine._evidence import Evidence, EvidencePacket, Trial, TrialPacket
+from pondhatch.quarantine._evidence import Evidence, EvidencePacket, RunClaim, RunClaimPacket
+from pondhatch.quarantine._run_claims import CLAIM_LIFETIME, RunClaims
 from pondhatch.quarantine._suspects import (
     CRASHES_TO_QUARANTINE,
     EVIDENCE_LIFETIME,
@@ -9,19 +10,18 @@
     Suspect,
     Suspects,
 )
-from pondhatch.quarantine._trials import TRIAL_SECONDS, Trials
 
 __all__ = [
     "CRASHES_TO_QUARANTINE",
     "QUARANTINE_SECONDS",
     "EVIDENCE_LIFETIME",
     "MAX_SUSPECTS",
-    "TRIAL_SECONDS",
+    "CLAIM_LIFETIME",
     "Evidence",
     "EvidencePacket",
     "Suspect",
     "Suspects",
-    "Trial",
-    "TrialPacket",
-    "Trials",
+    "RunClaim",
+    "RunClaimPacket",
+    "RunClaims",
 ]
--- a/pondhatch/quarantine/_evidence.py
+++ b/pondhatch/quarantine/_evidence.py
@@ -24,7 +24,7 @@
     evidence: tuple[Evidence, ...]
 
 
-class Trial(msgspec.Struct, frozen=True, array_like=True):
+class RunClaim(msgspec.Struct, frozen=True, array_like=True):
     """A router's claim to run a suspected request."""
 
     digest: int
@@ -35,8 +35,8 @@
     number: int
 
 
-class TrialPacket(msgspec.Struct, frozen=True, array_like=True, tag=81):
+class RunClaimPacket(msgspec.Struct, frozen=True, array_like=True, tag=81):
     """The begin or the end of a claim."""
 
-    trial: Trial
+    claim: RunClaim
     has_ended: bool = False
--- a/pondhatch/quarantine/_trials.py
+++ b/pondhatch/quarantine/_run_claims.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from pondhatch.quarantine._evidence import Trial
+from pondhatch.quarantine._evidence import RunClaim
 
 #: Seconds after which a claim without an end expires: its router may be gone.
-TRIAL_SECONDS = 30.0
+CLAIM_LIFETIME = 30.0
 
 #: Function that returns whether two requests, by their digests, must not run at the same time.
 Conflicts = Callable[[int, int], bool]
@@ -25,47 +25,53 @@
 class ActiveClaim(msgspec.Struct, frozen=True):
     """A claim, and when it expires, in the clock's seconds."""
 
-    trial: Trial
-    until: float
+    claim: RunClaim
+    expires_at: float
 
 
-class Trials(msgspec.Struct):
+class RunClaims(msgspec.Struct):
     """The claims that a router knows of, including its own."""
 
     #: Short id of this router.
     router: int
-    _claim_by_holder: dict[tuple[int, int], ActiveClaim] = msgspec.field(default_factory=dict)
-    _number: int = 0
+    _active_claim_by_id: dict[tuple[int, int], ActiveClaim] = msgspec.field(default_factory=dict)
+    _last_number: int = 0
 
-    def claim(self, digest: int, now: float) -> Trial:
+    def claim(self, digest: int, now: float) -> RunClaim:
         """Return a new claim of this router, ordered after all that it knows of."""
-        self._number += 1
+        self._last_number += 1
         tickets = [each.ticket for each in self._claims(now)]
-        trial = Trial(digest, max(tickets, default=0) + 1, self.router, self._number)
-        self.add(trial, now)
-        return trial
+        claim = RunClaim(digest, max(tickets, default=0) + 1, self.router, self._last_number)
+        self.add(claim, now)
+        return claim
 
-    def add(self, trial: Trial, now: float) -> None:
+    def add(self, claim: RunClaim, now: float) -> None:
         """Add a claim, this router's own or a peer's."""
-        self._claim_by_holder[trial.router, trial.number] = ActiveClaim(trial, now + TRIAL_SECONDS)
+        self._active_claim_by_id[claim.router, claim.number] = ActiveClaim(
+            claim, now + CLAIM_LIFETIME
+        )
 
-    def remove(self, trial: Trial) -> None:
+    def remove(self, claim: RunClaim) -> None:
         """Remove a claim whose run is over or never began."""
-        self._claim_by_holder.pop((trial.router, trial.number), None)
+        self._active_claim_by_id.pop((claim.router, claim.number), None)
 
-    def goes_first(self, trial: Trial, now: float, conflicts: Conflicts) -> bool:
+    def goes_first(self, claim: RunClaim, now: float, conflicts: Conflicts) -> bool:
         """Return whether no conflicting claim comes before this one."""
-        earlier = (each for each in self._claims(now) if _order(each) < _order(trial))
-        return not any(conflicts(each.digest, trial.digest) for each in earlier)
+        earlier = (each for each in self._claims(now) if _order(each) < _order(claim))
+        return not any(conflicts(each.digest, claim.digest) for each in earlier)
 
-    def _claims(self, now: float) -> list[Trial]:
+    def _claims(self, now: float) -> list[RunClaim]:
         """Drop expired claims and return the others."""
-        expired = [holder for holder, each in self._claim_by_holder.items() if each.until <= now]
-        for holder in expired:
-            del self._claim_by_holder[holder]
-        return [each.trial for each in self._claim_by_holder.values()]
+        expired = [
+            claim_id
+            for claim_id, each in self._active_claim_by_id.items()
+            if each.expires_at <= now
+        ]
+        for claim_id in expired:
+            del self._active_claim_by_id[claim_id]
+        return [each.claim for each in self._active_claim_by_id.values()]
 
 
-def _order(trial: Trial) -> tuple[int, int, int]:
+def _order(claim: RunClaim) -> tuple[int, int, int]:
     """Return the key by which claims are ordered; the lowest goes first."""
-    return trial.ticket, trial.router, trial.number
+    return claim.ticket, claim.router, claim.number
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -44,18 +44,18 @@
     """One request under which engines crashed."""
 
     #: Time of each crash in the clock's seconds, by the name of the crash.
-    crashed_at_by_engine: dict[str, float] = msgspec.field(default_factory=dict)
+    time_by_crash: dict[str, float] = msgspec.field(default_factory=dict)
     #: Names of the crashes that the request is known not to have caused.
     cleared: set[str] = msgspec.field(default_factory=set)
 
     @property
     def last_crash_at(self) -> float:
         """When the last engine crashed under it, in the clock's seconds."""
-        return max(self.crashed_at_by_engine.values())
+        return max(self.time_by_crash.values())
 
-    def uncleared_engines(self) -> list[str]:
+    def uncleared_crashes(self) -> list[str]:
         """Return the names of the crashes of which the request is not cleared."""
-        return [engine for engine in self.crashed_at_by_engine if engine not in self.cleared]
+        return [crash for crash in self.time_by_crash if crash not in self.cleared]
 
 
 class Suspects(msgspec.Struct):
@@ -93,9 +93,9 @@
             return False
         self._drop_expired(now)
         suspect = self.suspect_by_digest.setdefault(evidence.digest, Suspect())
-        is_new = evidence.engine not in suspect.crashed_at_by_engine
+        is_new = evidence.engine not in suspect.time_by_crash
         if is_new:
-            suspect.crashed_at_by_engine[evidence.engine] = crashed_at
+            suspect.time_by_crash[evidence.engine] = crashed_at
             self._suspects_by_crash[evidence.engine] += 1
             self._record_crash(evidence.engine, crashed_at)
             self.suspect_by_digest.move_to_end(evidence.digest)
@@ -103,7 +103,7 @@
         is_newly_cleared = evidence.cleared and evidence.engine not in suspect.cleared
         if is_newly_cleared:
             suspect.cleared.add(evidence.engine)
-        self._update_threshold(evidence.digest)
+        self._update_over_threshold(evidence.digest)
         return is_new or is_newly_cleared
 
     def _record_crash(self, name: str, crashed_at: float) -> None:
@@ -119,17 +119,17 @@
         if suspect is None:
             return ()
         found = tuple(
-            _evidence(digest, engine, suspect.crashed_at_by_engine[engine], now, cleared=True)
-            for engine in suspect.uncleared_engines()
+            _evidence(digest, crash, suspect.time_by_crash[crash], now, cleared=True)
+            for crash in suspect.uncleared_crashes()
         )
         suspect.cleared.update(each.engine for each in found)
-        self._update_threshold(digest)
+        self._update_over_threshold(digest)
         return found
 
-    def _update_threshold(self, digest: int) -> None:
+    def _update_over_threshold(self, digest: int) -> None:
         """Update whether a request is over the threshold."""
         suspect = self.suspect_by_digest.get(digest)
-        if suspect is not None and len(suspect.uncleared_engines()) >= CRASHES_TO_QUARANTINE:
+        if suspect is not None and len(suspect.uncleared_crashes()) >= CRASHES_TO_QUARANTINE:
             self._over_threshold.add(digest)
         else:
             self._over_threshold.discard(digest)
@@ -139,8 +139,8 @@
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None:
             return 0
-        uncleared = suspect.uncleared_engines()
-        return sum(not self._is_explained(engine, len(uncleared)) for engine in uncleared)
+        uncleared = suspect.uncleared_crashes()
+        return sum(not self._is_explained(crash, len(uncleared)) for crash in uncleared)
 
     def is_suspected(self, digest: int) -> bool:
         """Return whether a request is suspected of any crash."""
@@ -166,7 +166,7 @@
         if one == other:
             return True
         pair = (self.suspect_by_digest.get(one), self.suspect_by_digest.get(other))
-        uncleared = [set(each.uncleared_engines()) for each in pair if each is not None]
+        uncleared = [set(each.uncleared_crashes()) for each in pair if each is not None]
         return len(uncleared) == len(pair) and not uncleared[0].isdisjoint(uncleared[1])
 
     def quarantined_digests(self, now: float) -> Iterator[int]:
@@ -196,16 +196,16 @@
         """Return the evidence to send about one request."""
         suspect = self.suspect_by_digest[digest]
         if (
-            not suspect.uncleared_engines()
+            not suspect.uncleared_crashes()
             and now - suspect.last_crash_at >= CLEARED_GOSSIP_SECONDS
         ):
             return []
         return [
-            _evidence(digest, engine, at, now, engine in suspect.cleared)
-            for engine, at in suspect.crashed_at_by_engine.items()
+            _evidence(digest, crash, at, now, crash in suspect.cleared)
+            for crash, at in suspect.time_by_crash.items()
         ]
 
-    def _is_explained(self, engine: str, crashes: int) -> bool:
+    def _is_explained(self, crash: str, crash_count: int) -> bool:
         """Return whether a request over the threshold, with more crashes, explains a crash.
 
         ``crashes`` is the number of crashes of the request in question. Without this check, all
@@ -214,8 +214,8 @@
         cause costs three more engines, refusing a harmless request costs one caller an answer.
         """
         for digest in self._over_threshold:
-            uncleared = self.suspect_by_digest[digest].uncleared_engines()
-            if len(uncleared) > crashes and engine in uncleared:
+            uncleared = self.suspect_by_digest[digest].uncleared_crashes()
+            if len(uncleared) > crash_count and crash in uncleared:
                 return True
         return False
 
@@ -236,7 +236,7 @@
 
     def _drop(self, digest: int) -> None:
         self._over_threshold.discard(digest)
-        for crash in self.suspect_by_digest.pop(digest).crashed_at_by_engine:
+        for crash in self.suspect_by_digest.pop(digest).time_by_crash:
             self._suspects_by_crash[crash] -= 1
             if not self._suspects_by_crash[crash]:
                 del self._suspects_by_crash[crash]
@@ -248,5 +248,5 @@
             del self._last_crash_by_engine[engine]
 
 
-def _evidence(digest: int, engine: str, crashed_at: float, now: float, cleared: bool) -> Evidence:
-    return Evidence(digest, engine, max(0, round((now - crashed_at) * 1000)), cleared)
+def _evidence(digest: int, crash: str, crashed_at: float, now: float, cleared: bool) -> Evidence:
+    return Evidence(digest, crash, max(0, round((now - crashed_at) * 1000)), cleared)
--- a/pondhatch/quarantine/tests/test_trials.py
+++ b/pondhatch/quarantine/tests/test_run_claims.py
@@ -4,16 +4,16 @@
 
 import unittest
 
-from pondhatch.quarantine import TRIAL_SECONDS, Trials
+from pondhatch.quarantine import CLAIM_LIFETIME, RunClaims
 
 
 def same(one: int, other: int) -> bool:
     return one == other
 
 
-class TrialsTest(unittest.TestCase):
+class RunClaimsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.one, self.two = Trials(1), Trials(2)
+        self.one, self.two = RunClaims(1), RunClaims(2)
 
     def test_a_claim_waits_for_one_received_before_it(self) -> None:
         first = self.two.claim(7, 0.0)
@@ -35,8 +35,8 @@
     def test_a_claim_without_an_end_expires(self) -> None:
         self.one.add(self.two.claim(7, 0.0), 0.0)
         mine = self.one.claim(7, 1.0)
-        self.assertFalse(self.one.goes_first(mine, TRIAL_SECONDS - 1, same))
-        self.assertTrue(self.one.goes_first(mine, TRIAL_SECONDS, same))
+        self.assertFalse(self.one.goes_first(mine, CLAIM_LIFETIME - 1, same))
+        self.assertTrue(self.one.goes_first(mine, CLAIM_LIFETIME, same))
 
     def test_claims_without_a_conflict_run_at_once(self) -> None:
         self.one.add(self.two.claim(7, 0.0), 0.0)
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -18,7 +18,7 @@
 from pondhatch.kernel import Tasks
 from pondhatch.membership import Datagram, Member, short_id
 from pondhatch.observing import Records, StateChange
-from pondhatch.quarantine import Evidence, EvidencePacket, Trial, TrialPacket, Trials
+from pondhatch.quarantine import Evidence, EvidencePacket, RunClaim, RunClaimPacket, RunClaims
 from pondhatch.requests import NO_WATCH, RequestWatch, Target
 from pondhatch.router._crash_watch import CrashWatch
 from pondhatch.router._new_members import NewMembers
@@ -59,7 +59,7 @@
         has_crashed: HasCrashed,
     ) -> None:
         self.suspects = state.suspects
-        self._trials = Trials(short_id(state.name))
+        self._trials = RunClaims(short_id(state.name))
         self._state = state
         self._send = send
         self._tasks = tasks
@@ -71,7 +71,7 @@
         self._sampled_at = float("-inf")
         self._new_members = NewMembers(state)
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(EvidencePacket | TrialPacket)
+        self._decoder = msgspec.msgpack.Decoder(EvidencePacket | RunClaimPacket)
 
     def watch(self, digest: int) -> RequestWatch:
         """Return the watch of one request; see CrashGuard."""
@@ -133,21 +133,21 @@
         suspect = self.suspects.suspect_by_digest[digest]
         return self._state.clock() - suspect.last_crash_at
 
-    def claim(self, digest: int) -> Trial:
+    def claim(self, digest: int) -> RunClaim:
         """Claim the next run of a suspected request, and send the claim to all routers."""
         trial = self._trials.claim(digest, self._state.clock())
-        self._send_to_all(TrialPacket(trial))
+        self._send_to_all(RunClaimPacket(trial))
         return trial
 
-    def goes_first(self, trial: Trial) -> bool:
+    def goes_first(self, trial: RunClaim) -> bool:
         """Return whether it is the claim's turn."""
         now = self._state.clock()
         return self._trials.goes_first(trial, now, self.suspects.share_crash)
 
-    def withdraw_claim(self, trial: Trial) -> None:
+    def withdraw_claim(self, trial: RunClaim) -> None:
         """Withdraw a claim at all routers."""
         self._trials.remove(trial)
-        self._send_to_all(TrialPacket(trial, has_ended=True))
+        self._send_to_all(RunClaimPacket(trial, has_ended=True))
 
     def receive(self, payload: bytes) -> None:
         """Handle a packet without its prefix; a packet that does not parse is dropped."""
@@ -159,9 +159,9 @@
             for evidence in packet.evidence:
                 self._apply_evidence(evidence)
         elif packet.has_ended:
-            self._trials.remove(packet.trial)
+            self._trials.remove(packet.claim)
         else:
-            self._trials.add(packet.trial, self._state.clock())
+            self._trials.add(packet.claim, self._state.clock())
 
     def tick(self) -> None:
         """Run the periodic work of one round."""
@@ -176,7 +176,7 @@
         was_quarantined = self.is_quarantined(evidence.digest)
         is_new = self.suspects.add(evidence, self._state.clock())
         if is_new and not was_quarantined and self.is_quarantined(evidence.digest):
-            engines = self.suspects.suspect_by_digest[evidence.digest].uncleared_engines()
+            engines = self.suspects.suspect_by_digest[evidence.digest].uncleared_crashes()
             self._record(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
         return is_new
 
@@ -209,10 +209,10 @@
         for batch in _in_packets(evidence):
             self._send_packet(EvidencePacket(batch), to)
 
-    def _send_to_all(self, packet: TrialPacket) -> None:
+    def _send_to_all(self, packet: RunClaimPacket) -> None:
         self._send_packet(packet, self._others())
 
-    def _send_packet(self, packet: EvidencePacket | TrialPacket, to: list[Member]) -> None:
+    def _send_packet(self, packet: EvidencePacket | RunClaimPacket, to: list[Member]) -> None:
         payload = CRASH_PACKET_PREFIX + self._encoder.encode(packet)
         self._send(Datagram(member.address, payload) for member in to)
 
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pondhatch.quarantine import Suspects, Trial
+from pondhatch.quarantine import RunClaim, Suspects
 from pondhatch.requests import QUARANTINED, Refusal, Target, deadline_passed
 
 #: Seconds for which a router waits for the evidence of others, before it runs a request again that
@@ -33,13 +33,13 @@
     def note_completed(self, digest: int) -> None:
         """Record that an engine completed a request, which clears it."""
 
-    def claim(self, digest: int) -> Trial:
+    def claim(self, digest: int) -> RunClaim:
         """Claim the next run of a suspected request."""
 
-    def goes_first(self, trial: Trial) -> bool:
+    def goes_first(self, trial: RunClaim) -> bool:
         """Return whether it is the claim's turn."""
 
-    def withdraw_claim(self, trial: Trial) -> None:
+    def withdraw_claim(self, trial: RunClaim) -> None:
         """Withdraw a claim."""
 
 
@@ -49,7 +49,7 @@
     def __init__(self, evidence: SharedEvidence, digest: int) -> None:
         self._evidence = evidence
         self._digest = digest
-        self._trial: Trial | None = None
+        self._trial: RunClaim | None = None
 
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
         """Return why the request may not be sent now; see RequestWatch."""
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -216,7 +216,7 @@
                 {
                     "digest": f"{digest:x}",
                     "quarantined": state.suspects.is_quarantined(digest, now),
-                    "ended": suspect.uncleared_engines(),
+                    "ended": suspect.uncleared_crashes(),
                     "cleared_of": sorted(suspect.cleared),
                     "last_end_seconds_ago": round(now - suspect.last_crash_at, 1),
                 }
