--- a/pondhatch/cli/_announcer.py
+++ b/pondhatch/cli/_announcer.py
@@ -8,7 +8,7 @@
 from pondhatch.router import RouterState
 from pondhatch.transport import GossipPort
 
-#: Seconds from one announcement of a change to its repetition. Each announcement reaches four
+#: Seconds before each repetition of the announcement of a change. Each announcement reaches four
 #: random peers; without repetitions about 2% of routers would only learn of it by a ping.
 REPEAT_DELAYS = (0.1, 0.2)
 
--- a/pondhatch/cli/_change_commands.py
+++ b/pondhatch/cli/_change_commands.py
@@ -108,7 +108,7 @@
         edits = _inverse_edits(before, undone)
         edited = configuration.with_edits(edits)
         if not isinstance(edited, FleetConfiguration):
-            print(f"cannot take back change {version}: {edited}", file=sys.stderr)
+            print(f"cannot revert change {version}: {edited}", file=sys.stderr)
             return EXIT_INPUT
         print_edits(edits, configuration, edited)
         change = _new_change(configuration, edits, author, f"takes back {version}")
--- a/pondhatch/cli/_environment.py
+++ b/pondhatch/cli/_environment.py
@@ -1,4 +1,4 @@
-"""Builds what a router depends on: its interface, its store and the fleet's key."""
+"""Builds what a router depends on: its interface, its platform and the fleet's key."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/_explain_command.py
+++ b/pondhatch/cli/_explain_command.py
@@ -1,4 +1,4 @@
-"""The command that shows the story of a request or an object from the routers' log lines."""
+"""The command that shows the timeline of a request or an object from the routers' log lines."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/_ports.py
+++ b/pondhatch/cli/_ports.py
@@ -27,7 +27,8 @@
     """Return a listening socket; created here since asyncio would resolve the IP in a thread."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.create_server((host, port), family=family, backlog=PEER_BACKLOG)
-    detect_dead_peer(listener)  # Accepted connections inherit it: silent ones hold descriptors.
+    # Accepted connections inherit these options. Without them silent ones would hold descriptors.
+    detect_dead_peer(listener)
     return listener
 
 
--- a/pondhatch/cli/_settings_file.py
+++ b/pondhatch/cli/_settings_file.py
@@ -37,7 +37,7 @@
             return None
         reloadable = {name: getattr(read, name) for name in RELOADABLE}
         reloaded = replace(current, **reloadable)
-        notes = [] if reloaded == read else ["others take effect at the next start"]
+        notes = [] if reloaded == read else ["other changes take effect at the next start"]
         log.info("Settings reloaded{}.", "".join(f"; {each}" for each in notes))
         return reloaded
 
--- a/pondhatch/cli/_shutdown.py
+++ b/pondhatch/cli/_shutdown.py
@@ -55,6 +55,7 @@
         drain = self.settings().drain
         await asyncio.sleep(max(MIN_ACCEPT_SECONDS, drain.accept_seconds))
         self.callers.accepts_requests = False
+        # drain.whole_seconds takes precedence over drain_seconds.
         total_seconds = drain.whole_seconds
         seconds = self.settings().drain_seconds if total_seconds is None else total_seconds
         deadline = started_at + seconds
--- a/pondhatch/cli/tests/test_early_port.py
+++ b/pondhatch/cli/tests/test_early_port.py
@@ -79,7 +79,7 @@
             ["run", "x", LISTEN_OPTION],
             ["check", "x", LISTEN_OPTION, f"{HOST}:1"],
         ):
-            with self.subTest(words=arguments):
+            with self.subTest(arguments=arguments):
                 open_early(arguments)
         open_early(["run", "x", LISTEN_OPTION, "nowhere"])
         open_early(["run", "x", LISTEN_OPTION, f"{HOST}:99999"])
--- a/pondhatch/cli/tests/test_initial_state.py
+++ b/pondhatch/cli/tests/test_initial_state.py
@@ -1,4 +1,4 @@
-"""Guards that a router publishes its capacity only with load management on at its start."""
+"""Guards against publishing a router's capacity unless load management is on at its start."""
 
 from __future__ import annotations
 
--- a/pondhatch/cli/tests/test_periodic_jobs.py
+++ b/pondhatch/cli/tests/test_periodic_jobs.py
@@ -79,7 +79,7 @@
             return iterations.call_count, round(RUN_SECONDS / ROUND_SECONDS)
 
         iterations, rounds = run_virtually(main())
-        # The start and the end take some more.
+        # Starting and cancelling the jobs takes some more iterations.
         self.assertLess(iterations, rounds + 10)
 
 
--- a/pondhatch/explaining/__init__.py
+++ b/pondhatch/explaining/__init__.py
@@ -1,4 +1,4 @@
-"""Finds the cause of a failed request in the log lines of all routers."""
+"""Timelines of requests and state changes, from the log lines of many routers."""
 
 from pondhatch.explaining._log_reader import LoggedLine, ParsedLines, causal_order, read_lines
 from pondhatch.explaining._timeline import Timeline, TimelineEvent, build_timeline
--- a/pondhatch/explaining/_log_reader.py
+++ b/pondhatch/explaining/_log_reader.py
@@ -70,8 +70,8 @@
     that line and all later lines of that router are shifted to later times.
     """
     by_clock = sorted(lines, key=lambda line: (line.at, line.number))
-    #: When each version took effect at each router: by the router's clock at first, and by the
-    #: adjusted time once the line is processed.
+    # When each version took effect at each router: by the router's clock at first, and by the
+    # adjusted time once the line is processed.
     in_force_at = {
         (line.router, _version(line.record)): line.at
         for line in reversed(by_clock)
--- a/pondhatch/explaining/_timeline.py
+++ b/pondhatch/explaining/_timeline.py
@@ -40,7 +40,7 @@
 
 
 class TimelineEvent(msgspec.Struct, frozen=True):
-    """One event of a story, as text."""
+    """One event of a timeline, as text."""
 
     router: str
     at: float
@@ -58,10 +58,10 @@
 
 
 def build_timeline(name: str, lines: Sequence[LoggedLine]) -> Timeline:
-    """Return the story of a request by its id or digest, or of an object by its name.
+    """Return the timeline of a request by its id or digest, or of an object by its name.
 
     Objects are upstreams, routers, halls and configuration entries; a number is a version of the
-    configuration. A story without events means that no line mentions the name.
+    configuration. A timeline without events means that no line mentions the name.
     """
     ordered = causal_order(lines)
     requests = [each for each in ordered if _matches_request(each, name)]
--- a/pondhatch/explaining/tests/test_timeline.py
+++ b/pondhatch/explaining/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Stories of requests and state changes, from the lines of routers whose clocks differ."""
+"""Timelines of requests and state changes, from the lines of routers whose clocks differ."""
 
 from __future__ import annotations
 
--- a/pondhatch/limits/_held_bytes.py
+++ b/pondhatch/limits/_held_bytes.py
@@ -93,7 +93,7 @@
         return held >= fair_level(self.bytes_by_account.values(), self.bound)
 
     def _is_under_share(self, held: int) -> bool:
-        """Return whether an amount is below an even share; needs no sort, as fair_level does."""
+        """Return whether an amount is below an even share; unlike fair_level, needs no sort."""
         return self.bound is None or held * len(self.bytes_by_account) < self.bound
 
     def largest(self, count: int) -> list[tuple[str, int]]:
--- a/pondhatch/limits/_shares.py
+++ b/pondhatch/limits/_shares.py
@@ -3,7 +3,7 @@
 Each account has a home router. Every router may use a small base share without asking. A router
 with more demand reports it to the home once a second, and the home divides the rest of the limits
 by demand. A router that gets no answer falls back to its base share, so a network partition adds
-at most one such pool for each side that has a home of its own.
+at most one more copy of that rest for each side that has a home of its own.
 """
 
 from __future__ import annotations
@@ -47,9 +47,12 @@
 class AccountDemand(msgspec.Struct):
     """One account's demand at this router in the current interval."""
 
+    #: When the first request since the account was last idle arrived, in the clock's seconds.
     first_at: float
     arrivals: int = 0
+    #: Peak number of concurrent requests.
     peak_running: int = 0
+    #: Demand of the previous interval.
     last_demand: Demand | None = None
 
 
@@ -57,7 +60,9 @@
     """One router's demand by account, and the shares that homes allocated to it."""
 
     own_demand_by_account: dict[str, AccountDemand] = msgspec.field(default_factory=dict)
+    #: Shares, each with the time at which it expires.
     share_by_account: dict[str, tuple[Share, float]] = msgspec.field(default_factory=dict)
+    #: When demands are next due.
     _next_ask_at: float = float("-inf")
 
     def record_arrival(self, account: str, running: int, now: float) -> None:
@@ -69,7 +74,7 @@
     def limits(
         self, account: str, fleet_limits: AccountLimits, routers: int, now: float
     ) -> AccountLimits:
-        """Return the account's limits at this router; ``whole`` are those of the fleet."""
+        """Return the account's limits at this router; ``fleet_limits`` are the fleet's."""
         if routers <= 1:
             return fleet_limits
         own_demand = self.own_demand_by_account.get(account)
--- a/pondhatch/limits/tests/test_held_bytes.py
+++ b/pondhatch/limits/tests/test_held_bytes.py
@@ -17,7 +17,7 @@
 
 
 def table(holdings: dict[str, int], bound: int | None = BOUND) -> HeldBytes:
-    """Return a table in which the accounts hold the given bytes."""
+    """Return a HeldBytes in which the accounts hold the given bytes."""
     held = HeldBytes(bound)
     for account, amount in holdings.items():
         held.change(account, amount)
--- a/pondhatch/limits/tests/test_shares.py
+++ b/pondhatch/limits/tests/test_shares.py
@@ -12,7 +12,7 @@
 
 
 class Routers:
-    """Several routers and an account's home, which may be unreachable."""
+    """Several routers and the home of account "a", which may be unreachable."""
 
     def __init__(self, count: int) -> None:
         self.users = [ShareUser() for _ in range(count)]
@@ -23,7 +23,7 @@
         self._ends: list[list[float]] = [[] for _ in range(count)]
 
     def run(self, seconds: float, arrivals: list[float], request_seconds: float = 0.1) -> list[int]:
-        """Send router i ``arrivals[i]`` requests a second; return how many each one allowed."""
+        """Send router i ``arrivals[i]`` requests a second; return how many each allowed."""
         rng = random.Random(3)
         allowed = [0] * len(self.users)
         for _ in range(round(seconds / STEP)):
--- a/pondhatch/observing/_logs.py
+++ b/pondhatch/observing/_logs.py
@@ -21,6 +21,7 @@
 
     "text" writes sentences to standard error for people, "lines" writes one JSON object a line
     to standard output, and "json" writes loguru's complete records to standard error.
+    ``process`` is the router's name.
     """
     logger.remove()
     logger.configure(extra={"part": "process", "process": process})
--- a/pondhatch/observing/_metrics.py
+++ b/pondhatch/observing/_metrics.py
@@ -1,4 +1,4 @@
-"""The interface of metrics, and the one to statsd. docs/OPERATIONS.md lists every name."""
+"""The interface of metrics, and its statsd backend. docs/OPERATIONS.md lists every name."""
 
 from __future__ import annotations
 
--- a/pondhatch/observing/_prometheus_metrics.py
+++ b/pondhatch/observing/_prometheus_metrics.py
@@ -66,7 +66,7 @@
         """Return all metrics in Prometheus' text format."""
         from prometheus_client import generate_latest  # Only loaded on the first request.
 
-        registry: Any = self
+        registry: Any = self  # Only its collect() is called.
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Any]:
--- a/pondhatch/observing/_records.py
+++ b/pondhatch/observing/_records.py
@@ -10,6 +10,7 @@
 from pondhatch.observing._line_writer import STANDARD_OUTPUT, LineWriter
 from pondhatch.observing._logs import log_for
 
+# Named after the tag of StateChange, the only kind of record that it logs.
 _log = log_for("beliefs")
 
 
@@ -55,14 +56,19 @@
 
 
 class StateChange(msgspec.Struct, frozen=True, tag_field="event", tag="belief", omit_defaults=True):
-    """Something that this router knows about its fleet has changed."""
+    """Something that this router knows about its fleet has changed.
+
+    It is written as a "belief": what the router knows may be out of date, and other routers may
+    know otherwise.
+    """
 
     #: The kind of object: "configuration", "upstream", "health" (of an upstream), "notice" (what
     #: an upstream reported of itself in its answers), "hall" (whether it is evacuated), "router",
-    #: "platform", "process", "request" (one during which engines ended) or "records" (some state
-    #: changes were left out).
+    #: "platform", "process", "entry" (of the configuration), "request" (one during which engines
+    #: ended) or "records" (some state changes were left out).
     about: str
-    #: The name of the object; empty where there is only one of its kind.
+    #: The name of the object; empty where there is only one of its kind. The name of an entry is
+    #: its kind and its own name, separated by a space.
     name: str
     #: Its new state.
     now: str
@@ -90,7 +96,10 @@
 
 
 class LoggedRecords:
-    """Logs state changes as sentences for people; ended requests are too many and left out."""
+    """Logs state changes as sentences for people.
+
+    Ended requests are left out, since there are too many.
+    """
 
     def write(self, record: Record) -> None:
         """Log a state change."""
--- a/pondhatch/quarantine/__init__.py
+++ b/pondhatch/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests that crash engines: evidence, decision, and claims for trial runs."""
+"""Quarantine of requests that crash engines: evidence, decisions, and claims to run suspects."""
 
 from pondhatch.quarantine._evidence import Evidence, EvidencePacket, RunClaim, RunClaimPacket
 from pondhatch.quarantine._run_claims import CLAIM_LIFETIME, RunClaims
--- a/pondhatch/quarantine/_evidence.py
+++ b/pondhatch/quarantine/_evidence.py
@@ -25,18 +25,24 @@
 
 
 class RunClaim(msgspec.Struct, frozen=True, array_like=True):
-    """A router's claim to run a suspected request."""
+    """A router's claim to run a suspected request.
 
+    Claims have their turn by ticket, as in Lamport's bakery algorithm, then by router and number.
+    """
+
+    #: Digest of the request.
     digest: int
-    #: One above all tickets that the router knew of when it made the claim.
+    #: Place in the queue of claims: one above all tickets that the router knew of when it made the
+    #: claim.
     ticket: int
-    #: Short id of the router, and the router's own number of the claim.
+    #: Short id of the router.
     router: int
+    #: Number of the claim among those of its router.
     number: int
 
 
 class RunClaimPacket(msgspec.Struct, frozen=True, array_like=True, tag=81):
-    """The begin or the end of a claim."""
+    """Announces a claim, or its end."""
 
     claim: RunClaim
     has_ended: bool = False
--- a/pondhatch/quarantine/_run_claims.py
+++ b/pondhatch/quarantine/_run_claims.py
@@ -34,7 +34,9 @@
 
     #: Short id of this router.
     router: int
+    #: By the router and the number of the claim.
     _active_claim_by_id: dict[tuple[int, int], ActiveClaim] = msgspec.field(default_factory=dict)
+    #: Number of this router's latest claim.
     _last_number: int = 0
 
     def claim(self, digest: int, now: float) -> RunClaim:
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -18,10 +18,10 @@
 
 from pondhatch.quarantine._evidence import Evidence
 
-#: Crashes of engines under a request until it is quarantined. Two may be a coincidence, as when
-#: all engines of a hall are replaced in a hurry. If one in a hundred runs is lost with its engine,
-#: three by coincidence alone are one in a million, and each further crash needed costs twenty
-#: other requests.
+#: Number of engine crashes during a request after which it is quarantined. Two may be a
+#: coincidence, as when all engines of a hall are replaced in a hurry. If one in a hundred runs is
+#: lost with its engine, three by coincidence alone are one in a million, and each further crash
+#: needed costs twenty other requests.
 CRASHES_TO_QUARANTINE = 3
 #: Seconds after the last crash for which the request is not run. After that one run at a time is
 #: allowed, since a newer version of the engine may survive it; at worst one engine crashes every
@@ -31,17 +31,17 @@
 EVIDENCE_LIFETIME = 3600.0
 #: Seconds after the last crash for which evidence is still sent if all of it is cleared.
 CLEARED_GOSSIP_SECONDS = 60.0
-#: Seconds within which evidence under an engine's name is about the same crash. Later evidence is
-#: about another crash, of an engine whose starts share a name: starting takes longer than this.
+#: Seconds within which all evidence under an engine's name is about the same crash. Later evidence
+#: is about a crash after a restart under the same name: a start takes longer than this.
 SAME_CRASH_SECONDS = 2.0
 #: Separates an engine's name from the number of its crash, from the second crash on.
 ORDINAL_SEPARATOR = "#"
-#: Maximum number of stored requests: thirty crashes under sixty requests each, twice over; 2 MB.
+#: Maximum number of stored requests: thirty crashes with sixty requests each, twice over; 2 MB.
 MAX_SUSPECTS = 4096
 
 
 class Suspect(msgspec.Struct):
-    """One request under which engines crashed."""
+    """One request during which engines crashed."""
 
     #: Time of each crash in the clock's seconds, by the name of the crash.
     time_by_crash: dict[str, float] = msgspec.field(default_factory=dict)
@@ -50,7 +50,7 @@
 
     @property
     def last_crash_at(self) -> float:
-        """When the last engine crashed under it, in the clock's seconds."""
+        """When an engine last crashed while it ran the request, in the clock's seconds."""
         return max(self.time_by_crash.values())
 
     def uncleared_crashes(self) -> list[str]:
@@ -65,8 +65,8 @@
     suspect_by_digest: OrderedDict[int, Suspect] = msgspec.field(default_factory=OrderedDict)
     #: Number of requests suspected of each crash, by the name of the crash.
     _suspects_by_crash: Counter[str] = msgspec.field(default_factory=Counter)
-    #: Requests with ``CRASHES_TO_QUARANTINE`` or more uncleared crashes. There are few at any
-    #: time, so checks that would concern all requests scan only these.
+    #: Requests with ``CRASHES_TO_QUARANTINE`` or more uncleared crashes. Checks scan only these
+    #: instead of all requests, as there are few at any time.
     _over_threshold: set[int] = msgspec.field(default_factory=set)
     #: Name and time of each engine's newest crash.
     _last_crash_by_engine: dict[str, tuple[str, float]] = msgspec.field(default_factory=dict)
@@ -135,7 +135,7 @@
             self._over_threshold.discard(digest)
 
     def crash_count(self, digest: int) -> int:
-        """Return the number of crashes under a request that no other request explains."""
+        """Return the number of uncleared crashes of a request that no other request explains."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None:
             return 0
@@ -208,10 +208,11 @@
     def _is_explained(self, crash: str, crash_count: int) -> bool:
         """Return whether a request over the threshold, with more crashes, explains a crash.
 
-        ``crashes`` is the number of crashes of the request in question. Without this check, all
-        requests that were lost beside a cause at two engines would run one at a time, and would be
-        refused with it after a third. With equally many crashes both stay suspected: missing a
-        cause costs three more engines, refusing a harmless request costs one caller an answer.
+        ``crash_count`` is the number of uncleared crashes of the request in question. Without this
+        check, all requests that were lost beside a cause at two engines would run one at a time,
+        and would be refused with it after a third. With equally many crashes both stay suspected:
+        missing a cause costs three more engines, refusing a harmless request costs one caller an
+        answer.
         """
         for digest in self._over_threshold:
             uncleared = self.suspect_by_digest[digest].uncleared_crashes()
@@ -220,7 +221,10 @@
         return False
 
     def _evict_excess(self) -> None:
-        """Evict the oldest requests beyond the limit, those to be quarantined last."""
+        """Evict the oldest requests beyond the limit.
+
+        Requests whose crashes suffice for a quarantine are evicted last.
+        """
         while len(self.suspect_by_digest) > MAX_SUSPECTS:
             below_threshold = (
                 d for d in self.suspect_by_digest if self.crash_count(d) < CRASHES_TO_QUARANTINE
--- a/pondhatch/quarantine/tests/test_run_claims.py
+++ b/pondhatch/quarantine/tests/test_run_claims.py
@@ -1,4 +1,4 @@
-"""Guards against conflicting trial runs at two routers, which would crash two engines."""
+"""Guards against conflicting runs of suspects at two routers, which would crash two engines."""
 
 from __future__ import annotations
 
