--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -18,10 +18,10 @@
 
 from pondhatch.quarantine._evidence import Evidence
 
-#: Crashes of engines under a request until it is quarantined. Two may be a coincidence, as when
-#: all engines of a hall are replaced in a hurry. If one in a hundred runs is lost with its engine,
-#: three by coincidence alone are one in a million, and each further crash needed costs twenty
-#: other requests.
+#: Number of engine crashes during a request after which it is quarantined. Two may be a
+#: coincidence, as when all engines of a hall are replaced in a hurry. If one in a hundred runs is
+#: lost with its engine, three by coincidence alone are one in a million, and each further crash
+#: needed costs twenty other requests.
 CRASHES_TO_QUARANTINE = 3
 #: Seconds after the last crash for which the request is not run. After that one run at a time is
 #: allowed, since a newer version of the engine may survive it; at worst one engine crashes every
@@ -31,31 +31,31 @@
 EVIDENCE_LIFETIME = 3600.0
 #: Seconds after the last crash for which evidence is still sent if all of it is cleared.
 CLEARED_GOSSIP_SECONDS = 60.0
-#: Seconds within which evidence under an engine's name is about the same crash. Later evidence is
-#: about another crash, of an engine whose starts share a name: starting takes longer than this.
+#: Seconds within which all evidence under an engine's name is about the same crash. Later evidence
+#: is about a crash after a restart under the same name: a start takes longer than this.
 SAME_CRASH_SECONDS = 2.0
 #: Separates an engine's name from the number of its crash, from the second crash on.
 ORDINAL_SEPARATOR = "#"
-#: Maximum number of stored requests: thirty crashes under sixty requests each, twice over; 2 MB.
+#: Maximum number of stored requests: thirty crashes with sixty requests each, twice over; 2 MB.
 MAX_SUSPECTS = 4096
 
 
 class Suspect(msgspec.Struct):
-    """One request under which engines crashed."""
+    """One request during which engines crashed."""
 
     #: Time of each crash in the clock's seconds, by the name of the crash.
-    crashed_at_by_engine: dict[str, float] = msgspec.field(default_factory=dict)
+    time_by_crash: dict[str, float] = msgspec.field(default_factory=dict)
     #: Names of the crashes that the request is known not to have caused.
     cleared: set[str] = msgspec.field(default_factory=set)
 
     @property
     def last_crash_at(self) -> float:
-        """When the last engine crashed under it, in the clock's seconds."""
-        return max(self.crashed_at_by_engine.values())
+        """When an engine last crashed while it ran the request, in the clock's seconds."""
+        return max(self.time_by_crash.values())
 
-    def uncleared_engines(self) -> list[str]:
+    def uncleared_crashes(self) -> list[str]:
         """Return the names of the crashes of which the request is not cleared."""
-        return [engine for engine in self.crashed_at_by_engine if engine not in self.cleared]
+        return [crash for crash in self.time_by_crash if crash not in self.cleared]
 
 
 class Suspects(msgspec.Struct):
@@ -65,8 +65,8 @@
     suspect_by_digest: OrderedDict[int, Suspect] = msgspec.field(default_factory=OrderedDict)
     #: Number of requests suspected of each crash, by the name of the crash.
     _suspects_by_crash: Counter[str] = msgspec.field(default_factory=Counter)
-    #: Requests with ``CRASHES_TO_QUARANTINE`` or more uncleared crashes. There are few at any
-    #: time, so checks that would concern all requests scan only these.
+    #: Requests with ``CRASHES_TO_QUARANTINE`` or more uncleared crashes. Checks scan only these
+    #: instead of all requests, as there are few at any time.
     _over_threshold: set[int] = msgspec.field(default_factory=set)
     #: Name and time of each engine's newest crash.
     _last_crash_by_engine: dict[str, tuple[str, float]] = msgspec.field(default_factory=dict)
@@ -93,9 +93,9 @@
             return False
         self._drop_expired(now)
         suspect = self.suspect_by_digest.setdefault(evidence.digest, Suspect())
-        is_new = evidence.engine not in suspect.crashed_at_by_engine
+        is_new = evidence.engine not in suspect.time_by_crash
         if is_new:
-            suspect.crashed_at_by_engine[evidence.engine] = crashed_at
+            suspect.time_by_crash[evidence.engine] = crashed_at
             self._suspects_by_crash[evidence.engine] += 1
             self._record_crash(evidence.engine, crashed_at)
             self.suspect_by_digest.move_to_end(evidence.digest)
@@ -103,7 +103,7 @@
         is_newly_cleared = evidence.cleared and evidence.engine not in suspect.cleared
         if is_newly_cleared:
             suspect.cleared.add(evidence.engine)
-        self._update_threshold(evidence.digest)
+        self._update_over_threshold(evidence.digest)
         return is_new or is_newly_cleared
 
     def _record_crash(self, name: str, crashed_at: float) -> None:
@@ -119,28 +119,28 @@
         if suspect is None:
             return ()
         found = tuple(
-            _evidence(digest, engine, suspect.crashed_at_by_engine[engine], now, cleared=True)
-            for engine in suspect.uncleared_engines()
+            _evidence(digest, crash, suspect.time_by_crash[crash], now, cleared=True)
+            for crash in suspect.uncleared_crashes()
         )
         suspect.cleared.update(each.engine for each in found)
-        self._update_threshold(digest)
+        self._update_over_threshold(digest)
         return found
 
-    def _update_threshold(self, digest: int) -> None:
+    def _update_over_threshold(self, digest: int) -> None:
         """Update whether a request is over the threshold."""
         suspect = self.suspect_by_digest.get(digest)
-        if suspect is not None and len(suspect.uncleared_engines()) >= CRASHES_TO_QUARANTINE:
+        if suspect is not None and len(suspect.uncleared_crashes()) >= CRASHES_TO_QUARANTINE:
             self._over_threshold.add(digest)
         else:
             self._over_threshold.discard(digest)
 
     def crash_count(self, digest: int) -> int:
-        """Return the number of crashes under a request that no other request explains."""
+        """Return the number of uncleared crashes of a request that no other request explains."""
         suspect = self.suspect_by_digest.get(digest)
         if suspect is None:
             return 0
-        uncleared = suspect.uncleared_engines()
-        return sum(not self._is_explained(engine, len(uncleared)) for engine in uncleared)
+        uncleared = suspect.uncleared_crashes()
+        return sum(not self._is_explained(crash, len(uncleared)) for crash in uncleared)
 
     def is_suspected(self, digest: int) -> bool:
         """Return whether a request is suspected of any crash."""
@@ -166,7 +166,7 @@
         if one == other:
             return True
         pair = (self.suspect_by_digest.get(one), self.suspect_by_digest.get(other))
-        uncleared = [set(each.uncleared_engines()) for each in pair if each is not None]
+        uncleared = [set(each.uncleared_crashes()) for each in pair if each is not None]
         return len(uncleared) == len(pair) and not uncleared[0].isdisjoint(uncleared[1])
 
     def quarantined_digests(self, now: float) -> Iterator[int]:
@@ -196,31 +196,35 @@
         """Return the evidence to send about one request."""
         suspect = self.suspect_by_digest[digest]
         if (
-            not suspect.uncleared_engines()
+            not suspect.uncleared_crashes()
             and now - suspect.last_crash_at >= CLEARED_GOSSIP_SECONDS
         ):
             return []
         return [
-            _evidence(digest, engine, at, now, engine in suspect.cleared)
-            for engine, at in suspect.crashed_at_by_engine.items()
+            _evidence(digest, crash, at, now, crash in suspect.cleared)
+            for crash, at in suspect.time_by_crash.items()
         ]
 
-    def _is_explained(self, engine: str, crashes: int) -> bool:
+    def _is_explained(self, crash: str, crash_count: int) -> bool:
         """Return whether a request over the threshold, with more crashes, explains a crash.
 
-        ``crashes`` is the number of crashes of the request in question. Without this check, all
-        requests that were lost beside a cause at two engines would run one at a time, and would be
-        refused with it after a third. With equally many crashes both stay suspected: missing a
-        cause costs three more engines, refusing a harmless request costs one caller an answer.
+        ``crash_count`` is the number of uncleared crashes of the request in question. Without this
+        check, all requests that were lost beside a cause at two engines would run one at a time,
+        and would be refused with it after a third. With equally many crashes both stay suspected:
+        missing a cause costs three more engines, refusing a harmless request costs one caller an
+        answer.
         """
         for digest in self._over_threshold:
-            uncleared = self.suspect_by_digest[digest].uncleared_engines()
-            if len(uncleared) > crashes and engine in uncleared:
+            uncleared = self.suspect_by_digest[digest].uncleared_crashes()
+            if len(uncleared) > crash_count and crash in uncleared:
                 return True
         return False
 
     def _evict_excess(self) -> None:
-        """Evict the oldest requests beyond the limit, those to be quarantined last."""
+        """Evict the oldest requests beyond the limit.
+
+        Requests whose crashes suffice for a quarantine are evicted last.
+        """
         while len(self.suspect_by_digest) > MAX_SUSPECTS:
             below_threshold = (
                 d for d in self.suspect_by_digest if self.crash_count(d) < CRASHES_TO_QUARANTINE
@@ -236,7 +240,7 @@
 
     def _drop(self, digest: int) -> None:
         self._over_threshold.discard(digest)
-        for crash in self.suspect_by_digest.pop(digest).crashed_at_by_engine:
+        for crash in self.suspect_by_digest.pop(digest).time_by_crash:
             self._suspects_by_crash[crash] -= 1
             if not self._suspects_by_crash[crash]:
                 del self._suspects_by_crash[crash]
@@ -248,5 +252,5 @@
             del self._last_crash_by_engine[engine]
 
 
-def _evidence(digest: int, engine: str, crashed_at: float, now: float, cleared: bool) -> Evidence:
-    return Evidence(digest, engine, max(0, round((now - crashed_at) * 1000)), cleared)
+def _evidence(digest: int, crash: str, crashed_at: float, now: float, cleared: bool) -> Evidence:
+    return Evidence(digest, crash, max(0, round((now - crashed_at) * 1000)), cleared)
