--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -123,7 +123,7 @@
         gossip.membership.table.apply_alive(alive, 0.0)
 
     state = RouterState("self", "hall-0", gossip, time.monotonic, lambda _: EmptyKeyHolder())
-    state.apply_fleet(configuration_with_accounts(10))
+    state.apply_configuration(configuration_with_accounts(10))
     for at in range(ENGINES):
         upstream = Upstream(f"engine-{at}", "lang", "http://10.0.0.1:1", "hall-0")
         state.upstreams.set(upstream, at + 1)
--- a/pondhatch/cli/_endpoints.py
+++ b/pondhatch/cli/_endpoints.py
@@ -87,7 +87,7 @@
 
     def _is_ready(self, callers_port: Any, spare_descriptors: SpareDescriptors) -> bool:
         """Return whether the load balancer should send callers to this router."""
-        is_serving = self.state.fleet.version > 0 and not self.state.is_draining()
+        is_serving = self.state.configuration.version > 0 and not self.state.is_draining()
         return is_serving and bool(callers_port.connected) and spare_descriptors.are_available()
 
     def _open_for_metrics(self, endpoint: MetricsEndpoint) -> None:
--- a/pondhatch/router/_admission.py
+++ b/pondhatch/router/_admission.py
@@ -81,7 +81,7 @@
     """
     if key is None:
         return NotRun("no-key", "expected 'Authorization: Bearer KEY'", 0.0, UNAUTHORIZED)
-    account = state.fleet.account_of(hashlib.sha256(key.encode("latin-1")).hexdigest())
+    account = state.configuration.account_of(hashlib.sha256(key.encode("latin-1")).hexdigest())
     if account is None:
         return unknown_entry_refusal(state, "account", UNKNOWN_KEY)
     return Account(account)
@@ -131,7 +131,7 @@
     """Admit a request to a service and count it against its account, or return the refusal."""
     if state.is_draining():
         return NotRun("stopping", "this router is stopping; ask again", 0.0)
-    spec = state.fleet.service_by_name.get(service) if service is not None else None
+    spec = state.configuration.service_by_name.get(service) if service is not None else None
     if service is None or spec is None:
         return unknown_entry_refusal(state, "service", NO_SERVICE)
     policy = _count_against_limits(state, account, service)
@@ -152,7 +152,7 @@
     state: RouterState, account: Account, service: str
 ) -> AccountPolicy | NotRun:
     """Count a request against its account's limits, or return the refusal."""
-    policy = state.fleet.policy_by_account[account.name]
+    policy = state.configuration.policy_by_account[account.name]
     if service not in policy.services:
         message = f"the account may not use service {service}"
         return NotRun("not-allowed", message, 0.0, FORBIDDEN)
@@ -171,7 +171,7 @@
 
 def service_of_path(state: RouterState, path: str) -> str | None:
     """Return the plain service whose prefix a path starts with, or None."""
-    for name, spec in state.fleet.service_by_name.items():
+    for name, spec in state.configuration.service_by_name.items():
         if spec.prefix is not None and path.startswith(spec.prefix):
             return name
     return None
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -57,7 +57,7 @@
             "hall": state.hall,
             "phase": state.phase.name.lower(),
             "watches_platform": state.is_watcher(),
-            "configuration": state.fleet.version,
+            "configuration": state.configuration.version,
             "in_force_at": round(state.in_force_at, 4),
             "upstreams_version": state.upstreams.version,
         }
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -40,13 +40,15 @@
 class FleetLimits:
     """Enforces accounts' limits together with the other routers."""
 
-    def __init__(self, name: str, gossip: Gossip, fleet: Callable[[], FleetConfiguration]) -> None:
+    def __init__(
+        self, name: str, gossip: Gossip, configuration: Callable[[], FleetConfiguration]
+    ) -> None:
         self.gate = AccountGate()
         self.share_user = ShareUser()
         self.share_home = ShareHome()
         self._name = name
         self._gossip = gossip
-        self._fleet = fleet
+        self._configuration = configuration
         self._live_members: tuple[Member, ...] = ()
         self._now = 0.0
         gossip.on_limits = self._receive
@@ -69,7 +71,7 @@
     def tick(self, now: float) -> list[Datagram]:
         """Return the packets with the demands that are due, for each home router."""
         self._now = now
-        policy_by_account = self._fleet().policy_by_account
+        policy_by_account = self._configuration().policy_by_account
         limits = {
             name: self._limits_of(name)
             for name in self.share_user.own_demand_by_account
@@ -109,7 +111,7 @@
                 )
                 self.share_user.record_share(share, self._now)
             return []
-        policy_by_account = self._fleet().policy_by_account
+        policy_by_account = self._configuration().policy_by_account
         shares = [
             self._allocate_share(message.sender, limit_demand)
             for limit_demand in message.demands
@@ -124,7 +126,7 @@
         return LimitShare(limit_demand.account, share.requests_per_second, share.concurrency)
 
     def _limits_of(self, account: str) -> AccountLimits:
-        policy = self._fleet().policy_by_account[account]
+        policy = self._configuration().policy_by_account[account]
         return AccountLimits(policy.requests_per_second, policy.burst, policy.concurrency)
 
 
--- a/pondhatch/router/_order_duties.py
+++ b/pondhatch/router/_order_duties.py
@@ -17,7 +17,7 @@
 
     def services(self) -> tuple[str, ...]:
         """Return the names of the services whose engines get orders."""
-        specs = self.state.fleet.service_by_name.items()
+        specs = self.state.configuration.service_by_name.items()
         return tuple(name for name, spec in specs if spec.orders is not None)
 
     def should_hold_lease(self, service: str) -> bool:
@@ -28,7 +28,7 @@
 
     def orders_of(self, service: str) -> OrdersSpec | None:
         """Return the orders for a service's engines, or None where there are none."""
-        spec = self.state.fleet.service_by_name.get(service)
+        spec = self.state.configuration.service_by_name.get(service)
         return spec.orders if spec is not None else None
 
     def platform_era(self) -> int:
--- a/pondhatch/router/_startup_wait.py
+++ b/pondhatch/router/_startup_wait.py
@@ -28,9 +28,11 @@
 
 def not_ready_refusal(state: RouterState) -> NotRun | None:
     """Return the refusal of a router that lacks its initial state, or None if it is ready."""
-    if state.fleet.version > 0 and state.halls.evacuations.is_known:
+    if state.configuration.version > 0 and state.halls.evacuations.is_known:
         return None
-    lacks = "which data halls are evacuated" if state.fleet.version > 0 else "a configuration"
+    lacks = (
+        "which data halls are evacuated" if state.configuration.version > 0 else "a configuration"
+    )
     return NotRun("not-ready", f"this router does not know {lacks} yet", NOT_READY_RETRY_AFTER)
 
 
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -86,7 +86,7 @@
     clock: Callable[[], float]
     #: Returns a client for another router's idempotency keys.
     connect: Callable[[Member], KeyHolder]
-    fleet: FleetConfiguration = field(default_factory=FleetConfiguration)
+    configuration: FleetConfiguration = field(default_factory=FleetConfiguration)
     upstreams: UpstreamList = field(default_factory=UpstreamList)
     #: Upstreams whose entries vanished from the list a short while ago.
     vanished: VanishedUpstreams = field(default_factory=VanishedUpstreams)
@@ -146,7 +146,7 @@
     _intakes: Intakes = field(init=False)
 
     def __post_init__(self) -> None:
-        self.limits = FleetLimits(self.name, self.gossip, lambda: self.fleet)
+        self.limits = FleetLimits(self.name, self.gossip, lambda: self.configuration)
         self._started_at = self.clock()
         self.local_key_holder = LocalKeyHolder(self.key_table, self.clock)
         self._upstream_changes = UpstreamChanges(self.upstreams, self.vanished, self.notices)
@@ -157,7 +157,7 @@
             self._upstream_changes.cold_periods,
             self.notices,
             lambda: self.clock(),
-            lambda: self.fleet.service_by_name,
+            lambda: self.configuration.service_by_name,
         )
         self._owners = Owners(self.name, self.upstreams, self._intakes.upstream)
 
@@ -326,7 +326,7 @@
     def target(self, engine: str) -> Target | None:
         """Return an upstream as its owner's decisions need it, or None for an unknown one."""
         upstream = self._intakes.upstream(engine)
-        service = self.fleet.service_by_name.get(upstream.service) if upstream else None
+        service = self.configuration.service_by_name.get(upstream.service) if upstream else None
         if upstream is None or service is None:
             return None
         return Target(
@@ -420,26 +420,28 @@
         A rejected change is skipped: the version advances, and none of its edits apply.
         Where a version is missing between, nothing changes and the gap is returned.
         """
-        if change.version <= self.fleet.version:
+        if change.version <= self.configuration.version:
             return None
-        next_fleet = self.fleet.with_change(change)
-        if isinstance(next_fleet, VersionGap):
-            return next_fleet
-        if isinstance(next_fleet, Rejected):
-            self._put_in_force(self.fleet.with_skipped_change(change), source)
-            return next_fleet
-        self._put_in_force(next_fleet, source)
+        next_configuration = self.configuration.with_change(change)
+        if isinstance(next_configuration, VersionGap):
+            return next_configuration
+        if isinstance(next_configuration, Rejected):
+            self._put_in_force(self.configuration.with_skipped_change(change), source)
+            return next_configuration
+        self._put_in_force(next_configuration, source)
         return None
 
-    def apply_fleet(self, fleet: FleetConfiguration, source: str = PLATFORM_SOURCE) -> bool:
+    def apply_configuration(
+        self, configuration: FleetConfiguration, source: str = PLATFORM_SOURCE
+    ) -> bool:
         """Put a configuration in force if it is newer; return whether it is."""
-        if fleet.version <= self.fleet.version:
+        if configuration.version <= self.configuration.version:
             return False
-        self._put_in_force(fleet, source)
+        self._put_in_force(configuration, source)
         return True
 
-    def _put_in_force(self, fleet: FleetConfiguration, source: str) -> None:
-        self.fleet = fleet
+    def _put_in_force(self, configuration: FleetConfiguration, source: str) -> None:
+        self.configuration = configuration
         self.configuration_source = source
         self.needs_snapshot = False
         self.rejected = None
@@ -452,36 +454,36 @@
         Otherwise an entry that a caller names and this router lacks may be one that is not in
         force here, and to answer that it does not exist would be wrong.
         """
-        return self.rejected is None and self.fleet.is_fully_applied(kind)
+        return self.rejected is None and self.configuration.is_fully_applied(kind)
 
     def apply_update(
         self, update: Update, source: str = PLATFORM_SOURCE
     ) -> Rejected | VersionGap | None:
         """Apply a peer's update; return the first change that was rejected or left a gap."""
-        if update.snapshot is not None and update.snapshot.version > self.fleet.version:
-            self.apply_fleet(self.fleet.with_snapshot(update.snapshot), source)
+        if update.snapshot is not None and update.snapshot.version > self.configuration.version:
+            self.apply_configuration(self.configuration.with_snapshot(update.snapshot), source)
         if update.difference is not None:
             self._apply_difference(update.difference, source)
         problems = [self.apply_change(change, source) for change in update.changes]
         return next((problem for problem in problems if problem is not None), None)
 
     def _apply_difference(self, difference: Difference, source: str) -> None:
-        if difference.version <= self.fleet.version:
+        if difference.version <= self.configuration.version:
             return
-        next_fleet = self.fleet.with_difference(difference)
-        self.needs_snapshot = next_fleet is None
-        if next_fleet is not None:
-            self.apply_fleet(next_fleet, source)
+        next_configuration = self.configuration.with_difference(difference)
+        self.needs_snapshot = next_configuration is None
+        if next_configuration is not None:
+            self.apply_configuration(next_configuration, source)
 
     def update_since(self, version: int, takes_difference: bool = True) -> Update:
         """Return the update for a router at a version: changes, a difference or a snapshot."""
-        changes = self.fleet.changes_since(version)
+        changes = self.configuration.changes_since(version)
         if changes is not None:
             return Update(changes=changes)
-        difference = self.fleet.difference_since(version) if takes_difference else None
+        difference = self.configuration.difference_since(version) if takes_difference else None
         if difference is not None:
             return Update(difference=difference)
-        return Update(snapshot=self.fleet.snapshot())
+        return Update(snapshot=self.configuration.snapshot())
 
     # -- load ---------------------------------------------------------------
 
@@ -500,7 +502,7 @@
     def has_initial_state(self) -> bool:
         """Return whether this router knows all that it needs to route requests."""
         is_listed = self.upstreams.version > 0 and self.halls.evacuations.is_known
-        return self.fleet.version > 0 and is_listed
+        return self.configuration.version > 0 and is_listed
 
     def is_draining(self) -> bool:
         """Return whether this router is draining."""
@@ -510,7 +512,7 @@
         """Set the contents of this router's heartbeats."""
         self.gossip.publish(
             self.phase,
-            self.fleet.version,
+            self.configuration.version,
             self.upstreams.version,
             self._loads(),
             sees_platform=not self.platform_error,
@@ -534,7 +536,7 @@
             0.0 if is_alone else self.retry_budgets.peak_routers.live_share
         )
         self.publish()
-        self.lag.note(self.fleet.version, self.gossip.newest_configuration(), self.clock())
+        self.lag.note(self.configuration.version, self.gossip.newest_configuration(), self.clock())
 
     def _loads(self) -> tuple[ServiceLoad, ...]:
         now = self.clock()
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -77,7 +77,7 @@
         return [StateChange("platform", "store", "lost" if error else "answering", why=error)]
 
     def _configuration_changes(self) -> list[StateChange]:
-        version = self.state.fleet.version
+        version = self.state.configuration.version
         if version == self._configuration_version:
             return []
         before, self._configuration_version = self._configuration_version, version
@@ -97,11 +97,11 @@
         ]
 
     def _misfit_changes(self) -> list[StateChange]:
-        misfits_by_entry = self.state.fleet.misfits_by_entry
+        misfits_by_entry = self.state.configuration.misfits_by_entry
         if misfits_by_entry == self._misfits_by_entry:
             return []
         before, self._misfits_by_entry = self._misfits_by_entry, misfits_by_entry
-        version = self.state.fleet.version
+        version = self.state.configuration.version
         text_by_entry = {key: format_misfits(found) for key, found in misfits_by_entry.items()}
         changed = [key for key in text_by_entry if before.get(key) != misfits_by_entry[key]]
         mended = sorted(before.keys() - text_by_entry.keys())
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -207,7 +207,7 @@
             self._announce()
 
     async def _watch_changes(self) -> None:
-        async for configuration_event in self._source.follow(lambda: self._state.fleet):
+        async for configuration_event in self._source.follow(lambda: self._state.configuration):
             self._apply_configuration_event(configuration_event)
             self._state.platform_error = ""
             await self._peers_discovered.wait()
@@ -222,7 +222,7 @@
         else:
             # Cleared also where this configuration is not newer: the rejected one was replaced.
             self._state.rejected = None
-            if self._state.apply_fleet(configuration_event):
+            if self._state.apply_configuration(configuration_event):
                 self._announce()
 
     def _apply_change(self, change: Change) -> None:
@@ -299,7 +299,7 @@
             return
         same_hall = [member for member in older_peers if member.hall == self._state.hall]
         pulled = await self._pull(
-            self._rng.choice(same_hall or older_peers), self._state.fleet.version, 0
+            self._rng.choice(same_hall or older_peers), self._state.configuration.version, 0
         )
         if pulled is not None:
             self._state.apply_evacuations(pulled.evacuations)
@@ -331,7 +331,7 @@
         self._pending_peers.add(peer.name)
         try:
             state = self._state
-            pulled = await self._pull(peer, state.fleet.version, state.upstreams.version)
+            pulled = await self._pull(peer, state.configuration.version, state.upstreams.version)
         finally:
             self._pending_peers.discard(peer.name)
         seconds = self._state.clock() - started_at
@@ -362,7 +362,7 @@
         """Return the versions that this router holds."""
         state = self._state
         return Versions(
-            state.fleet.version, state.upstreams.version, state.halls.evacuations.version
+            state.configuration.version, state.upstreams.version, state.halls.evacuations.version
         )
 
     def _peers_to_pull_from(self) -> list[Member]:
@@ -397,4 +397,4 @@
 
     def _log_if_rejected(self, problem: Rejected | VersionGap | None) -> None:
         if isinstance(problem, Rejected):
-            log.error("Change {} is void: {}.", self._state.fleet.version, problem)
+            log.error("Change {} is void: {}.", self._state.configuration.version, problem)
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -49,7 +49,7 @@
     """Apply versions of the document to a router as the platform's watch brings them."""
     reader = ConfigurationReader(ServiceDefaults())
     for document in documents:
-        state.apply_fleet(state.fleet.with_snapshot(reader.decode(document)))
+        state.apply_configuration(state.configuration.with_snapshot(reader.decode(document)))
 
 
 class OneAccountBesideManyRoutesTest(unittest.TestCase):
@@ -57,13 +57,13 @@
         state = router("r0")
         document = large_configuration(3)
         apply_documents(state, document)
-        before = state.fleet.routes
+        before = state.configuration.routes
         tenants = [*document["Tenants"], {"Name": "added", "ApiKeys": ["key-added"]}]
         usable_routes = "pondhatch.configuration._editing.usable_routes"
         with patch(usable_routes, side_effect=AssertionError("went through all routes")):
             apply_documents(state, {**document, "Version": 6, "Tenants": tenants})
-        self.assertIn("added", state.fleet.policy_by_account)
-        self.assertIs(state.fleet.routes, before)
+        self.assertIn("added", state.configuration.policy_by_account)
+        self.assertIs(state.configuration.routes, before)
 
 
 class OneChangeOfManyRoutesTest(unittest.TestCase):
@@ -75,7 +75,7 @@
         apply_documents(self.sender, with_changed_route(self.first, 6))
 
     def update(self) -> Update:
-        return self.sender.update_since(self.receiver.fleet.version)
+        return self.sender.update_since(self.receiver.configuration.version)
 
     def test_the_update_is_as_small_as_the_change(self) -> None:
         reply = PullReply(self.update(), UpstreamUpdate(1, (), whole=False))
@@ -88,8 +88,10 @@
             FleetConfiguration, "with_snapshot", side_effect=AssertionError("compared whole")
         ):
             self.receiver.apply_update(update)
-        self.assertEqual(self.receiver.fleet.version, 6)
-        self.assertEqual(self.receiver.fleet.raw_by_entry, self.sender.fleet.raw_by_entry)
+        self.assertEqual(self.receiver.configuration.version, 6)
+        self.assertEqual(
+            self.receiver.configuration.raw_by_entry, self.sender.configuration.raw_by_entry
+        )
 
 
 class DifferenceNotApplicableTest(unittest.TestCase):
@@ -104,17 +106,19 @@
         )
 
     def test_a_peer_that_takes_no_difference_gets_a_snapshot(self) -> None:
-        update = self.sender.update_since(self.receiver.fleet.version, takes_difference=False)
+        update = self.sender.update_since(
+            self.receiver.configuration.version, takes_difference=False
+        )
         self.assertIsNone(update.difference)
         assert update.snapshot is not None
-        self.assertEqual(update.snapshot.version, self.sender.fleet.version)
+        self.assertEqual(update.snapshot.version, self.sender.configuration.version)
 
     def test_a_misfit_difference_changes_nothing_and_a_snapshot_is_pulled_at_once(self) -> None:
         other = copy.deepcopy(CONFIGURATION)
         other["Routes"][0]["Priority"] += 1
         receiver = router("r1")
         apply_documents(receiver, other)
-        before = receiver.fleet
+        before = receiver.configuration
         peer = self.sender
         meet(receiver, peer)
         asked: list[bool] = []
@@ -123,7 +127,7 @@
             asked.append(not receiver.needs_snapshot)
             update = peer.update_since(configuration, takes_difference=asked[-1])
             if asked[-1]:
-                self.assertIs(receiver.fleet, before)
+                self.assertIs(receiver.configuration, before)
             return PullReply(update, UpstreamUpdate(1, (), whole=False))
 
         async def main() -> None:
@@ -131,5 +135,5 @@
 
         run_virtually(main())
         self.assertEqual(asked, [True, False])
-        self.assertEqual(receiver.fleet.raw_by_entry, peer.fleet.raw_by_entry)
+        self.assertEqual(receiver.configuration.raw_by_entry, peer.configuration.raw_by_entry)
         self.assertFalse(receiver.needs_snapshot)
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -59,7 +59,7 @@
         self.assertEqual(shown, [("studio", 80, True), ("atelier", 30, False)])
 
     def test_no_hash_of_a_key_is_in_it(self) -> None:
-        hashed = self.state.fleet.entry("account", "atelier")["key_hashes"][0]
+        hashed = self.state.configuration.entry("account", "atelier")["key_hashes"][0]
         self.assertNotIn(hashed.encode(), msgspec.json.encode(self.dump({})))
 
     def test_it_shows_what_requests_hold_of_engines_memory(self) -> None:
--- a/pondhatch/router/tests/test_peer_discovery.py
+++ b/pondhatch/router/tests/test_peer_discovery.py
@@ -52,7 +52,7 @@
             task = asyncio.ensure_future(new_sync(state, platform, None, "127.0.0.1:1").run())
             await asyncio.sleep(1.0)
             task.cancel()
-            return state.fleet.version
+            return state.configuration.version
 
         self.assertEqual(run_virtually(main()), 1)
 
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -50,7 +50,7 @@
             await asyncio.wait(waiting)
 
         run_virtually(main())
-        return most_at_once, total, state.fleet.version
+        return most_at_once, total, state.configuration.version
 
     def test_there_is_one_pull_at_a_time_and_it_brings_all(self) -> None:
         self.assertEqual(self.pulls(50), (1, 1, 2))
@@ -88,7 +88,7 @@
             tasks = [asyncio.ensure_future(new_peer_sync(self.state, pull).run())]
             if later is not None:
                 tasks.append(asyncio.ensure_future(later()))
-            while self.state.fleet.version < 2:
+            while self.state.configuration.version < 2:
                 await asyncio.sleep(0.01)
             for task in tasks:
                 task.cancel()
--- a/pondhatch/router/tests/test_state_recorder.py
+++ b/pondhatch/router/tests/test_state_recorder.py
@@ -67,7 +67,7 @@
         self.assertEqual(self.new_records(), [("configuration", "", "refused", 0)])
         self.state.rejected = Rejected(((("document", "main"), Misfit((), "none at all")),))
         self.assertEqual(self.new_records(), [])
-        self.state.apply_fleet(FleetConfiguration(version=5))
+        self.state.apply_configuration(FleetConfiguration(version=5))
         self.assertEqual(
             self.new_records(),
             [("configuration", "", "in force", 5), ("configuration", "", "taken again", 0)],
@@ -75,7 +75,7 @@
 
     def test_a_misfit_entry_and_its_end_are_recorded(self) -> None:
         wrong = Edit("account", "a", {"template": "none", "key_hashes": ["0" * 64]})
-        self.state.apply_fleet(
+        self.state.apply_configuration(
             FleetConfiguration.from_snapshot(Snapshot(3, (SERVICE, TEMPLATE, wrong)))
         )
         self.assertEqual(
@@ -87,7 +87,9 @@
         ]
         self.assertIn("undefined template 'none'", str(record))
         self.assertEqual(self.new_records(), [])
-        self.state.apply_fleet(FleetConfiguration.from_snapshot(Snapshot(4, (SERVICE, TEMPLATE))))
+        self.state.apply_configuration(
+            FleetConfiguration.from_snapshot(Snapshot(4, (SERVICE, TEMPLATE)))
+        )
         self.assertEqual(
             self.new_records(),
             [("configuration", "", "in force", 4), ("entry", "account a", "mended or gone", 4)],
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -124,7 +124,7 @@
         state = router("r0")
         state.refresh_members()
         await self.run_for(new_sync(state, self.platform, None))
-        self.assertEqual(state.fleet.version, 1)
+        self.assertEqual(state.configuration.version, 1)
 
     async def peers_asked_for_joins(self, *starts: int) -> list[str]:
         """Start a router beside peers with these start times (ms); return the peers it asks."""
@@ -155,18 +155,18 @@
         meet(state, peer)
         self.platform.faults.arm("outage", count=1000)
         await self.run_for(new_sync(state, self.platform, peer))
-        self.assertEqual((state.fleet.version, state.upstreams.version), (2, 5))
-        self.assertIn("a", state.fleet.policy_by_account)
+        self.assertEqual((state.configuration.version, state.upstreams.version), (2, 5))
+        self.assertIn("a", state.configuration.policy_by_account)
 
     async def test_one_far_behind_gets_a_snapshot(self) -> None:
         peer, state = router("r1"), router("r0")
         restored = FleetConfiguration.from_snapshot(self.fleet_with(9).snapshot())
         assert isinstance(restored, FleetConfiguration)
-        peer.apply_fleet(restored)
+        peer.apply_configuration(restored)
         update = peer.update_since(0)
         self.assertIsNotNone(update.snapshot)
         self.assertIsNone(state.apply_update(update))
-        self.assertEqual(state.fleet.version, 9)
+        self.assertEqual(state.configuration.version, 9)
 
     def fleet_with(self, version: int) -> FleetConfiguration:
         fleet = FleetConfiguration().with_change(FIRST)
@@ -211,7 +211,7 @@
 
     async def test_the_older_configuration_stays_in_force_and_counts_as_incomplete(self) -> None:
         state = await self.state_after(FleetConfiguration(version=3), self.REJECTED)
-        self.assertEqual((state.fleet.version, state.rejected), (3, self.REJECTED))
+        self.assertEqual((state.configuration.version, state.rejected), (3, self.REJECTED))
         self.assertFalse(state.has_all_entries("route"))
 
     async def test_restoring_the_same_version_ends_the_rejection(self) -> None:
@@ -227,19 +227,19 @@
         state = router("r0")
         for each in (FIRST, change(2, account("a")), change(3, account("a", 7.0))):
             state.apply_change(each)
-        before = state.fleet
+        before = state.configuration
         stale = FleetConfiguration().with_change(FIRST)
         assert isinstance(stale, FleetConfiguration)
-        self.assertFalse(state.apply_fleet(stale))
+        self.assertFalse(state.apply_configuration(stale))
         self.assertIsNone(state.apply_change(change(2, account("a", 1.0))))
         self.assertIsNone(state.apply_update(Update(snapshot=stale.snapshot())))
-        self.assertIs(state.fleet, before)
+        self.assertIs(state.configuration, before)
 
     def test_a_gap_is_reported_and_nothing_is_skipped(self) -> None:
         state = router("r0")
         state.apply_change(FIRST)
         self.assertEqual(state.apply_change(change(3, account("a"))), VersionGap(1, 3))
-        self.assertEqual(state.fleet.version, 1)
+        self.assertEqual(state.configuration.version, 1)
 
     def test_a_rejected_change_is_voided_and_later_ones_apply(self) -> None:
         state = router("r0")
@@ -247,7 +247,7 @@
         bad = change(2, Edit("account", "x", {"template": "none"}))
         self.assertIsInstance(state.apply_change(bad), Rejected)
         self.assertIsNone(state.apply_change(change(3, account("a"))))
-        self.assertEqual(set(state.fleet.policy_by_account), {"a"})
+        self.assertEqual(set(state.configuration.policy_by_account), {"a"})
 
     def test_an_older_entry_of_an_upstream_never_replaces_a_newer_one(self) -> None:
         state = router("r0")
@@ -479,7 +479,7 @@
             own.clock = lambda: asyncio.get_running_loop().time()
             task = asyncio.ensure_future(new_sync(own, platform, None).run())
             await asyncio.sleep(PEER_DISCOVERY_SECONDS / 2)
-            version, soon = own.fleet.version, platform.watches
+            version, soon = own.configuration.version, platform.watches
             await asyncio.sleep(1.0)
             task.cancel()
             return version, soon, platform.watches
@@ -551,7 +551,7 @@
             await asyncio.sleep(3.0)
             for task in tasks:
                 task.cancel()
-            return states[other].fleet.version
+            return states[other].configuration.version
 
         return run_virtually(main())
 
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -167,7 +167,7 @@
             chat = read_chat(account.name, body)
         except MalformedChat as error:
             return NotRun("malformed", str(error), 0.0, BAD_REQUEST)
-        service = self._state.fleet.service_of_model(chat.model)
+        service = self._state.configuration.service_of_model(chat.model)
         admitted = admit(self._state, account, service)
         if isinstance(admitted, NotRun):
             return admitted
@@ -193,7 +193,7 @@
         admitted = admit(self._state, account, service)
         if isinstance(admitted, NotRun):
             return admitted
-        spec = self._state.fleet.service_by_name[admitted.service]
+        spec = self._state.configuration.service_by_name[admitted.service]
         head = self._head(request, account, admitted, path)
         head = msgspec.structs.replace(head, repeatable=head.method in spec.repeatable_methods)
         body = request.body()
@@ -237,11 +237,11 @@
             self._answers.refuse(request, account)
             return b""
         request.setHeader(b"Content-Type", b"application/json")
-        services = self._state.fleet.policy_by_account[account.name].services
+        services = self._state.configuration.policy_by_account[account.name].services
         models = [
             {"id": model, "object": "model", "created": 0, "owned_by": service}
             for service in services
-            for model in self._state.fleet.service_by_name[service].models
+            for model in self._state.configuration.service_by_name[service].models
         ]
         return msgspec.json.encode({"object": "list", "data": models})
 
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -37,7 +37,7 @@
 
 
 def _is_model_service(state: RouterState, service: str) -> bool:
-    spec = state.fleet.service_by_name.get(service)
+    spec = state.configuration.service_by_name.get(service)
     return spec is not None and spec.kind == "model"
 
 
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -318,7 +318,7 @@
                 placed_ms=_milliseconds(timings.placed),
                 pause_ms=_milliseconds(timings.longest_pause),
                 context=f"{admitted_request.head.chat:x}" if admitted_request.head.chat else "",
-                configuration=self._state.fleet.version,
+                configuration=self._state.configuration.version,
                 upstream=dispatch.engine or "",
                 in_flight=dispatch.last_grant.in_flight,
                 ceiling=dispatch.last_grant.ceiling,
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -153,7 +153,7 @@
                 service="",
                 outcome=code,
                 ms=round((time.monotonic() - started_at) * 1000),
-                configuration=self._state.fleet.version,
+                configuration=self._state.configuration.version,
             )
         )
 
@@ -214,7 +214,7 @@
             return NotRun("stopping", "this router is stopping; ask another", 0.0)
         host = _host(request)
         path = request.uri.decode("latin-1")
-        route = self._state.fleet.routes.find(host, path)
+        route = self._state.configuration.routes.find(host, path)
         if isinstance(route, UnusableRoute):
             return not_in_force_refusal("route")
         if route is None:
@@ -227,7 +227,7 @@
 
     def _targets_models(self, route: Route) -> bool:
         """Return whether a route has a model service; plain services define their own paths."""
-        services = self._state.fleet.service_by_name
+        services = self._state.configuration.service_by_name
         return any(services[target.service].kind == "model" for target in route.spec.targets)
 
     def _admit(
@@ -254,7 +254,7 @@
 
     def _max_body_bytes(self) -> int:
         default = self._limits().chat_body_bytes
-        bounds = self._state.fleet.caller_bounds
+        bounds = self._state.configuration.caller_bounds
         return default if bounds is None else _value_or(bounds.body_bytes, default)
 
 
@@ -323,7 +323,7 @@
 
 def effective_caller_limits(state: RouterState, settings: CallerLimits) -> CallerLimits:
     """Return callers' limits: those of the configuration in force, else of the settings."""
-    bounds = state.fleet.caller_bounds
+    bounds = state.configuration.caller_bounds
     if bounds is None:
         return settings
     return CallerLimits(
--- a/pondhatch/transport/tests/test_header_bytes.py
+++ b/pondhatch/transport/tests/test_header_bytes.py
@@ -103,7 +103,7 @@
         """Return the response to a caller with this API key; empty if an engine got the request."""
         await self.asyncSetUp()
         accounts = [{"Name": "pina", "ApiKeys": [key]}]
-        version = self.state.fleet.version + 1
+        version = self.state.configuration.version + 1
         put_in_force(self.state, {**CONFIGURATION, "Version": version, "Tenants": accounts})
         return await self.begin(
             b"POST /proofs/a HTTP/1.1", b"Authorization: Bearer " + key.encode()
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -53,7 +53,7 @@
 class OpenAiCallersTest(RoutedCallersTest):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.state.apply_fleet(_fleet())
+        self.state.apply_configuration(_fleet())
         self.state.apply_listed_evacuations(Listed(1, ()))
         parts = CallerParts(
             self.state,
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -171,7 +171,7 @@
 
 
 def put_in_force(state: RouterState, configuration: Any) -> None:
-    state.apply_fleet(
+    state.apply_configuration(
         FleetConfiguration().with_snapshot(decode_configuration(configuration, ServiceDefaults()))
     )
     state.apply_listed_evacuations(Listed(1, ()))
@@ -261,7 +261,7 @@
         self.assertEqual(self.upstreams.sent, [])
 
     async def test_callers_are_told_to_retry_before_any_configuration(self) -> None:
-        self.state.fleet = FleetConfiguration()
+        self.state.configuration = FleetConfiguration()
         response = await self.ask("GET /x HTTP/1.1")
         self.assertTrue(response.startswith(b"HTTP/1.1 503"))
         self.assertIn(b"Retry-After: 0.500", response)
@@ -291,7 +291,7 @@
         self.assertNotEqual(found["upstream"], self.upstreams.sent[0][0])
 
     async def test_a_body_beyond_the_limit_in_force_is_refused(self) -> None:
-        self.state.fleet = replace(self.state.fleet, caller_bounds=None)
+        self.state.configuration = replace(self.state.configuration, caller_bounds=None)
         self.limits = CallerLimits(chat_body_bytes=1024)
         response = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"x" * 1025)
         self.assertTrue(response.startswith(b"HTTP/1.1 413"), response)
@@ -627,14 +627,14 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.fleet, self.state.fleet = self.state.fleet, FleetConfiguration()
+        self.fleet, self.state.configuration = self.state.configuration, FleetConfiguration()
         self.held = HeldStartup(self.state)
         self.callers._startup_wait = self.held
 
     async def test_held_requests_are_served_by_the_configuration_received(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         self.assertEqual(await self.ask("GET /x HTTP/1.1"), b"")
-        self.state.fleet = self.fleet
+        self.state.configuration = self.fleet
         self.held.over.set()
         await self.settle()
         self.assertTrue(self.written().startswith(b"HTTP/1.1 200"))
