--- a/pondhatch/configuration/tests/test_files.py
+++ b/pondhatch/configuration/tests/test_files.py
@@ -24,7 +24,7 @@
 from pondhatch.configuration._settings import MAX_NAME_LENGTH
 from pondhatch.membership import Address, Alive, MembershipLimits, Phase, Seal
 from pondhatch.membership._datagrams import datagram_to
-from pondhatch.membership._records import Sync
+from pondhatch.membership._records import FullSyncPart
 
 #: Largest payload of a UDP packet over IPv4, in bytes.
 UDP_BYTES = 65_507
@@ -242,7 +242,7 @@
         limits = MembershipLimits()
         big = 1 << 62
         alive = Alive((1 << 32) - 1, big, Phase.LIVE, longest, "ff" * 20, 65535, longest)
-        part = Sync(alive.router, True, (alive,) * limits.sync_part_rumors)
+        part = FullSyncPart(alive.router, True, (alive,) * limits.sync_part_rumors)
         sealed = Seal(b"k" * 16).sign(datagram_to(Address("", 0), part).payload)
         self.assertLessEqual(len(sealed), UDP_BYTES)
 
--- a/pondhatch/membership/_datagrams.py
+++ b/pondhatch/membership/_datagrams.py
@@ -7,7 +7,7 @@
 
 from pondhatch.kernel import without_defaults
 from pondhatch.membership._member_table import Address
-from pondhatch.membership._records import Ack, Alive, Announcement, Packet, Ping, Sync
+from pondhatch.membership._records import Ack, Alive, Announcement, FullSyncPart, Packet, Ping
 
 _ENCODER = msgspec.msgpack.Encoder()
 
@@ -26,7 +26,7 @@
 
 def _encode(message: Packet) -> bytes:
     """Return a message's bytes; rumors, the last field, are encoded without a usual capacity."""
-    if not isinstance(message, (Ping, Ack, Announcement, Sync)) or not message.rumors:
+    if not isinstance(message, (Ping, Ack, Announcement, FullSyncPart)) or not message.rumors:
         return _ENCODER.encode(message)
     rumors = [
         without_defaults(rumor, "capacity") if isinstance(rumor, Alive) else rumor
--- a/pondhatch/membership/_full_sync.py
+++ b/pondhatch/membership/_full_sync.py
@@ -8,7 +8,7 @@
 from pondhatch.membership._dissemination import Dissemination
 from pondhatch.membership._member_table import Address, MemberTable
 from pondhatch.membership._membership_limits import MembershipLimits
-from pondhatch.membership._records import Sync
+from pondhatch.membership._records import FullSyncPart
 
 
 class FullSync:
@@ -41,6 +41,6 @@
         size = self._limits.sync_part_rumors
         parts = [tuple(rumors[at : at + size]) for at in range(0, len(rumors), size)]
         return [
-            datagram_to(address, Sync(own_record.router, wants_reply and at == 0, part))
+            datagram_to(address, FullSyncPart(own_record.router, wants_reply and at == 0, part))
             for at, part in enumerate(parts)
         ]
--- a/pondhatch/membership/_ownership.py
+++ b/pondhatch/membership/_ownership.py
@@ -38,7 +38,7 @@
     engines.
     """
     candidates = live.get(hall) or {
-        name: each for own in live.values() for name, each in own.items()
+        name: capacity for routers in live.values() for name, capacity in routers.items()
     }
     return weighted_winner(f"owner:{engine}", candidates)
 
--- a/pondhatch/membership/_reconnection.py
+++ b/pondhatch/membership/_reconnection.py
@@ -8,7 +8,7 @@
 from pondhatch.membership._dissemination import Dissemination
 from pondhatch.membership._member_table import Address, Entry, MemberTable
 from pondhatch.membership._membership_limits import MembershipLimits
-from pondhatch.membership._records import Sync
+from pondhatch.membership._records import FullSyncPart
 
 
 class Reconnection:
@@ -56,5 +56,7 @@
     def _sync_request(self, address: Address, known: Entry | None) -> Datagram:
         """Return a request for a full sync; to a dead router with the rumor that it must refute."""
         own_record = self._dissemination.own_record
-        about = (known.rumor(),) if known is not None else ()
-        return datagram_to(address, Sync(own_record.router, True, (own_record, *about)))
+        about_receiver = (known.rumor(),) if known is not None else ()
+        return datagram_to(
+            address, FullSyncPart(own_record.router, True, (own_record, *about_receiver))
+        )
--- a/pondhatch/membership/_records.py
+++ b/pondhatch/membership/_records.py
@@ -119,7 +119,7 @@
     rumors: tuple[Rumor, ...] = ()
 
 
-class Sync(_Message, frozen=True, tag=14):
+class FullSyncPart(_Message, frozen=True, tag=14):
     """A part of the sender's whole view; ``wants_reply`` asks for the receiver's."""
 
     sender: int
@@ -193,7 +193,7 @@
     shares: tuple[LimitShare, ...] = ()
 
 
-MembershipMessage = Ping | Ack | PingRequest | Announcement | Sync
+MembershipMessage = Ping | Ack | PingRequest | Announcement | FullSyncPart
 LoadMessage = RouterLoads | HallLoads | FleetLoads
 LimitMessage = LimitDemands | LimitShares
 Packet = MembershipMessage | LoadMessage | LimitMessage
--- a/pondhatch/membership/_rumors.py
+++ b/pondhatch/membership/_rumors.py
@@ -38,8 +38,10 @@
     def next_batch_for(self, receiver: int, own: Alive) -> tuple[Rumor, ...]:
         """Return the rumors for a packet, with a rumor about the receiver that it must refute."""
         entry = self._table.get(receiver)
-        about = (entry.rumor(),) if entry is not None and entry.status != Status.ALIVE else ()
-        return (*about, *self.next_batch(own))
+        about_receiver = (
+            (entry.rumor(),) if entry is not None and entry.status != Status.ALIVE else ()
+        )
+        return (*about_receiver, *self.next_batch(own))
 
     def _rumor_about(self, router: int, own: Alive) -> Rumor | None:
         if router == own.router:
--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -32,7 +32,7 @@
     watchers,
 )
 from pondhatch.membership._datagrams import datagram_to
-from pondhatch.membership._records import Ack, Announcement, Fault, Ping, Rumor, Sync
+from pondhatch.membership._records import Ack, Announcement, Fault, FullSyncPart, Ping, Rumor
 from pondhatch.membership.tests.test_gossip import SimulatedNetwork
 
 CAPACITIES = (0.5, 0.7, 1.0, 1.0, 1.3, 1.6, 1.9, 2.2)
@@ -158,7 +158,7 @@
             Announcement(1, Versions(2, 3), rumors),
             Ping(1, 9, Versions(), 7, (*rumors, Fault(2, 3, 1))),
             Ack(1, 9, Versions(), 7, rumors),
-            Sync(1, True, rumors),
+            FullSyncPart(1, True, rumors),
         )
         return [datagram_to(ANY_ADDRESS, message).payload.hex() for message in messages]
 
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -116,7 +116,7 @@
         """Return the section's keys."""
         state = self.view(RouterState)
         now = state.clock()
-        down = sorted(state.health.health_by_upstream.items())
+        failing = sorted(state.health.health_by_upstream.items())
         return {
             "upstreams": [
                 {
@@ -138,7 +138,7 @@
                 for name, known in sorted(state.paces.current(now).items())
             ],
             "upstreams_failing": [
-                {"name": name, "failures": health.consecutive_failures} for name, health in down
+                {"name": name, "failures": health.consecutive_failures} for name, health in failing
             ],
         }
 
--- a/pondhatch/router/_grant_exchange.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -101,13 +101,14 @@
         if members is self._checked_members:
             return []
         self._checked_members = members
-        now = {member.name: member.incarnation for member in members}
+        incarnation_by_name = {member.name: member.incarnation for member in members}
         known = self._incarnation_by_name
-        self._incarnation_by_name = {**known, **now}
+        self._incarnation_by_name = {**known, **incarnation_by_name}
         return [
             name
-            for name in now
-            if now[name] - known.get(name, now[name]) >= RESTART_INCARNATION_STEP
+            for name in incarnation_by_name
+            if incarnation_by_name[name] - known.get(name, incarnation_by_name[name])
+            >= RESTART_INCARNATION_STEP
         ]
 
     def _send_to(self, router: str, packet: GrantPacket) -> None:
--- a/pondhatch/router/_lag.py
+++ b/pondhatch/router/_lag.py
@@ -15,7 +15,7 @@
     #: known to be behind.
     _behind_since: float | None = None
 
-    def note(self, in_force: int, newest: int, now: float) -> None:
+    def record_versions(self, in_force: int, newest: int, now: float) -> None:
         """Record the version in force here and the newest known version."""
         if in_force >= newest:
             self._behind_since = None
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -151,10 +151,10 @@
 
     def _send_to_new_owners(self, in_force: dict[str, Notice]) -> None:
         resting = {name: notice for name, notice in in_force.items() if notice.rest > 0}
-        before, now = self._owner_by_upstream, {n: self._state.owner_name(n) for n in resting}
-        self._owner_by_upstream = now
-        for upstream, owner in now.items():
-            if owner not in (self._state.name, before.get(upstream, owner)):
+        previous, current = self._owner_by_upstream, {n: self._state.owner_name(n) for n in resting}
+        self._owner_by_upstream = current
+        for upstream, owner in current.items():
+            if owner not in (self._state.name, previous.get(upstream, owner)):
                 members = [each for each in self._others() if each.name == owner]
                 self._send_notices({upstream: resting[upstream]}, members)
 
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -197,9 +197,9 @@
         """Return the names of the live routers of the regions, ranked for a key."""
         names = self.live_routers()
         if regions is not None:
-            hall = {member.name: member.hall for member in self._members}
+            hall_by_name = {member.name: member.hall for member in self._members}
             names = tuple(
-                n for n in names if is_region_allowed(self.halls.region(hall[n]), regions)
+                n for n in names if is_region_allowed(self.halls.region(hall_by_name[n]), regions)
             )
         return ranked(f"key:{key}", names)
 
@@ -382,7 +382,7 @@
             self._intakes.invalidate()
         return changed
 
-    def apply_staying_report(self, upstream: str) -> None:
+    def apply_live_report(self, upstream: str) -> None:
         """Apply an upstream's own later report that it is not leaving."""
         if self.notices.record_live_report(upstream, self.clock()):
             self._intakes.invalidate()
@@ -531,12 +531,14 @@
             self._intakes.invalidate()
         self.refresh_members()
         self.retry_budgets.set_routers(len(self.live_routers()), self.clock())
-        is_alone = self.clock() - self._started_at < NO_COLD_GRANTS_SECONDS
+        is_discovering_peers = self.clock() - self._started_at < NO_COLD_GRANTS_SECONDS
         self.cold_pacer.fleet_share = (
-            0.0 if is_alone else self.retry_budgets.peak_routers.live_share
+            0.0 if is_discovering_peers else self.retry_budgets.peak_routers.live_share
         )
         self.publish()
-        self.lag.note(self.configuration.version, self.gossip.newest_configuration(), self.clock())
+        self.lag.record_versions(
+            self.configuration.version, self.gossip.newest_configuration(), self.clock()
+        )
 
     def _loads(self) -> tuple[ServiceLoad, ...]:
         now = self.clock()
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -72,7 +72,7 @@
         self._listed_at = now - known_for
         self._joined_at.update({name: now - age for name, age in age_by_name.items()})
 
-    def note(self, before: frozenset[str], after: frozenset[str], now: float) -> None:
+    def record_joins(self, before: frozenset[str], after: frozenset[str], now: float) -> None:
         """Record the upstreams that joined; ``before`` and ``after`` are the listed names."""
         if not before:
             self._listed_at = now
@@ -92,7 +92,7 @@
     #: When the era has settled, in the clock's seconds; minus infinity where none settles.
     _settles_at: float = float("-inf")
 
-    def note(self, version: Position, now: float) -> None:
+    def record_position(self, version: Position, now: float) -> None:
         """Record the position that the list has reached; a new era starts to settle."""
         era = era_of(version)
         if era > self._era:
@@ -139,9 +139,9 @@
         changed = self.upstreams.apply_update(
             update, self.era_settling.is_settling(update.version, now)
         )
-        self.era_settling.note(self.upstreams.version, now)
+        self.era_settling.record_position(self.upstreams.version, now)
         self._record_changes(names, live, now)
-        self._reopen_staying(leaving)
+        self._reopen_listed_live(leaving)
         self.join_times.merge_from_peer(update.known_for, update.age_by_name, now)
         return changed
 
@@ -165,10 +165,10 @@
             self._leaving_by_list_and_notice(),
         )
         changed = self._apply_to_list(event)
-        self.era_settling.note(self.upstreams.version, now)
+        self.era_settling.record_position(self.upstreams.version, now)
         if changed:
             self._record_changes(names, live, now)
-            self._reopen_staying(leaving)
+            self._reopen_listed_live(leaving)
         return changed
 
     def settle(self, now: float) -> bool:
@@ -189,7 +189,7 @@
     def _record_changes(
         self, names_before: frozenset[str], live_before: dict[str, Upstream], now: float
     ) -> None:
-        self.join_times.note(names_before, self._names(), now)
+        self.join_times.record_joins(names_before, self._names(), now)
         self.cold_periods.update(self.upstreams.entry_by_name.values(), now)
         self._record_vanished(live_before, now)
 
@@ -207,7 +207,7 @@
         notified = (name for name in self.notices.names() if name in by_name)
         return frozenset(name for name in notified if by_name[name].upstream.state == LEAVING)
 
-    def _reopen_staying(self, leaving_before: frozenset[str]) -> None:
+    def _reopen_listed_live(self, leaving_before: frozenset[str]) -> None:
         """Reopen the upstreams that the list showed as leaving before and shows as live now.
 
         An upstream that a notice closed is not reopened by a live entry alone, as the list may be
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -28,7 +28,7 @@
             (5.0, 5, 5, 0.0),
             (6.0, 5, 5, 0.0),
         ):
-            lag.note(in_force, newest, at)
+            lag.record_versions(in_force, newest, at)
             self.assertEqual(lag.seconds(at), expected, at)
 
     def test_a_newer_version_at_a_peer_counts(self) -> None:
--- a/pondhatch/router/tests/test_new_eras.py
+++ b/pondhatch/router/tests/test_new_eras.py
@@ -32,15 +32,15 @@
     def test_the_first_known_era_does_not_settle(self) -> None:
         settling = EraSettling()
         self.assertFalse(settling.is_settling(position_of(3, 1), 0.0))
-        settling.note(position_of(3, 1), 0.0)
+        settling.record_position(position_of(3, 1), 0.0)
         self.assertFalse(settling.is_settling(position_of(3, 9), 0.1))
         self.assertFalse(settling.poll_settled(100.0))
 
     def test_the_end_of_settling_is_reported_once(self) -> None:
         settling = EraSettling()
-        settling.note(position_of(1, 130), 0.0)
+        settling.record_position(position_of(1, 130), 0.0)
         self.assertTrue(settling.is_settling(position_of(2, 100), 5.0))
-        settling.note(position_of(2, 100), 5.0)
+        settling.record_position(position_of(2, 100), 5.0)
         self.assertTrue(settling.is_settling(position_of(2, 101), 5.5))
         found = [
             settling.poll_settled(5.0 + at) for at in (0.0, SETTLE_SECONDS, SETTLE_SECONDS + 1)
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -286,8 +286,8 @@
         for each in (peer, state):
             each.clock = lambda: clock
         join_times = peer._upstream_changes.join_times
-        join_times.note(frozenset(), frozenset({"e0"}), 0.0)
-        join_times.note(frozenset({"e0"}), frozenset({"e0", "e1"}), clock - 5)
+        join_times.record_joins(frozenset(), frozenset({"e0"}), 0.0)
+        join_times.record_joins(frozenset({"e0"}), frozenset({"e0", "e1"}), clock - 5)
         for name, version in (("e0", 1), ("e1", 2)):
             upstream = Upstream(name, "lang", "http://x", "h1")
             peer.upstreams.set(upstream, version)
@@ -301,17 +301,17 @@
 
     def test_for_routers_that_start_together_no_engine_is_young(self) -> None:
         join_times = JoinTimes()
-        join_times.note(frozenset(), frozenset({"e0"}), 1.0)
+        join_times.record_joins(frozenset(), frozenset({"e0"}), 1.0)
         join_times.merge_from_peer(1.5, {"e0": 0.5}, 2.0)
         self.assertFalse(join_times.is_young("e0", 2.0))
 
     def test_old_join_times_are_dropped(self) -> None:
         join_times = JoinTimes()
-        join_times.note(frozenset(), frozenset({"e0"}), 0.0)
+        join_times.record_joins(frozenset(), frozenset({"e0"}), 0.0)
         joined = frozenset({"e0", "e1"})
-        join_times.note(frozenset({"e0"}), joined, FLEET_START_SECONDS)
+        join_times.record_joins(frozenset({"e0"}), joined, FLEET_START_SECONDS)
         self.assertTrue(join_times.is_young("e1", FLEET_START_SECONDS))
-        join_times.note(joined, joined, FLEET_START_SECONDS + YOUNG_SECONDS)
+        join_times.record_joins(joined, joined, FLEET_START_SECONDS + YOUNG_SECONDS)
         self.assertEqual(join_times._joined_at, {})
 
     def test_an_engine_that_may_have_gone_gets_no_orders(self) -> None:
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -52,5 +52,5 @@
     if load.leaving:
         state.apply_notice(engine, Notice(is_leaving=True))
     else:
-        state.apply_staying_report(engine)
+        state.apply_live_report(engine)
     state.gate.record_report(engine, state.clock(), load.running + load.waiting)
