--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -68,7 +68,7 @@
     sees_platform: bool = True
 
 
-class OlderNews(msgspec.Struct, array_like=True, tag=13):
+class OlderAnnouncement(msgspec.Struct, array_like=True, tag=13):
     sender: int
     versions: Versions
     rumors: tuple[OlderAlive, ...] = ()
@@ -176,7 +176,7 @@
     def test_a_capacity_takes_nine_bytes_and_older_routers_read_the_record(self) -> None:
         usual, sized = self.encoded((alive(0),))[0], self.encoded((alive(0, 0.5),))[0]
         self.assertEqual(len(bytes.fromhex(sized)), len(bytes.fromhex(usual)) + 9)
-        read = msgspec.msgpack.decode(bytes.fromhex(sized), type=OlderNews)
+        read = msgspec.msgpack.decode(bytes.fromhex(sized), type=OlderAnnouncement)
         self.assertEqual((read.rumors[0].name, read.rumors[0].sees_platform), ("r0", True))
 
     def test_a_capacity_that_an_older_router_left_out_is_learned_later(self) -> None:
@@ -206,8 +206,8 @@
     def test_a_stated_capacity_out_of_bounds_counts_as_the_nearest_within(self) -> None:
         for stated, expected in ((0.0, 0.1), (-3.0, 0.1), (1e9, 10.0), (math.nan, 0.1)):
             core = CapacityNetwork(1).cores[0]
-            news = Announcement(1, Versions(), (alive(1, stated),))
-            core.receive(datagram_to(ANY_ADDRESS, news).payload, ANY_ADDRESS, 0.0)
+            announcement = Announcement(1, Versions(), (alive(1, stated),))
+            core.receive(datagram_to(ANY_ADDRESS, announcement).payload, ANY_ADDRESS, 0.0)
             self.assertEqual(core.members(0.0)[1].capacity, expected)
 
 
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -42,7 +42,7 @@
 #: Seconds after which a crashed engine is back, under another name.
 RESTART_SECONDS = 3.0
 #: Engines to which one attempt may be sent.
-MOST_TRIES = 2
+MAX_TRIES = 2
 
 
 @dataclass
@@ -114,7 +114,7 @@
         outcome = "lost"
         until = self.loop.time() + 8.0
         try:
-            for _ in range(MOST_TRIES):
+            for _ in range(MAX_TRIES):
                 refusal = await watch.wait_for_turn(lambda: until - self.loop.time())
                 if refusal is not None:
                     outcome = refusal.code
@@ -133,17 +133,17 @@
 
     async def _run(self, watch: Any, digest: int) -> bool:
         engine = self.rng.choice(sorted(self.live))
-        gone = self.live[engine]
+        crashed = self.live[engine]
         if digest == CRASHING_REQUEST:
             self.loop.call_later(CRASH_SECONDS, self._crash_if_live, engine)
         try:
             async with asyncio.timeout(RUN_SECONDS):
-                await gone.wait()
+                await crashed.wait()
         except TimeoutError:
             watch.note_completed()
             return True
-        ended = await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8))
-        if not ended and self.port_open_seconds < FIRST_PROBE_DELAYS[-1]:
+        has_crashed = await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8))
+        if not has_crashed and self.port_open_seconds < FIRST_PROBE_DELAYS[-1]:
             raise AssertionError("the first probes missed a crash that they can see")
         return False
 
@@ -196,34 +196,34 @@
         others_count: int,
         port_open_seconds: float,
     ) -> None:
-        world = Simulation(
+        simulation = Simulation(
             routers, engines, random.Random(seed), port_open_seconds=port_open_seconds
         )
-        rounds = asyncio.ensure_future(world.run_rounds())
+        rounds = asyncio.ensure_future(simulation.run_rounds())
 
-        async def repeat_cause() -> None:
+        async def repeat_crashing_request() -> None:
             for _ in range(8):
-                await world.attempt(world.rng.randrange(routers), CRASHING_REQUEST)
+                await simulation.attempt(simulation.rng.randrange(routers), CRASHING_REQUEST)
                 await asyncio.sleep(pause)
 
         async def repeat_other(digest: int) -> None:
-            await asyncio.sleep(world.rng.random() * 3)
+            await asyncio.sleep(simulation.rng.random() * 3)
             for _ in range(3):
-                outcome = await world.attempt(world.rng.randrange(routers), digest)
+                outcome = await simulation.attempt(simulation.rng.randrange(routers), digest)
                 if outcome != "lost":
                     return
                 await asyncio.sleep(pause)
 
-        callers = [repeat_cause() for _ in range(copies)]
+        callers = [repeat_crashing_request() for _ in range(copies)]
         callers += [repeat_other(100 + at) for at in range(others_count)]
         await asyncio.gather(*callers)
         rounds.cancel()
-        self.assertLessEqual(len(world.crash_digests), CRASHES_TO_QUARANTINE)
-        cause_outcomes = [
-            outcome for digest, outcome in world.outcomes if digest == CRASHING_REQUEST
+        self.assertLessEqual(len(simulation.crash_digests), CRASHES_TO_QUARANTINE)
+        crashing_outcomes = [
+            outcome for digest, outcome in simulation.outcomes if digest == CRASHING_REQUEST
         ]
-        self.assertEqual(cause_outcomes[-1], QUARANTINED.code)
-        others = [outcome for digest, outcome in world.outcomes if digest != CRASHING_REQUEST]
+        self.assertEqual(crashing_outcomes[-1], QUARANTINED.code)
+        others = [outcome for digest, outcome in simulation.outcomes if digest != CRASHING_REQUEST]
         self.assertNotIn(QUARANTINED.code, others)
 
     @settings(max_examples=50, deadline=None)
@@ -232,48 +232,50 @@
         run_virtually(self.run_with_packet_loss(seed))
 
     async def run_with_packet_loss(self, seed: int) -> None:
-        world = Simulation(6, 9, random.Random(seed), loss=0.2)
-        rounds = asyncio.ensure_future(world.run_rounds())
+        simulation = Simulation(6, 9, random.Random(seed), loss=0.2)
+        rounds = asyncio.ensure_future(simulation.run_rounds())
         for at in range(3):
-            await world.attempt(at, CRASHING_REQUEST)
+            await simulation.attempt(at, CRASHING_REQUEST)
         await asyncio.sleep(10 * SAMPLE_INTERVAL_SECONDS)
         rounds.cancel()
-        for guard in world.guards:
+        for guard in simulation.guards:
             self.assertTrue(guard.is_quarantined(CRASHING_REQUEST))
 
 
 class OneRouterTest(unittest.TestCase):
     def test_evidence_is_kept_though_the_caller_leaves_after_the_cut(self) -> None:
         async def history() -> None:
-            world = Simulation(2, 3, random.Random(1))
-            attempt = asyncio.ensure_future(world.attempt(0, CRASHING_REQUEST))
+            simulation = Simulation(2, 3, random.Random(1))
+            attempt = asyncio.ensure_future(simulation.attempt(0, CRASHING_REQUEST))
             await asyncio.sleep(CRASH_SECONDS + PACKET_SECONDS / 2)
             attempt.cancel()
             await asyncio.sleep(1.0)
             self.assertEqual(
-                [guard.suspects.crash_count(CRASHING_REQUEST) for guard in world.guards], [1, 1]
+                [guard.suspects.crash_count(CRASHING_REQUEST) for guard in simulation.guards],
+                [1, 1],
             )
 
         run_virtually(history())
 
     def test_an_end_that_only_a_later_probe_sees_is_evidence(self) -> None:
         async def history() -> None:
-            world = Simulation(2, 3, random.Random(1), port_open_seconds=0.3)
-            await world.attempt(0, CRASHING_REQUEST)
+            simulation = Simulation(2, 3, random.Random(1), port_open_seconds=0.3)
+            await simulation.attempt(0, CRASHING_REQUEST)
             await asyncio.sleep(1.0)
             self.assertEqual(
-                [guard.suspects.crash_count(CRASHING_REQUEST) for guard in world.guards], [2, 2]
+                [guard.suspects.crash_count(CRASHING_REQUEST) for guard in simulation.guards],
+                [2, 2],
             )
 
         run_virtually(history())
 
     def test_a_cut_at_an_engine_that_lives_on_is_no_evidence(self) -> None:
         async def history() -> None:
-            world = Simulation(1, 1, random.Random(1))
-            (engine,) = world.live
-            watch, began = world.guards[0].watch(CRASHING_REQUEST), world.loop.time()
+            simulation = Simulation(1, 1, random.Random(1))
+            (engine,) = simulation.live
+            watch, began = simulation.guards[0].watch(CRASHING_REQUEST), simulation.loop.time()
             self.assertFalse(await watch.note_connection_lost(Target(engine, "", OPEN, 1.5, 1, 8)))
-            self.assertLess(world.loop.time() - began, 0.03)
+            self.assertLess(simulation.loop.time() - began, 0.03)
             await asyncio.sleep(1.0)
             self.assertFalse(watch.is_suspected())
 
@@ -281,28 +283,28 @@
 
     def test_a_router_that_starts_receives_the_evidence_of_others(self) -> None:
         async def history() -> None:
-            world = Simulation(4, 9, random.Random(1))
+            simulation = Simulation(4, 9, random.Random(1))
             for at in range(2):
-                await world.attempt(at, CRASHING_REQUEST)
-            world.guards[3] = world.new_guard(world.members[3])
-            for guard in world.guards[:3]:
-                guard._state._members = world.members[:3]
+                await simulation.attempt(at, CRASHING_REQUEST)
+            simulation.guards[3] = simulation.new_guard(simulation.members[3])
+            for guard in simulation.guards[:3]:
+                guard._state._members = simulation.members[:3]
                 guard.tick()
-                guard._state._members = world.members
+                guard._state._members = simulation.members
                 guard.tick()
             await asyncio.sleep(2 * PACKET_SECONDS)
-            self.assertTrue(world.guards[3].is_quarantined(CRASHING_REQUEST))
+            self.assertTrue(simulation.guards[3].is_quarantined(CRASHING_REQUEST))
 
         run_virtually(history())
 
     def test_without_crashes_no_packets_are_sent(self) -> None:
         async def history() -> None:
-            world = Simulation(2, 1, random.Random(1))
+            simulation = Simulation(2, 1, random.Random(1))
             sent: list[Datagram] = []
-            world.guards[0]._send = sent.extend
-            await world.attempt(0, 5)
+            simulation.guards[0]._send = sent.extend
+            await simulation.attempt(0, 5)
             for _ in range(50):
-                world.guards[0].tick()
+                simulation.guards[0].tick()
                 await asyncio.sleep(0.1)
             self.assertEqual(sent, [])
 
@@ -310,9 +312,9 @@
 
     def test_packets_that_do_not_parse_are_dropped(self) -> None:
         async def history() -> None:
-            world = Simulation(1, 1, random.Random(1))
+            simulation = Simulation(1, 1, random.Random(1))
             for payload in (b"", b"\x93\x50", b"nonsense", b"\x92\x50\x91\x92\x01\x02"):
-                world.guards[0].receive(payload)
-            self.assertEqual(world.guards[0].suspects.crash_count(CRASHING_REQUEST), 0)
+                simulation.guards[0].receive(payload)
+            self.assertEqual(simulation.guards[0].suspects.crash_count(CRASHING_REQUEST), 0)
 
         run_virtually(history())
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -31,10 +31,10 @@
 
     def test_it_shows_what_is_in_force_and_the_last_decision_first(self) -> None:
         for number in (1, 2):
-            note = RoutingDecision(
+            decision = RoutingDecision(
                 f"q{number}", "atelier", "lang", "e0", (("e1", "full"),), "whole", 1.0
             )
-            self.state.decisions.append(note)
+            self.state.decisions.append(decision)
         dump = self.dump({"platform_calls": 7})
         self.assertEqual((dump["configuration"], dump["platform_calls"]), (2, 7))
         self.assertEqual([each["request_id"] for each in dump["decisions"]], ["q2", "q1"])
--- a/pondhatch/router/tests/test_grant_exchange.py
+++ b/pondhatch/router/tests/test_grant_exchange.py
@@ -38,7 +38,7 @@
         self.state._members = members
         return self.exchange._restarted_routers()
 
-    def test_a_new_process_differs_from_a_contradicted_suspicion(self) -> None:
+    def test_a_new_process_differs_from_a_refuted_suspicion(self) -> None:
         rows: tuple[tuple[int, list[str]], ...] = (
             (5_000, []),
             (5_001, []),
@@ -73,8 +73,8 @@
         for at, name in enumerate(engines):
             self.state.upstreams.set(Upstream(name, "lang", "http://x", "h1"), at + 1)
         self.state.invalidate_upstream_caches()
-        owned = (name for name in self.state.upstreams.entry_by_name)
-        self.engine = next(name for name in owned if self.state.owner_name(name) == "r1")
+        names = (name for name in self.state.upstreams.entry_by_name)
+        self.engine = next(name for name in names if self.state.owner_name(name) == "r1")
         self.sent: list[Datagram] = []
         self.exchange = GrantExchange(self.state, self.sent.extend, Tasks(), 1)
         self.exchange.follow_members()
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -18,7 +18,7 @@
 
 
 class ConfigurationLagTest(unittest.TestCase):
-    def test_it_counts_from_the_first_news_of_a_newer_version(self) -> None:
+    def test_it_counts_from_when_a_newer_version_is_first_known(self) -> None:
         lag = ConfigurationLag()
         for at, in_force, newest, expected in (
             (1.0, 3, 3, 0.0),
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -31,7 +31,7 @@
     def owners(self) -> dict[str, str | None]:
         return {f"e{at}": self.state.owner_name(f"e{at}") for at in range(UPSTREAMS)}
 
-    def test_news_of_one_router_rebuilds_one_member(self) -> None:
+    def test_a_change_of_one_router_rebuilds_one_member(self) -> None:
         with mock.patch.object(members_module, "_member", wraps=members_module._member) as made:
             self.fleet.receive_member(7, 2, Phase.DRAINING)
         # It, and this router itself.
@@ -62,7 +62,7 @@
         changed = {name: after[name] for name in after if after[name] != self.owner_by_engine[name]}
         self.assertEqual(set(changed.values()), {"r7"})
 
-    def test_news_that_changes_no_owner_recomputes_none(self) -> None:
+    def test_a_change_that_moves_no_engine_recomputes_no_owner(self) -> None:
         with mock.patch.object(owners_module, "owner_of", wraps=owner_of) as asked:
             self.fleet.receive_member(7, 2)
             self.assertEqual(self.owners(), self.owner_by_engine)
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -168,7 +168,7 @@
 
     # When an upstream that refused two in five requests was closed to all routers, its load
     # overloaded the others.
-    def test_a_resting_upstream_with_places_is_closed_only_at_the_router_it_told(self) -> None:
+    def test_a_resting_upstream_with_free_slots_is_closed_only_at_the_router_it_told(self) -> None:
         engine = self.instance(0)
         owner = self.states["r0"].owner_name(engine)
         assert owner is not None
--- a/pondhatch/router/tests/test_pooled_engines.py
+++ b/pondhatch/router/tests/test_pooled_engines.py
@@ -25,9 +25,11 @@
     def order(self, chat: int) -> tuple[str, ...]:
         nobody: Any = None
         head = RequestHead("r", "a", "lang", chat, "POST", "/", (), False, 5.0, 5)
-        ways = Collaborators(nobody, nobody, preference=self.preference)
+        collaborators = Collaborators(nobody, nobody, preference=self.preference)
         budget = RetryBudget()
-        return Dispatch(self.state, ways, budget, head, ReplayableBody(b""), lambda: 5.0).plan.order
+        return Dispatch(
+            self.state, collaborators, budget, head, ReplayableBody(b""), lambda: 5.0
+        ).plan.order
 
     def test_requests_with_a_context_keep_their_order(self) -> None:
         self.assertEqual(self.order(0), ("i-1", "i-0"))
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -26,7 +26,7 @@
 class OnePullTest(unittest.TestCase):
     """Guards against a pull for each packet of a peer that is ahead, as they come in dozens."""
 
-    def pulls(self, news: int, lost: bool = False) -> tuple[int, int, int]:
+    def pulls(self, packets: int, lost: bool = False) -> tuple[int, int, int]:
         """Return the most concurrent pulls, the number of pulls, and the version in force."""
         peer, state = router("r1"), router("r0")
         peer.apply_change(FIRST)
@@ -46,7 +46,7 @@
 
         async def main() -> None:
             sync = new_peer_sync(state, pull)
-            waiting = [asyncio.ensure_future(sync.on_peer_ahead()) for _ in range(news)]
+            waiting = [asyncio.ensure_future(sync.on_peer_ahead()) for _ in range(packets)]
             await asyncio.wait(waiting)
 
         run_virtually(main())
@@ -135,11 +135,11 @@
             await asyncio.sleep(2.0 if is_silent else 0.01)
             return None if is_silent else HeldByPeer(later, configuration, upstreams)
 
-        async def hear_of_another() -> None:
+        async def meet_another_peer() -> None:
             await asyncio.sleep(0.3)
             meet(self.state, later)
 
-        self.assertLess(self.seconds_behind(pull, hear_of_another), 1.7)
+        self.assertLess(self.seconds_behind(pull, meet_another_peer), 1.7)
 
     def test_where_one_peer_answers_no_other_is_asked(self) -> None:
         self.assertEqual(self.seconds_behind_with_silent_peers(0, peers=5)[1], 1)
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -159,7 +159,7 @@
         self.notice_exchange = NoticeExchange(self.state, self.send)
         self.grant_exchange = GrantExchange(self.state, self.send, Tasks(), 1)
         connections = Connections(fleet.engines, self.notice_exchange)
-        self._ways = Collaborators(self.grant_exchange.entry, connections)
+        self._collaborators = Collaborators(self.grant_exchange.entry, connections)
 
     def receive(self, payload: bytes, source: Address) -> None:
         if payload.startswith(GRANT_PACKET_PREFIX):
@@ -181,19 +181,19 @@
         """Send one request through this router; return whether the answer arrived whole."""
         until = self.state.clock() + 10.0
         head = RequestHead(f"q{number}", "a", "lang", 0, "POST", "/", (), True, 10.0, 5)
-        walk = Dispatch(
+        dispatch = Dispatch(
             self.state,
-            self._ways,
+            self._collaborators,
             RetryBudget(),
             head,
             ReplayableBody(b""),
             lambda: until - self.state.clock(),
             WaitLimits(0.2, 1.0),
         )
-        placed = await walk.run()
+        placed = await dispatch.run()
         if not isinstance(placed, Placed):
             return False
-        return isinstance((await Delivery(walk, placed, Sink()).run()).outcome, Whole)
+        return isinstance((await Delivery(dispatch, placed, Sink()).run()).outcome, Whole)
 
 
 class SimulatedFleet:
--- a/pondhatch/router/tests/test_startup_wait.py
+++ b/pondhatch/router/tests/test_startup_wait.py
@@ -22,22 +22,22 @@
     return state, StartupWait(state)
 
 
-async def seconds_waited(start: StartupWait) -> float:
-    begun = now()
-    await start.wait()
-    return now() - begun
+async def seconds_waited(startup_wait: StartupWait) -> float:
+    started_at = now()
+    await startup_wait.wait()
+    return now() - started_at
 
 
 class StartupWaitTest(unittest.TestCase):
     def test_the_wait_ends_as_soon_as_all_is_known(self) -> None:
         async def main() -> float:
-            state, start = starting_router()
+            state, startup_wait = starting_router()
             loop = asyncio.get_running_loop()
             loop.call_later(0.02, state.apply_change, FIRST)
             upstream = Upstream("e0", "lang", "http://x", "h1")
             loop.call_later(0.03, state.upstreams.set, upstream, 5)
             loop.call_later(0.05, state.apply_listed_evacuations, Listed(5, ()))
-            return await seconds_waited(start)
+            return await seconds_waited(startup_wait)
 
         self.assertAlmostEqual(run_virtually(main()), 0.05, delta=0.015)
 
@@ -49,11 +49,11 @@
 
     def test_later_requests_wait_for_the_rest_of_the_startup_and_then_not_at_all(self) -> None:
         async def main() -> list[float]:
-            _, start = starting_router()
+            _, startup_wait = starting_router()
             await asyncio.sleep(STARTUP_SECONDS - MAX_WAIT_SECONDS / 2)
-            found = [await seconds_waited(start)]
+            found = [await seconds_waited(startup_wait)]
             await asyncio.sleep(60)
-            return [*found, await seconds_waited(start)]
+            return [*found, await seconds_waited(startup_wait)]
 
         last, after = run_virtually(main())
         self.assertAlmostEqual(last, MAX_WAIT_SECONDS / 2, delta=0.011)
@@ -61,10 +61,10 @@
 
     def test_a_cancelled_wait_does_not_end_others(self) -> None:
         async def main() -> float:
-            _, start = starting_router()
-            leaving = asyncio.ensure_future(start.wait())
+            _, startup_wait = starting_router()
+            leaving = asyncio.ensure_future(startup_wait.wait())
             await asyncio.sleep(0.01)
-            staying = asyncio.ensure_future(seconds_waited(start))
+            staying = asyncio.ensure_future(seconds_waited(startup_wait))
             await asyncio.sleep(0.01)
             leaving.cancel()
             return await staying
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -181,13 +181,13 @@
 class FixedSource:
     """A configuration source that yields the given events in order."""
 
-    def __init__(self, *news: FleetConfiguration | Rejected) -> None:
-        self._news = news
+    def __init__(self, *events: FleetConfiguration | Rejected) -> None:
+        self._events = events
 
     async def follow(
         self, current: Callable[[], FleetConfiguration]
     ) -> AsyncIterator[FleetConfiguration | Rejected]:
-        for each in self._news:
+        for each in self._events:
             yield each
         await asyncio.Event().wait()
 
@@ -197,11 +197,11 @@
 
     REJECTED = Rejected(((("document", "main"), Misfit((), "none at all")),))
 
-    async def state_after(self, *news: FleetConfiguration | Rejected) -> RouterState:
+    async def state_after(self, *events: FleetConfiguration | Rejected) -> RouterState:
         state = router("r0")
         state.refresh_members()
         sync = new_sync(state, PlatformInMemory(), None)
-        sync._source = FixedSource(*news)
+        sync._source = FixedSource(*events)
         task = asyncio.ensure_future(sync.run())
         # The second event is read once the router has discovered its peers.
         await asyncio.sleep(PEER_DISCOVERY_SECONDS + 0.1)
@@ -223,7 +223,7 @@
 
 
 class NeverRevertsTest(unittest.TestCase):
-    def test_stale_news_changes_nothing(self) -> None:
+    def test_stale_configurations_change_nothing(self) -> None:
         state = router("r0")
         for each in (FIRST, change(2, account("a")), change(3, account("a", 7.0))):
             state.apply_change(each)
