--- a/pondhatch/router/_intakes.py
+++ b/pondhatch/router/_intakes.py
@@ -29,14 +29,14 @@
     #: Names of a service's upstreams that take new requests, in whatever hall.
     _live_by_service: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)
     #: Those of them that are open to requests bound to some regions.
-    _open_by_binding: dict[tuple[str, Regions], tuple[str, ...]] = msgspec.field(
+    _open_by_service_and_regions: dict[tuple[str, Regions], tuple[str, ...]] = msgspec.field(
         default_factory=dict
     )
 
     def invalidate(self) -> None:
         """Drop the caches, as the upstreams, the halls or the configuration changed."""
         self._live_by_service.clear()
-        self._open_by_binding.clear()
+        self._open_by_service_and_regions.clear()
 
     def upstream(self, name: str) -> Upstream | None:
         """Return an upstream that is listed, or whose entry may only have lapsed."""
@@ -44,11 +44,11 @@
 
     def open_upstreams(self, service: str, regions: Regions) -> tuple[str, ...]:
         """Return the names of the service's upstreams open to requests bound to some regions."""
-        found = self._open_by_binding.get((service, regions))
+        found = self._open_by_service_and_regions.get((service, regions))
         if found is None:
             live = self._live(service)
             found = tuple(name for name in live if self._hall_is_open(name, regions))
-            self._open_by_binding[service, regions] = found
+            self._open_by_service_and_regions[service, regions] = found
         return found
 
     def closed_home(self, service: str, chat: str, regions: Regions) -> tuple[str, str] | None:
