--- a/pondhatch/membership/_dissemination.py
+++ b/pondhatch/membership/_dissemination.py
@@ -89,7 +89,7 @@
         return self.announcements() if self.apply_rumor(fault, now) else []
 
     def _refute(self, rumor: Rumor) -> bool:
-        """Refute a rumor that this router is suspect or dead, or one by an earlier process of it.
+        """Refute a rumor that this router is suspect or dead, or a record of an earlier process.
 
         Returns whether the incarnation was raised for that.
         """
--- a/pondhatch/membership/_load_aggregation.py
+++ b/pondhatch/membership/_load_aggregation.py
@@ -28,9 +28,9 @@
 
 #: Routers to which one router forwards the fleet's sum.
 TREE_FANOUT = 4
-#: Seconds between two reports of a router, in a large fleet and at least. With an old sum an
-#: engine is granted more than its share while the fleet's load falls; in a small fleet the
-#: network use of reports allows more of them.
+#: Seconds between two reports of a router, in a large fleet and at least. While the fleet's load
+#: falls, an old sum lets an engine be granted more than its share. Small fleets therefore report
+#: more often, as their reports use little of the network.
 MAX_REPORT_INTERVAL = 1.0
 MIN_REPORT_INTERVAL = 0.2
 #: Routers from which on the longest interval applies; with fewer it is proportional.
@@ -190,7 +190,7 @@
 def _store_if_newer(
     reports: dict[Key, ReceivedReport[Report]], key: Key, message: Report, now: float
 ) -> None:
-    """Store a report unless one of the same sender that is as new is known and not expired."""
+    """Store a report unless one by the same sender that is at least as new is still valid."""
     known = reports.get(key)
     if known is not None and known.message.sender == message.sender:
         is_newer = known.message.number < message.number
--- a/pondhatch/membership/_members.py
+++ b/pondhatch/membership/_members.py
@@ -49,8 +49,8 @@
         #: clock's seconds.
         self._unreachable_until_by_router: dict[int, float] = {}
         self._members: tuple[Member, ...] = ()
-        #: The other routers among them, by short id. Of hundreds only few change at a time, and
-        #: the others are reused: creating 195 again was a third of the cost of a change.
+        #: The other routers among them, by short id. Only a few of hundreds change at a time, so
+        #: unchanged ones are reused: creating all of 195 again is a third of a change's cost.
         self._cached_by_router: dict[int, _CachedMember] = {}
         #: The table's revisions from which the members, and the other routers, were computed.
         self._revision = -1
@@ -85,7 +85,7 @@
         self._table.revision += 1
 
     def mark_reachable(self, router: int) -> None:
-        """Include a router again, from which a message came."""
+        """Include a router again, as a message came from it."""
         if self._unreachable_until_by_router.pop(router, None) is not None:
             self._table.revision += 1
 
--- a/pondhatch/membership/_ownership.py
+++ b/pondhatch/membership/_ownership.py
@@ -2,7 +2,7 @@
 
 Owners are chosen by rendezvous hashing over the live routers of the engine's hall, or over all
 live routers if the hall has none, weighted by capacity. Two routers that disagree on which are
-live, or on a capacity, may both believe to own an engine; docs/DESIGN.md states the consequences.
+live, or on a capacity, may both act as an engine's owner; docs/DESIGN.md states the consequences.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
     """Return the router that grants all requests to an engine, or None without live routers.
 
     ``live`` is the result of ``live_by_hall``, computed once for all engines after a change of
-    the routers: computing it for each engine took 3.3 of 4.3 ms a change at 195 routers and 43
-    engines.
+    the routers. Computing it again for each engine would take 3.3 of the 4.3 ms that a change then
+    costs, with 195 routers and 43 engines.
     """
     candidates = live.get(hall) or {
         name: capacity for routers in live.values() for name, capacity in routers.items()
--- a/pondhatch/router/_grant_exchange.py
+++ b/pondhatch/router/_grant_exchange.py
@@ -58,7 +58,7 @@
         self._incarnation_by_name: dict[str, int] = {}
         #: The members as of the last check for restarted routers.
         self._checked_members: tuple[Member, ...] | None = None
-        #: The members as of the last time that grants followed their owners.
+        #: The members when grants were last moved to new owners.
         self._followed_members: tuple[Member, ...] = ()
         #: Packets sent and received, for the dump.
         self.packet_count = 0
--- a/pondhatch/router/_new_members.py
+++ b/pondhatch/router/_new_members.py
@@ -20,7 +20,7 @@
     def to_inform(self, has_content: bool) -> list[Member]:
         """Return the members that are new or back and that this router is to inform.
 
-        ``has_content`` says whether there is anything to send. Without, nothing is computed: the
+        ``has_content`` says whether there is anything to send. If not, nothing is computed: the
         choice takes as many hashes for each new member as there are routers.
         """
         members = self._state.members()
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -1,12 +1,16 @@
 """Shares the notices that upstreams send in their answers with the routers concerned.
 
-The router that reads a notice passes it on. That an upstream is leaving goes to all routers. That
-it rests without free slots goes to the owners of the upstreams of its service, which grant the
-requests sent there and elsewhere in its place. That it rests with free slots goes to its owner
-alone, which then refuses requests that can run elsewhere. Only changes are sent, at once and again
-0.1 s later. Three routers send the current notices to a router that is new or back, and the routers
-that know of a rest send it to a new owner of the upstream. A router that missed all of this learns
-it from the upstream itself, at the cost of one refused request.
+The router that reads a notice passes it on:
+
+- An upstream is leaving: to all routers.
+- It rests without free slots: to its owner, and to the owners of the other upstreams of its
+  service, which grant the requests that are sent there in its place.
+- It rests with free slots: to its owner alone, which then refuses requests that can run elsewhere.
+
+Only changes are sent, at once and again 0.1 s later. Three routers send the current notices to a
+router that is new or back, and the routers that know of a rest send it to a new owner of the
+upstream. A router that missed all of this learns of a notice from the upstream itself, at the cost
+of one refused request.
 
 While load is managed, an upstream's owner is also told its pace. A pace is valid for less than a
 second, so it is sent once, and again only with a later answer.
@@ -31,7 +35,7 @@
 NOTICE_PACKET_PREFIX = b"\x03"
 #: Maximum of notices in one packet: with names of 25 bytes it fits into an Ethernet frame.
 NOTICES_PER_PACKET = 24
-#: Packets per round of 0.1 s that tell routers other than the owner of upstreams' rests: 5 KB/s at
+#: Packets about upstreams' rests per round of 0.1 s to routers other than the owner: 5 KB/s at
 #: most. Routers that are left out learn of a rest from the owner's refusals.
 REST_PACKETS_PER_ROUND = 8
 #: Maximum of these packets that may be saved up and sent in one round.
@@ -137,7 +141,7 @@
             self._send_packets([WireNotice(upstream, False, 0.0, pace=pace)], to)
 
     def _send_rest(self, upstream: str, notice: Notice) -> None:
-        """Send an upstream's rest to its owner, then to the owners of those that carry its load."""
+        """Send an upstream's rest to its owner, then to owners of upstreams that take its load."""
         owner = self._state.owner_name(upstream)
         same_service_owners = (
             set() if notice.has_free_slots else self._state.owners_of_same_service(upstream)
--- a/pondhatch/router/_order_duties.py
+++ b/pondhatch/router/_order_duties.py
@@ -32,7 +32,7 @@
         return spec.orders if spec is not None else None
 
     def platform_era(self) -> int:
-        """Return the era of the list of upstreams, which rises with the first router's update."""
+        """Return the era of the list of upstreams, which an update from any peer may raise."""
         return era_of(self.state.upstreams.version)
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
--- a/pondhatch/router/_owners.py
+++ b/pondhatch/router/_owners.py
@@ -53,8 +53,8 @@
         unchanged_halls = {hall for hall, names in now.items() if before.get(hall) == names}
         if len(unchanged_halls) == len(now) == len(before):
             return
-        # An upstream of a hall without live routers is owned by one of all routers, so such halls
-        # are not kept either.
+        # A hall without live routers is never among the unchanged ones: its upstreams are owned by
+        # routers of any hall.
         self._owner_by_engine = {
             engine: hall_and_owner
             for engine, hall_and_owner in self._owner_by_engine.items()
--- a/pondhatch/router/_pace_reports.py
+++ b/pondhatch/router/_pace_reports.py
@@ -25,7 +25,8 @@
         """Return whether a pace that was just read should be reported to the engine's owner.
 
         Only engines that take at least 1.5 times as long as usual are reported: without a report
-        the owner assumes the usual pace, and a fast engine gets no more requests than that.
+        the owner assumes the usual pace, and a faster engine gets no more requests than at that
+        pace.
         """
         reported_at = self._reported_at_by_engine.get(engine, float("-inf"))
         if self._reports_left < 1 or now - reported_at < REPORT_SECONDS:
--- a/pondhatch/router/_peer_discovery.py
+++ b/pondhatch/router/_peer_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a starting router and its peers through the platform.
+"""Lists a starting router at the platform, and finds its peers there.
 
 Where the platform does not list the fleet's own VMs, each router writes its address there; routers
 that start later read the list and ping those on it.
--- a/pondhatch/router/_startup_wait.py
+++ b/pondhatch/router/_startup_wait.py
@@ -16,8 +16,8 @@
 #: delivers it within 0.1 s of the start; one with an outage may take minutes, and callers are then
 #: refused at once.
 STARTUP_SECONDS = 0.5
-#: Maximum seconds for which one request waits: half of the shortest objective of a site (0.2 s), so
-#: that the request can still be answered in time.
+#: Maximum seconds for which one request waits: half of the shortest objective of a route (0.2 s),
+#: so that the request can still be answered in time.
 MAX_WAIT_SECONDS = 0.1
 #: Seconds between checks of whether the initial state is known.
 POLL_SECONDS = 0.01
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -418,7 +418,7 @@
         """Put the next change in force; return None where it is in force now or was before.
 
         A rejected change is skipped: the version advances, and none of its edits apply.
-        Where a version is missing between, nothing changes and the gap is returned.
+        Where versions in between are missing, nothing changes and the gap is returned.
         """
         if change.version <= self.configuration.version:
             return None
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -237,8 +237,8 @@
 
     async def _watch_evacuations(self) -> None:
         state = self._state
-        # A stale list is enough: a router that starts alone gets the last seconds from its peers,
-        # and where all routers start, the watchers go on from the version of this list.
+        # A stale list is enough: a router that starts alone gets the changes of the last seconds
+        # from its peers, and where all routers start, the watchers go on from this list's version.
         may_be_old = not state.halls.evacuations.is_known
         await self._watch(
             EVACUATION_KIND,
@@ -368,9 +368,10 @@
     def _peers_to_pull_from(self) -> list[Member]:
         """Return the peers that hold the newest version, of this hall alone where there are any.
 
-        A peer that was cut off since holds an older version, and a pull from it costs a call's
-        timeout (2 s). Where three in ten routers are cut off, a router that pulled from any peer
-        that is ahead would fall behind by that long repeatedly.
+        A peer that was cut off may hold a version that is newer than this router's but not the
+        newest, and a pull from it costs a call's timeout (2 s). Where three in ten routers are cut
+        off, a router that pulled from any peer that is ahead would fall behind by that long
+        repeatedly.
         """
         names = set(self._state.gossip.routers_ahead())
         if not names:
@@ -383,9 +384,9 @@
     def _with_newest_version(self, ahead: list[Member]) -> list[Member]:
         """Return the peers with the newest configuration, else evacuations, else upstreams.
 
-        The first of these of which a peer holds a newer version than this router decides.
-        Evacuations come before upstreams, as requests sent to an evacuated hall do harm, while a
-        missing upstream does not.
+        The first of these in which any peer is ahead of this router decides. Evacuations come
+        before upstreams, as requests sent to an evacuated hall do harm, while a missing upstream
+        does not.
         """
         held = self._state.gossip.versions()
         own = self._own_versions()
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -86,7 +86,11 @@
 
 
 class EraSettling(msgspec.Struct):
-    """Tracks whether the platform's era still settles, as this router sees it."""
+    """Tracks whether the platform's era still settles, as this router sees it.
+
+    An era settles for ``SETTLE_SECONDS`` after it begins: until then, entries that the platform
+    lost in a restore may be written again.
+    """
 
     _era: int = 0
     #: When the era has settled, in the clock's seconds; minus infinity where none settles.
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -2,8 +2,8 @@
 
 With 1,700 routes and a change every 1.2 s, whole versions blocked routers: each took 667 ms of
 processor to read, 20 ms to send, 34 ms to apply, and 43 KB. Peers took these routers for silent,
-and some routers used a version more than 3 s old. `ChangeStormTest` covers reading,
-`SilentPeersTest` in test_pulls.py silent peers.
+and some routers used a version more than 3 s old. `ChangeStormTest` in the platform's
+test_configuration.py covers reading, `SilentPeersTest` in test_pulls.py silent peers.
 """
 
 from __future__ import annotations
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -57,6 +57,7 @@
     #: Seconds for which a crashed engine still accepts connections.
     port_open_seconds: float = 0.0
     guards: list[CrashEvidenceExchange] = field(default_factory=list)
+    #: The running engines by name, each with an event that is set when it crashes.
     live: dict[str, asyncio.Event] = field(default_factory=dict)
     #: The request that caused each crash, in order.
     crash_digests: list[int] = field(default_factory=list)
--- a/pondhatch/router/tests/test_grant_exchange.py
+++ b/pondhatch/router/tests/test_grant_exchange.py
@@ -62,7 +62,11 @@
 
 
 class FollowingOwnersTest(unittest.TestCase):
-    """Guards the load count at a new owner: requests that run there when its owner drains count."""
+    """Guards the load count at a new owner: requests that the engine runs already must count.
+
+    Otherwise, once an owner drains, the next one treats its engines as idle and grants up to their
+    ceiling on top of the running requests.
+    """
 
     def setUp(self) -> None:
         self.state, peer = router("r0"), router("r1")
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -34,7 +34,7 @@
     def test_a_change_of_one_router_rebuilds_one_member(self) -> None:
         with mock.patch.object(members_module, "_member", wraps=members_module._member) as made:
             self.fleet.receive_member(7, 2, Phase.DRAINING)
-        # It, and this router itself.
+        # The changed router and this router itself.
         self.assertEqual(made.call_count, 2)
         phases = {member.name: member.phase for member in self.state.members()}
         self.assertEqual(len(phases), ROUTERS)
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -1,4 +1,4 @@
-"""Guards the spread of upstreams' notices among routers: a router that misses one sends in vain."""
+"""Guards the spread of upstreams' notices: a router that misses one sends requests in vain."""
 
 from __future__ import annotations
 
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -1,7 +1,7 @@
-"""Guards callers from one slow engine of eight, at two fifths of the usual speed, in steady load.
+"""Guards callers against one slow engine of eight, at two fifths of the usual speed.
 
-When it got as many requests as the others, one in eight callers waited 2.5 times as long as usual.
-Three routers with their packets, placement and grants run in virtual time.
+If it gets as many requests as the others, one in eight callers waits 2.5 times as long as usual.
+Three routers with their packets, placement and grants run in virtual time, under a steady load.
 """
 
 from __future__ import annotations
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -507,9 +507,9 @@
 class CutOffWatcherTest(unittest.TestCase):
     """Guards against lag where a hall's watcher is cut off from the platform alone.
 
-    Its peers reach it, so they still take it for the watcher, while a change is to be in force
-    everywhere within 3 s. It occurs where three in ten of 87 routers are cut off so, among them the
-    watcher of each hall.
+    Its peers still reach it, so they rely on it to watch, while a change is to be in force
+    everywhere within 3 s. This occurs where three in ten of 87 routers are cut off from the
+    platform, among them the watcher of each hall.
     """
 
     async def exchange(self, states: dict[str, RouterState]) -> None:
