--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -216,8 +216,8 @@
         payload = CRASH_PACKET_PREFIX + self._encoder.encode(packet)
         self._send(Datagram(member.address, payload) for member in to)
 
-    def _record(self, digest: int, now: str, why: str) -> None:
-        self._records.write(StateChange("request", f"{digest:x}", now, why=why))
+    def _record(self, digest: int, new_state: str, why: str) -> None:
+        self._records.write(StateChange("request", f"{digest:x}", new_state, why=why))
 
 
 def _in_packets(evidence: Sequence[Evidence]) -> Iterator[tuple[Evidence, ...]]:
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -65,9 +65,9 @@
         if left_out > 0:
             self.records.write(StateChange("records", "", f"{left_out} left out"))
 
-    def record_process(self, now: str, why: str = "") -> None:
+    def record_process(self, new_state: str, why: str = "") -> None:
         """Record a change of the process itself: its start, its stop, its settings."""
-        self.records.write(StateChange("process", self.state.name, now, why=why))
+        self.records.write(StateChange("process", self.state.name, new_state, why=why))
 
     def _platform_changes(self) -> list[StateChange]:
         error = self.state.platform_error
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -244,7 +244,7 @@
 
 
 class OneRouterTest(unittest.TestCase):
-    def test_evidence_is_kept_though_the_caller_leaves_after_the_cut(self) -> None:
+    def test_evidence_is_kept_though_the_caller_leaves_after_the_crash(self) -> None:
         async def history() -> None:
             simulation = Simulation(2, 3, random.Random(1))
             attempt = asyncio.ensure_future(simulation.attempt(0, CRASHING_REQUEST))
@@ -258,7 +258,7 @@
 
         run_virtually(history())
 
-    def test_an_end_that_only_a_later_probe_sees_is_evidence(self) -> None:
+    def test_a_crash_that_only_a_later_probe_sees_is_evidence(self) -> None:
         async def history() -> None:
             simulation = Simulation(2, 3, random.Random(1), port_open_seconds=0.3)
             await simulation.attempt(0, CRASHING_REQUEST)
@@ -270,7 +270,7 @@
 
         run_virtually(history())
 
-    def test_a_cut_at_an_engine_that_lives_on_is_no_evidence(self) -> None:
+    def test_a_lost_connection_to_a_running_engine_is_no_evidence(self) -> None:
         async def history() -> None:
             simulation = Simulation(1, 1, random.Random(1))
             (engine,) = simulation.live
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -158,7 +158,7 @@
         self.assertEqual((state.configuration.version, state.upstreams.version), (2, 5))
         self.assertIn("a", state.configuration.policy_by_account)
 
-    async def test_one_far_behind_gets_a_snapshot(self) -> None:
+    async def test_a_router_far_behind_gets_a_snapshot(self) -> None:
         peer, state = router("r1"), router("r0")
         restored = FleetConfiguration.from_snapshot(self.fleet_with(9).snapshot())
         assert isinstance(restored, FleetConfiguration)
