--- a/pondhatch/membership/_load_aggregation.py
+++ b/pondhatch/membership/_load_aggregation.py
@@ -79,14 +79,18 @@
         self._name = name
         self._router = short_id(name)
         self._hall = hall
+        #: Number of this router's last report, by which receivers recognise older ones.
         self._number = 0
         self._next_report = float("-inf")
         self._own_loads: tuple[ServiceLoad, ...] = ()
         self._report_by_router: dict[int, ReceivedReport[RouterLoads]] = {}
         self._report_by_hall: dict[str, ReceivedReport[HallLoads]] = {}
         self._fleet_report: ReceivedReport[FleetLoads] | None = None
+        #: Since when this router is its hall's aggregator, in the clock's seconds; None if it is
+        #: not.
         self._aggregator_since: float | None = None
         self._members: tuple[Member, ...] = ()
+        #: This hall's live routers in the order of its tree; the first is the aggregator.
         self._order: tuple[Member, ...] = ()
         self._other_aggregators: tuple[Member, ...] = ()
 
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -91,6 +91,8 @@
 _EVACUATIONS = operator.attrgetter("evacuations")
 _UPSTREAMS = operator.attrgetter("upstreams")
 
+#: Pulls what a peer holds beyond two versions, of the configuration and of the list of upstreams;
+#: returns None if the peer is unreachable.
 Pull = Callable[[Member, int, int], Awaitable[PulledState | None]]
 
 
