--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -91,6 +91,8 @@
 _EVACUATIONS = operator.attrgetter("evacuations")
 _UPSTREAMS = operator.attrgetter("upstreams")
 
+#: Pulls what a peer holds beyond two versions, of the configuration and of the list of upstreams;
+#: returns None if the peer is unreachable.
 Pull = Callable[[Member, int, int], Awaitable[PulledState | None]]
 
 
@@ -207,7 +209,7 @@
             self._announce()
 
     async def _watch_changes(self) -> None:
-        async for configuration_event in self._source.follow(lambda: self._state.fleet):
+        async for configuration_event in self._source.follow(lambda: self._state.configuration):
             self._apply_configuration_event(configuration_event)
             self._state.platform_error = ""
             await self._peers_discovered.wait()
@@ -222,7 +224,7 @@
         else:
             # Cleared also where this configuration is not newer: the rejected one was replaced.
             self._state.rejected = None
-            if self._state.apply_fleet(configuration_event):
+            if self._state.apply_configuration(configuration_event):
                 self._announce()
 
     def _apply_change(self, change: Change) -> None:
@@ -237,8 +239,8 @@
 
     async def _watch_evacuations(self) -> None:
         state = self._state
-        # A stale list is enough: a router that starts alone gets the last seconds from its peers,
-        # and where all routers start, the watchers go on from the version of this list.
+        # A stale list is enough: a router that starts alone gets the changes of the last seconds
+        # from its peers, and where all routers start, the watchers go on from this list's version.
         may_be_old = not state.halls.evacuations.is_known
         await self._watch(
             EVACUATION_KIND,
@@ -299,7 +301,7 @@
             return
         same_hall = [member for member in older_peers if member.hall == self._state.hall]
         pulled = await self._pull(
-            self._rng.choice(same_hall or older_peers), self._state.fleet.version, 0
+            self._rng.choice(same_hall or older_peers), self._state.configuration.version, 0
         )
         if pulled is not None:
             self._state.apply_evacuations(pulled.evacuations)
@@ -331,7 +333,7 @@
         self._pending_peers.add(peer.name)
         try:
             state = self._state
-            pulled = await self._pull(peer, state.fleet.version, state.upstreams.version)
+            pulled = await self._pull(peer, state.configuration.version, state.upstreams.version)
         finally:
             self._pending_peers.discard(peer.name)
         seconds = self._state.clock() - started_at
@@ -362,15 +364,16 @@
         """Return the versions that this router holds."""
         state = self._state
         return Versions(
-            state.fleet.version, state.upstreams.version, state.halls.evacuations.version
+            state.configuration.version, state.upstreams.version, state.halls.evacuations.version
         )
 
     def _peers_to_pull_from(self) -> list[Member]:
         """Return the peers that hold the newest version, of this hall alone where there are any.
 
-        A peer that was cut off since holds an older version, and a pull from it costs a call's
-        timeout (2 s). Where three in ten routers are cut off, a router that pulled from any peer
-        that is ahead would fall behind by that long repeatedly.
+        A peer that was cut off may hold a version that is newer than this router's but not the
+        newest, and a pull from it costs a call's timeout (2 s). Where three in ten routers are cut
+        off, a router that pulled from any peer that is ahead would fall behind by that long
+        repeatedly.
         """
         names = set(self._state.gossip.routers_ahead())
         if not names:
@@ -383,9 +386,9 @@
     def _with_newest_version(self, ahead: list[Member]) -> list[Member]:
         """Return the peers with the newest configuration, else evacuations, else upstreams.
 
-        The first of these of which a peer holds a newer version than this router decides.
-        Evacuations come before upstreams, as requests sent to an evacuated hall do harm, while a
-        missing upstream does not.
+        The first of these in which any peer is ahead of this router decides. Evacuations come
+        before upstreams, as requests sent to an evacuated hall do harm, while a missing upstream
+        does not.
         """
         held = self._state.gossip.versions()
         own = self._own_versions()
@@ -397,4 +400,4 @@
 
     def _log_if_rejected(self, problem: Rejected | VersionGap | None) -> None:
         if isinstance(problem, Rejected):
-            log.error("Change {} is void: {}.", self._state.fleet.version, problem)
+            log.error("Change {} is void: {}.", self._state.configuration.version, problem)
--- a/pondhatch/router/tests/test_dump.py
+++ b/pondhatch/router/tests/test_dump.py
@@ -31,10 +31,10 @@
 
     def test_it_shows_what_is_in_force_and_the_last_decision_first(self) -> None:
         for number in (1, 2):
-            note = RoutingDecision(
+            decision = RoutingDecision(
                 f"q{number}", "atelier", "lang", "e0", (("e1", "full"),), "whole", 1.0
             )
-            self.state.decisions.append(note)
+            self.state.decisions.append(decision)
         dump = self.dump({"platform_calls": 7})
         self.assertEqual((dump["configuration"], dump["platform_calls"]), (2, 7))
         self.assertEqual([each["request_id"] for each in dump["decisions"]], ["q2", "q1"])
@@ -59,7 +59,7 @@
         self.assertEqual(shown, [("studio", 80, True), ("atelier", 30, False)])
 
     def test_no_hash_of_a_key_is_in_it(self) -> None:
-        hashed = self.state.fleet.entry("account", "atelier")["key_hashes"][0]
+        hashed = self.state.configuration.entry("account", "atelier")["key_hashes"][0]
         self.assertNotIn(hashed.encode(), msgspec.json.encode(self.dump({})))
 
     def test_it_shows_what_requests_hold_of_engines_memory(self) -> None:
