--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -48,7 +48,7 @@
     Sync,
 )
 from pondhatch.transport import (
-    CallerParts,
+    CallerDependencies,
     Callers,
     GossipPort,
     HttpUpstreams,
@@ -184,7 +184,7 @@
 
     def _new_callers(self, upstreams: HttpUpstreams) -> Callers:
         return self._interface.callers(
-            CallerParts(
+            CallerDependencies(
                 state=self.state,
                 collaborators=Collaborators(
                     self._grant_exchange.entry,
--- a/pondhatch/platform/__init__.py
+++ b/pondhatch/platform/__init__.py
@@ -21,7 +21,7 @@
 from pondhatch.store import Platform
 from pondhatch.transport import (
     INTERFACE,
-    CallerParts,
+    CallerDependencies,
     Callers,
     HttpClient,
     RoutedCallers,
@@ -58,9 +58,9 @@
             store, names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, reader.decode
         )
 
-    def callers(self, parts: CallerParts) -> Callers:
+    def callers(self, dependencies: CallerDependencies) -> Callers:
         """Return the handler of clients' requests by the operator's routes."""
-        return RoutedCallers(parts, ClientDialect())
+        return RoutedCallers(dependencies, ClientDialect())
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
         """Return whether the rules in force include those for callers competing for capacity."""
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -34,7 +34,7 @@
         parts = value_by_name.get(names.PROMPT_PARTS.lower(), "")
         return CallerFacts(
             caller_id=value_by_name.get(names.ATTEMPT_ID.lower(), ""),
-            key=bearer_key(value_by_name.get(names.AUTHORIZATION.lower(), "")),
+            api_key=bearer_key(value_by_name.get(names.AUTHORIZATION.lower(), "")),
             max_wait=float(deadline_ms) / 1000
             if deadline_ms.isascii() and deadline_ms.isdigit()
             else None,
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -202,7 +202,7 @@
 
     def test_reads_the_facts_of_a_request(self) -> None:
         facts = self.dialect.read(HEADERS)
-        self.assertEqual((facts.caller_id, facts.key, facts.max_wait), ("9c41", "key-1", 9.0))
+        self.assertEqual((facts.caller_id, facts.api_key, facts.max_wait), ("9c41", "key-1", 9.0))
 
     def test_a_deadline_that_is_no_number_is_none(self) -> None:
         for value in ("", "soon", "-1", "\u00b2", "1.5"):
@@ -239,7 +239,7 @@
         )
         for headers, key in rows:
             with self.subTest(headers=headers):
-                self.assertEqual(self.dialect.read(headers).key, key)
+                self.assertEqual(self.dialect.read(headers).api_key, key)
 
     def test_the_context_is_the_last_shared_part(self) -> None:
         def context(parts: str) -> int:
--- a/pondhatch/standard/__init__.py
+++ b/pondhatch/standard/__init__.py
@@ -14,7 +14,7 @@
 from pondhatch.standard._platform import HttpPlatform
 from pondhatch.standard._upstreams import OpenAiUpstreams
 from pondhatch.store import Platform
-from pondhatch.transport import INTERFACE, CallerParts, Callers
+from pondhatch.transport import INTERFACE, CallerDependencies, Callers
 
 __all__ = ["HttpEngineOrders", "HttpPlatform", "OpenAiInterface"]
 
@@ -37,9 +37,9 @@
         """Return the change log that holds the configuration."""
         return ChangeLog(store)
 
-    def callers(self, parts: CallerParts) -> Callers:
+    def callers(self, dependencies: CallerDependencies) -> Callers:
         """Return the handler of requests to the OpenAI-compatible API."""
-        return OpenAiCallers(parts)
+        return OpenAiCallers(dependencies)
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
         """Return False: no rule of this platform asks for load management."""
--- a/pondhatch/standard/_answers.py
+++ b/pondhatch/standard/_answers.py
@@ -49,9 +49,9 @@
         write_head(request, status, forwarded)
         request.setHeader(REQUEST_ID_HEADER, request_id.encode())
 
-    def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
+    def end_broken(self, request: Any, broken: Broken, is_stream: bool) -> None:
         """End a stream with an error event, any other answer by aborting the connection."""
-        if stream:
+        if is_stream:
             error = {"message": broken.reason, "type": "unknown", "code": broken.code}
             request.write(b"data: " + msgspec.json.encode({"error": error}) + b"\n\n")
             return
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -41,7 +41,7 @@
 from pondhatch.standard._header_owners import OWNERS
 from pondhatch.transport import (
     AdmittedRequest,
-    CallerParts,
+    CallerDependencies,
     CallerRequest,
     RequestRunner,
     as_text,
@@ -65,20 +65,20 @@
 class OpenAiCallers:
     """Handles callers' requests."""
 
-    def __init__(self, parts: CallerParts) -> None:
-        self._state = parts.state
-        self._startup_wait = parts.startup_wait
-        self._limits = parts.limits
-        self._metrics = parts.metrics
-        self._note_dropped = dropped_header_counter(parts.metrics)
-        self._answers = OpenAiAnswers(parts.metrics)
-        self._request_runner = RequestRunner(parts, self._answers)
+    def __init__(self, dependencies: CallerDependencies) -> None:
+        self._state = dependencies.state
+        self._startup_wait = dependencies.startup_wait
+        self._limits = dependencies.limits
+        self._metrics = dependencies.metrics
+        self._note_dropped = dropped_header_counter(dependencies.metrics)
+        self._answers = OpenAiAnswers(dependencies.metrics)
+        self._request_runner = RequestRunner(dependencies, self._answers)
         #: Requests whose callers are still connected.
         self._connected_requests = 0
         #: Cleared by a stopping router. Not read here: the router's state refuses requests at once.
         self.accepts_requests = True
         self.app = Klein()
-        self._route()
+        self._add_routes()
 
     @property
     def in_flight(self) -> int:
@@ -90,7 +90,7 @@
         site_resource: Resource = self.app.resource()
         return site_resource
 
-    def _route(self) -> None:
+    def _add_routes(self) -> None:
         @self.app.route(CHAT_PATH, methods=["POST"])
         def chat(request: IRequest) -> Deferred[None]:
             return as_deferred(self._serve(request, self._prepare_chat))
@@ -109,14 +109,14 @@
             return as_deferred(self._serve(request, self._prepare_plain))
 
     async def _serve(self, request: Any, prepare: Prepare) -> None:
-        started = time.monotonic()
+        started_at = time.monotonic()
         self._connected_requests += 1
         try:
             prepared = await self._prepare_request(request, prepare)
             if isinstance(prepared, NotRun):
                 self._answers.refuse(request, prepared)
                 return
-            await self._request_runner.run(request, prepared, started)
+            await self._request_runner.run(request, prepared, started_at)
         except CallerGone:
             self._metrics.count("callers.gone")
             request.abort()
@@ -135,9 +135,9 @@
 
     async def _prepare_request(self, request: Any, prepare: Prepare) -> AdmittedRequest | NotRun:
         await self._startup_wait.wait()
-        unready = not_ready_refusal(self._state)
-        if unready is not None:
-            return unready
+        refusal = not_ready_refusal(self._state)
+        if refusal is not None:
+            return refusal
         account = identify(self._state, _header(request, "Authorization"))
         if isinstance(account, NotRun):
             return account
--- a/pondhatch/transport/__init__.py
+++ b/pondhatch/transport/__init__.py
@@ -16,7 +16,7 @@
 )
 from pondhatch.transport._headers import as_text, utf8_value
 from pondhatch.transport._http_client import HttpClient
-from pondhatch.transport._interface import INTERFACE, CallerParts, Callers, Interface
+from pondhatch.transport._interface import INTERFACE, CallerDependencies, Callers, Interface
 from pondhatch.transport._metrics_page import MetricsPage
 from pondhatch.transport._parts import PartPipe
 from pondhatch.transport._peer_service import PeerService, fleet_token
@@ -35,7 +35,7 @@
     "MetricsPage",
     "abort_connection",
     "write_head",
-    "CallerParts",
+    "CallerDependencies",
     "CallerRequest",
     "Callers",
     "PartPipe",
--- a/pondhatch/transport/_answers.py
+++ b/pondhatch/transport/_answers.py
@@ -22,7 +22,7 @@
     def begin(self, request: Any, status: int, headers: Headers, request_id: str) -> None:
         """Write an answer's head."""
 
-    def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
+    def end_broken(self, request: Any, broken: Broken, is_stream: bool) -> None:
         """End a broken answer so that it does not look complete to the caller."""
 
 
--- a/pondhatch/transport/_caller_dialect.py
+++ b/pondhatch/transport/_caller_dialect.py
@@ -16,7 +16,7 @@
     #: The caller's id of this attempt; empty if none was given.
     caller_id: str
     #: The API key, or None if none was given.
-    key: str | None
+    api_key: str | None
     #: Seconds that the caller waits for the answer, or None if not stated.
     max_wait: float | None
     #: 64-bit key of the context that the request shares with others, or 0.
--- a/pondhatch/transport/_http_client.py
+++ b/pondhatch/transport/_http_client.py
@@ -177,12 +177,12 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._probe_by_address: dict[Address, _ListenProbe] = {}
         self._reuse_rules = ReuseRules()
-        self._load_managed: Callable[[], bool] = _never
+        self._is_load_managed: Callable[[], bool] = _never
         self._metrics: Metrics = NoMetrics()
 
-    def configure(self, load_managed: Callable[[], bool], metrics: Metrics) -> None:
+    def configure(self, is_load_managed: Callable[[], bool], metrics: Metrics) -> None:
         """Set how to query whether load is managed, and the metrics that count connections."""
-        self._load_managed = load_managed
+        self._is_load_managed = is_load_managed
         self._metrics = metrics
 
     def has_idle(self, address: Address) -> bool:
@@ -243,7 +243,7 @@
 
     def _is_managed(self, connection: Connection) -> bool:
         """Return whether the reuse rules for managed load apply to a connection."""
-        return self._load_managed() and connection.to_upstream
+        return self._is_load_managed() and connection.to_upstream
 
     def _usable_until(self, connection: Connection) -> float:
         return self._reuse_rules.usable_until(connection, self._is_managed(connection))
--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -48,7 +48,7 @@
         #: Whether the other side stated how long it keeps an idle connection.
         self.has_stated_idle = False
         #: That time in seconds; 0 if none was stated.
-        self.stated_idle = 0.0
+        self.stated_idle_seconds = 0.0
         #: When its last exchange ended, in the loop's seconds.
         self.idle_since = float("-inf")
         #: Whether the other side is an upstream rather than the platform.
@@ -91,12 +91,12 @@
 
         ``counter`` counts the unsent bytes of the connection meanwhile.
         """
-        left = body.length
+        remaining = body.length
         self.transport.registerProducer(self, True)
         try:
-            while left != 0 and (part := await body.read()):
+            while remaining != 0 and (part := await body.read()):
                 self._write(h11.Data(data=part))
-                left = left - len(part) if left is not None else None
+                remaining = remaining - len(part) if remaining is not None else None
                 if not self._writable.is_set():
                     counter.set(unsent_bytes(self.transport))
                     await self._writable.wait()
@@ -217,17 +217,21 @@
         self._exchange = None
         if parts:
             exchange.pipe.put(b"".join(parts))
-        clean = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
-        surplus = bool(self._http.trailing_data[0])
-        if clean and not surplus and self.is_open:
+        is_complete = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
+        has_surplus = bool(self._http.trailing_data[0])
+        if is_complete and not has_surplus and self.is_open:
             self._http.start_next_cycle()
-            stated_idle = (
+            stated_idle_seconds = (
                 exchange.response.stated_idle_seconds() if exchange.response is not None else None
             )
-            self.has_stated_idle = stated_idle is not None
-            self.stated_idle = stated_idle or 0.0
+            self.has_stated_idle = stated_idle_seconds is not None
+            self.stated_idle_seconds = stated_idle_seconds or 0.0
             self.idle_since = asyncio.get_running_loop().time()
-            kept_seconds = IDLE_SECONDS if stated_idle is None else stated_idle * STATED_IDLE_SHARE
+            kept_seconds = (
+                IDLE_SECONDS
+                if stated_idle_seconds is None
+                else stated_idle_seconds * STATED_IDLE_SHARE
+            )
             self.usable_until = self.idle_since + kept_seconds
             exchange.complete(self)
         else:
--- a/pondhatch/transport/_interface.py
+++ b/pondhatch/transport/_interface.py
@@ -25,7 +25,7 @@
 INTERFACE = "interface"
 
 
-class CallerParts(msgspec.Struct, frozen=True):
+class CallerDependencies(msgspec.Struct, frozen=True):
     """The dependencies of serving callers."""
 
     state: RouterState
@@ -68,7 +68,7 @@
     def configuration(self, store: Platform) -> ConfigurationSource:
         """Return the source of the fleet's configuration."""
 
-    def callers(self, parts: CallerParts) -> Callers:
+    def callers(self, dependencies: CallerDependencies) -> Callers:
         """Return the server of callers' requests."""
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
--- a/pondhatch/transport/_peer_tls.py
+++ b/pondhatch/transport/_peer_tls.py
@@ -9,7 +9,7 @@
 from pondhatch.configuration import ConfigurationError, PeerEndpoint, Problem
 
 #: ALPN protocols, which HTTP/2 requires.
-PROTOCOLS = ["h2"]
+ALPN_PROTOCOLS = ["h2"]
 
 
 class PeerTls(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
         client = ssl.create_default_context(ssl.Purpose.SERVER_AUTH, cafile=peers.authority)
         for context in (server, client):
             context.load_cert_chain(peers.certificate, peers.private_key)
-            context.set_alpn_protocols(PROTOCOLS)
+            context.set_alpn_protocols(ALPN_PROTOCOLS)
     except OSError as error:
         problem = Problem(router, 0, "peers", f"expected readable PEM files, {error}")
         raise ConfigurationError((problem,)) from error
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -39,7 +39,7 @@
 from pondhatch.transport._answers import Answers, replay
 from pondhatch.transport._caller_request import CallerRequest
 from pondhatch.transport._caller_writer import CallerWriter
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 
 log = log_for("callers")
 
@@ -58,7 +58,7 @@
     body: BodySource
     wait_limits: WaitLimits
     #: Idempotency key of a request that must not run twice, scoped to the account.
-    key: str | None = None
+    idempotency_key: str | None = None
     #: Counts the bytes of its body until the request ends.
     body_counter: HeldCounter = UNCOUNTED
 
@@ -113,12 +113,12 @@
 class RequestRunner:
     """Runs admitted requests and writes their answers or refusals to callers."""
 
-    def __init__(self, parts: CallerParts, answers: Answers) -> None:
-        self._state = parts.state
-        self._collaborators = parts.collaborators
-        self._metrics = parts.metrics
-        self._tasks = parts.tasks
-        self._records = parts.records
+    def __init__(self, dependencies: CallerDependencies, answers: Answers) -> None:
+        self._state = dependencies.state
+        self._collaborators = dependencies.collaborators
+        self._metrics = dependencies.metrics
+        self._tasks = dependencies.tasks
+        self._records = dependencies.records
         self._answers = answers
         #: Tasks of keyed requests that continue after their callers left.
         self.detached_tasks: set[asyncio.Task[None]] = set()
@@ -127,7 +127,7 @@
         self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
     ) -> None:
         """Serve one request; a caller that leaves cancels it, unless it has an idempotency key."""
-        if admitted_request.key is None:
+        if admitted_request.idempotency_key is None:
             try:
                 await self._serve(request, admitted_request, started_at)
             finally:
@@ -157,8 +157,10 @@
     ) -> None:
         """Serve one request to its end, then release it from its account's concurrency."""
         try:
-            if admitted_request.key is not None:
-                await self._run_keyed(request, admitted_request, admitted_request.key, started_at)
+            if admitted_request.idempotency_key is not None:
+                await self._run_keyed(
+                    request, admitted_request, admitted_request.idempotency_key, started_at
+                )
             else:
                 await self._run(request, admitted_request, started_at, AnswerCopy())
         finally:
@@ -246,7 +248,7 @@
         writer = CallerWriter(
             request, self._state.held_bytes.counter(admitted_request.account.name)
         )
-        sink = _CopyingSink(copy, writer) if admitted_request.key else writer
+        sink = _CopyingSink(copy, writer) if admitted_request.idempotency_key else writer
         delivery = Delivery(dispatch, placed, sink, begin)
         try:
             delivered = await delivery.run()
--- a/pondhatch/transport/_resolver.py
+++ b/pondhatch/transport/_resolver.py
@@ -28,8 +28,8 @@
 class NumericResolver:
     """An IHostnameResolver that delegates host names to another one."""
 
-    def __init__(self, names: Any) -> None:
-        self._names = names
+    def __init__(self, host_resolver: Any) -> None:
+        self._host_resolver = host_resolver
 
     def resolveHostName(
         self,
@@ -40,9 +40,9 @@
         transportSemantics: str = "TCP",
     ) -> Any:
         """Resolve a host; see IHostnameResolver."""
-        address = _numeric(hostName, portNumber, transportSemantics)
+        address = _parse_ip_address(hostName, portNumber, transportSemantics)
         if address is None:
-            return self._names.resolveHostName(
+            return self._host_resolver.resolveHostName(
                 resolutionReceiver, hostName, portNumber, addressTypes, transportSemantics
             )
         resolution = _Resolution(hostName)
@@ -57,7 +57,7 @@
     reactor.installNameResolver(NumericResolver(reactor.nameResolver))
 
 
-def _numeric(host: str, port: int, semantics: Any) -> IPv4Address | IPv6Address | None:
+def _parse_ip_address(host: str, port: int, semantics: Any) -> IPv4Address | IPv6Address | None:
     if isIPAddress(host):
         return IPv4Address(semantics, host, port)
     if isIPv6Address(host):
--- a/pondhatch/transport/_reuse.py
+++ b/pondhatch/transport/_reuse.py
@@ -19,8 +19,8 @@
 #: Fraction of the other side's stated idle time during which a connection is reused while load
 #: is managed, and the seconds of it that are left for a request in transit: a path between data
 #: halls takes some hundredths of a second, a busy router some tenths.
-MANAGED_SHARE = 0.9
-MANAGED_MARGIN = 1.0
+MANAGED_IDLE_SHARE = 0.9
+MANAGED_MARGIN_SECONDS = 1.0
 #: Seconds after a loss during which MAX_SILENT_SECONDS applies although load is managed: the
 #: cause may have cut other connections too, which the system's probes have closed by then.
 STRICT_SECONDS = 3.0
@@ -33,7 +33,7 @@
     usable_until: float
     #: Whether the other side stated how long it keeps an idle connection, and those seconds.
     has_stated_idle: bool
-    stated_idle: float
+    stated_idle_seconds: float
     #: When its last exchange ended, and when bytes were last received, in the loop's seconds.
     idle_since: float
     last_received_at: float
@@ -57,7 +57,7 @@
         """Return the time until which an idle connection may be reused at all."""
         if not managed or not connection.has_stated_idle:
             return connection.usable_until
-        return connection.idle_since + managed_idle_seconds(connection.stated_idle)
+        return connection.idle_since + managed_idle_seconds(connection.stated_idle_seconds)
 
     def is_safe(self, connection: IdleConnection, now: float, managed: bool) -> bool:
         """Return whether a request that may not be repeated may reuse a connection."""
@@ -74,4 +74,4 @@
     The margin would use up most of a short time, so at least STATED_IDLE_SHARE of it is used, as
     while load is not managed.
     """
-    return max(stated * STATED_IDLE_SHARE, stated * MANAGED_SHARE - MANAGED_MARGIN)
+    return max(stated * STATED_IDLE_SHARE, stated * MANAGED_IDLE_SHARE - MANAGED_MARGIN_SECONDS)
--- a/pondhatch/transport/_routed_answers.py
+++ b/pondhatch/transport/_routed_answers.py
@@ -36,7 +36,7 @@
         write_head(request, status, headers)
         self._close_if_stopping(request)
 
-    def end_broken(self, request: Any, broken: Broken, stream: bool) -> None:
+    def end_broken(self, request: Any, broken: Broken, is_stream: bool) -> None:
         """Abort the connection: nothing else shows that an answer is incomplete."""
         abort_connection(request)
 
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -43,7 +43,7 @@
 from pondhatch.transport._caller_dialect import CallerDialect, CallerFacts
 from pondhatch.transport._header_owners import dropped_header_counter
 from pondhatch.transport._headers import as_text
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 from pondhatch.transport._request_runner import CALLER_GONE, AdmittedRequest, RequestRunner
 from pondhatch.transport._routed_answers import RoutedAnswers
 
@@ -62,23 +62,23 @@
 
     isLeaf = True
 
-    def __init__(self, parts: CallerParts, dialect: CallerDialect) -> None:
+    def __init__(self, dependencies: CallerDependencies, dialect: CallerDialect) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         #: Unfinished requests, which a stopping router waits for.
         self.in_flight = 0
         #: False once a stopping router refuses new requests.
         self.accepts_requests = True
-        self._state = parts.state
+        self._state = dependencies.state
         self._dialect = dialect
-        self._limits = parts.limits
-        self._metrics = parts.metrics
-        self._note_dropped = dropped_header_counter(parts.metrics)
-        self._records = parts.records
-        self._rng = parts.rng
-        self._tasks = parts.tasks
-        self._startup_wait = parts.startup_wait
-        self._answers = RoutedAnswers(dialect, parts.metrics, parts.state.is_draining)
-        self._request_runner = RequestRunner(parts, self._answers)
+        self._limits = dependencies.limits
+        self._metrics = dependencies.metrics
+        self._note_dropped = dropped_header_counter(dependencies.metrics)
+        self._records = dependencies.records
+        self._rng = dependencies.rng
+        self._tasks = dependencies.tasks
+        self._startup_wait = dependencies.startup_wait
+        self._answers = RoutedAnswers(dialect, dependencies.metrics, dependencies.state.is_draining)
+        self._request_runner = RequestRunner(dependencies, self._answers)
 
     def resource(self) -> Resource:
         """Return the resource to be served by a site."""
@@ -203,7 +203,7 @@
         route = self._find_route(request)
         if isinstance(route, NotRun):
             return route
-        account = ANONYMOUS if route.spec.public else identify_key(self._state, facts.key)
+        account = ANONYMOUS if route.spec.public else identify_key(self._state, facts.api_key)
         return account if isinstance(account, NotRun) else (route, account)
 
     def _find_route(self, request: CallerRequest) -> Route | NotRun:
--- a/pondhatch/transport/_store_calls.py
+++ b/pondhatch/transport/_store_calls.py
@@ -20,7 +20,7 @@
 #: accepts 2,000 calls a second from the whole fleet, in which one or two routers of each hall
 #: watch. Further calls wait for their turn.
 CALLS_PER_SECOND = 10.0
-CALLS_AT_ONCE = 20
+BURST_CALLS = 20
 
 
 class CallFailed(Exception):
@@ -49,7 +49,7 @@
         self.calls_made = 0
         self._client = client
         self._address = Address.of_url(url)
-        self._rate_limiter = RateLimiter(CALLS_PER_SECOND, CALLS_AT_ONCE)
+        self._rate_limiter = RateLimiter(CALLS_PER_SECOND, BURST_CALLS)
 
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float = CALL_SECONDS
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -159,7 +159,7 @@
                     head.needs_new_connection,
                     Hooks(
                         may_reuse=lambda answered: (
-                            self._judge(head, answered) is not AnswerKind.CROSSED
+                            self._classify(head, answered) is not AnswerKind.CROSSED
                         ),
                         on_head=lambda answered: self._receive_notice(target, answered),
                         before_send=lambda: self._check_open(target, head),
@@ -220,7 +220,7 @@
         if notice or notice.pace:
             self._view.receive_notice(target.name, notice)
 
-    def _judge(self, head: RequestHead, response: ResponseHead) -> AnswerKind | EngineRefusal:
+    def _classify(self, head: RequestHead, response: ResponseHead) -> AnswerKind | EngineRefusal:
         return self._dialect.judge(head, response.status, response.value_by_name)
 
     def _abandon(self, exchange: Exchange | None, attempt: Try, reason: str) -> NotRun | Unknown:
@@ -236,7 +236,7 @@
         attempt: Try,
         deadline: float,
     ) -> AnswerStarted | NotRun | Unknown:
-        kind = self._judge(head, response)
+        kind = self._classify(head, response)
         if kind is AnswerKind.CROSSED:
             attempt.crossed()
             exchange.cancel()
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -280,7 +280,7 @@
 
     def idle_connection(self, stated: float) -> Connection:
         connection = Connection(lambda _: None)
-        connection.has_stated_idle, connection.stated_idle = stated > 0, stated
+        connection.has_stated_idle, connection.stated_idle_seconds = stated > 0, stated
         connection.idle_since = connection.last_received_at = 100.0
         connection.usable_until = 100.0 + stated / 2
         return connection
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -19,7 +19,7 @@
 from pondhatch.standard._callers import OpenAiCallers
 from pondhatch.store import Listed
 from pondhatch.transport._caller_channel import CallerSite
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 from pondhatch.transport.tests.test_routed_callers import (
     Answer,
     EndlessAnswer,
@@ -55,7 +55,7 @@
         await super().asyncSetUp()
         self.state.apply_fleet(_fleet())
         self.state.apply_listed_evacuations(Listed(1, ()))
-        parts = CallerParts(
+        parts = CallerDependencies(
             self.state,
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -51,7 +51,7 @@
 from pondhatch.router._startup_wait import STARTUP_SECONDS
 from pondhatch.store import LEAVING, Listed, Upstream
 from pondhatch.transport._caller_channel import CallerSite
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 from pondhatch.transport._routed_callers import RoutedCallers
 
 ANSWERED: Headers = (("Instance-Signature", "3e"), ("Content-Length", "4"))
@@ -189,7 +189,7 @@
         starting = StartupWait(self.state)
         # The router's startup wait is over, except in the tests of its start.
         self.state.clock = lambda: STARTUP_SECONDS
-        parts = CallerParts(
+        parts = CallerDependencies(
             self.state,
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
--- a/pondhatch/transport/tests/test_store_calls.py
+++ b/pondhatch/transport/tests/test_store_calls.py
@@ -9,7 +9,7 @@
 from fakes._virtual_loop import run_virtually
 from pondhatch.transport import CallFailed, StoreCalls
 from pondhatch.transport._http_client import HttpClient, NotSent
-from pondhatch.transport._store_calls import CALLS_AT_ONCE, CALLS_PER_SECOND
+from pondhatch.transport._store_calls import BURST_CALLS, CALLS_PER_SECOND
 from pondhatch.transport.tests.test_header_bytes import Reactor
 from pondhatch.transport.tests.test_http_client import WHOLE
 
@@ -45,7 +45,7 @@
             self.assertEqual(calls.calls_made, client.sent)
             return calls.calls_made
 
-        limit = CALLS_AT_ONCE + 10 * CALLS_PER_SECOND
+        limit = BURST_CALLS + 10 * CALLS_PER_SECOND
         self.assertLessEqual(run_virtually(main()), limit)
         self.assertGreater(run_virtually(main()), limit - 5)
 
