--- a/pondhatch/transport/tests/test_caller_channel.py
+++ b/pondhatch/transport/tests/test_caller_channel.py
@@ -28,8 +28,8 @@
 
     def __init__(self, capacity: int = 1_000_000, gone_after: int = 1_000_000) -> None:
         self.received = b""
-        self.flowing = asyncio.Event()
-        self.flowing.set()
+        self.writable = asyncio.Event()
+        self.writable.set()
         self._capacity = capacity
         self._gone_after = gone_after
 
@@ -38,11 +38,11 @@
             raise CallerGone("gone")
         self.received += part
         if len(self.received) > self._capacity:
-            self.flowing.clear()
-        return self.flowing.is_set()
+            self.writable.clear()
+        return self.writable.is_set()
 
     async def ready(self) -> None:
-        await self.flowing.wait()
+        await self.writable.wait()
 
 
 class StreamToTest(unittest.IsolatedAsyncioTestCase):
@@ -70,7 +70,7 @@
         await asyncio.sleep(0)
         self.assertEqual((sink.received, calls), (b"abc", ["pause"]))
         sink._capacity = 10_000_000
-        sink.flowing.set()
+        sink.writable.set()
         pipe.end()
         await task
         self.assertEqual(sink.received, b"abcde" + b"x" * HIGH_WATER)
@@ -114,11 +114,11 @@
             channel.writeSequence([part[:1], part[1:]])
             sent += part
             if at % 50 == 49:
-                received += _drained(theirs)
+                received += _receive_available(theirs)
                 transport.doWrite()
         while len(received) < len(sent):
             transport.doWrite()
-            received += _drained(theirs)
+            received += _receive_available(theirs)
         self.assertEqual(received, sent)
         ours.close()
         theirs.close()
@@ -134,7 +134,7 @@
         """Do nothing."""
 
 
-def _drained(connection: socket.socket) -> bytes:
+def _receive_available(connection: socket.socket) -> bytes:
     received = b""
     with contextlib.suppress(BlockingIOError):
         while part := connection.recv(65536):
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -144,14 +144,18 @@
 
 
 async def _send_requests(
-    router: Router, seconds: float, seed: int, first: int = 0, rate: float = REQUESTS_PER_SECOND
+    router: Router,
+    seconds: float,
+    seed: int,
+    first_number: int = 0,
+    rate: float = REQUESTS_PER_SECOND,
 ) -> list[Any]:
     """Send requests at a random rate for some seconds; return the result of each."""
     rng, loop = random.Random(seed), asyncio.get_running_loop()
     until = loop.time() + seconds
     tasks: list[asyncio.Future[Any]] = []
     while loop.time() < until:
-        tasks.append(asyncio.ensure_future(router.ask(first + len(tasks))))
+        tasks.append(asyncio.ensure_future(router.ask(first_number + len(tasks))))
         await asyncio.sleep(rng.expovariate(rate))
     return await asyncio.gather(*tasks)
 
@@ -198,7 +202,7 @@
             router.fall_silent()
             silent = router.open_engines()
             lost = await _send_requests(
-                router, SILENCE_DETECTED_SECONDS + 0.1, seed=3, first=10_000
+                router, SILENCE_DETECTED_SECONDS + 0.1, seed=3, first_number=10_000
             )
             self.assertEqual(set(router.sent.values()), {1})
             self.assertEqual(len(router.sent), len(before) + len(lost))
@@ -209,7 +213,7 @@
 
             opened, _ = router.counts()
             await _send_requests(
-                router, STRICT_SECONDS - SILENCE_DETECTED_SECONDS, seed=4, first=20_000
+                router, STRICT_SECONDS - SILENCE_DETECTED_SECONDS, seed=4, first_number=20_000
             )
             opened_while_strict = router.counts()[0] - opened
             self.assertGreater(
@@ -218,7 +222,7 @@
             )
             await asyncio.sleep(SILENCE_DETECTED_SECONDS)
             opened, reused = router.counts()
-            await _send_requests(router, 10.0, seed=5, first=30_000)
+            await _send_requests(router, 10.0, seed=5, first_number=30_000)
             opened, reused = router.counts()[0] - opened, router.counts()[1] - reused
             self.assertLess(opened, (opened + reused) / 4)
 
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -20,7 +20,7 @@
 
 GET = Request("GET", "/things", (("Host", "upstream"),))
 POST = Request("POST", "/things", (("Host", "upstream"),))
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 
 class Handle:
@@ -51,18 +51,18 @@
         self._may_reuse = may_reuse
 
     def begin(self, request: Request = GET, body: Any = None) -> Exchange:
-        exchange = Exchange(self.connection, self.kept.append, self._judge)
+        exchange = Exchange(self.connection, self.kept.append, self._allows_reuse)
         exchange.send(request, body or ReplayableBody(b""))
         return exchange
 
     def lose(self, reason: Exception) -> None:
         self.connection.connectionLost(Failure(reason))
 
-    def _judge(self, _: ResponseHead) -> bool:
+    def _allows_reuse(self, _: ResponseHead) -> bool:
         return self._may_reuse
 
 
-async def content(exchange: Exchange) -> bytes:
+async def read_content(exchange: Exchange) -> bytes:
     parts = []
     while part := await exchange.pipe.read():
         parts.append(part)
@@ -74,7 +74,7 @@
         chunked = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"
         )
-        for raw in (WHOLE, chunked):
+        for raw in (COMPLETE_RESPONSE, chunked):
             for size in (1, 7, 1000):
                 with self.subTest(raw=raw, size=size):
                     wire = Wire()
@@ -82,15 +82,15 @@
                     for at in range(0, len(raw), size):
                         wire.connection.dataReceived(raw[at : at + size])
                     self.assertEqual((await exchange.head).status, 200)
-                    self.assertEqual(await content(exchange), b"hello")
+                    self.assertEqual(await read_content(exchange), b"hello")
                     self.assertEqual(wire.kept, [wire.connection])
 
     async def test_a_connection_carries_two_exchanges_in_turn(self) -> None:
         wire = Wire()
         for _ in range(2):
             exchange = wire.begin()
-            wire.connection.dataReceived(WHOLE)
-            self.assertEqual(await content(exchange), b"hello")
+            wire.connection.dataReceived(COMPLETE_RESPONSE)
+            self.assertEqual(await read_content(exchange), b"hello")
         self.assertEqual(wire.kept, [wire.connection] * 2)
 
     async def test_an_answer_without_length_is_complete_only_after_an_orderly_close(self) -> None:
@@ -99,14 +99,14 @@
         exchange = wire.begin()
         wire.connection.dataReceived(raw)
         wire.lose(ConnectionDone())
-        self.assertEqual(await content(exchange), b"hello")
+        self.assertEqual(await read_content(exchange), b"hello")
         self.assertEqual(wire.kept, [])
         wire = Wire()
         exchange = wire.begin()
         wire.connection.dataReceived(raw)
         wire.lose(ConnectionLost())
         with self.assertRaises(ConnectionBroken):
-            await content(exchange)
+            await read_content(exchange)
 
     async def test_the_stated_idle_time_bounds_the_reuse_of_a_connection(self) -> None:
         stated = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4, max=9\r\nContent-Length: 0\r\n\r\n"
@@ -139,7 +139,7 @@
                     wire.connection.dataReceived(raw)
                     wire.lose(reason)
                     with self.assertRaises(ConnectionBroken):
-                        await content(exchange)
+                        await read_content(exchange)
 
     async def test_a_malformed_response_closes_the_connection(self) -> None:
         wire = Wire()
@@ -152,15 +152,15 @@
     async def test_surplus_bytes_close_the_connection(self) -> None:
         wire = Wire()
         exchange = wire.begin()
-        wire.connection.dataReceived(WHOLE + WHOLE)
-        self.assertEqual(await content(exchange), b"hello")
+        wire.connection.dataReceived(COMPLETE_RESPONSE + COMPLETE_RESPONSE)
+        self.assertEqual(await read_content(exchange), b"hello")
         self.assertEqual(wire.kept, [])
         self.assertTrue(wire.transport.aborted)
 
     async def test_bytes_on_an_idle_connection_close_it(self) -> None:
         wire = Wire()
         wire.begin()
-        wire.connection.dataReceived(WHOLE)
+        wire.connection.dataReceived(COMPLETE_RESPONSE)
         wire.connection.dataReceived(b"HTTP")
         self.assertTrue(wire.transport.aborted)
         self.assertFalse(wire.connection.is_open)
@@ -176,14 +176,14 @@
     async def test_a_connection_that_may_not_be_reused_is_closed(self) -> None:
         wire = Wire(may_reuse=False)
         wire.begin()
-        wire.connection.dataReceived(WHOLE)
+        wire.connection.dataReceived(COMPLETE_RESPONSE)
         self.assertEqual(wire.kept, [])
         self.assertTrue(wire.transport.aborted)
 
     async def test_a_late_cancel_does_not_close_the_connection_of_a_complete_answer(self) -> None:
         wire = Wire()
         exchange = wire.begin()
-        wire.connection.dataReceived(WHOLE)
+        wire.connection.dataReceived(COMPLETE_RESPONSE)
         exchange.cancel()
         self.assertFalse(wire.transport.aborted)
 
@@ -217,8 +217,8 @@
         body = StalledBody()
         exchange = wire.begin(POST, body)
         await asyncio.sleep(0)
-        wire.connection.dataReceived(WHOLE)
-        self.assertEqual(await content(exchange), b"hello")
+        wire.connection.dataReceived(COMPLETE_RESPONSE)
+        self.assertEqual(await read_content(exchange), b"hello")
         await asyncio.sleep(0)
         self.assertTrue(body.cancelled)
         self.assertEqual(wire.kept, [])
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -24,11 +24,11 @@
 from pondhatch.transport._http_heads import Request
 from pondhatch.transport._upstreams import HttpUpstreams
 from pondhatch.transport.tests.test_header_bytes import HttpRoutedTest, Reactor
-from pondhatch.transport.tests.test_http_client import GET, WHOLE, Wire
+from pondhatch.transport.tests.test_http_client import COMPLETE_RESPONSE, GET, Wire
 from pondhatch.transport.tests.test_routed_callers import put_in_force
 
 ADDRESS = Address("10.0.0.1", 80)
-NOTHING = ReplayableBody(b"")
+EMPTY_BODY = ReplayableBody(b"")
 #: Headers that are invalid in an HTTP/1.1 request.
 UNWRITABLE: tuple[Headers, ...] = (
     (("Host", "upstream"), ("X-Own", "a\nb")),
@@ -47,20 +47,20 @@
                 reactor = Reactor()
                 client = HttpClient(reactor)
                 with self.assertRaises((h11.LocalProtocolError, UnicodeEncodeError)):
-                    await client.send(ADDRESS, Request("GET", "/", headers), NOTHING, False)
+                    await client.send(ADDRESS, Request("GET", "/", headers), EMPTY_BODY, False)
                 self.assertEqual((len(reactor.wires), reactor.left_open()), (1, 0))
 
     async def test_a_reused_connection_is_closed_too(self) -> None:
         reactor = Reactor()
         client = HttpClient(reactor)
-        await client.send(ADDRESS, GET, NOTHING, True)
-        reactor.connections[0].dataReceived(WHOLE)
+        await client.send(ADDRESS, GET, EMPTY_BODY, True)
+        reactor.connections[0].dataReceived(COMPLETE_RESPONSE)
         with self.assertRaises(h11.LocalProtocolError):
-            await client.send(ADDRESS, Request("GET", "/", ()), NOTHING, True)
+            await client.send(ADDRESS, Request("GET", "/", ()), EMPTY_BODY, True)
         self.assertEqual((len(reactor.wires), reactor.left_open()), (1, 0))
 
 
-class AccountsNameTest(HttpRoutedTest):
+class AccountNameTest(HttpRoutedTest):
     async def test_an_account_name_invalid_in_headers_leaves_no_open_connection(self) -> None:
         accounts = [{"Name": "a\nb", "ApiKeys": ["k"]}]
         put_in_force(self.state, {**CONFIGURATION, "Version": 9, "Tenants": accounts})
@@ -91,7 +91,7 @@
     async def test_a_connection_lost_while_connecting_raises_not_sent(self) -> None:
         for reactor in (LostOnConnectReactor(), FailedSetupReactor()):
             with self.subTest(reactor=type(reactor).__name__):
-                sending = HttpClient(reactor).send(ADDRESS, GET, NOTHING, False)
+                sending = HttpClient(reactor).send(ADDRESS, GET, EMPTY_BODY, False)
                 with self.assertRaises(NotSent):
                     await asyncio.wait_for(sending, DEADLINE_SECONDS)
 
@@ -101,7 +101,7 @@
         wire = Wire()
         exchange = wire.begin()
         exchange.head.cancel()
-        wire.connection.dataReceived(WHOLE)
+        wire.connection.dataReceived(COMPLETE_RESPONSE)
         exchange.cancel()
         kept: list[Connection] = [wire.connection]
         self.assertEqual(wire.kept, kept)
@@ -124,7 +124,7 @@
         upstreams = HttpUpstreams(HttpClient(reactor), FailingDialect())
         head = msgspec.structs.replace(_HEAD, headers=(("Host", "upstream"),))
         target = Target("i-1", "http://10.0.0.1:80", OPEN, 1.5, 3, 64)
-        sending = asyncio.ensure_future(upstreams.send(target, head, NOTHING))
+        sending = asyncio.ensure_future(upstreams.send(target, head, EMPTY_BODY))
         await asyncio.sleep(0)
         reactor.connections[0].dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
         with self.assertRaises(RuntimeError):
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -432,7 +432,7 @@
 class ContextTest(RoutedCallersTest):
     """Guards the choice of the engine from which a context is transferred."""
 
-    async def placed(self) -> tuple[str, str]:
+    async def place_chat(self) -> tuple[str, str]:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("POST /notes/a HTTP/1.1", KEY, "Prefix-Hash: a:500,b:3", body=b"abc")
         name, head, _ = self.upstreams.sent[-1]
@@ -440,7 +440,7 @@
 
     async def home(self) -> str:
         """Place the chat for the first time: at home, with the other engine as its source."""
-        name, source = await self.placed()
+        name, source = await self.place_chat()
         self.assertEqual(source, self.address(self.other(name)))
         return name
 
@@ -455,31 +455,31 @@
     async def test_with_a_full_home_the_context_comes_from_it(self) -> None:
         home = await self.home()
         self.grants.full = {home}
-        self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
+        self.assertEqual(await self.place_chat(), (self.other(home), self.address(home)))
 
     async def test_the_context_comes_from_the_engine_named_by_the_home_owner(self) -> None:
         home = await self.home()
         self.grants.context_at = self.other(home)
-        self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
+        self.assertEqual(await self.place_chat(), (self.other(home), self.address(home)))
         self.grants.full = {self.other(home)}
-        self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
+        self.assertEqual(await self.place_chat(), (home, self.address(self.other(home))))
 
     async def test_the_engine_that_served_last_gets_no_context_source(self) -> None:
         home = await self.home()
-        self.assertEqual(await self.placed(), (home, ""))
+        self.assertEqual(await self.place_chat(), (home, ""))
 
     async def test_with_a_full_holder_the_context_comes_from_the_last_server(self) -> None:
         home = await self.home()
         chat = next(iter(self.state.last_served_engines.engine_by_chat))
         self.state.note_served(chat, self.other(home))
-        self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
+        self.assertEqual(await self.place_chat(), (home, self.address(self.other(home))))
 
     async def test_the_context_comes_from_a_leaving_home(self) -> None:
         home = await self.home()
         leaving = Upstream(home, "lang", f"http://{self.address(home)}", "hall-1", LEAVING)
         self.state.upstreams.set(leaving, 9)
         self.state.invalidate_upstream_caches()
-        self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
+        self.assertEqual(await self.place_chat(), (self.other(home), self.address(home)))
 
     async def test_without_context_moves_there_is_no_context_source(self) -> None:
         home = await self.home()
@@ -487,7 +487,7 @@
         alone["Version"], alone["Services"][0]["EngineId"]["Moves"] = 9, False
         put_in_force(self.state, alone)
         self.grants.full = {home}
-        self.assertEqual(await self.placed(), (self.other(home), ""))
+        self.assertEqual(await self.place_chat(), (self.other(home), ""))
 
 
 class CallerLeavesTest(RoutedCallersTest):
--- a/pondhatch/transport/tests/test_store_calls.py
+++ b/pondhatch/transport/tests/test_store_calls.py
@@ -11,7 +11,7 @@
 from pondhatch.transport._http_client import HttpClient, NotSent
 from pondhatch.transport._store_calls import BURST_CALLS, CALLS_PER_SECOND
 from pondhatch.transport.tests.test_header_bytes import Reactor
-from pondhatch.transport.tests.test_http_client import WHOLE
+from pondhatch.transport.tests.test_http_client import COMPLETE_RESPONSE
 
 
 class UnreachableClient:
@@ -31,14 +31,14 @@
             client: Any = UnreachableClient()
             calls = StoreCalls(client, "http://127.0.0.1:1")
 
-            async def press() -> None:
+            async def call_repeatedly() -> None:
                 while True:
                     try:
                         await calls.call("GET", "/objects/a")
                     except CallFailed:
                         await asyncio.sleep(0)
 
-            tasks = [asyncio.ensure_future(press()) for _ in range(3)]
+            tasks = [asyncio.ensure_future(call_repeatedly()) for _ in range(3)]
             await asyncio.sleep(10)
             for each in tasks:
                 each.cancel()
@@ -58,14 +58,14 @@
             together = [asyncio.ensure_future(calls.call("GET", "/objects/a")) for _ in range(3)]
             await asyncio.sleep(0.1)
             for connection in reactor.connections:
-                connection.dataReceived(WHOLE)
+                connection.dataReceived(COMPLETE_RESPONSE)
             await asyncio.gather(*together)
             await asyncio.sleep(0.1)
             with self.assertRaises(CallFailed):
                 await calls.call("GET", "/objects/a")
             after = asyncio.ensure_future(calls.call("GET", "/objects/a"))
             await asyncio.sleep(0.1)
-            reactor.connections[-1].dataReceived(WHOLE)
+            reactor.connections[-1].dataReceived(COMPLETE_RESPONSE)
             await after
             return len(reactor.connections)
 
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -22,7 +22,7 @@
 #: Seconds after a close within which all work on its request must have stopped.
 GONE_SECONDS = 0.5
 #: Seconds of a step of the clock.
-STEP = 0.05
+STEP_SECONDS = 0.05
 
 
 class HeldGrants(Grants):
@@ -46,7 +46,7 @@
     getHost = getPeer
 
 
-class Readers:
+class ManualReactor:
     """Records which connections are to be read; the test itself triggers the reads."""
 
     def __init__(self, clock: Clock) -> None:
@@ -79,9 +79,9 @@
             ours, _ = listening.accept()
         self.addCleanup(self.theirs.close)
         self.theirs.setblocking(False)
-        self.readers = Readers(self.clock)
+        self.reactor = ManualReactor(self.clock)
         new_wire: Any = Wire
-        self.connection = new_wire(ours, self.channel, self.readers)
+        self.connection = new_wire(ours, self.channel, self.reactor)
         self.addCleanup(ours.close)
         self.connection.connected = True
         self.channel.makeConnection(self.connection)
@@ -90,7 +90,7 @@
     async def read_available(self) -> None:
         """Read all that was received, as long as the channel reads."""
         for _ in range(20):
-            if self.connection not in self.readers.reading:
+            if self.connection not in self.reactor.reading:
                 return
             failed = self.connection.doRead()
             if failed is not None:
@@ -112,8 +112,8 @@
     async def leave(self) -> None:
         self.theirs.close()
         await self.read_available()
-        for _ in range(round(GONE_SECONDS / STEP)):
-            self.clock.advance(STEP)
+        for _ in range(round(GONE_SECONDS / STEP_SECONDS)):
+            self.clock.advance(STEP_SECONDS)
             await self.settle()
 
     def assert_given_up(self, sent: int) -> None:
@@ -126,7 +126,7 @@
         held = HeldGrants()
         self.grants.ask = held.ask  # type: ignore[method-assign]
         await self.post(b"x" * 2 * HIGH_WATER, 9 * HIGH_WATER)
-        self.assertNotIn(self.connection, self.readers.reading)
+        self.assertNotIn(self.connection, self.reactor.reading)
         await self.leave()
         held.may_reply.set()
         await self.settle()
@@ -135,7 +135,7 @@
     async def test_leaving_while_the_upstream_takes_no_more_of_the_body(self) -> None:
         self.upstreams.may_reply = asyncio.Event()
         await self.post(b"x" * 3 * HIGH_WATER, 9 * HIGH_WATER)
-        self.assertNotIn(self.connection, self.readers.reading)
+        self.assertNotIn(self.connection, self.reactor.reading)
         await self.leave()
         self.assert_given_up(sent=1)
         self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
@@ -144,7 +144,7 @@
         self.upstreams.may_reply = asyncio.Event()
         await self.post(b"x", 1)
         await self.post(b"x" * HIGH_WATER, HIGH_WATER)
-        self.assertNotIn(self.connection, self.readers.reading)
+        self.assertNotIn(self.connection, self.reactor.reading)
         await self.leave()
         self.assert_given_up(sent=1)
         self.assertEqual(self.grants.released, [EndReason.NEUTRAL])
@@ -154,9 +154,9 @@
         self.grants.ask = held.ask  # type: ignore[method-assign]
         body = b"x" * (HIGH_WATER + HIGH_WATER // 4)
         await self.post(body, len(body))
-        self.assertNotIn(self.connection, self.readers.reading)
+        self.assertNotIn(self.connection, self.reactor.reading)
         for _ in range(100):
-            self.clock.advance(STEP)
+            self.clock.advance(STEP_SECONDS)
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         held.may_reply.set()
         await self.settle()
