--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -117,7 +117,7 @@
             self._tasks,
             self._rng,
             self._records,
-            upstreams.has_ended,
+            upstreams.refuses_connections,
         )
         self._callers = self._new_callers(upstreams)
         self._peer_service = PeerService(
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -49,14 +49,14 @@
         self,
         state: RouterState,
         authority: Authority,
-        extra: Callable[[], Dump],
+        counters: Callable[[], Dump],
         lift: Callable[[int], bool],
     ) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self._lift = lift
         self._state = state
         self._authority = authority
-        self._extra = extra
+        self._counters = counters
 
     def render(self, request: Any) -> bytes:
         """Answer a request."""
@@ -85,4 +85,4 @@
         return b""
 
     def _dump(self) -> Dump:
-        return dump_state(self._state, self._authority, self._extra())
+        return dump_state(self._state, self._authority, self._counters())
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -200,7 +200,7 @@
             return False
         return self.client.has_idle(address)
 
-    async def has_ended(self, target: Target) -> bool:
+    async def refuses_connections(self, target: Target) -> bool:
         """Return whether an upstream refuses connections, as one that crashed; see CrashGuard."""
         try:
             address = _address_of(target.url)
--- a/pondhatch/transport/tests/test_ended_upstreams.py
+++ b/pondhatch/transport/tests/test_listen_probe.py
@@ -28,7 +28,7 @@
         self.timeouts.append(timeout)
 
 
-class EndedUpstreamTest(unittest.IsolatedAsyncioTestCase):
+class ListenProbeTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.reactor = Reactor()
         self.client = HttpClient(self.reactor)
