--- a/pondhatch/standard/__init__.py
+++ b/pondhatch/standard/__init__.py
@@ -21,7 +21,7 @@
 
 @REGISTRY.register(INTERFACE, "openai")
 class OpenAiInterface(Plugin):
-    """See Interface."""
+    """The built-in interface; see Interface."""
 
     DEPENDENCIES: ClassVar[tuple[type[Any], ...]] = ()
 
--- a/pondhatch/standard/_answers.py
+++ b/pondhatch/standard/_answers.py
@@ -19,7 +19,7 @@
 
 
 class OpenAiAnswers:
-    """See Answers."""
+    """Writes refusals as the OpenAI-compatible API's error objects; see Answers."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -58,12 +58,12 @@
 BAD_REQUEST = 400
 TOO_LARGE = 413
 
-
+#: Reads as much of a request as its admission needs; returns the admitted request or a refusal.
 Prepare = Callable[[CallerRequest, Account, HeldCounter], Awaitable[AdmittedRequest | NotRun]]
 
 
 class OpenAiCallers:
-    """Handles callers' requests."""
+    """Handles callers' requests; see Callers."""
 
     def __init__(self, dependencies: CallerDependencies) -> None:
         self._state = dependencies.state
--- a/pondhatch/standard/_loads.py
+++ b/pondhatch/standard/_loads.py
@@ -27,7 +27,7 @@
 
 
 async def poll_loads(state: RouterState) -> None:
-    """Poll the owned model engines for their load, every two seconds, until cancelled."""
+    """Poll the owned model engines for their load every POLL_SECONDS, until cancelled."""
     while True:
         engines = [
             upstream for upstream in state.owned() if _is_model_service(state, upstream.service)
--- a/pondhatch/standard/_orders.py
+++ b/pondhatch/standard/_orders.py
@@ -1,9 +1,9 @@
 """Orders to engines over HTTP.
 
-``GET /orders`` returns an engine's state, ``PUT /orders`` sends it an order. It
-answers 200 if it took the order, 409 with the highest fencing number it has seen
-if the order's number is older, and 503 if it did nothing. An engine may ignore
-the fencing number.
+``GET /orders`` returns an engine's state, ``PUT /orders`` sends it an order. The
+engine answers 200 if it took the order, 409 with the highest fencing number it
+has seen if the order's number is older, and 503 if it did nothing. An engine may
+ignore the fencing number.
 """
 
 from __future__ import annotations
--- a/pondhatch/standard/_platform.py
+++ b/pondhatch/standard/_platform.py
@@ -67,6 +67,7 @@
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
+        #: Whether the platform may have executed the call, or may still do so.
         self.sent = sent
 
 
@@ -138,7 +139,7 @@
         try:
             listing = msgspec.json.decode(content, type=_Listing)
         except msgspec.DecodeError as error:
-            return Unavailable(f"answered what is no listing: {error}")
+            return Unavailable(f"the answer is not a listing: {error}")
         converted = [self._convert_or_log(each, StoredObject) for each in listing.objects]
         objects = tuple(each for each in converted if each is not None)
         names = {_name_of(each) for each in listing.objects} - {each.name for each in objects}
@@ -183,7 +184,7 @@
         try:
             return self._convert_or_log(msgspec.json.decode(line), WatchEvent)
         except msgspec.DecodeError as error:
-            raise PlatformLost(f"the watch sent what is no JSON: {error}") from error
+            raise PlatformLost(f"the watch sent invalid JSON: {error}") from error
 
     def _convert_or_log(self, value: Any, shape: type[_Shape]) -> _Shape | None:
         """Return an object or event, None if it is malformed; each malformed one is logged once."""
@@ -251,6 +252,7 @@
 
 
 async def _lines(pipe: PartPipe) -> AsyncIterator[bytes]:
+    """Yield the lines of a watch as they are received. Raises PlatformLost at its end."""
     partial_line = b""
     while True:
         try:
--- a/pondhatch/standard/_upstreams.py
+++ b/pondhatch/standard/_upstreams.py
@@ -48,7 +48,7 @@
 
 
 class OpenAiUpstreams:
-    """See UpstreamDialect."""
+    """The headers of the OpenAI API's upstreams and of plain services; see UpstreamDialect."""
 
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
         """Return a request's headers, with the id of this attempt.
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -53,13 +53,15 @@
         lift: Callable[[int], bool],
     ) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
+        #: Lifts the quarantine of the request with a digest; returns whether there was one.
         self._lift = lift
         self._state = state
         self._authority = authority
+        #: Returns the counters that the dump holds besides the state.
         self._counters = counters
 
     def render(self, request: Any) -> bytes:
-        """Answer a request."""
+        """Serve the dump or lift a quarantine, by the request's path; 404 for any other path."""
         if request.path == b"/state.json":
             request.setHeader(b"Content-Type", b"application/json")
             return msgspec.json.encode(self._dump())
--- a/pondhatch/transport/_answers.py
+++ b/pondhatch/transport/_answers.py
@@ -7,7 +7,7 @@
 from pondhatch.requests import Broken, Headers, KeptAnswer, Refusal, Unknown
 from pondhatch.transport._headers import as_bytes
 
-#: Marks an answer that replays that of an earlier request with the same key.
+#: Marks a stored answer, replayed to a later request with the same idempotency key.
 REPLAYED_HEADER = b"X-Pondhatch-Replayed"
 #: Status of a failure of this router itself.
 ROUTER_FAILED = 500
@@ -23,7 +23,10 @@
         """Write an answer's head."""
 
     def end_broken(self, request: Any, broken: Broken, is_stream: bool) -> None:
-        """End a broken answer so that it does not look complete to the caller."""
+        """End a broken answer so that it does not look complete to the caller.
+
+        ``is_stream`` says whether the answer is an event stream.
+        """
 
 
 def write_head(request: Any, status: int, headers: Headers) -> None:
@@ -32,7 +35,7 @@
     request.defaultContentType = None
     for name, _ in headers:
         request.responseHeaders.removeHeader(name)
-    # As bytes: text would be encoded as UTF-8, with two bytes for each value over 127.
+    # As bytes: text would be encoded as UTF-8, with two bytes for each character above 127.
     for raw_name, raw_value in as_bytes(headers):
         request.responseHeaders.addRawHeader(raw_name, raw_value)
 
--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -17,7 +17,7 @@
 from pondhatch.transport._caller_body import drain, read_whole
 from pondhatch.transport._caller_request import CallerRequest
 
-#: The connection, and the names that request handlers import along with it.
+#: The channel and its site, and the names that request handlers import along with them.
 __all__ = ["CallerChannel", "CallerRequest", "CallerSite", "drain", "read_whole"]
 
 #: Seconds for which the rest of a refused body is read and discarded, so that the caller
@@ -85,14 +85,14 @@
         self._refuse_large_head()
 
     def headerReceived(self, line: bytes) -> bool:
-        """Process a header, or refuse the request if no engine could be sent that header."""
+        """Process a header, or refuse the request if the header could not be forwarded."""
         if line.translate(None, FORBIDDEN_HEADER_BYTES) != line:
             self._respondToBadRequestAndDisconnect()
             return False
         return bool(super().headerReceived(line))
 
     def allHeadersReceived(self) -> None:
-        """Stop the head timer; refuse a request target that no engine could be sent."""
+        """Stop the head timer; refuse a request whose target could not be forwarded."""
         self._stop_head_timer()
         target: Any = self._path
         if max(target) > MAX_TARGET_BYTE:
@@ -168,7 +168,7 @@
         self.setTimeout(self._idle_seconds)
 
     def pause_reading(self) -> None:
-        """Pause reading, and the idle timer with it, as the caller is not the idle side."""
+        """Pause reading and the idle timer: the caller is not idle, but waits for this router."""
         self.setTimeout(None)
         self.transport.pauseProducing()
         self._check_for_close()
@@ -177,7 +177,7 @@
         """Resume reading from the caller.
 
         The pause cleared the idle timer, so it restarts with the timeout in force. It stays off
-        while a completely received request is served, as the caller is not the idle side then.
+        while a completely received request is served, as the caller then waits for this router.
         """
         self._stop_close_checks()
         if not self._handlingRequest:
@@ -219,8 +219,8 @@
     def _begin_head(self) -> None:
         """Apply the limits in force to a head as its first bytes are received.
 
-        A persistent connection outlives many configurations. A line may be as long as the
-        whole head, since twisted's own limit on lines is not the operator's.
+        A persistent connection outlives many configurations. Operators limit the whole head
+        only, so the same limit replaces twisted's separate one for the length of a line.
         """
         limits = self.limits()
         self.totalHeadersSize = self.MAX_LENGTH = limits.header_bytes
--- a/pondhatch/transport/_caller_dialect.py
+++ b/pondhatch/transport/_caller_dialect.py
@@ -21,8 +21,9 @@
     max_wait: float | None
     #: 64-bit key of the context that the request shares with others, or 0.
     context_key: int
-    #: Tokens of the prompt, and the expected tokens of the answer; 0 if not stated.
+    #: Tokens of the prompt; 0 if not stated.
     prompt_tokens: int = 0
+    #: Expected tokens of the answer; 0 if not stated.
     answer_tokens: int = 0
     #: Parts of the prompt that other requests share, each as an id and its tokens.
     prompt_parts: tuple[tuple[int, int], ...] = ()
--- a/pondhatch/transport/_dead_peers.py
+++ b/pondhatch/transport/_dead_peers.py
@@ -1,4 +1,4 @@
-"""Detects dead connections by the TCP timeouts and keep-alive probes of the system.
+"""Detects dead connections by the operating system's TCP timeouts and keep-alive probes.
 
 A path that is lost without a reset is not reported; by default the system gives up such a
 connection only after a quarter of an hour. The options detect a silent path, not a slow program:
@@ -11,9 +11,9 @@
 from typing import Any
 
 #: Milliseconds after which a connection with unacknowledged bytes is closed. By then the system
-#: has sent them three times (at 0, 0.2 and 0.6 s), so that a path which loses some packets
-#: survives; and of the shortest route timeout at the users' sites, 1.5 s, a third is left for
-#: another engine.
+#: has sent them three times (at 0, 0.2 and 0.6 s), so a path that loses some packets does not
+#: count as dead. The shortest route timeout at the users' sites is 1.5 s, which leaves a third
+#: of it for another engine.
 UNACKNOWLEDGED_MS = 1000
 #: Seconds of silence before the first probe and between probes; the system's minimum.
 PROBE_SECONDS = 1
--- a/pondhatch/transport/_header_owners.py
+++ b/pondhatch/transport/_header_owners.py
@@ -32,15 +32,16 @@
     CONNECTION = enum.auto()
 
 
-#: Kinds of dropped headers that are counted: headers of routers, set by a caller;
+# Kinds of dropped headers, by which they are counted.
+#: Headers that only routers may set, set by a caller.
 DROPPED_ROUTERS = "router"
-#: headers of upstreams, set by a caller;
+#: Headers that only upstreams may set, set by a caller.
 DROPPED_UPSTREAMS = "upstream"
-#: headers listed by their sender's `Connection`;
+#: Headers that their sender listed in `Connection`.
 DROPPED_LISTED = "listed"
-#: headers of the router, set in an upstream's answer.
+#: Headers that only routers may set, set in an upstream's answer.
 DROPPED_FROM_ANSWERS = "answer"
-#: Dropped as expected, in nearly every message.
+#: Headers whose drop is expected in nearly every message, and therefore not counted.
 _NOT_COUNTED = ""
 
 _KIND_FROM_CALLERS = {
--- a/pondhatch/transport/_http_client.py
+++ b/pondhatch/transport/_http_client.py
@@ -54,7 +54,7 @@
         host, _, port = url.removeprefix("http://").rstrip("/").rpartition(":")
         number = int(port)
         if not host or number not in PORTS:
-            raise ValueError(f"no address: {url}")
+            raise ValueError(f"expected http://IP:port, got {url!r}")
         return cls(host.strip("[]"), number)
 
 
@@ -78,7 +78,7 @@
         self._fail(reason)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Handle the loss of a connection, also before it could be announced."""
+        """Fail the attempt if the connection is lost before its set-up is complete."""
         self._fail(reason)
 
     def _fail(self, reason: Failure) -> None:
@@ -181,7 +181,7 @@
         self._metrics: Metrics = NoMetrics()
 
     def configure(self, is_load_managed: Callable[[], bool], metrics: Metrics) -> None:
-        """Set how to query whether load is managed, and the metrics that count connections."""
+        """Set a query for whether load management is active, and metrics to count connections."""
         self._is_load_managed = is_load_managed
         self._metrics = metrics
 
@@ -267,7 +267,7 @@
         """Return whether a host refuses connections to an address, as nothing listens there.
 
         False also if the host does not reply. Concurrent calls for an address share one probe,
-        since all requests of a crashed engine ask at the same time.
+        since all requests that a crashed engine was running ask at the same time.
         """
         probe = self._probe_by_address.get(address)
         if probe is None:
@@ -314,6 +314,7 @@
         self._forget(connection)
 
     def _forget(self, connection: Connection) -> None:
+        """Remove a closed connection; if it fell silent in use, close all stale ones too."""
         for address, idle in tuple(self._idle_by_address.items()):
             if connection in idle:
                 idle.remove(connection)
--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -47,7 +47,7 @@
         self.usable_until = float("-inf")
         #: Whether the other side stated how long it keeps an idle connection.
         self.has_stated_idle = False
-        #: That time in seconds; 0 if none was stated.
+        #: Seconds for which the other side states to keep an idle connection; 0 if not stated.
         self.stated_idle_seconds = 0.0
         #: When its last exchange ended, in the loop's seconds.
         self.idle_since = float("-inf")
--- a/pondhatch/transport/_interface.py
+++ b/pondhatch/transport/_interface.py
@@ -1,6 +1,6 @@
 """The protocols by which a router talks to callers, upstreams and the platform.
 
-The product's own interface is one implementation, an adapter to a platform another; the
+The built-in interface is one implementation; others adapt routers to an existing platform. The
 settings name the one that a router uses.
 """
 
@@ -26,7 +26,7 @@
 
 
 class CallerDependencies(msgspec.Struct, frozen=True):
-    """The dependencies of serving callers."""
+    """The components that a handler of callers' requests uses."""
 
     state: RouterState
     collaborators: Collaborators
@@ -57,7 +57,7 @@
 class Interface(Protocol):
     """The protocols of a router towards callers, upstreams and the platform."""
 
-    #: Whether the platform lists the routers' VMs; if not, routers list themselves.
+    #: Whether the platform lists the routers' VMs; if not, each router adds itself to the list.
     lists_vms: bool
     upstreams: UpstreamDialect
     orders: EngineOrders
@@ -75,4 +75,4 @@
         """Return whether the platform's rules in force, by name, ask for load management."""
 
     def poll_loads(self, state: RouterState) -> Coroutine[Any, Any, None] | None:
-        """Return a task that polls owned engines' load, or None if it is not polled."""
+        """Return a coroutine that polls owned engines' load, or None if it is not polled."""
--- a/pondhatch/transport/_metrics_page.py
+++ b/pondhatch/transport/_metrics_page.py
@@ -23,7 +23,7 @@
         self._text = text
 
     def render(self, request: Any) -> bytes:
-        """Answer a request."""
+        """Return the metrics as text, or 404 for any other path."""
         if request.path != self._path:
             request.setResponseCode(NOT_FOUND)
             return b""
--- a/pondhatch/transport/_readiness.py
+++ b/pondhatch/transport/_readiness.py
@@ -23,7 +23,7 @@
         self._is_ready = is_ready
 
     def render(self, request: Any) -> bytes:
-        """Answer a request."""
+        """Answer with the router's readiness as status, or 404 for any other path."""
         if request.path != self._path:
             request.setResponseCode(NOT_FOUND)
             return b""
--- a/pondhatch/transport/_remote_peer.py
+++ b/pondhatch/transport/_remote_peer.py
@@ -14,8 +14,8 @@
 from pondhatch.transport import _wire as wire
 from pondhatch.transport._dead_peers import detect_dead_peer
 
-#: Timeout of a call to a peer, in seconds. A timeout also replaces the connection: one whose
-#: bytes a middlebox acknowledges but swallows is detected by nothing else.
+#: Timeout of a call to a peer, in seconds. A timeout also replaces the connection: nothing else
+#: detects a middlebox that acknowledges bytes and discards them.
 CALL_SECONDS = 2.0
 #: Exceptions that a lost connection to a peer raises.
 PEER_LOST = (GRPCError, StreamTerminatedError, ProtocolError, OSError)
@@ -56,7 +56,7 @@
 
 
 class RemotePeer:
-    """Another router as a holder of idempotency keys and versions, over one connection."""
+    """Another router as a holder of idempotency keys and a source of updates; one connection."""
 
     def __init__(
         self,
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -120,13 +120,16 @@
         self._tasks = dependencies.tasks
         self._records = dependencies.records
         self._answers = answers
-        #: Tasks of keyed requests that continue after their callers left.
+        #: Tasks of requests with an idempotency key that continue after their callers left.
         self.detached_tasks: set[asyncio.Task[None]] = set()
 
     async def run(
         self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
     ) -> None:
-        """Serve one request; a caller that leaves cancels it, unless it has an idempotency key."""
+        """Serve one request; a caller that leaves cancels it, unless it has an idempotency key.
+
+        ``started_at`` is the receipt of its head, in seconds of the monotonic clock.
+        """
         if admitted_request.idempotency_key is None:
             try:
                 await self._serve(request, admitted_request, started_at)
@@ -143,7 +146,7 @@
             raise
 
     def _detach(self, task: asyncio.Task[None], request: CallerRequest) -> None:
-        """Let a keyed request run to its end, so that the caller can retry for its answer.
+        """Let a request with an idempotency key run on, so that a retry gets its answer.
 
         If it were cancelled, its outcome would be unknown and a retry with its key refused.
         """
@@ -155,7 +158,7 @@
     async def _serve(
         self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
     ) -> None:
-        """Serve one request to its end, then release it from its account's concurrency."""
+        """Serve one request to its end, then free its slot in its account's concurrency limit."""
         try:
             if admitted_request.idempotency_key is not None:
                 await self._run_keyed(
@@ -170,7 +173,7 @@
     async def _run_keyed(
         self, request: CallerRequest, admitted_request: AdmittedRequest, key: str, started_at: float
     ) -> None:
-        """Run a request under its key, or replay the answer of the first one with that key."""
+        """Run a request under its key, or replay the stored answer of the first with that key."""
         head = admitted_request.head
         digest = f"{head.method} {head.path} {admitted_request.body.length}"
         record = KeyRecord(digest, self._state.name, head.request_id)
--- a/pondhatch/transport/_resolver.py
+++ b/pondhatch/transport/_resolver.py
@@ -1,4 +1,4 @@
-"""Resolves IP addresses in place, so that only host names are looked up in a thread.
+"""Resolves IP addresses without a thread, so that only host names are looked up in one.
 
 Twisted resolves every host in its thread pool, even IP addresses. Routers connect by IP
 address, so with this resolver a router needs no thread but its main one.
--- a/pondhatch/transport/_reuse.py
+++ b/pondhatch/transport/_reuse.py
@@ -1,9 +1,10 @@
 """Rules for which requests may reuse which idle connections; performs no I/O.
 
 A request that may not be repeated fails for good if its connection turns out dead, so it reuses
-only a connection that is almost certainly open. While load is managed, this is decided by the
-idle timeout that the upstream states and by the absence of recent losses, not only by the time
-of the last bytes: with many routers and many engines, each pair communicates too rarely for that.
+only a connection that is almost certainly open. While load management is active, this is decided
+by the idle timeout that the upstream states and by the absence of recent losses, not only by the
+time of the last bytes: with many routers and many engines, each pair communicates too rarely for
+that.
 """
 
 from __future__ import annotations
@@ -17,9 +18,10 @@
 #: costs a round trip. Connections to busy addresses are used far more often, so they are reused.
 MAX_SILENT_SECONDS = 0.5
 #: Fraction of the other side's stated idle time during which a connection is reused while load
-#: is managed, and the seconds of it that are left for a request in transit: a path between data
-#: halls takes some hundredths of a second, a busy router some tenths.
+#: is managed.
 MANAGED_IDLE_SHARE = 0.9
+#: Seconds subtracted from that time for a request in transit: a path between data halls takes
+#: some hundredths of a second, a busy router some tenths.
 MANAGED_MARGIN_SECONDS = 1.0
 #: Seconds after a loss during which MAX_SILENT_SECONDS applies although load is managed: the
 #: cause may have cut other connections too, which the system's probes have closed by then.
@@ -31,11 +33,13 @@
 
     #: Time until which it may be reused while load is not managed, in the loop's seconds.
     usable_until: float
-    #: Whether the other side stated how long it keeps an idle connection, and those seconds.
+    #: Whether the other side stated how long it keeps an idle connection.
     has_stated_idle: bool
+    #: Seconds for which the other side states to keep an idle connection; 0 if not stated.
     stated_idle_seconds: float
-    #: When its last exchange ended, and when bytes were last received, in the loop's seconds.
+    #: When its last exchange ended, in the loop's seconds.
     idle_since: float
+    #: When bytes were last received, in the loop's seconds.
     last_received_at: float
 
 
@@ -54,7 +58,7 @@
         return now - self._lost_at < STRICT_SECONDS
 
     def usable_until(self, connection: IdleConnection, managed: bool) -> float:
-        """Return the time until which an idle connection may be reused at all."""
+        """Return the time after which no request may reuse an idle connection."""
         if not managed or not connection.has_stated_idle:
             return connection.usable_until
         return connection.idle_since + managed_idle_seconds(connection.stated_idle_seconds)
@@ -71,7 +75,7 @@
 def managed_idle_seconds(stated: float) -> float:
     """Return the seconds of the stated idle time during which a connection is reused.
 
-    The margin would use up most of a short time, so at least STATED_IDLE_SHARE of it is used, as
-    while load is not managed.
+    The margin would use up most of a short time. At least STATED_IDLE_SHARE of the time is
+    returned, the same as while load is not managed.
     """
     return max(stated * STATED_IDLE_SHARE, stated * MANAGED_IDLE_SHARE - MANAGED_MARGIN_SECONDS)
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -110,7 +110,7 @@
             request.abort()
             raise
         except Exception:
-            log.exception("A request ended in an error of this router.")
+            log.exception("A request failed with an error of this router.")
             self._metrics.count("requests.router-failed")
             refuse_after_failure(request, self._answers)
             _finish(request)
@@ -136,7 +136,8 @@
     async def _drop_body(self, request: CallerRequest, refusal: NotRun) -> None:
         """Read and discard a refused request's body, if that lets its connection be reused.
 
-        A body that is refused for memory and is too large for that is not read at all.
+        If the request was refused for lack of memory, a body larger than MAX_DRAINED_BYTES is not
+        read at all.
         """
         body = request.body()
         is_large = body.length is not None and body.length > MAX_DRAINED_BYTES
@@ -219,7 +220,8 @@
             return not_in_force_refusal("route")
         if route is None:
             return unknown_entry_refusal(self._state, "route", NO_ROUTE)
-        # A route for every path of a host must not let callers have engines move or free memory.
+        # A route that matches every path must not give callers the engine calls that only routers
+        # may make, which move or free an engine's memory.
         is_reserved = self._dialect.is_router_only_call(path, route.spec.path_prefix)
         if is_reserved and self._targets_models(route):
             return NO_ROUTE
--- a/pondhatch/transport/_store_calls.py
+++ b/pondhatch/transport/_store_calls.py
@@ -15,11 +15,12 @@
 
 #: Timeout of a call in seconds; a healthy store answers in milliseconds.
 CALL_SECONDS = 2.0
-#: Maximum calls per second of one router, and the maximum burst. A watcher makes one call a
-#: second while nothing changes, and one for each separate change; the store at the users' sites
+#: Maximum calls per second of one router; further calls are delayed. A watcher makes one call a
+#: second while nothing changes, and one for each separate change. The store at the users' sites
 #: accepts 2,000 calls a second from the whole fleet, in which one or two routers of each hall
-#: watch. Further calls wait for their turn.
+#: watch.
 CALLS_PER_SECOND = 10.0
+#: Maximum number of calls in a burst.
 BURST_CALLS = 20
 
 
@@ -54,7 +55,10 @@
     async def call(
         self, method: str, path: str, body: bytes = b"", seconds: float = CALL_SECONDS
     ) -> StoreAnswer:
-        """Return an answer. Raises CallFailed."""
+        """Make a call with a timeout in seconds; return the store's answer. Raises CallFailed.
+
+        The timeout excludes the delay by the rate limit.
+        """
         wait = self._rate_limiter.reserve(asyncio.get_running_loop().time())
         if wait > 0:
             await asyncio.sleep(wait)
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -201,7 +201,7 @@
         return self.client.has_idle(address)
 
     async def refuses_connections(self, target: Target) -> bool:
-        """Return whether an upstream refuses connections, as one that crashed; see CrashGuard."""
+        """Return whether an upstream refuses connections, as a crashed one does; see CrashGuard."""
         try:
             address = _address_of(target.url)
         except NotSent:
--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -75,7 +75,8 @@
         self.assertEqual([(each["id"], each["outcome"]) for each in found], [GONE])
 
     async def test_leaving_while_the_body_is_received(self) -> None:
-        for key in (KEY, "X-Without: a key, so that it is refused once it has come"):
+        # Without an API key, a request is refused once its body is received.
+        for key in (KEY, "X-Own: 1"):
             with self.subTest(key=key):
                 await self.asyncSetUp()
                 lines = ("POST /proofs/a HTTP/1.1", "Host: desk.example", "Attempt-Id: 9c41", key)
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -41,7 +41,7 @@
 
 
 class Wire:
-    """A connection on a fake transport, and a record of whether it was kept."""
+    """A connection on a fake transport, which records when the connection is kept for reuse."""
 
     def __init__(self, may_reuse: bool = True) -> None:
         self.transport = Transport()  # type: ignore[no-untyped-call]
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -1,4 +1,4 @@
-"""Guards against connections leaked between their opening and the return to the caller."""
+"""Guards against connections that stay open when a request fails before its answer is returned."""
 
 from __future__ import annotations
 
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -433,6 +433,7 @@
     """Guards the choice of the engine from which a context is transferred."""
 
     async def place_chat(self) -> tuple[str, str]:
+        """Place the chat; return its engine, and the address from which that gets the context."""
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("POST /notes/a HTTP/1.1", KEY, "Prefix-Hash: a:500,b:3", body=b"abc")
         name, head, _ = self.upstreams.sent[-1]
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -47,7 +47,7 @@
 
 
 class ManualReactor:
-    """Records which connections are to be read; the test itself triggers the reads."""
+    """A reactor that records which connections to read; the test itself triggers the reads."""
 
     def __init__(self, clock: Clock) -> None:
         self.reading: set[Any] = set()
