--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -261,12 +261,12 @@
     def __init__(self, resource: IResource, limits: Callable[[], CallerLimits]) -> None:
         super().__init__(resource, requestFactory=CallerRequest)
         self._limits = limits
-        self.protocol = self._channel  # type: ignore[assignment]
+        self.protocol = self._new_channel  # type: ignore[assignment]
 
     def log(self, request: object) -> None:
         """Write no access log: metrics and records hold more and name no caller."""
 
-    def _channel(self) -> CallerChannel:
+    def _new_channel(self) -> CallerChannel:
         channel = CallerChannel()
         channel.limits = self._limits
         return channel
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -111,7 +111,7 @@
     async def test_the_stated_idle_time_bounds_the_reuse_of_a_connection(self) -> None:
         stated = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4, max=9\r\nContent-Length: 0\r\n\r\n"
         silent = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        for raw, seconds, states in (
+        for raw, seconds, has_stated in (
             (stated, 4 * STATED_IDLE_SHARE, True),
             (silent, IDLE_SECONDS, False),
         ):
@@ -121,7 +121,7 @@
                 wire.connection.dataReceived(raw)
                 left = wire.connection.usable_until - asyncio.get_running_loop().time()
                 self.assertAlmostEqual(left, seconds, delta=0.5)
-                self.assertEqual(wire.connection.has_stated_idle, states)
+                self.assertEqual(wire.connection.has_stated_idle, has_stated)
 
 
 class UnusableConnectionTest(unittest.IsolatedAsyncioTestCase):
