--- a/pondhatch/standard/__init__.py
+++ b/pondhatch/standard/__init__.py
@@ -1,4 +1,7 @@
-"""The built-in interface: the OpenAI-compatible API, plain services and an HTTP object API."""
+"""The built-in interface: the OpenAI-compatible API, plain HTTP services and an object API.
+
+The object API is that of the platform, over HTTP and JSON.
+"""
 
 from __future__ import annotations
 
--- a/pondhatch/transport/__init__.py
+++ b/pondhatch/transport/__init__.py
@@ -1,4 +1,7 @@
-"""The network layer: twisted, klein, treq, grpclib and UDP. It makes no routing decisions."""
+"""The network layer: HTTP with twisted and h11, gRPC with grpclib, and gossip over UDP.
+
+It makes no routing decisions.
+"""
 
 from pondhatch.transport._admin import Admin, format_dump
 from pondhatch.transport._answers import abort_connection, refuse_after_failure, write_head
