--- a/pondhatch/cli/_router_process.py
+++ b/pondhatch/cli/_router_process.py
@@ -48,7 +48,7 @@
     Sync,
 )
 from pondhatch.transport import (
-    CallerParts,
+    CallerDependencies,
     Callers,
     GossipPort,
     HttpUpstreams,
@@ -117,7 +117,7 @@
             self._tasks,
             self._rng,
             self._records,
-            upstreams.has_ended,
+            upstreams.refuses_connections,
         )
         self._callers = self._new_callers(upstreams)
         self._peer_service = PeerService(
@@ -184,7 +184,7 @@
 
     def _new_callers(self, upstreams: HttpUpstreams) -> Callers:
         return self._interface.callers(
-            CallerParts(
+            CallerDependencies(
                 state=self.state,
                 collaborators=Collaborators(
                     self._grant_exchange.entry,
--- a/pondhatch/standard/__init__.py
+++ b/pondhatch/standard/__init__.py
@@ -1,4 +1,7 @@
-"""The built-in interface: the OpenAI-compatible API, plain services and an HTTP object API."""
+"""The built-in interface: the OpenAI-compatible API, plain HTTP services and an object API.
+
+The object API is that of the platform, over HTTP and JSON.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,14 @@
 from pondhatch.standard._platform import HttpPlatform
 from pondhatch.standard._upstreams import OpenAiUpstreams
 from pondhatch.store import Platform
-from pondhatch.transport import INTERFACE, CallerParts, Callers
+from pondhatch.transport import INTERFACE, CallerDependencies, Callers
 
 __all__ = ["HttpEngineOrders", "HttpPlatform", "OpenAiInterface"]
 
 
 @REGISTRY.register(INTERFACE, "openai")
 class OpenAiInterface(Plugin):
-    """See Interface."""
+    """The built-in interface; see Interface."""
 
     DEPENDENCIES: ClassVar[tuple[type[Any], ...]] = ()
 
@@ -37,9 +40,9 @@
         """Return the change log that holds the configuration."""
         return ChangeLog(store)
 
-    def callers(self, parts: CallerParts) -> Callers:
+    def callers(self, dependencies: CallerDependencies) -> Callers:
         """Return the handler of requests to the OpenAI-compatible API."""
-        return OpenAiCallers(parts)
+        return OpenAiCallers(dependencies)
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
         """Return False: no rule of this platform asks for load management."""
--- a/pondhatch/transport/__init__.py
+++ b/pondhatch/transport/__init__.py
@@ -1,4 +1,7 @@
-"""The network layer: twisted, klein, treq, grpclib and UDP. It makes no routing decisions."""
+"""The network layer: HTTP with twisted and h11, gRPC with grpclib, and gossip over UDP.
+
+It makes no routing decisions.
+"""
 
 from pondhatch.transport._admin import Admin, format_dump
 from pondhatch.transport._answers import abort_connection, refuse_after_failure, write_head
@@ -16,7 +19,7 @@
 )
 from pondhatch.transport._headers import as_text, utf8_value
 from pondhatch.transport._http_client import HttpClient
-from pondhatch.transport._interface import INTERFACE, CallerParts, Callers, Interface
+from pondhatch.transport._interface import INTERFACE, CallerDependencies, Callers, Interface
 from pondhatch.transport._metrics_page import MetricsPage
 from pondhatch.transport._parts import PartPipe
 from pondhatch.transport._peer_service import PeerService, fleet_token
@@ -35,7 +38,7 @@
     "MetricsPage",
     "abort_connection",
     "write_head",
-    "CallerParts",
+    "CallerDependencies",
     "CallerRequest",
     "Callers",
     "PartPipe",
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -49,17 +49,19 @@
         self,
         state: RouterState,
         authority: Authority,
-        extra: Callable[[], Dump],
+        counters: Callable[[], Dump],
         lift: Callable[[int], bool],
     ) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
+        #: Lifts the quarantine of the request with a digest; returns whether there was one.
         self._lift = lift
         self._state = state
         self._authority = authority
-        self._extra = extra
+        #: Returns the counters that the dump holds besides the state.
+        self._counters = counters
 
     def render(self, request: Any) -> bytes:
-        """Answer a request."""
+        """Serve the dump or lift a quarantine, by the request's path; 404 for any other path."""
         if request.path == b"/state.json":
             request.setHeader(b"Content-Type", b"application/json")
             return msgspec.json.encode(self._dump())
@@ -85,4 +87,4 @@
         return b""
 
     def _dump(self) -> Dump:
-        return dump_state(self._state, self._authority, self._extra())
+        return dump_state(self._state, self._authority, self._counters())
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -39,7 +39,7 @@
 from pondhatch.transport._answers import Answers, replay
 from pondhatch.transport._caller_request import CallerRequest
 from pondhatch.transport._caller_writer import CallerWriter
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 
 log = log_for("callers")
 
@@ -58,7 +58,7 @@
     body: BodySource
     wait_limits: WaitLimits
     #: Idempotency key of a request that must not run twice, scoped to the account.
-    key: str | None = None
+    idempotency_key: str | None = None
     #: Counts the bytes of its body until the request ends.
     body_counter: HeldCounter = UNCOUNTED
 
@@ -113,21 +113,24 @@
 class RequestRunner:
     """Runs admitted requests and writes their answers or refusals to callers."""
 
-    def __init__(self, parts: CallerParts, answers: Answers) -> None:
-        self._state = parts.state
-        self._collaborators = parts.collaborators
-        self._metrics = parts.metrics
-        self._tasks = parts.tasks
-        self._records = parts.records
+    def __init__(self, dependencies: CallerDependencies, answers: Answers) -> None:
+        self._state = dependencies.state
+        self._collaborators = dependencies.collaborators
+        self._metrics = dependencies.metrics
+        self._tasks = dependencies.tasks
+        self._records = dependencies.records
         self._answers = answers
-        #: Tasks of keyed requests that continue after their callers left.
+        #: Tasks of requests with an idempotency key that continue after their callers left.
         self.detached_tasks: set[asyncio.Task[None]] = set()
 
     async def run(
         self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
     ) -> None:
-        """Serve one request; a caller that leaves cancels it, unless it has an idempotency key."""
-        if admitted_request.key is None:
+        """Serve one request; a caller that leaves cancels it, unless it has an idempotency key.
+
+        ``started_at`` is the receipt of its head, in seconds of the monotonic clock.
+        """
+        if admitted_request.idempotency_key is None:
             try:
                 await self._serve(request, admitted_request, started_at)
             finally:
@@ -143,7 +146,7 @@
             raise
 
     def _detach(self, task: asyncio.Task[None], request: CallerRequest) -> None:
-        """Let a keyed request run to its end, so that the caller can retry for its answer.
+        """Let a request with an idempotency key run on, so that a retry gets its answer.
 
         If it were cancelled, its outcome would be unknown and a retry with its key refused.
         """
@@ -155,10 +158,12 @@
     async def _serve(
         self, request: CallerRequest, admitted_request: AdmittedRequest, started_at: float
     ) -> None:
-        """Serve one request to its end, then release it from its account's concurrency."""
+        """Serve one request to its end, then free its slot in its account's concurrency limit."""
         try:
-            if admitted_request.key is not None:
-                await self._run_keyed(request, admitted_request, admitted_request.key, started_at)
+            if admitted_request.idempotency_key is not None:
+                await self._run_keyed(
+                    request, admitted_request, admitted_request.idempotency_key, started_at
+                )
             else:
                 await self._run(request, admitted_request, started_at, AnswerCopy())
         finally:
@@ -168,7 +173,7 @@
     async def _run_keyed(
         self, request: CallerRequest, admitted_request: AdmittedRequest, key: str, started_at: float
     ) -> None:
-        """Run a request under its key, or replay the answer of the first one with that key."""
+        """Run a request under its key, or replay the stored answer of the first with that key."""
         head = admitted_request.head
         digest = f"{head.method} {head.path} {admitted_request.body.length}"
         record = KeyRecord(digest, self._state.name, head.request_id)
@@ -246,7 +251,7 @@
         writer = CallerWriter(
             request, self._state.held_bytes.counter(admitted_request.account.name)
         )
-        sink = _CopyingSink(copy, writer) if admitted_request.key else writer
+        sink = _CopyingSink(copy, writer) if admitted_request.idempotency_key else writer
         delivery = Delivery(dispatch, placed, sink, begin)
         try:
             delivered = await delivery.run()
--- a/pondhatch/transport/_routed_callers.py
+++ b/pondhatch/transport/_routed_callers.py
@@ -43,7 +43,7 @@
 from pondhatch.transport._caller_dialect import CallerDialect, CallerFacts
 from pondhatch.transport._header_owners import dropped_header_counter
 from pondhatch.transport._headers import as_text
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 from pondhatch.transport._request_runner import CALLER_GONE, AdmittedRequest, RequestRunner
 from pondhatch.transport._routed_answers import RoutedAnswers
 
@@ -62,23 +62,23 @@
 
     isLeaf = True
 
-    def __init__(self, parts: CallerParts, dialect: CallerDialect) -> None:
+    def __init__(self, dependencies: CallerDependencies, dialect: CallerDialect) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         #: Unfinished requests, which a stopping router waits for.
         self.in_flight = 0
         #: False once a stopping router refuses new requests.
         self.accepts_requests = True
-        self._state = parts.state
+        self._state = dependencies.state
         self._dialect = dialect
-        self._limits = parts.limits
-        self._metrics = parts.metrics
-        self._note_dropped = dropped_header_counter(parts.metrics)
-        self._records = parts.records
-        self._rng = parts.rng
-        self._tasks = parts.tasks
-        self._startup_wait = parts.startup_wait
-        self._answers = RoutedAnswers(dialect, parts.metrics, parts.state.is_draining)
-        self._request_runner = RequestRunner(parts, self._answers)
+        self._limits = dependencies.limits
+        self._metrics = dependencies.metrics
+        self._note_dropped = dropped_header_counter(dependencies.metrics)
+        self._records = dependencies.records
+        self._rng = dependencies.rng
+        self._tasks = dependencies.tasks
+        self._startup_wait = dependencies.startup_wait
+        self._answers = RoutedAnswers(dialect, dependencies.metrics, dependencies.state.is_draining)
+        self._request_runner = RequestRunner(dependencies, self._answers)
 
     def resource(self) -> Resource:
         """Return the resource to be served by a site."""
@@ -110,7 +110,7 @@
             request.abort()
             raise
         except Exception:
-            log.exception("A request ended in an error of this router.")
+            log.exception("A request failed with an error of this router.")
             self._metrics.count("requests.router-failed")
             refuse_after_failure(request, self._answers)
             _finish(request)
@@ -136,7 +136,8 @@
     async def _drop_body(self, request: CallerRequest, refusal: NotRun) -> None:
         """Read and discard a refused request's body, if that lets its connection be reused.
 
-        A body that is refused for memory and is too large for that is not read at all.
+        If the request was refused for lack of memory, a body larger than MAX_DRAINED_BYTES is not
+        read at all.
         """
         body = request.body()
         is_large = body.length is not None and body.length > MAX_DRAINED_BYTES
@@ -203,7 +204,7 @@
         route = self._find_route(request)
         if isinstance(route, NotRun):
             return route
-        account = ANONYMOUS if route.spec.public else identify_key(self._state, facts.key)
+        account = ANONYMOUS if route.spec.public else identify_key(self._state, facts.api_key)
         return account if isinstance(account, NotRun) else (route, account)
 
     def _find_route(self, request: CallerRequest) -> Route | NotRun:
@@ -219,7 +220,8 @@
             return not_in_force_refusal("route")
         if route is None:
             return unknown_entry_refusal(self._state, "route", NO_ROUTE)
-        # A route for every path of a host must not let callers have engines move or free memory.
+        # A route that matches every path must not give callers the engine calls that only routers
+        # may make, which move or free an engine's memory.
         is_reserved = self._dialect.is_router_only_call(path, route.spec.path_prefix)
         if is_reserved and self._targets_models(route):
             return NO_ROUTE
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -51,7 +51,7 @@
 from pondhatch.router._startup_wait import STARTUP_SECONDS
 from pondhatch.store import LEAVING, Listed, Upstream
 from pondhatch.transport._caller_channel import CallerSite
-from pondhatch.transport._interface import CallerParts
+from pondhatch.transport._interface import CallerDependencies
 from pondhatch.transport._routed_callers import RoutedCallers
 
 ANSWERED: Headers = (("Instance-Signature", "3e"), ("Content-Length", "4"))
@@ -189,7 +189,7 @@
         starting = StartupWait(self.state)
         # The router's startup wait is over, except in the tests of its start.
         self.state.clock = lambda: STARTUP_SECONDS
-        parts = CallerParts(
+        parts = CallerDependencies(
             self.state,
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
@@ -432,7 +432,8 @@
 class ContextTest(RoutedCallersTest):
     """Guards the choice of the engine from which a context is transferred."""
 
-    async def placed(self) -> tuple[str, str]:
+    async def place_chat(self) -> tuple[str, str]:
+        """Place the chat; return its engine, and the address from which that gets the context."""
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
         await self.ask("POST /notes/a HTTP/1.1", KEY, "Prefix-Hash: a:500,b:3", body=b"abc")
         name, head, _ = self.upstreams.sent[-1]
@@ -440,7 +441,7 @@
 
     async def home(self) -> str:
         """Place the chat for the first time: at home, with the other engine as its source."""
-        name, source = await self.placed()
+        name, source = await self.place_chat()
         self.assertEqual(source, self.address(self.other(name)))
         return name
 
@@ -455,31 +456,31 @@
     async def test_with_a_full_home_the_context_comes_from_it(self) -> None:
         home = await self.home()
         self.grants.full = {home}
-        self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
+        self.assertEqual(await self.place_chat(), (self.other(home), self.address(home)))
 
     async def test_the_context_comes_from_the_engine_named_by_the_home_owner(self) -> None:
         home = await self.home()
         self.grants.context_at = self.other(home)
-        self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
+        self.assertEqual(await self.place_chat(), (self.other(home), self.address(home)))
         self.grants.full = {self.other(home)}
-        self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
+        self.assertEqual(await self.place_chat(), (home, self.address(self.other(home))))
 
     async def test_the_engine_that_served_last_gets_no_context_source(self) -> None:
         home = await self.home()
-        self.assertEqual(await self.placed(), (home, ""))
+        self.assertEqual(await self.place_chat(), (home, ""))
 
     async def test_with_a_full_holder_the_context_comes_from_the_last_server(self) -> None:
         home = await self.home()
         chat = next(iter(self.state.last_served_engines.engine_by_chat))
         self.state.note_served(chat, self.other(home))
-        self.assertEqual(await self.placed(), (home, self.address(self.other(home))))
+        self.assertEqual(await self.place_chat(), (home, self.address(self.other(home))))
 
     async def test_the_context_comes_from_a_leaving_home(self) -> None:
         home = await self.home()
         leaving = Upstream(home, "lang", f"http://{self.address(home)}", "hall-1", LEAVING)
         self.state.upstreams.set(leaving, 9)
         self.state.invalidate_upstream_caches()
-        self.assertEqual(await self.placed(), (self.other(home), self.address(home)))
+        self.assertEqual(await self.place_chat(), (self.other(home), self.address(home)))
 
     async def test_without_context_moves_there_is_no_context_source(self) -> None:
         home = await self.home()
@@ -487,7 +488,7 @@
         alone["Version"], alone["Services"][0]["EngineId"]["Moves"] = 9, False
         put_in_force(self.state, alone)
         self.grants.full = {home}
-        self.assertEqual(await self.placed(), (self.other(home), ""))
+        self.assertEqual(await self.place_chat(), (self.other(home), ""))
 
 
 class CallerLeavesTest(RoutedCallersTest):
