--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -149,7 +149,7 @@
             forwarded = _without_last_event_id(forwarded)
         return (*forwarded, *router_headers)
 
-    def judge(
+    def classify(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
         """Classify an answer by its head."""
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -138,7 +138,7 @@
         )
         for status, headers, expected in rows:
             with self.subTest(status=status, headers=headers):
-                self.assertIs(self.dialect.judge(head(), status, headers), expected)
+                self.assertIs(self.dialect.classify(head(), status, headers), expected)
 
     def test_answer_headers_reach_the_caller_except_those_of_the_connection(self) -> None:
         answered = (("Instance-Signature", "3e"), ("Keep-Alive", "timeout=4"), ("X-Own", "1"))
--- a/pondhatch/requests/_chat.py
+++ b/pondhatch/requests/_chat.py
@@ -55,9 +55,9 @@
         key.update(b"\0key\0" + parsed.prompt_cache_key.encode())
     else:
         _add_first_messages(key, parsed.messages)
-    returning = any(message.role == "assistant" for message in parsed.messages)
+    is_followup = any(message.role == "assistant" for message in parsed.messages)
     chat = int.from_bytes(key.digest(), "big") or 1
-    return ChatRequest(parsed.model, chat, parsed.stream, returning)
+    return ChatRequest(parsed.model, chat, parsed.stream, is_followup)
 
 
 def _add_first_messages(key: hashlib.blake2b, messages: list[_Message]) -> None:
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -38,7 +38,7 @@
     )
 
 
-class _WholeEvents:
+class _CompleteEvents:
     """Writes only complete events to a sink; see PartSink."""
 
     def __init__(self, sink: PartSink) -> None:
@@ -47,14 +47,14 @@
         self.ready = sink.ready
 
     def write(self, part: bytes) -> bool:
-        whole = self.splitter.feed(part)
-        return self._sink.write(whole) if whole else True
+        complete = self.splitter.feed(part)
+        return self._sink.write(complete) if complete else True
 
     def end(self) -> None:
         """Write what follows the last complete event of an answer that ended."""
-        rest = self.splitter.take_rest()
-        if rest:
-            self._sink.write(rest)
+        partial = self.splitter.take_partial()
+        if partial:
+            self._sink.write(partial)
 
 
 class _AnswerStart:
@@ -84,7 +84,7 @@
             self._begin()
 
 
-def _nothing(_: AnswerStream) -> None:
+def _do_nothing(_: AnswerStream) -> None:
     return None
 
 
@@ -100,7 +100,7 @@
         dispatch: Dispatch,
         placed: Placed,
         sink: PartSink,
-        begin: Callable[[AnswerStream], None] = _nothing,
+        begin: Callable[[AnswerStream], None] = _do_nothing,
     ) -> None:
         self._dispatch = dispatch
         self._answer_start = _AnswerStart(sink, lambda: begin(self._answer))
@@ -112,7 +112,7 @@
         self._engine = placed.engine
         self._answer: AnswerStream = placed.reply.answer
         streamed = is_event_stream(self._answer.headers)
-        self._events = _WholeEvents(self._answer_start) if streamed else None
+        self._events = _CompleteEvents(self._answer_start) if streamed else None
         self._sink: PartSink = self._events or self._answer_start
 
     @property
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -47,7 +47,7 @@
 )
 from pondhatch.requests._parallel_waits import MAX_QUEUES, NotGranted
 from pondhatch.requests._resting_engines import RestingEngines
-from pondhatch.requests._sending import FAILURE_STATUS, is_own_failure
+from pondhatch.requests._sending import FAILURE_STATUS, is_upstream_failure
 from pondhatch.requests._slot_wait import SlotWait
 from pondhatch.requests._token_needs import stated_need
 from pondhatch.requests._tries import Tries, TryResult
@@ -85,12 +85,12 @@
         remaining: Callable[[], float],
         wait_limits: WaitLimits = NO_WAIT,
     ) -> None:
-        self._chat = str(head.chat) if head.chat else head.request_id
-        self.plan = Plan(self._chat, view.live_upstreams(head.service, head.regions))
+        self._ranking_key = str(head.chat) if head.chat else head.request_id
+        self.plan = Plan(self._ranking_key, view.live_upstreams(head.service, head.regions))
         if not head.chat:
             self.plan.prefer(collaborators.preference.preferred(head.service, self.plan.order))
         #: The chat's home engine and the reason, if that engine's hall is closed to the chat.
-        self.closed_home = view.closed_home(head.service, self._chat, head.regions)
+        self.closed_home = view.closed_home(head.service, self._ranking_key, head.regions)
         self._view = view
         self._collaborators = collaborators
         self._budget = budget
@@ -103,7 +103,13 @@
         # A request may wait as long for an owner's reply as in the last engine's queue.
         self._watch = collaborators.crash_guard.watch(head.digest)
         self._tries = Tries(
-            view, collaborators, body, self._chat, remaining, wait_limits.last_engine, self._watch
+            view,
+            collaborators,
+            body,
+            self._ranking_key,
+            remaining,
+            wait_limits.last_engine,
+            self._watch,
         )
         self._tries.settled_engine = self.plan.settled_engine(view.is_young)
         #: Seconds to the deadline when the current pass over the engines began.
@@ -155,7 +161,7 @@
 
     def _failed(self, placed: Placed) -> bool:
         """Return whether an engine answered with a server error that another may not give."""
-        return is_own_failure(placed.reply.answer.status) and self.can_rerun()
+        return is_upstream_failure(placed.reply.answer.status) and self.can_rerun()
 
     async def _replace_failure(self, failed: Placed) -> Placed:
         """Return another engine's answer, or the failed one if no other engine answers.
@@ -186,7 +192,7 @@
             if isinstance(step, Exhausted):
                 if await self._wait_for_rest():
                     continue
-                return Refused(self._exhausted(step))
+                return Refused(self._exhausted_refusal(step))
             refusal = await self._watch.wait_for_turn(self._remaining)
             if refusal is not None:
                 return Refused(refusal)
@@ -209,7 +215,7 @@
         self._has_waited_for_rest = True
         await asyncio.sleep(rest)
         self._resting.clear()
-        self.plan = Plan(self._chat, self._live_upstreams())
+        self.plan = Plan(self._ranking_key, self._live_upstreams())
         return True
 
     async def note_connection_lost(self, engine: str, lost: Unknown | Broken) -> None:
@@ -281,7 +287,7 @@
             return None
         engines = self._live_upstreams()
         others = tuple(name for name in engines if name != engine)
-        self.plan = Plan(self._chat, others or engines)
+        self.plan = Plan(self._ranking_key, others or engines)
         result = await self._try_engines()
         return result if isinstance(result, Placed) else None
 
@@ -465,8 +471,8 @@
         up to their ceilings, and then to engines that hold no context either.
         """
         target = self._view.target(home)
-        takes_over = target is not None and target.shares_context
-        if takes_over or not self._view.is_young(home):
+        shares_context = target is not None and target.shares_context
+        if shares_context or not self._view.is_young(home):
             return None
         return self.plan.settled_engine(self._view.is_young)
 
@@ -478,10 +484,10 @@
         )
 
     def _after_failure(self, ask: Ask, reply: Refusal) -> Refused | None:
-        body_is_whole = isinstance(self._body, ReplayableBody)
+        body_is_replayable = isinstance(self._body, ReplayableBody)
         if isinstance(reply, Unknown):
             self._may_have_run = reply
-        if isinstance(reply, Unknown) and not (self._head.repeatable and body_is_whole):
+        if isinstance(reply, Unknown) and not (self._head.repeatable and body_is_replayable):
             return Refused(self.final_outcome(reply))
         if reply.code in NOTHING_SENT:
             return None
@@ -489,7 +495,7 @@
             return Refused(reply)
         if self._tries_are_spent() and not self.plan.restrict_to(self._retryable_engines):
             return Refused(self._with_retry_time(reply))
-        if not body_is_whole or not self._budget.spend_retry():
+        if not body_is_replayable or not self._budget.spend_retry():
             return Refused(self._with_retry_time(reply))
         if reply.code == CROSSED and not ask.needs_new_connection:
             # The connection was at fault and is closed now; there may be no other engine.
@@ -528,7 +534,7 @@
         if name is not None:
             self._collaborators.grants.report_spill(name, self._head.chat, engine)
 
-    def _exhausted(self, step: Exhausted) -> NotRun:
+    def _exhausted_refusal(self, step: Exhausted) -> NotRun:
         if not step.asked:
             reason = f"service {self._head.service} has no upstream that may take the request"
             return NotRun("no-upstream", reason)
--- a/pondhatch/requests/_events.py
+++ b/pondhatch/requests/_events.py
@@ -22,7 +22,7 @@
         self.events = 0
         #: Whether the stream's last event was delivered.
         self.is_complete = False
-        self._rest = b""
+        self._partial = b""
         #: The bytes delivered last, which hold the newest event's id.
         self._newest = b""
 
@@ -36,27 +36,27 @@
 
     def feed(self, part: bytes) -> bytes:
         """Add received bytes; return those that complete events."""
-        if not self._rest and part.endswith(SEPARATOR):
+        if not self._partial and part.endswith(SEPARATOR):
             return self._count(part)
-        joined = self._rest + part
+        joined = self._partial + part
         end = joined.rfind(SEPARATOR)
         if end < 0:
-            self._rest = joined
+            self._partial = joined
             return b""
-        whole, self._rest = joined[: end + len(SEPARATOR)], joined[end + len(SEPARATOR) :]
-        return self._count(whole)
+        complete, self._partial = joined[: end + len(SEPARATOR)], joined[end + len(SEPARATOR) :]
+        return self._count(complete)
 
-    def _count(self, whole: bytes) -> bytes:
-        self.events += whole.count(SEPARATOR)
-        self._newest = whole
-        self.is_complete = self.is_complete or whole.rstrip().endswith(LAST_EVENT)
-        return whole
+    def _count(self, complete: bytes) -> bytes:
+        self.events += complete.count(SEPARATOR)
+        self._newest = complete
+        self.is_complete = self.is_complete or complete.rstrip().endswith(LAST_EVENT)
+        return complete
 
-    def take_rest(self) -> bytes:
+    def take_partial(self) -> bytes:
         """Remove and return what follows the last complete event of an ended answer."""
-        rest, self._rest = self._rest, b""
-        return rest
+        partial, self._partial = self._partial, b""
+        return partial
 
     def discard_partial(self) -> None:
         """Drop the incomplete last event; the resumed stream sends it in full."""
-        self._rest = b""
+        self._partial = b""
--- a/pondhatch/requests/_owner_timeouts.py
+++ b/pondhatch/requests/_owner_timeouts.py
@@ -58,14 +58,14 @@
     ``times`` are None if the owner's are unknown; ``max_wait`` is how many seconds the request
     can wait at all.
     """
-    most = min(INITIAL_WAIT, max(MIN_WAIT, max_wait))
+    longest = min(INITIAL_WAIT, max(MIN_WAIT, max_wait))
     if times is None:
-        return tuple(part * most for part in WAIT_FRACTIONS)
-    if times.mean > most:
+        return tuple(part * longest for part in WAIT_FRACTIONS)
+    if times.mean > longest:
         return ()
     usual = (times.mean + SPREAD_FACTOR * times.spread) / WAIT_FRACTIONS[0]
-    whole = min(most, max(MIN_WAIT, usual))
-    return tuple(part * whole for part in WAIT_FRACTIONS)
+    total = min(longest, max(MIN_WAIT, usual))
+    return tuple(part * total for part in WAIT_FRACTIONS)
 
 
 class TimedOut(msgspec.Struct, frozen=True):
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -129,14 +129,14 @@
         """Do nothing."""
 
 
-def is_own_failure(status: int) -> bool:
+def is_upstream_failure(status: int) -> bool:
     """Return whether a status means that the upstream itself failed."""
     return status >= FAILURE_STATUS and status != TIMEOUT_STATUS
 
 
 def _end_reason_of(status: int) -> EndReason:
     """Return the end reason of a complete answer with this status."""
-    return EndReason.ENGINE_ERROR if is_own_failure(status) else EndReason.ANSWERED
+    return EndReason.ENGINE_ERROR if is_upstream_failure(status) else EndReason.ANSWERED
 
 
 class GrantedAnswer:
@@ -163,7 +163,7 @@
     def cancel(self) -> None:
         """Abandon the answer and release the grant; a server error is known from the head."""
         self._answer.cancel()
-        self._end(EndReason.ENGINE_ERROR if is_own_failure(self.status) else EndReason.NEUTRAL)
+        self._end(EndReason.ENGINE_ERROR if is_upstream_failure(self.status) else EndReason.NEUTRAL)
 
     def _end(self, end_reason: EndReason) -> None:
         release, self._release = self._release, None
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -54,7 +54,7 @@
         view: EntryView,
         collaborators: Collaborators,
         body: BodySource,
-        chat: str,
+        ranking_key: str,
         remaining: Callable[[], float],
         max_owner_wait: float,
         watch: RequestWatch = NO_WATCH,
@@ -63,7 +63,7 @@
         self._collaborators = collaborators
         self._body = body
         #: Key by which engines are ranked for the request.
-        self._chat = chat
+        self._ranking_key = ranking_key
         self._remaining = remaining
         self._watch = watch
         #: Seconds that the request can wait for one owner's reply.
@@ -203,7 +203,7 @@
         last = self._view.last_served(head.chat)
         if last == target.name:
             return ""
-        former = self._view.former_home(head.service, self._chat)
+        former = self._view.former_home(head.service, self._ranking_key)
         for holder in (self.context_engine, last, former, self.settled_engine):
             known = self._view.target(holder) if holder not in (None, target.name) else None
             if known is not None and is_region_allowed(known.intake.region, head.regions):
--- a/pondhatch/requests/_upstream_dialect.py
+++ b/pondhatch/requests/_upstream_dialect.py
@@ -27,7 +27,7 @@
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
         """Return all headers of a request except those that frame its body."""
 
-    def judge(
+    def classify(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
         """Return the kind of an answer, or the reason of a refusal; names are in lower case."""
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -273,8 +273,8 @@
             return Unknown(CROSSED, "another's answer")
         if fault == FAILED:
             return AnswerStarted(self._failure(engine))
-        whole = answer_of(request)
-        events = whole.split(b"\n\n")
+        answer = answer_of(request)
+        events = answer.split(b"\n\n")
         content = b"\n\n".join(events[max(0, resumed_from) :])
         cut = {"cut": len(content) // 2, "cut-inside-an-event": 4}.get(fault)
         self._loads.start(engine)
@@ -311,8 +311,10 @@
 
     def __init__(self, script: FaultScript) -> None:
         self._script = script
-        self.take_by_name: dict[str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]]
-        self.take_by_name = {}
+        self.receive_by_name: dict[
+            str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]
+        ]
+        self.receive_by_name = {}
         #: Routers that neither send nor receive packets, as they are frozen or gone.
         self.silent: set[str] = set()
 
@@ -329,7 +331,7 @@
         if packet is None:
             raise AssertionError("a packet does not decode")
         if not {sender, to} & self.silent:
-            self.take_by_name[to](packet, lambda reply: self.send(to, sender, reply))
+            self.receive_by_name[to](packet, lambda reply: self.send(to, sender, reply))
 
 
 class Sink:
@@ -356,9 +358,9 @@
     freed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
-        verdict = super()._grant(engine, count, held, ceiling)
+        decision = super()._grant(engine, count, held, ceiling)
         self.on_grant()
-        return verdict
+        return decision
 
     def release(self, engine: str) -> None:
         super().release(engine)
@@ -370,8 +372,8 @@
         if now - self.freed_at.get(engine, -math.inf) < PROPAGATION_SECONDS:
             return False
         # Asks a copy, since a gate counts its grants.
-        verdict = Gate(dict(self.by_engine)).try_grant(engine, now, BOUND, others, engines, 8)
-        return isinstance(verdict, Granted)
+        decision = Gate(dict(self.by_engine)).try_grant(engine, now, BOUND, others, engines, 8)
+        return isinstance(decision, Granted)
 
 
 class RouterView:
@@ -459,9 +461,9 @@
         self.view = RouterView(fleet, name)
         self.gate = RecordingGate(on_grant=fleet.loads.record_total)
         self.health = Health()
-        self.cold_paces = ColdPacer(COLD_ALLOWANCE, fleet_share=1.0)
+        self.cold_pacer = ColdPacer(COLD_ALLOWANCE, fleet_share=1.0)
         self.owner = LocalOwner(
-            name, self.view, self.gate, ContextLocations(), clock, self.health, self.cold_paces
+            name, self.view, self.gate, ContextLocations(), clock, self.health, self.cold_pacer
         )
         self._tasks = Tasks()
         self.entry = EntryGrants(
@@ -559,7 +561,7 @@
         self.connections_by_router = {
             name: NoticeRecordingUpstreams(router, self) for name, router in self.routers.items()
         }
-        self.network.take_by_name = {
+        self.network.receive_by_name = {
             name: each.sides.receive for name, each in self.routers.items()
         }
 
--- a/pondhatch/requests/tests/test_caller_gone_histories.py
+++ b/pondhatch/requests/tests/test_caller_gone_histories.py
@@ -28,12 +28,12 @@
     """Return the requests that an upstream got or worked on too long after the caller left."""
     history, found = fleet.history, []
     for request, left in history.left_at.items():
-        for what, at in (
+        for event, at in (
             ("reached", history.reached_at.get(request, 0.0)),
             ("worked", history.worked_until.get(request, 0.0)),
         ):
             if at > left + GONE_SECONDS:
-                found.append(f"{request} {what} an upstream {at - left} s after its caller left")
+                found.append(f"{request} {event} an upstream {at - left} s after its caller left")
     return found
 
 
@@ -53,11 +53,11 @@
     ) -> None:
         """Send requests whose callers leave; return GONE_SECONDS after the last has left."""
 
-        async def one(number: int, repeatable: bool, at: float, stays: float) -> None:
+        async def request_and_leave(number: int, repeatable: bool, at: float, stays: float) -> None:
             await asyncio.sleep(at)
             await fleet.request(number, repeatable, gives_up=True, after=stays)
 
-        sent = [one(number, *request) for number, request in enumerate(requests)]
+        sent = [request_and_leave(number, *request) for number, request in enumerate(requests)]
         await asyncio.gather(*sent)
         await asyncio.sleep(GONE_SECONDS)
 
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -45,7 +45,7 @@
         self.is_request_suspected = False
         #: Engines that ended while they ran the request, in order.
         self.cut_engines: list[str] = []
-        self.was_whole = False
+        self.was_completed = False
 
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
         return QUARANTINED if self.is_quarantined() else None
@@ -62,7 +62,7 @@
         return True
 
     def note_completed(self) -> None:
-        self.was_whole = True
+        self.was_completed = True
 
     def close(self) -> None:
         """Do nothing."""
@@ -82,8 +82,10 @@
     def dispatch(self, fleet: Fleet, watch: ScriptedWatch, repeatable: bool = True) -> Dispatch:
         router = fleet.routers["r0"]
         head = RequestHead("q0", "a", "s", 7, "POST", "/", (), repeatable, 10.0, 5, digest=1)
-        ways = Collaborators(router.entry, fleet.upstreams, FakeCrashGuard(watch))
-        return Dispatch(router.view, ways, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0)
+        collaborators = Collaborators(router.entry, fleet.upstreams, FakeCrashGuard(watch))
+        return Dispatch(
+            router.view, collaborators, RetryBudget(), head, ReplayableBody(b""), lambda: 10.0
+        )
 
     def run_with(self, watch: ScriptedWatch, *replies: Any, repeatable: bool = True) -> Any:
         """Return a dispatch's result if its sends get these replies, and its number of sends."""
@@ -123,12 +125,12 @@
         self.assertEqual(found, (Refused(QUARANTINED), 1))
 
     def test_a_quarantine_during_the_wait_for_a_grant_stops_it(self) -> None:
-        class Late(ScriptedWatch):
+        class LateQuarantineWatch(ScriptedWatch):
             async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
                 self.ends_left = 0
                 return None
 
-        self.assertEqual(self.run_with(Late(1)), (Refused(QUARANTINED), 0))
+        self.assertEqual(self.run_with(LateQuarantineWatch(1)), (Refused(QUARANTINED), 0))
 
     def test_an_answer_that_broke_before_its_first_part_ends_as_a_refusal(self) -> None:
         async def main() -> None:
@@ -176,7 +178,7 @@
             for status, clears in ((200, True), (404, True), (500, False), (504, False)):
                 watch = ScriptedWatch(3)
                 self.dispatch(Fleet([], [], False), watch).note_completed(status)
-                self.assertEqual(watch.was_whole, clears, status)
+                self.assertEqual(watch.was_completed, clears, status)
 
         run_virtually(main())
 
--- a/pondhatch/requests/tests/test_engine_queues.py
+++ b/pondhatch/requests/tests/test_engine_queues.py
@@ -22,9 +22,9 @@
     def __init__(self) -> None:
         self.free = 0
         self.returned = 0
-        self.queues = EngineQueues(self.give_back)
+        self.queues = EngineQueues(self.return_slot)
 
-    def give_back(self, engine: str) -> None:
+    def return_slot(self, engine: str) -> None:
         self.returned += 1
 
     def ask(self) -> GateDecision:
@@ -72,14 +72,14 @@
 
     def test_a_wait_ends_at_its_limit(self) -> None:
         async def main() -> tuple[GateDecision, float]:
-            verdict = await FullEngine().wait()
-            return verdict, asyncio.get_running_loop().time()
+            decision = await FullEngine().wait()
+            return decision, asyncio.get_running_loop().time()
 
-        verdict, at = run_virtually(main())
-        self.assertEqual(verdict, FULL)
+        decision, at = run_virtually(main())
+        self.assertEqual(decision, FULL)
         self.assertAlmostEqual(at, 1.0, places=2)
 
-    def test_a_grant_to_a_cancelled_request_is_given_back(self) -> None:
+    def test_a_grant_to_a_cancelled_request_returns_its_slot(self) -> None:
         async def main() -> int:
             engine = FullEngine()
             waiting = engine.wait()
@@ -117,10 +117,10 @@
             waiting.append(engine.wait(patient))
             await asyncio.sleep(0.01)
             before = asyncio.get_running_loop().time()
-            verdict = await engine.wait()
+            decision = await engine.wait()
             spent = asyncio.get_running_loop().time() - before
             await asyncio.gather(*waiting)
-            return verdict, spent
+            return decision, spent
 
         self.assertEqual(run_virtually(main()), (FULL, 0.0))
 
@@ -138,14 +138,14 @@
             second_account = engine.wait(msgspec.structs.replace(GRANT_REQUEST, account="quiet"))
             await asyncio.sleep(0.5)
             engine.release()
-            verdict = await second_account
+            decision = await second_account
             spent = asyncio.get_running_loop().time() - began
             for task in waiting:
                 task.cancel()
-            return verdict, spent
+            return decision, spent
 
-        verdict, spent = run_virtually(main())
-        self.assertEqual(verdict, Granted(2, 2))
+        decision, spent = run_virtually(main())
+        self.assertEqual(decision, Granted(2, 2))
         self.assertAlmostEqual(spent, 0.5, places=2)
 
     def test_idle_time_does_not_lower_the_expected_release_rate(self) -> None:
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -322,16 +322,16 @@
             entry.release(next(iter(entry.held_by_number)), EndReason.ENGINE_ERROR)
             await asyncio.sleep(0.1)
 
-    def test_an_ailing_engine_gets_only_insisting_requests(self) -> None:
+    def test_an_ailing_engine_gets_only_forced_requests(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply]:
             fleet = Fleet([], [], False)
             await self.fail_until_passed_over(fleet)
             return await self.ask(fleet), await self.ask(fleet, is_forced=True)
 
-        passed_over, insisting = run_virtually(main())
+        passed_over, forced = run_virtually(main())
         self.assertIsInstance(passed_over, NotRun)
         self.assertEqual(getattr(passed_over, "code", ""), AILING)
-        self.assertIsInstance(insisting, Granted)
+        self.assertIsInstance(forced, Granted)
 
     def test_an_ailing_engine_is_tried_again_after_its_pause(self) -> None:
         async def main() -> OwnerReply:
--- a/pondhatch/requests/tests/test_keys.py
+++ b/pondhatch/requests/tests/test_keys.py
@@ -38,12 +38,12 @@
     def setUp(self) -> None:
         self.table = KeyTable()
 
-    def test_a_key_is_fresh_once(self) -> None:
+    def test_a_key_is_new_once(self) -> None:
         self.assertEqual(self.table.claim("k", record("q1"), 0.0), NewKey())
         self.assertEqual(self.table.claim("k", record("q1"), 0.0), NewKey())
         self.assertEqual(self.table.claim("k", record("q2"), 0.0), UsedKey(record("q1")))
 
-    def test_a_released_key_is_fresh_again_but_only_for_its_own_request(self) -> None:
+    def test_a_released_key_is_new_again_but_only_for_its_own_request(self) -> None:
         self.table.claim("k", record("q1"), 0.0)
         self.table.release("k", "q2")
         self.assertIsInstance(self.table.claim("k", record("q2"), 0.0), UsedKey)
@@ -164,7 +164,7 @@
 
         self.assertLessEqual(run_virtually(history()), 1)
 
-    def test_a_call_is_refused_if_no_holder_can_be_reached(self) -> None:
+    def test_a_request_is_refused_if_no_holder_can_be_reached(self) -> None:
         async def begin() -> object:
             return await KeyedRun(
                 HoldersView({}, ["h0", "h1", "h2", "h3"]), "k", record("q")
--- a/pondhatch/requests/tests/test_newcomers.py
+++ b/pondhatch/requests/tests/test_newcomers.py
@@ -27,7 +27,7 @@
 
 class NewcomerTest(unittest.TestCase):
     def settled_and_order(
-        self, takes_over: bool, newcomers: set[str]
+        self, shares_context: bool, newcomers: set[str]
     ) -> tuple[str | None, tuple[str, ...]]:
         """Return the engine that the home's owner is told the chat was at, and the engine order."""
 
@@ -39,7 +39,7 @@
 
             def known(engine: str) -> object:
                 found = target(engine)
-                return replace(found, shares_context=takes_over) if found else None
+                return replace(found, shares_context=shares_context) if found else None
 
             head = RequestHead(
                 "q0", "a", "s", CHAT, "POST", "/", (), True, 10.0, 5, is_followup=True
@@ -48,9 +48,11 @@
                 patch.object(view, "target", known),
                 patch.object(view, "is_young", newcomers.__contains__),
             ):
-                ways = Collaborators(router.entry, fleet.upstreams)
+                collaborators = Collaborators(router.entry, fleet.upstreams)
                 body = ReplayableBody(b"")
-                dispatch = Dispatch(view, ways, RetryBudget(), head, body, lambda: 10.0, NO_WAIT)
+                dispatch = Dispatch(
+                    view, collaborators, RetryBudget(), head, body, lambda: 10.0, NO_WAIT
+                )
                 home = dispatch.plan.home or ""
                 settled = dispatch._new_grant_request(home, is_forced=False).settled_engine
             await asyncio.sleep(0)
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -55,20 +55,20 @@
 
 class GrantedAheadTest(unittest.TestCase):
     def setUp(self) -> None:
-        memory, health = ContextLocations(), Health()
-        self.owner = LocalOwner("r0", OneEngineView(), Gate(), memory, lambda: 1.0, health)
+        spill_locations, health = ContextLocations(), Health()
+        self.owner = LocalOwner("r0", OneEngineView(), Gate(), spill_locations, lambda: 1.0, health)
         self.owner._queues._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
 
-    def ask(self, in_time: int = 0, patience: int = 0) -> object:
-        grant_request = GrantRequest(next(self._numbers), 1, ENGINE, "a", 0, 5, patience)
+    def ask(self, in_time: int = 0, max_wait_ms: int = 0) -> object:
+        grant_request = GrantRequest(next(self._numbers), 1, ENGINE, "a", 0, 5, max_wait_ms)
         return self.owner.decide(replace(grant_request, in_time=in_time))
 
     def test_only_waiting_requests_are_granted_before_a_slot_is_free(self) -> None:
         granted = [self.ask() for _ in range(SLOTS)]
         self.assertTrue(all(isinstance(each, Granted) for each in granted))
         self.assertIsInstance(self.ask(), Busy)
-        ahead = [self.ask(in_time=100, patience=500) for _ in range(4)]
+        ahead = [self.ask(in_time=100, max_wait_ms=500) for _ in range(4)]
         self.assertEqual([type(each) for each in ahead], [Granted, Granted, Granted, MustWait])
 
 
--- a/pondhatch/requests/tests/test_refusals.py
+++ b/pondhatch/requests/tests/test_refusals.py
@@ -31,7 +31,7 @@
 
 FULL = EngineRefusal.FULL
 LEAVING = EngineRefusal.LEAVING
-NOT_THE_ONE = EngineRefusal.WRONG_INSTANCE
+WRONG_INSTANCE = EngineRefusal.WRONG_INSTANCE
 BAD_REQUEST = EngineRefusal.BAD_REQUEST
 UNKNOWN = EngineRefusal.UNKNOWN
 DECLINED = EngineRefusal.DECLINED
@@ -59,8 +59,8 @@
             ([DECLINED, DECLINED], 1, DECLINED, 2, 1),
             ([LEAVING], 2, "Whole", 2, 2),
             ([LEAVING, LEAVING], 2, LEAVING, 2, 2),
-            ([NOT_THE_ONE], 2, "Whole", 2, 2),
-            ([NOT_THE_ONE, NOT_THE_ONE], 2, NOT_THE_ONE, 2, 2),
+            ([WRONG_INSTANCE], 2, "Whole", 2, 2),
+            ([WRONG_INSTANCE, WRONG_INSTANCE], 2, WRONG_INSTANCE, 2, 2),
             ([BAD_REQUEST], 3, BAD_REQUEST, 1, 1),
             ([UNKNOWN], 3, "Whole", 2, 2),
             ([UNKNOWN, UNKNOWN], 3, UNKNOWN, 2, 2),
@@ -89,24 +89,24 @@
             # reason, status, whether to retry, whether sooner than after a refusal for load
             (LEAVING, UNAVAILABLE_STATUS, True, True),
             (OVERLOADED, UNAVAILABLE_STATUS, True, True),
-            (NOT_THE_ONE, UNAVAILABLE_STATUS, True, True),
+            (WRONG_INSTANCE, UNAVAILABLE_STATUS, True, True),
             (UNKNOWN, UNAVAILABLE_STATUS, True, False),
             (BAD_REQUEST, BAD_REQUEST_STATUS, False, False),
         )
-        for reason, status, comes_back, soon in rows:
+        for reason, status, may_retry, soon in rows:
             with self.subTest(reason=reason):
                 fleet, _ = self.run_refused([reason] * 2, 2)
                 ended = fleet.history.outcome_by_request["q0"]
                 if not isinstance(ended, NotRun):
                     self.fail(f"not refused: {ended}")
-                self.assertEqual((ended.status, ended.retry_after > 0), (status, comes_back))
+                self.assertEqual((ended.status, ended.retry_after > 0), (status, may_retry))
                 self.assertEqual(0 < ended.retry_after < 1, soon)
 
 
 class OwnerTest(GrantCase):
     """What an engine's owner learns from requests that the engine refused."""
 
-    async def end_one(self, fleet: Fleet, ended: EndReason) -> None:
+    async def end_newest(self, fleet: Fleet, ended: EndReason) -> None:
         """End the newest request that holds a grant."""
         entry = fleet.routers[self.entry].entry
         entry.release(max(entry.held_by_number), ended)
@@ -122,9 +122,9 @@
             fleet = Fleet([], [], False)
             for _ in range(3):
                 await self.ask_below_the_ceiling(fleet)
-            await self.end_one(fleet, EndReason.FULL)
+            await self.end_newest(fleet, EndReason.FULL)
             at_once = await self.ask_below_the_ceiling(fleet)
-            await self.end_one(fleet, EndReason.ANSWERED)
+            await self.end_newest(fleet, EndReason.ANSWERED)
             in_its_place = await self.ask_below_the_ceiling(fleet)
             await asyncio.sleep(FULL_LIFETIME)
             return [at_once, in_its_place, await self.ask_below_the_ceiling(fleet)]
@@ -132,22 +132,22 @@
         self.assertEqual(run_virtually(main())[:2], [Busy(2, 2), Granted(2, 2)])
         self.assertIsInstance(run_virtually(main())[2], Granted)
 
-    def test_a_resting_engine_gets_insisting_requests_only(self) -> None:
-        async def main(rest: Rest, insist: bool) -> OwnerReply:
+    def test_a_resting_engine_gets_only_forced_requests(self) -> None:
+        async def main(rest: Rest, is_forced: bool) -> OwnerReply:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine["e0"] = Intake(rest=rest)
-            request = grant_request(fleet, self.entry, is_forced=insist)
+            request = grant_request(fleet, self.entry, is_forced=is_forced)
             return await fleet.routers[self.entry].entry.ask(self.owner, request, INITIAL_WAIT)
 
-        for rest, insist, code in (
+        for rest, is_forced, code in (
             (Rest(for_some_routers=1.0), False, AILING),
             (Rest(for_some_routers=1.0), True, ""),
             # A rest that the engine announced applies when a router sends, not when it grants.
             (Rest(for_this_router=1.0), False, ""),
             (Rest(for_this_router=1.0, for_all_routers=1.0), True, ClosedReason.RESTING),
         ):
-            with self.subTest(rest=rest, insist=insist):
-                reply = run_virtually(main(rest, insist))
+            with self.subTest(rest=rest, is_forced=is_forced):
+                reply = run_virtually(main(rest, is_forced))
                 self.assertEqual(getattr(reply, "code", ""), code)
 
     def test_an_idle_engine_that_keeps_refusing_as_full_is_passed_over(self) -> None:
@@ -156,7 +156,7 @@
             replies = []
             for _ in range(AILING_AFTER + 1):
                 replies.append(await self.ask(fleet))
-                await self.end_one_if_held(fleet, EndReason.FULL)
+                await self.end_newest_if_held(fleet, EndReason.FULL)
             return replies
 
         replies = run_virtually(main())
@@ -170,16 +170,16 @@
             for _ in range(6):
                 await self.ask_below_the_ceiling(fleet)
             for _ in range(3):
-                await self.end_one(fleet, ended)
+                await self.end_newest(fleet, ended)
             return await self.ask_below_the_ceiling(fleet)
 
         self.assertEqual(run_virtually(main(EndReason.FULL)), Busy(3, 3))
         reply = run_virtually(main(END_REASON_BY_REFUSAL[DECLINED]))
         self.assertIsInstance(reply, Granted)
 
-    async def end_one_if_held(self, fleet: Fleet, ended: EndReason) -> None:
+    async def end_newest_if_held(self, fleet: Fleet, ended: EndReason) -> None:
         if fleet.routers[self.entry].entry.held_by_number:
-            await self.end_one(fleet, ended)
+            await self.end_newest(fleet, ended)
 
     def test_an_engine_is_passed_over_after_enough_refusals(self) -> None:
         rows = (
@@ -206,7 +206,7 @@
             replies = []
             for _ in range(times):
                 replies.append(await self.ask(fleet))
-                await self.end_one_if_held(fleet, ended)
+                await self.end_newest_if_held(fleet, ended)
             return [*replies, await self.ask(fleet)]
 
         return run_virtually(main())
@@ -232,7 +232,7 @@
                     self.fail(f"no release: {packet}")
                 self.assertEqual(end_reason_of(packet), ended)
 
-    def test_new_end_reasons_are_sent_as_nothing_to_older_routers(self) -> None:
+    def test_new_end_reasons_are_sent_as_neutral_to_older_routers(self) -> None:
         for ended in (EndReason.FULL, EndReason.LEAVING):
             with self.subTest(ended=ended):
                 self.assertEqual(release_of(1, 2, ended).basic_end_reason, EndReason.NEUTRAL)
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -46,7 +46,7 @@
 CALLER_TIMEOUT = 1.05
 OBJECTIVE = 0.152
 #: The wait limits of the service's routes while load is not managed.
-PATIENCE = WaitLimits(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
+WAIT_LIMITS = WaitLimits(0.0, 0.2 * OBJECTIVE, AnswerDeadlines(OBJECTIVE))
 
 
 class ManagedView(RouterView):
@@ -66,14 +66,14 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.running: Counter[str] = Counter()
-        self.most = 0
+        self.max_running = 0
         #: Number of sends of each request.
         self.sends: Counter[str] = Counter()
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         self.sends[head.request_id.split(".")[0]] += 1
         self.running[target.name] += 1
-        self.most = max(self.most, self.running[target.name])
+        self.max_running = max(self.max_running, self.running[target.name])
         try:
             await asyncio.sleep(self._rng.uniform(*RUN_SECONDS))
         finally:
@@ -106,10 +106,12 @@
             f"q{number}", "a", "s", 0, "POST", "/", (), False, CALLER_TIMEOUT, 5, most_tries=1
         )
         router = self.fleet.routers[entry]
-        ways = Collaborators(router.entry, self.upstreams, run_times=self.run_times)
+        collaborators = Collaborators(router.entry, self.upstreams, run_times=self.run_times)
         remaining: Callable[[], float] = lambda: began + CALLER_TIMEOUT - clock()  # noqa: E731
         body = ReplayableBody(b"")
-        dispatch = Dispatch(router.view, ways, RetryBudget(), head, body, remaining, PATIENCE)
+        dispatch = Dispatch(
+            router.view, collaborators, RetryBudget(), head, body, remaining, WAIT_LIMITS
+        )
         reply = await dispatch.run()
         if isinstance(reply, Placed):
             await reply.reply.answer.stream_to(Sink(lambda _: None))
@@ -122,7 +124,7 @@
         if isinstance(reply.refusal, NotRun):
             self.retry_after.append(reply.refusal.retry_after)
 
-    async def send_bursts(self, a_second: float, seconds: float, largest: int) -> None:
+    async def send_bursts(self, rate: float, seconds: float, largest: int) -> None:
         """Send ``a_second`` requests per second to random routers, in bursts up to ``largest``."""
         tasks = []
         until = asyncio.get_running_loop().time() + seconds
@@ -132,7 +134,7 @@
                 asyncio.ensure_future(self.request(self.rng.choice(self.entries)))
                 for _ in range(size)
             ]
-            await asyncio.sleep(size / a_second)
+            await asyncio.sleep(size / rate)
         await asyncio.gather(*tasks)
         # Waits until the last releases have arrived.
         await asyncio.sleep(0.1)
@@ -157,7 +159,7 @@
 
         service = run_virtually(main())
         self.assertEqual(set(service.outcomes), {"whole"}, service.outcomes)
-        self.assertLessEqual(service.upstreams.most, SLOTS)
+        self.assertLessEqual(service.upstreams.max_running, SLOTS)
         self.assertFalse(any(service.left_over()))
 
     def test_a_long_overload_does_not_make_every_request_late(self) -> None:
@@ -178,7 +180,7 @@
         self.assertGreater(len(service.seconds), 1600)
         self.assertLess(service.outcomes["in-vain"], 0.1 * service.outcomes["refused"])
         self.assertLess(service.outcomes["too late"], 0.01 * len(service.seconds))
-        self.assertLessEqual(service.upstreams.most, SLOTS)
+        self.assertLessEqual(service.upstreams.max_running, SLOTS)
         predicted = [after for after in service.retry_after if after != FULL_RETRY_AFTER]
         self.assertGreater(len(set(predicted)), 0.3 * len(predicted))
         self.assertLessEqual(max(predicted), LONGEST_RETRY_AFTER)
@@ -293,14 +295,14 @@
     """The rules for the order, the bounds and the time limits of a queue, each by itself."""
 
     def test_late_requests_come_after_those_in_time_and_before_the_less_urgent(self) -> None:
-        line = FairQueue(10)
+        queue = FairQueue(10)
         for account, priority, until in (("late", 5, 1.0), ("less", 7, 9.0), ("in time", 5, 9.0)):
-            line.join(account, priority, 1.0, until, queue_count=2)
-        line.advance_time(1.0)
+            queue.join(account, priority, 1.0, until, queue_count=2)
+        queue.advance_time(1.0)
         order = []
-        while (ticket := line.first()) is not None:
+        while (ticket := queue.first()) is not None:
             order.append(ticket.account)
-            line.mark_served(ticket)
+            queue.mark_served(ticket)
         self.assertEqual(order, ["in time", "late", "less"])
 
     def test_retry_delays_are_one_release_interval_apart(self) -> None:
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -94,12 +94,12 @@
 
     def __init__(self) -> None:
         self.used: Counter[str] = Counter()
-        self.most = 0
+        self.max_used = 0
 
     async def send(self, target: Target, head: RequestHead, body: BodySource) -> AnswerStarted:
         tokens = head.prompt_tokens
         self.used[target.name] += tokens
-        self.most = max(self.most, self.used[target.name])
+        self.max_used = max(self.max_used, self.used[target.name])
         seconds = LARGE_SECONDS if tokens == LARGE else SMALL_SECONDS
         return AnswerStarted(Answer(seconds, lambda: self.used.subtract({target.name: tokens})))
 
@@ -113,9 +113,15 @@
     async def request(number: int, tokens: int) -> None:
         router = fleet.routers[fleet.names[number % 3]]
         request_head = head(tokens, request_id=f"q{number}")
-        ways, body = Collaborators(router.entry, engines), ReplayableBody(b"")
+        collaborators, body = Collaborators(router.entry, engines), ReplayableBody(b"")
         dispatch = Dispatch(
-            router.view, ways, RetryBudget(), request_head, body, lambda: 10.0, WaitLimits(0.0, 2.0)
+            router.view,
+            collaborators,
+            RetryBudget(),
+            request_head,
+            body,
+            lambda: 10.0,
+            WaitLimits(0.0, 2.0),
         )
         arrived[tokens] += 1
         placed = await dispatch.run()
@@ -135,7 +141,7 @@
     assert not any(
         router.owner._engine_memory._counts.by_engine for router in fleet.routers.values()
     )
-    return engines.most, {tokens: served[tokens] / arrived[tokens] for tokens in arrived}
+    return engines.max_used, {tokens: served[tokens] / arrived[tokens] for tokens in arrived}
 
 
 class LargeAmongSmallTest(unittest.TestCase):
@@ -270,9 +276,11 @@
     def grant_request(self, managed: bool, **stated: Any) -> GrantRequest:
         async def main() -> GrantRequest:
             router = Fleet([], [], False).routers["r0"]
-            ways, body = Collaborators(router.entry, Engines()), ReplayableBody(b"")
+            collaborators, body = Collaborators(router.entry, Engines()), ReplayableBody(b"")
             request_head = head(1_000, **stated)
-            dispatch = Dispatch(router.view, ways, RetryBudget(), request_head, body, lambda: 10.0)
+            dispatch = Dispatch(
+                router.view, collaborators, RetryBudget(), request_head, body, lambda: 10.0
+            )
             return dispatch._new_grant_request("e0", is_forced=False)
 
         return run_managed(main(), managed)
--- a/pondhatch/standard/_upstreams.py
+++ b/pondhatch/standard/_upstreams.py
@@ -62,7 +62,7 @@
             (PRIORITY_HEADER, str(head.priority)),
         )
 
-    def judge(
+    def classify(
         self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
     ) -> AnswerKind | EngineRefusal:
         """Classify an answer by its head; plain services need not echo the request id."""
--- a/pondhatch/standard/tests/test_upstreams.py
+++ b/pondhatch/standard/tests/test_upstreams.py
@@ -31,7 +31,7 @@
         )
         for status, headers, expected in rows:
             with self.subTest(status=status, headers=headers):
-                self.assertIs(OpenAiUpstreams().judge(HEAD, status, headers), expected)
+                self.assertIs(OpenAiUpstreams().classify(HEAD, status, headers), expected)
 
 
 class NoticeTest(unittest.TestCase):
--- a/pondhatch/transport/_upstreams.py
+++ b/pondhatch/transport/_upstreams.py
@@ -221,7 +221,7 @@
             self._view.receive_notice(target.name, notice)
 
     def _judge(self, head: RequestHead, response: ResponseHead) -> AnswerKind | EngineRefusal:
-        return self._dialect.judge(head, response.status, response.value_by_name)
+        return self._dialect.classify(head, response.status, response.value_by_name)
 
     def _abandon(self, exchange: Exchange | None, attempt: Try, reason: str) -> NotRun | Unknown:
         if exchange is not None:
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -111,7 +111,9 @@
 class FailingDialect(EngineDialect):
     """A dialect that fails while it processes an answer's headers."""
 
-    def judge(self, head: RequestHead, status: int, value_by_name: Mapping[str, str]) -> AnswerKind:
+    def classify(
+        self, head: RequestHead, status: int, value_by_name: Mapping[str, str]
+    ) -> AnswerKind:
         return AnswerKind.ANSWERED
 
     def answer_headers(self, headers: Headers, note: Callable[[str], None]) -> Headers:
