--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -153,13 +153,13 @@
         """Return the answer that has begun, or the refusal to send to the caller."""
         self._budget.record_first_try()
         result = await self._try_engines()
-        if isinstance(result, Placed) and self._failed(result):
+        if isinstance(result, Placed) and self._is_replaceable_failure(result):
             result = await self._replace_failure(result)
         if isinstance(result, Refused) and self._may_have_run is not None:
             return Refused(self.final_outcome(self._may_have_run))
         return result
 
-    def _failed(self, placed: Placed) -> bool:
+    def _is_replaceable_failure(self, placed: Placed) -> bool:
         """Return whether an engine answered with a server error that another may not give."""
         return is_upstream_failure(placed.reply.answer.status) and self.can_rerun()
 
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -106,7 +106,7 @@
             return full
         predicted = self._predicted_wait(grant_request) if is_predicted else 0.0
         if predicted > grant_request.max_wait_ms / MS_PER_SECOND:
-            return self._refused(grant_request, full, predicted)
+            return self._refuse(grant_request, full, predicted)
         engine = grant_request.engine
         queue = self._queue(engine)
         ticket = self._join(queue, grant_request)
@@ -232,7 +232,7 @@
         # While requests that are in time take all slots, none is left for the late ones.
         return wait + late * max(gap, queue.fair_queue.late_wait())
 
-    def _refused(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
+    def _refuse(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
         """Return the reply to a request that is refused at arrival, and remember the refusal."""
         now = self._clock()
         refused_until = self._refused_until_by_engine.setdefault(grant_request.engine, [])
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -133,7 +133,7 @@
         decision = self._ask_gate(target, grant_request)
         if isinstance(decision, Granted):
             return self._record_grant(grant_request, decision)
-        self._note_refused(decision)
+        self._count_memory_refusal(decision)
         if grant_request.max_wait_ms > 0:
             return MustWait(target, decision)
         return _busy(decision)
@@ -156,7 +156,7 @@
         decision = self._ask_gate(target, grant_request)
         if isinstance(decision, Granted):
             return self._record_grant(grant_request, decision)
-        self._note_refused(decision)
+        self._count_memory_refusal(decision)
         return _busy(decision)
 
     async def wait(self, grant_request: GrantRequest, must_wait: MustWait) -> OwnerReply:
@@ -388,7 +388,7 @@
             return USUAL_PACE
         return target.pace
 
-    def _note_refused(self, full: Full) -> None:
+    def _count_memory_refusal(self, full: Full) -> None:
         if full.short_tokens > 0:
             self._engine_memory.record_refusal()
 
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -148,8 +148,8 @@
     ) -> TryResult:
         """Send a granted request; its grant is released when it ends, for any reason."""
         grants, number = self._collaborators.grants, grant_request.number
-        source = self._context_address(target, head)
-        head = replace(head, deadline=self._remaining(), context_address=source)
+        context_address = self._context_address(target, head)
+        head = replace(head, deadline=self._remaining(), context_address=context_address)
         was_sent_there = grant_request.engine in self.sent_to
         self.sent_to.add(grant_request.engine)
         clock = asyncio.get_running_loop().time
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -216,7 +216,7 @@
             side.receive(request, received.append)
             between(fleet)
             side.receive(request, received.append)
-            return [type(word) for word in received], self.granted_count(fleet)
+            return [type(packet) for packet in received], self.granted_count(fleet)
 
         return run_virtually(main())
 
