--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -85,6 +85,7 @@
         remaining: Callable[[], float],
         wait_limits: WaitLimits = NO_WAIT,
     ) -> None:
+        #: Key by which engines are ranked: the chat's, or the request's id without a chat.
         self._ranking_key = str(head.chat) if head.chat else head.request_id
         self.plan = Plan(self._ranking_key, view.live_upstreams(head.service, head.regions))
         if not head.chat:
@@ -100,8 +101,8 @@
         self._remaining = remaining
         self._wait_limits = wait_limits
         self._slot_wait = SlotWait(head, wait_limits, remaining, collaborators.run_times)
-        # A request may wait as long for an owner's reply as in the last engine's queue.
         self._watch = collaborators.crash_guard.watch(head.digest)
+        # A request may wait as long for an owner's reply as in the last engine's queue.
         self._tries = Tries(
             view,
             collaborators,
@@ -119,7 +120,7 @@
         self._refusals: list[NotRun] = []
         self._resting = RestingEngines(view)
         self._has_waited_for_rest = False
-        #: Engines that refused it and may accept it a moment later.
+        #: Engines that refused the request and may accept it a moment later.
         self._retryable_engines: set[str] = set()
         #: Outcome of the last try in which the request may have run; it outranks later refusals.
         self._may_have_run: Unknown | None = None
@@ -127,7 +128,7 @@
         self._answering_id = ""
         #: The engine that answered last.
         self.engine: str | None = None
-        #: Result of its latest wait in the queues of full engines.
+        #: Result of the request's latest wait in the queues of full engines.
         self.queue_result = QueueResult()
         #: How often a broken stream was resumed.
         self.resumes = 0
@@ -160,7 +161,7 @@
         return result
 
     def _is_replaceable_failure(self, placed: Placed) -> bool:
-        """Return whether an engine answered with a server error that another may not give."""
+        """Return whether an answer is a server error after which another engine may be asked."""
         return is_upstream_failure(placed.reply.answer.status) and self.can_rerun()
 
     async def _replace_failure(self, failed: Placed) -> Placed:
@@ -304,7 +305,8 @@
                 return Placed(reply, engine)
             reply.answer.cancel()
             return None
-        # For any reason: another try would add load that no retry budget covers here.
+        # The engine's reason does not matter: another try would add load that no retry budget
+        # covers.
         was_refused = isinstance(reply, NotRun) and reply.refusal is not None
         return None if was_refused else RetryLater()
 
@@ -464,11 +466,12 @@
         return self._need if is_known else UNSTATED_NEED
 
     def _settled_engine(self, home: str) -> str | None:
-        """Return where a chat stays for now whose home engine joined recently, or None.
+        """Return where a chat stays for now if its home engine joined recently, or None.
 
-        None if engines take over each other's contexts: a transfer costs a sixth of processing
-        the prompt again. Without its chats the new engine would leave its share to the others,
-        up to their ceilings, and then to engines that hold no context either.
+        None if engines fetch contexts from each other: a transfer costs a sixth of processing the
+        prompt again, so the new engine gets its chats at once. Otherwise its share of the load
+        would go to the other engines up to their ceilings, and then to engines that hold no
+        context either.
         """
         target = self._view.target(home)
         shares_context = target is not None and target.shares_context
@@ -484,6 +487,7 @@
         )
 
     def _after_failure(self, ask: Ask, reply: Refusal) -> Refused | None:
+        """Return the refusal to send to the caller; None means that the next engine is tried."""
         body_is_replayable = isinstance(self._body, ReplayableBody)
         if isinstance(reply, Unknown):
             self._may_have_run = reply
@@ -535,13 +539,14 @@
             self._collaborators.grants.report_spill(name, self._head.chat, engine)
 
     def _exhausted_refusal(self, step: Exhausted) -> NotRun:
+        """Return the refusal to send to the caller if no engine is left to ask."""
         if not step.asked:
             reason = f"service {self._head.service} has no upstream that may take the request"
             return NotRun("no-upstream", reason)
         asked = ", ".join(f"{engine} ({why})" for engine, why in self.plan.refusals)
         rest = self._resting.shortest_rest()
         if rest is not None and not self.plan.in_flight_by_engine:
-            # Engines that were skipped for other reasons may be available before.
+            # Engines that were skipped for other reasons may be available before the rest ends.
             after = rest if self._resting.includes_all(step.asked) else min(rest, FULL_RETRY_AFTER)
             return NotRun("engines-resting", f"asked {asked}", max(after, SOON_RETRY_AFTER))
         if self._refusals and not self.plan.in_flight_by_engine:
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -233,7 +233,7 @@
         return wait + late * max(gap, queue.fair_queue.late_wait())
 
     def _refuse(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
-        """Return the reply to a request that is refused at arrival, and remember the refusal."""
+        """Refuse a request at arrival: return the reply, and remember the refusal."""
         now = self._clock()
         refused_until = self._refused_until_by_engine.setdefault(grant_request.engine, [])
         _drop_expired(refused_until, now)
--- a/pondhatch/requests/_entry_grants.py
+++ b/pondhatch/requests/_entry_grants.py
@@ -28,7 +28,7 @@
 #: from time to time, in case its reply was lost or the owner failed.
 QUEUED_PAUSES = (0.5, 0.3, 0.3)
 #: The same for a request that waits in several queues: a lost reply costs it less, and each of
-#: its grant requests is sent as often.
+#: its several grant requests is sent again at these times.
 PARALLEL_QUEUED_PAUSES = (1.0, 0.5, 0.5)
 #: Seconds between two renewals of held grants; two fit into a lease, so one may be lost.
 RENEW_SECONDS = 12.0
@@ -172,7 +172,7 @@
         owner = self.timeouts.note_late_reply(packet.number, now)
         if owner is not None and not self.timeouts.is_too_slow(owner, now):
             self.on_late_reply(owner)
-        # If another owner has granted it since, it holds nothing at this one.
+        # If another owner has granted the request since, it holds nothing at this one.
         is_held_here = packet.number in self.held_by_number and owner is None
         if isinstance(packet, GrantedReply | Waiting) and not is_held_here:
             send_back(release_of(self.router, packet.number, EndReason.NEUTRAL))
--- a/pondhatch/requests/_entry_view.py
+++ b/pondhatch/requests/_entry_view.py
@@ -24,7 +24,7 @@
         """Note that a router could not be reached."""
 
     def is_reachable(self, name: str) -> bool:
-        """Return whether this router considers another as reachable."""
+        """Return whether this router considers another router reachable."""
 
     def live_upstreams(self, service: str, regions: Regions = None) -> tuple[str, ...]:
         """Return the service's upstreams that take requests restricted to these regions."""
@@ -42,7 +42,7 @@
         """Return an upstream, or None if it is unknown."""
 
     def former_home(self, service: str, chat: str) -> str | None:
-        """Return a chat's home engine with leaving engines still ranked."""
+        """Return what a chat's home engine would be if leaving engines were still ranked."""
 
     def note_served(self, chat: int, engine: str) -> None:
         """Record which engine answered a chat last."""
--- a/pondhatch/requests/_keyed_runs.py
+++ b/pondhatch/requests/_keyed_runs.py
@@ -86,6 +86,7 @@
 
     async def begin(self) -> NewKey | UsedKey | NotRun:
         """Claim the key at its holders; the request may run only if this returns NewKey."""
+        # One pass for each claim, one to find that none is missing, and one for a lost holder.
         for _ in range(HOLDERS_PER_KEY + 2):
             holders = self._current_holders()
             missing = [name for name in holders if name not in self._claimed_at]
--- a/pondhatch/requests/_outcomes.py
+++ b/pondhatch/requests/_outcomes.py
@@ -10,8 +10,6 @@
 CROSSED = "answer-crossed"
 #: Code for skipping an upstream because it fails or refuses many requests.
 AILING = "upstream-ailing"
-
-
 #: Retry delay in seconds if load was not the reason: a new request may go to any engine, and by
 #: then the owner of the refusing engine skips that engine.
 SOON_RETRY_AFTER = 0.2
@@ -21,7 +19,7 @@
 
 
 class EngineRefusal(enum.StrEnum):
-    """Why an upstream did not run a request that it was sent; the value is the caller's code.
+    """Why an upstream did not run a request sent to it; the value is the code for the caller.
 
     It alone decides how dispatch goes on: FULL and OVERLOADED are about the upstream's load,
     LEAVING and WRONG_INSTANCE about the upstream itself, and BAD_REQUEST about the request.
@@ -101,7 +99,7 @@
 
 
 def refused_by_engine(refusal: EngineRefusal, reason: str) -> NotRun:
-    """Return the caller's refusal for an upstream's refusal if no other upstream took it."""
+    """Return the refusal that the caller gets if no other upstream takes the refused request."""
     if refusal is EngineRefusal.BAD_REQUEST:
         return NotRun(refusal.value, reason, 0.0, BAD_REQUEST_STATUS, refusal)
     if refusal in _ABOUT_THE_ENGINE:
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -42,10 +42,8 @@
 #: Minimum seconds from a process's start to its first request: grants that a restarted router
 #: got longer ago belong to its earlier process.
 MIN_START_SECONDS = 0.5
-
-
-#: End reasons of requests that an engine ran. After the others no slot came free, or its time
-#: in use is no measure of how long requests take.
+#: End reasons of requests that an engine ran. With any other reason the engine freed no slot, or
+#: one whose time in use is no measure of how long requests take.
 RUN_END_REASONS = frozenset(
     {EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
 )
@@ -288,7 +286,7 @@
         return None
 
     def _context_engine(self, grant_request: GrantRequest) -> str:
-        """Return where to send the chat: here, unless this is its home and it has spilled."""
+        """Return the likely holder of the chat's context, else the requested engine."""
         if not (grant_request.is_home and grant_request.is_followup) or grant_request.is_forced:
             return grant_request.engine
         is_young = self._view.is_young(grant_request.engine)
@@ -389,6 +387,7 @@
         return target.pace
 
     def _count_memory_refusal(self, full: Full) -> None:
+        """Count a refusal whose reason is lack of engine memory."""
         if full.short_tokens > 0:
             self._engine_memory.record_refusal()
 
--- a/pondhatch/requests/_owner_timeouts.py
+++ b/pondhatch/requests/_owner_timeouts.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-#: Fractions of a whole wait: after the first two the grant request is sent again, after the last
+#: Fractions of the total wait: after the first two the grant request is sent again, after the last
 #: it times out. Three sends, so that two lost packets on a link that loses one in forty do not
 #: look like an unresponsive owner.
 WAIT_FRACTIONS = (0.25, 0.25, 0.5)
-#: Seconds of a whole wait for an owner whose reply times are unknown: the first pause is longer
+#: Seconds of the total wait for an owner whose reply times are unknown: the first pause is longer
 #: than a round trip to another region.
 INITIAL_WAIT = 0.4
-#: Minimum seconds of a whole wait: its first pause of 10 ms is three round trips between halls of
+#: Minimum seconds of the total wait: its first pause of 10 ms is three round trips between halls of
 #: one region (2.8 ms), and covers an iteration of the owner's event loop.
 MIN_WAIT = 0.04
 #: Spreads beyond the mean within which nearly all replies arrive, as for TCP's retransmission
@@ -55,8 +55,8 @@
 def send_pauses(times: ReplyTimes | None, max_wait: float) -> tuple[float, ...]:
     """Return the seconds to wait after each send; empty if the owner is too slow to be asked.
 
-    ``times`` are None if the owner's are unknown; ``max_wait`` is how many seconds the request
-    can wait at all.
+    ``times`` is None if the owner's reply times are unknown; ``max_wait`` is the total number of
+    seconds that the request can wait.
     """
     longest = min(INITIAL_WAIT, max(MIN_WAIT, max_wait))
     if times is None:
--- a/pondhatch/requests/_parallel_waits.py
+++ b/pondhatch/requests/_parallel_waits.py
@@ -72,7 +72,7 @@
     async def first_grant(
         self, engines: tuple[str, ...], seconds: float
     ) -> FirstGrant | NotGranted:
-        """Return the first grant within some seconds, and leave the other queues."""
+        """Return the first grant within ``seconds``, and leave the other queues."""
         clock = asyncio.get_running_loop().time
         until, check_at = clock() + seconds, clock() + OWNER_CHECK_SECONDS
         try:
@@ -98,7 +98,7 @@
         self._pending_by_task[task] = _PendingRequest(grant_request, self._owner_name(engine))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait until an owner's final reply arrives, or for some seconds."""
+        """Wait for an owner's final reply, for at most ``seconds``."""
         if self._pending_by_task:
             await asyncio.wait(
                 self._pending_by_task, timeout=seconds, return_when=asyncio.FIRST_COMPLETED
--- a/pondhatch/requests/_resting_engines.py
+++ b/pondhatch/requests/_resting_engines.py
@@ -36,11 +36,11 @@
         return max(0.0, min(self._end_by_engine.values()) - asyncio.get_running_loop().time())
 
     def includes_all(self, engines: tuple[str, ...]) -> bool:
-        """Return whether all of some engines rest."""
+        """Return whether all of these engines rest."""
         return self._end_by_engine.keys() >= set(engines)
 
     def shortest_known_rest(self, engines: tuple[str, ...]) -> float:
-        """Return the seconds until the first of some engines takes requests; 0 if one does."""
+        """Return the seconds until the first of these engines takes requests; 0 if one does now."""
         return min((self._known_rest(engine) for engine in engines), default=0.0)
 
     def clear(self) -> None:
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -24,7 +24,7 @@
 from pondhatch.requests._sending import GrantedAnswer, Target, open_target
 
 #: The end reason reported to the owner for each refusal of its engine. A bad request is no
-#: evidence on the engine; an address that another engine answers at counts as unreachable.
+#: evidence about the engine; an address that another engine answers at counts as unreachable.
 END_REASON_BY_REFUSAL = {
     EngineRefusal.FULL: EndReason.FULL,
     # Not FULL: that would lower the engine's limit further with each refusal.
@@ -74,7 +74,7 @@
         self.settled_engine: str | None = None
         #: The latest grant: the load and the ceiling at its engine.
         self.last_grant = Granted(0, 0)
-        #: Seconds that it waited for owners' replies, time in their queues included.
+        #: Seconds that the request waited for owners' replies, time in their queues included.
         self.grant_wait_seconds = 0.0
         #: Seconds of that wait in the queues of several engines at once.
         self.queue_wait_seconds = 0.0
@@ -189,10 +189,11 @@
     def _context_address(self, target: Target, head: RequestHead) -> str:
         """Return the address of the engine from which the target is to fetch the context, or "".
 
-        It is the likeliest holder, unless the target itself served the chat last; for a chat sent
-        to its home engine it is the next in rank, to which the chat sometimes spilled. Fetching
-        a context costs a sixth of processing the prompt again, and asking an engine that does
-        not hold it costs nothing.
+        Empty if the target itself served the chat last. Else the likeliest holder: the engine that
+        the home engine's owner named, the one that served the chat last, the former home engine,
+        or the next in rank, to which a chat sometimes spills from its home engine. Fetching a
+        context costs a sixth of processing the prompt again, and asking an engine that does not
+        hold it costs nothing.
         """
         if not (target.shares_context and head.chat and head.is_followup):
             return ""
@@ -218,8 +219,8 @@
             if self._view.is_reachable(reply.owner):
                 reply = await self._ask_owner(reply.owner, grant_request)
             else:
-                # The asked router has not yet noticed that the owner is unreachable; deciding in
-                # its place, it counts the grants of all routers.
+                # The asked router has not noticed yet that the owner is unreachable. It decides
+                # in the owner's place, so that one router counts the grants of all.
                 reply = await self._ask_instead_of_owner(name, grant_request)
         elif _is_unreachable(reply):
             next_owner = self._view.owner_name(grant_request.engine)
--- a/pondhatch/requests/_wait_limits.py
+++ b/pondhatch/requests/_wait_limits.py
@@ -7,7 +7,7 @@
 #: Seconds before the latest useful grant at which waiting ends: a refusal still has to be
 #: written, and a grant has to travel from the engine's owner.
 GRANT_MARGIN = 0.02
-#: A stream's caller is taken to wait for the first event for the largest of these: a minimum in
+#: A stream's caller is assumed to wait for the first event for the largest of these: a minimum in
 #: seconds, and multiples of the objective and of the longest pause.
 MIN_FIRST_EVENT = 2.0
 FIRST_EVENT_OBJECTIVE_FACTOR = 4.0
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -367,7 +367,7 @@
         self.freed_at[engine] = asyncio.get_running_loop().time()
 
     def has_room(self, engine: str, others: int, engines: int) -> bool:
-        """Return whether it would grant another request, and could for PROPAGATION_SECONDS."""
+        """Return whether it would grant a request, and released none for PROPAGATION_SECONDS."""
         now = asyncio.get_running_loop().time()
         if now - self.freed_at.get(engine, -math.inf) < PROPAGATION_SECONDS:
             return False
@@ -542,14 +542,14 @@
         self.history = History()
         self.network = Network(FaultScript(packet_faults))
         self.known_leaving: set[str] = set()
-        #: Intake of engines that do not take everything.
+        #: Intake of engines that do not take all requests.
         self.intake_by_engine: dict[str, Intake] = {}
         self.loads = EngineLoads(len(self.engines), self.total_granted)
         #: Whether all requests belong to one chat, and so to one home engine.
         self.same_chat = False
         #: Largest number of engines that a request may be sent to; 0 for no limit.
         self.most_tries = 0
-        #: Dispatches of requests without an answer, or with one since PROPAGATION_SECONDS.
+        #: Dispatches that run, or that ended less than PROPAGATION_SECONDS ago.
         self._dispatches: list[RecordingDispatch] = []
         script = FaultScript(upstream_faults)
         self.upstreams = FakeUpstreams(self.history, script, self.known_leaving, self.loads)
@@ -686,7 +686,7 @@
                 self.history.refused_despite_free_slot.append(violation)
 
     def _may_be_sent(self, request: str, engine: str) -> bool:
-        """Return whether a request may go to an engine, which has not refused it for good."""
+        """Return whether an engine has not refused a request for good, and may be tried."""
         if self.history.refusals.get((request, engine)) in PERMANENT_REFUSALS:
             return False
         sent_to = {to for sent, to in self.history.sends if sent == request}
--- a/pondhatch/requests/tests/test_crash_watch.py
+++ b/pondhatch/requests/tests/test_crash_watch.py
@@ -1,6 +1,6 @@
 """Guards against a request that crashes one engine after the other.
 
-The crash guard counts the engines that end while they run it, and quarantines it.
+The crash guard counts the engines that end while they run the request, and quarantines it.
 """
 
 from __future__ import annotations
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -1,8 +1,8 @@
 """Random histories with evacuated halls and cold engines, checked by what engines receive.
 
 Once every router knows that a hall is evacuated, its engines must get nothing: no new request,
-retry or rest of a stream, and none that was queued or granted before. A cold engine must get no
-more in any second than its allowance, however routers disagree on its owner.
+retry or resumption of a stream, and none that was queued or granted before. A cold engine must get
+no more in any second than its allowance, however routers disagree on its owner.
 """
 
 from __future__ import annotations
--- a/pondhatch/requests/tests/test_notice_histories.py
+++ b/pondhatch/requests/tests/test_notice_histories.py
@@ -2,7 +2,7 @@
 
 After a router received such a notice, it must send the engine nothing for good or during the rest.
 That includes requests granted but not yet sent, granted without the owner, retried, waiting for a
-connection, and the rests of streams.
+connection, and resumptions of streams.
 """
 
 from __future__ import annotations
@@ -120,8 +120,8 @@
         self.assertLess(took, 0.3)
         self.assertAlmostEqual(second.retry_after, 3.0, delta=0.3)
 
-    # While one engine rested for an hour and the others were only down, callers were told to retry
-    # after an hour.
+    # While one engine rested for an hour and the others were down but not resting, callers were
+    # told to retry after an hour.
     def test_if_the_others_are_down_the_retry_comes_before_the_rest_ends(self) -> None:
         async def history() -> object:
             fleet = Fleet([], [], False)
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -125,7 +125,7 @@
             self.retry_after.append(reply.refusal.retry_after)
 
     async def send_bursts(self, rate: float, seconds: float, largest: int) -> None:
-        """Send ``a_second`` requests per second to random routers, in bursts up to ``largest``."""
+        """Send ``rate`` requests per second to random routers, in bursts up to ``largest``."""
         tasks = []
         until = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < until:
@@ -228,7 +228,7 @@
 
 
 class RefusedAfterWaitTest(unittest.TestCase):
-    """Engines run fewer requests at once than their owners believe, and one is about to end."""
+    """Engines run fewer requests at once than their owners believe, and one is shutting down."""
 
     def test_a_request_that_was_granted_and_refused_waits_again(self) -> None:
         """Guards against refusing a granted request for good while another engine has a slot."""
