--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -273,8 +273,8 @@
             return Unknown(CROSSED, "another's answer")
         if fault == FAILED:
             return AnswerStarted(self._failure(engine))
-        whole = answer_of(request)
-        events = whole.split(b"\n\n")
+        answer = answer_of(request)
+        events = answer.split(b"\n\n")
         content = b"\n\n".join(events[max(0, resumed_from) :])
         cut = {"cut": len(content) // 2, "cut-inside-an-event": 4}.get(fault)
         self._loads.start(engine)
@@ -311,8 +311,10 @@
 
     def __init__(self, script: FaultScript) -> None:
         self._script = script
-        self.take_by_name: dict[str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]]
-        self.take_by_name = {}
+        self.receive_by_name: dict[
+            str, Callable[[GrantPacket, Callable[[GrantPacket], None]], None]
+        ]
+        self.receive_by_name = {}
         #: Routers that neither send nor receive packets, as they are frozen or gone.
         self.silent: set[str] = set()
 
@@ -329,7 +331,7 @@
         if packet is None:
             raise AssertionError("a packet does not decode")
         if not {sender, to} & self.silent:
-            self.take_by_name[to](packet, lambda reply: self.send(to, sender, reply))
+            self.receive_by_name[to](packet, lambda reply: self.send(to, sender, reply))
 
 
 class Sink:
@@ -356,22 +358,22 @@
     freed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
     def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
-        verdict = super()._grant(engine, count, held, ceiling)
+        decision = super()._grant(engine, count, held, ceiling)
         self.on_grant()
-        return verdict
+        return decision
 
     def release(self, engine: str) -> None:
         super().release(engine)
         self.freed_at[engine] = asyncio.get_running_loop().time()
 
     def has_room(self, engine: str, others: int, engines: int) -> bool:
-        """Return whether it would grant another request, and could for PROPAGATION_SECONDS."""
+        """Return whether it would grant a request, and released none for PROPAGATION_SECONDS."""
         now = asyncio.get_running_loop().time()
         if now - self.freed_at.get(engine, -math.inf) < PROPAGATION_SECONDS:
             return False
         # Asks a copy, since a gate counts its grants.
-        verdict = Gate(dict(self.by_engine)).try_grant(engine, now, BOUND, others, engines, 8)
-        return isinstance(verdict, Granted)
+        decision = Gate(dict(self.by_engine)).try_grant(engine, now, BOUND, others, engines, 8)
+        return isinstance(decision, Granted)
 
 
 class RouterView:
@@ -459,9 +461,9 @@
         self.view = RouterView(fleet, name)
         self.gate = RecordingGate(on_grant=fleet.loads.record_total)
         self.health = Health()
-        self.cold_paces = ColdPacer(COLD_ALLOWANCE, fleet_share=1.0)
+        self.cold_pacer = ColdPacer(COLD_ALLOWANCE, fleet_share=1.0)
         self.owner = LocalOwner(
-            name, self.view, self.gate, ContextLocations(), clock, self.health, self.cold_paces
+            name, self.view, self.gate, ContextLocations(), clock, self.health, self.cold_pacer
         )
         self._tasks = Tasks()
         self.entry = EntryGrants(
@@ -540,14 +542,14 @@
         self.history = History()
         self.network = Network(FaultScript(packet_faults))
         self.known_leaving: set[str] = set()
-        #: Intake of engines that do not take everything.
+        #: Intake of engines that do not take all requests.
         self.intake_by_engine: dict[str, Intake] = {}
         self.loads = EngineLoads(len(self.engines), self.total_granted)
         #: Whether all requests belong to one chat, and so to one home engine.
         self.same_chat = False
         #: Largest number of engines that a request may be sent to; 0 for no limit.
         self.most_tries = 0
-        #: Dispatches of requests without an answer, or with one since PROPAGATION_SECONDS.
+        #: Dispatches that run, or that ended less than PROPAGATION_SECONDS ago.
         self._dispatches: list[RecordingDispatch] = []
         script = FaultScript(upstream_faults)
         self.upstreams = FakeUpstreams(self.history, script, self.known_leaving, self.loads)
@@ -559,7 +561,7 @@
         self.connections_by_router = {
             name: NoticeRecordingUpstreams(router, self) for name, router in self.routers.items()
         }
-        self.network.take_by_name = {
+        self.network.receive_by_name = {
             name: each.sides.receive for name, each in self.routers.items()
         }
 
@@ -684,7 +686,7 @@
                 self.history.refused_despite_free_slot.append(violation)
 
     def _may_be_sent(self, request: str, engine: str) -> bool:
-        """Return whether a request may go to an engine, which has not refused it for good."""
+        """Return whether an engine has not refused a request for good, and may be tried."""
         if self.history.refusals.get((request, engine)) in PERMANENT_REFUSALS:
             return False
         sent_to = {to for sent, to in self.history.sends if sent == request}
