--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -59,7 +59,7 @@
         has_crashed: HasCrashed,
     ) -> None:
         self.suspects = state.suspects
-        self._trials = RunClaims(short_id(state.name))
+        self._claims = RunClaims(short_id(state.name))
         self._state = state
         self._send = send
         self._tasks = tasks
@@ -135,19 +135,19 @@
 
     def claim(self, digest: int) -> RunClaim:
         """Claim the next run of a suspected request, and send the claim to all routers."""
-        trial = self._trials.claim(digest, self._state.clock())
-        self._send_to_all(RunClaimPacket(trial))
-        return trial
+        claim = self._claims.claim(digest, self._state.clock())
+        self._send_to_all(RunClaimPacket(claim))
+        return claim
 
-    def goes_first(self, trial: RunClaim) -> bool:
+    def goes_first(self, claim: RunClaim) -> bool:
         """Return whether it is the claim's turn."""
         now = self._state.clock()
-        return self._trials.goes_first(trial, now, self.suspects.share_crash)
+        return self._claims.goes_first(claim, now, self.suspects.share_crash)
 
-    def withdraw_claim(self, trial: RunClaim) -> None:
+    def withdraw_claim(self, claim: RunClaim) -> None:
         """Withdraw a claim at all routers."""
-        self._trials.remove(trial)
-        self._send_to_all(RunClaimPacket(trial, has_ended=True))
+        self._claims.remove(claim)
+        self._send_to_all(RunClaimPacket(claim, has_ended=True))
 
     def receive(self, payload: bytes) -> None:
         """Handle a packet without its prefix; a packet that does not parse is dropped."""
@@ -159,9 +159,9 @@
             for evidence in packet.evidence:
                 self._apply_evidence(evidence)
         elif packet.has_ended:
-            self._trials.remove(packet.claim)
+            self._claims.remove(packet.claim)
         else:
-            self._trials.add(packet.claim, self._state.clock())
+            self._claims.add(packet.claim, self._state.clock())
 
     def tick(self) -> None:
         """Run the periodic work of one round."""
@@ -176,8 +176,8 @@
         was_quarantined = self.is_quarantined(evidence.digest)
         is_new = self.suspects.add(evidence, self._state.clock())
         if is_new and not was_quarantined and self.is_quarantined(evidence.digest):
-            engines = self.suspects.suspect_by_digest[evidence.digest].uncleared_crashes()
-            self._record(evidence.digest, "quarantined", f"ended {', '.join(engines)}")
+            crash_names = self.suspects.suspect_by_digest[evidence.digest].uncleared_crashes()
+            self._record(evidence.digest, "quarantined", f"ended {', '.join(crash_names)}")
         return is_new
 
     def _broadcast(self, evidence: tuple[Evidence, ...]) -> None:
--- a/pondhatch/router/_crash_watch.py
+++ b/pondhatch/router/_crash_watch.py
@@ -36,10 +36,10 @@
     def claim(self, digest: int) -> RunClaim:
         """Claim the next run of a suspected request."""
 
-    def goes_first(self, trial: RunClaim) -> bool:
+    def goes_first(self, claim: RunClaim) -> bool:
         """Return whether it is the claim's turn."""
 
-    def withdraw_claim(self, trial: RunClaim) -> None:
+    def withdraw_claim(self, claim: RunClaim) -> None:
         """Withdraw a claim."""
 
 
@@ -49,7 +49,7 @@
     def __init__(self, evidence: SharedEvidence, digest: int) -> None:
         self._evidence = evidence
         self._digest = digest
-        self._trial: RunClaim | None = None
+        self._claim: RunClaim | None = None
 
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
         """Return why the request may not be sent now; see RequestWatch."""
@@ -69,12 +69,12 @@
         return QUARANTINED
 
     async def _has_turn(self) -> bool:
-        if self._trial is None:
-            self._trial = self._evidence.claim(self._digest)
+        if self._claim is None:
+            self._claim = self._evidence.claim(self._digest)
             await asyncio.sleep(EVIDENCE_WAIT_SECONDS)
             if self.is_quarantined():
                 return False
-        return self._evidence.goes_first(self._trial)
+        return self._evidence.goes_first(self._claim)
 
     def is_quarantined(self) -> bool:
         """Return whether the request is quarantined; see RequestWatch."""
@@ -94,6 +94,6 @@
 
     def close(self) -> None:
         """Withdraw the claim, if there is one; see RequestWatch."""
-        trial, self._trial = self._trial, None
-        if trial is not None:
-            self._evidence.withdraw_claim(trial)
+        claim, self._claim = self._claim, None
+        if claim is not None:
+            self._evidence.withdraw_claim(claim)
