--- a/pondhatch/configuration/_files.py
+++ b/pondhatch/configuration/_files.py
@@ -69,13 +69,13 @@
 
 
 def checked_configuration(
-    fleet: FleetConfiguration, entries: FileEntries, edits: Iterable[Edit]
+    configuration: FleetConfiguration, entries: FileEntries, edits: Iterable[Edit]
 ) -> FleetConfiguration:
     """Return the configuration with the edits applied.
 
     Raises ConfigurationError, with files and lines, if they are rejected.
     """
-    edited = fleet.with_edits(edits)
+    edited = configuration.with_edits(edits)
     if isinstance(edited, Rejected):
         raise ConfigurationError(
             tuple(
@@ -86,7 +86,9 @@
     return edited
 
 
-def changed_edits(fleet: FleetConfiguration, entries: FileEntries, prune: bool) -> tuple[Edit, ...]:
+def changed_edits(
+    configuration: FleetConfiguration, entries: FileEntries, prune: bool
+) -> tuple[Edit, ...]:
     """Return the edits that change an entry.
 
     With ``prune``, entries that the files do not hold are removed.
@@ -94,12 +96,14 @@
     changed = [
         edit
         for edit in entries.edits
-        if fleet.raw_by_entry.get((edit.kind, edit.name)) != msgspec.json.encode(edit.value)
+        if configuration.raw_by_entry.get((edit.kind, edit.name)) != msgspec.json.encode(edit.value)
     ]
     if not prune:
         return tuple(changed)
     kept = {(edit.kind, edit.name) for edit in entries.edits}
-    removed = [Edit(kind, name) for kind, name in fleet.raw_by_entry if (kind, name) not in kept]
+    removed = [
+        Edit(kind, name) for kind, name in configuration.raw_by_entry if (kind, name) not in kept
+    ]
     return (*changed, *removed)
 
 
--- a/pondhatch/configuration/_sources.py
+++ b/pondhatch/configuration/_sources.py
@@ -52,10 +52,10 @@
                 yield read_change(int(event.name), event.value)
             is_ahead = event.type == "set" and int(event.name) > current().version
             if event.type == "bookmark" or is_ahead:
-                fleet = await read_configuration(self._platform, current())
-                if isinstance(fleet, Unavailable):
-                    raise PlatformLost(fleet.reason)
-                yield fleet
+                configuration = await read_configuration(self._platform, current())
+                if isinstance(configuration, Unavailable):
+                    raise PlatformLost(configuration.reason)
+                yield configuration
 
 
 class ConfigurationDocument:
@@ -84,11 +84,13 @@
             if event.type == "set" and event.name == self._name:
                 yield self._apply(current(), event.value)
 
-    def _apply(self, fleet: FleetConfiguration, value: Any) -> FleetConfiguration | Rejected:
+    def _apply(
+        self, configuration: FleetConfiguration, value: Any
+    ) -> FleetConfiguration | Rejected:
         try:
             snapshot = self._decode(value)
         except msgspec.ValidationError as error:
             return Rejected(((("document", self._name), Misfit((), str(error))),))
-        if snapshot.version <= fleet.version:
-            return fleet
-        return fleet.with_snapshot(snapshot)
+        if snapshot.version <= configuration.version:
+            return configuration
+        return configuration.with_snapshot(snapshot)
--- a/pondhatch/configuration/tests/test_differences.py
+++ b/pondhatch/configuration/tests/test_differences.py
@@ -54,12 +54,12 @@
         self.assertEqual(updated.fingerprint, newest.fingerprint)
 
     def test_no_difference_since_a_version_older_than_the_known_ones(self) -> None:
-        fleet = FleetConfiguration.from_snapshot(snapshot_of_rates(7, {"a": 1.0})).with_snapshot(
-            snapshot_of_rates(9, {})
-        )
-        self.assertIsNone(fleet.difference_since(0))
-        self.assertIsNone(fleet.difference_since(6))
-        self.assertIsNotNone(fleet.difference_since(7))
+        configuration = FleetConfiguration.from_snapshot(
+            snapshot_of_rates(7, {"a": 1.0})
+        ).with_snapshot(snapshot_of_rates(9, {}))
+        self.assertIsNone(configuration.difference_since(0))
+        self.assertIsNone(configuration.difference_since(6))
+        self.assertIsNotNone(configuration.difference_since(7))
 
     def test_a_difference_does_not_apply_to_a_version_older_than_its_base(self) -> None:
         taker = FleetConfiguration.from_snapshot(snapshot_of_rates(3, {"a": 1.0}))
--- a/pondhatch/configuration/tests/test_files.py
+++ b/pondhatch/configuration/tests/test_files.py
@@ -96,10 +96,10 @@
         return checked_configuration(FleetConfiguration(), entries, entries.edits)
 
     def test_a_valid_file(self) -> None:
-        fleet = self.apply(VALID)
-        self.assertEqual(fleet.account_of("a" * 64), "atelier")
-        self.assertEqual(fleet.policy_by_account["atelier"].requests_per_second, 5)
-        self.assertIsNone(fleet.account_of("b" * 64))
+        configuration = self.apply(VALID)
+        self.assertEqual(configuration.account_of("a" * 64), "atelier")
+        self.assertEqual(configuration.policy_by_account["atelier"].requests_per_second, 5)
+        self.assertIsNone(configuration.account_of("b" * 64))
 
     def test_each_problem_is_one_line_with_file_line_and_field(self) -> None:
         for old, new, line, field, expected_text in INVALID_FILES:
@@ -136,11 +136,11 @@
             read_files([self.folder / "none.yaml"])
 
     def test_only_changed_entries_become_edits(self) -> None:
-        fleet = self.apply(VALID)
+        configuration = self.apply(VALID)
         entries = read_files([self.folder / "fleet.yaml"])
-        self.assertEqual(changed_edits(fleet, entries, prune=True), ())
+        self.assertEqual(changed_edits(configuration, entries, prune=True), ())
         (self.folder / "fleet.yaml").write_text(VALID[: VALID.index("accounts:")])
-        pruned = changed_edits(fleet, read_files([self.folder / "fleet.yaml"]), prune=True)
+        pruned = changed_edits(configuration, read_files([self.folder / "fleet.yaml"]), prune=True)
         self.assertEqual(pruned, (Edit("account", "atelier"),))
 
 
--- a/pondhatch/configuration/tests/test_fleet.py
+++ b/pondhatch/configuration/tests/test_fleet.py
@@ -19,13 +19,13 @@
     return Change(version, f"id-{version}", "ana", 0.0, "", edits)
 
 
-def with_changes(fleet: FleetConfiguration, *changes: Change) -> FleetConfiguration:
+def with_changes(configuration: FleetConfiguration, *changes: Change) -> FleetConfiguration:
     for each in changes:
-        following = fleet.with_change(each)
+        following = configuration.with_change(each)
         if not isinstance(following, FleetConfiguration):
             raise AssertionError(following)
-        fleet = following
-    return fleet
+        configuration = following
+    return configuration
 
 
 START = with_changes(FleetConfiguration(), change(1, SERVICE, TEMPLATE, account("a")))
--- a/pondhatch/configuration/tests/test_misfits.py
+++ b/pondhatch/configuration/tests/test_misfits.py
@@ -50,17 +50,17 @@
     return tuple({(edit.kind, edit.name): edit for edit in drawn}.values())
 
 
-def content(fleet: FleetConfiguration) -> dict[str, Any]:
+def content(configuration: FleetConfiguration) -> dict[str, Any]:
     """Return the applied entries, the entries as written and the misfits, without versions."""
     return {
-        "services": list(fleet.service_by_name.items()),
-        "routes": fleet.routes,
-        "bounds": fleet.caller_bounds,
-        "templates": fleet.template_by_name,
-        "policies": fleet.policy_by_account,
-        "keys": fleet.account_by_key_hash,
-        "raw": fleet.raw_by_entry,
-        "misfits": {key: set(found) for key, found in fleet.misfits_by_entry.items()},
+        "services": list(configuration.service_by_name.items()),
+        "routes": configuration.routes,
+        "bounds": configuration.caller_bounds,
+        "templates": configuration.template_by_name,
+        "policies": configuration.policy_by_account,
+        "keys": configuration.account_by_key_hash,
+        "raw": configuration.raw_by_entry,
+        "misfits": {key: set(found) for key, found in configuration.misfits_by_entry.items()},
     }
 
 
@@ -97,12 +97,12 @@
     def test_a_shared_key_belongs_to_the_first_account_by_name_until_it_is_removed(self) -> None:
         shared = b"shared".hex().ljust(64, "0")
         both = (SERVICE, TEMPLATE, account("b", key="shared"), account("a", key="shared"))
-        fleet = FleetConfiguration.from_snapshot(Snapshot(1, both[:3])).with_snapshot(
+        configuration = FleetConfiguration.from_snapshot(Snapshot(1, both[:3])).with_snapshot(
             Snapshot(2, both)
         )
-        self.assertEqual(fleet.account_of(shared), "a")
-        self.assertEqual(set(fleet.misfits_by_entry), {("account", "b")})
-        later = fleet.with_snapshot(Snapshot(3, both[:3]))
+        self.assertEqual(configuration.account_of(shared), "a")
+        self.assertEqual(set(configuration.misfits_by_entry), {("account", "b")})
+        later = configuration.with_snapshot(Snapshot(3, both[:3]))
         self.assertEqual((later.account_of(shared), later.misfits_by_entry), ("b", {}))
 
     def test_an_account_keeps_those_of_its_services_that_are_defined(self) -> None:
--- a/pondhatch/configuration/tests/test_publishing.py
+++ b/pondhatch/configuration/tests/test_publishing.py
@@ -47,7 +47,7 @@
         self.platform = PlatformInMemory()
         await publish(self.platform, FIRST, no_pause)
 
-    async def fleet(self) -> FleetConfiguration:
+    async def configuration(self) -> FleetConfiguration:
         found = await read_configuration(self.platform, FleetConfiguration())
         assert isinstance(found, FleetConfiguration), found
         return found
@@ -58,7 +58,7 @@
             publish(self.platform, change(2, "bento"), no_pause),
         )
         self.assertEqual(outcomes, [Published(2), LostRace(change(2, "ana"))])
-        self.assertEqual(set((await self.fleet()).policy_by_account), {"ana"})
+        self.assertEqual(set((await self.configuration()).policy_by_account), {"ana"})
 
     async def test_an_unreadable_change_does_not_block_later_ones(self) -> None:
         rows: tuple[Any, ...] = ({"version": "two"}, None, msgspec.to_builtins(change(7, "x")))
@@ -67,22 +67,22 @@
             await self.platform.create(CHANGE_KIND, change_object_name(version), value)
             later = change(version + 1, f"ana{at}")
             self.assertEqual(await publish(self.platform, later, no_pause), Published(version + 1))
-        fleet = await self.fleet()
-        self.assertEqual(fleet.version, 7)
-        self.assertEqual(set(fleet.policy_by_account), {"ana0", "ana1", "ana2"})
+        configuration = await self.configuration()
+        self.assertEqual(configuration.version, 7)
+        self.assertEqual(set(configuration.policy_by_account), {"ana0", "ana1", "ana2"})
 
     async def test_a_snapshot_with_an_invalid_entry_is_read(self) -> None:
         wrong = Edit("account", "x", {"template": "none", "key_hashes": ["0" * 64]})
         edits = (SERVICE, TEMPLATE, account("a"), wrong)
         self.assertTrue(await write_snapshot(self.platform, Snapshot(1, edits)))
-        fleet = await self.fleet()
-        self.assertEqual(set(fleet.policy_by_account), {"a"})
-        self.assertEqual(set(fleet.misfits_by_entry), {("account", "x")})
+        configuration = await self.configuration()
+        self.assertEqual(set(configuration.policy_by_account), {"a"})
+        self.assertEqual(set(configuration.misfits_by_entry), {("account", "x")})
 
     async def test_a_lost_reply_is_resolved_by_recognising_the_own_change(self) -> None:
         self.platform.faults.arm("lost-answer")
         self.assertEqual(await publish(self.platform, change(2, "ana"), no_pause), Published(2))
-        self.assertEqual((await self.fleet()).version, 2)
+        self.assertEqual((await self.configuration()).version, 2)
 
     async def test_a_lost_write_is_retried(self) -> None:
         self.platform.faults.arm("lost-write")
@@ -98,7 +98,7 @@
         self.platform.faults.arm("outage")
         outcome = await publish(self.platform, change(2, "ana"), no_pause)
         self.assertIsInstance(outcome, NotWritten)
-        self.assertEqual((await self.fleet()).version, 1)
+        self.assertEqual((await self.configuration()).version, 1)
 
     async def test_an_outage_after_a_lost_reply_is_reported_as_unresolved(self) -> None:
         platform = self.platform
@@ -121,26 +121,26 @@
         outage_platform.get = get_during_outage  # type: ignore[method-assign, assignment]
         outcome = await task
         self.assertIsInstance(outcome, Unresolved)
-        self.assertEqual((await self.fleet()).version, 2)
+        self.assertEqual((await self.configuration()).version, 2)
 
     async def test_readers_start_from_the_snapshot(self) -> None:
         for version in range(2, 12):
             await publish(self.platform, change(version, f"op-{version}"), no_pause)
-        latest = await self.fleet()
+        latest = await self.configuration()
         self.assertTrue(await write_snapshot(self.platform, latest.snapshot()))
         before = self.platform.calls
-        restored = await self.fleet()
+        restored = await self.configuration()
         self.assertLess(self.platform.calls - before, 5)
         self.assertEqual(restored.policy_by_account, latest.policy_by_account)
         self.assertEqual(restored.version, latest.version)
 
     async def test_an_older_snapshot_never_replaces_a_newer_one(self) -> None:
-        old = (await self.fleet()).snapshot()
+        old = (await self.configuration()).snapshot()
         await publish(self.platform, change(2, "ana"), no_pause)
-        new = (await self.fleet()).snapshot()
+        new = (await self.configuration()).snapshot()
         self.assertTrue(await write_snapshot(self.platform, new))
         self.assertTrue(await write_snapshot(self.platform, old))
-        self.assertEqual((await self.fleet()).version, 2)
+        self.assertEqual((await self.configuration()).version, 2)
 
     async def test_an_outage_while_reading_is_returned(self) -> None:
         self.platform.faults.arm("outage")
--- a/pondhatch/platform/tests/test_accepted_configuration.py
+++ b/pondhatch/platform/tests/test_accepted_configuration.py
@@ -13,7 +13,7 @@
 
 from pondhatch.configuration import FleetConfiguration, Route
 from pondhatch.platform.tests._wire import CONFIGURATION
-from pondhatch.platform.tests.test_configuration import fleet_of, key_hash
+from pondhatch.platform.tests.test_configuration import configuration_of, key_hash
 
 ADDED_KEY = "key-added"
 ADDED_ROUTE = {**CONFIGURATION["Routes"][2], "Name": "r-added", "PathPrefix": "/added/"}
@@ -31,15 +31,17 @@
 
 
 class AcceptedConfigurationTest(unittest.TestCase):
-    def assert_others_in_force(self, fleet: FleetConfiguration) -> None:
+    def assert_others_in_force(self, configuration: FleetConfiguration) -> None:
         """Check that the configuration's other entries are in force."""
-        self.assertEqual(fleet.version, 12)
+        self.assertEqual(configuration.version, 12)
         for path, name in (("/added/1", "r-added"), ("/notes/1", "r-notes")):
-            route = fleet.routes.find("desk.example", path)
+            route = configuration.routes.find("desk.example", path)
             self.assertEqual(route.name if isinstance(route, Route) else None, name)
-        accounts = [fleet.account_of(key_hash(key)) for key in (ADDED_KEY, "key-1", "key-2")]
+        accounts = [
+            configuration.account_of(key_hash(key)) for key in (ADDED_KEY, "key-1", "key-2")
+        ]
         self.assertEqual(accounts, ["added", "pina", "pina"])
-        self.assertIn("lang", fleet.service_by_name)
+        self.assertIn("lang", configuration.service_by_name)
 
     def test_no_bound_of_the_router_rejects_an_entry(self) -> None:
         keys = [f"many-{at}" for at in range(200)]
@@ -60,15 +62,15 @@
         )
         for changes in rows:
             with self.subTest(changes=changes):
-                before = fleet_of(CONFIGURATION)
+                before = configuration_of(CONFIGURATION)
                 for base in (before, FleetConfiguration()):
-                    fleet = fleet_of(next_version(changes), base)
-                    self.assert_others_in_force(fleet)
+                    configuration = configuration_of(next_version(changes), base)
+                    self.assert_others_in_force(configuration)
                     if "Tenants" in changes:
                         name = changes["Tenants"][0]["Name"]
-                        self.assertEqual(fleet.account_of(key_hash(keys[-1])), name)
+                        self.assertEqual(configuration.account_of(key_hash(keys[-1])), name)
                     if "Routes" in changes:
-                        found = fleet.routes.find("desk.example", "/other/1")
+                        found = configuration.routes.find("desk.example", "/other/1")
                         self.assertEqual(
                             found.name if isinstance(found, Route) else None, "r-other"
                         )
@@ -92,5 +94,5 @@
         )
         for changes in rows:
             with self.subTest(changes=changes):
-                for base in (fleet_of(CONFIGURATION), FleetConfiguration()):
-                    self.assert_others_in_force(fleet_of(next_version(changes), base))
+                for base in (configuration_of(CONFIGURATION), FleetConfiguration()):
+                    self.assert_others_in_force(configuration_of(next_version(changes), base))
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -114,7 +114,7 @@
             self.exchange_by_name[name].tick()
         self.assertEqual([to for to in self.deliver() if to != "r3"], [])
 
-    def test_a_new_router_is_told(self) -> None:
+    def test_a_new_router_is_told_that_an_upstream_leaves(self) -> None:
         engine = self.instance(0)
         self.exchange_by_name["r0"].receive_notice(engine, LEAVING_NOTICE)
         self.deliver()
@@ -168,7 +168,7 @@
 
     # When an upstream that refused two in five requests was closed to all routers, its load
     # overloaded the others.
-    def test_a_resting_upstream_with_free_slots_is_closed_only_at_the_router_it_told(self) -> None:
+    def test_a_rest_with_free_slots_closes_the_upstream_only_at_its_receiver(self) -> None:
         engine = self.instance(0)
         owner = self.states["r0"].owner_name(engine)
         assert owner is not None
--- a/pondhatch/router/tests/test_startup_wait.py
+++ b/pondhatch/router/tests/test_startup_wait.py
@@ -62,11 +62,11 @@
     def test_a_cancelled_wait_does_not_end_others(self) -> None:
         async def main() -> float:
             _, startup_wait = starting_router()
-            leaving = asyncio.ensure_future(startup_wait.wait())
+            cancelled = asyncio.ensure_future(startup_wait.wait())
             await asyncio.sleep(0.01)
-            staying = asyncio.ensure_future(seconds_waited(startup_wait))
+            waiting = asyncio.ensure_future(seconds_waited(startup_wait))
             await asyncio.sleep(0.01)
-            leaving.cancel()
-            return await staying
+            cancelled.cancel()
+            return await waiting
 
         self.assertAlmostEqual(run_virtually(main()), MAX_WAIT_SECONDS)
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -160,7 +160,7 @@
 
     async def test_a_router_far_behind_gets_a_snapshot(self) -> None:
         peer, state = router("r1"), router("r0")
-        restored = FleetConfiguration.from_snapshot(self.fleet_with(9).snapshot())
+        restored = FleetConfiguration.from_snapshot(self.configuration_at(9).snapshot())
         assert isinstance(restored, FleetConfiguration)
         peer.apply_configuration(restored)
         update = peer.update_since(0)
@@ -168,14 +168,14 @@
         self.assertIsNone(state.apply_update(update))
         self.assertEqual(state.configuration.version, 9)
 
-    def fleet_with(self, version: int) -> FleetConfiguration:
-        fleet = FleetConfiguration().with_change(FIRST)
-        assert isinstance(fleet, FleetConfiguration)
+    def configuration_at(self, version: int) -> FleetConfiguration:
+        configuration = FleetConfiguration().with_change(FIRST)
+        assert isinstance(configuration, FleetConfiguration)
         for at in range(2, version + 1):
-            following = fleet.with_change(change(at, account(f"a{at}")))
+            following = configuration.with_change(change(at, account(f"a{at}")))
             assert isinstance(following, FleetConfiguration)
-            fleet = following
-        return fleet
+            configuration = following
+        return configuration
 
 
 class FixedSource:
@@ -241,7 +241,7 @@
         self.assertEqual(state.apply_change(change(3, account("a"))), VersionGap(1, 3))
         self.assertEqual(state.configuration.version, 1)
 
-    def test_a_rejected_change_is_voided_and_later_ones_apply(self) -> None:
+    def test_a_rejected_change_is_skipped_and_later_ones_apply(self) -> None:
         state = router("r0")
         state.apply_change(FIRST)
         bad = change(2, Edit("account", "x", {"template": "none"}))
