--- a/pondhatch/store/_upstreams.py
+++ b/pondhatch/store/_upstreams.py
@@ -195,15 +195,15 @@
 
     def update_since(self, version: int) -> UpstreamUpdate:
         """Return the entries that a router at a version lacks."""
-        whole = version < self.complete_since
+        is_complete = version < self.complete_since
         # The newest starts suffice: applying one marks the start before it as removed.
         newest = map(self.entry_by_name.__getitem__, self._name_by_id.values())
         entries = tuple(
             UpstreamEntry(entry.upstream.as_listed(), entry.version)
             for entry in newest
-            if whole or entry.version > version
+            if is_complete or entry.version > version
         )
-        return UpstreamUpdate(self.version, entries, whole)
+        return UpstreamUpdate(self.version, entries, is_complete)
 
     def apply_update(self, update: UpstreamUpdate, is_settling: bool = False) -> bool:
         """Apply the entries of a peer or a listing; return whether anything changed.
