--- a/pondhatch/placement/_gate.py
+++ b/pondhatch/placement/_gate.py
@@ -165,7 +165,7 @@
         """Record that an engine refused a request and asked for no requests for some seconds.
 
         Until ``FULL_LIFETIME`` after that time the engine is limited to the requests that it held
-        when it asked, so that not all that waited are sent to it at once.
+        when it asked, so that the requests that waited are not all sent to it at the same time.
         """
         count = self.by_engine.get(engine, EngineCount())
         others = count.in_flight(now) - 1
--- a/pondhatch/placement/_notices.py
+++ b/pondhatch/placement/_notices.py
@@ -23,7 +23,7 @@
 #: Longest accepted rest, in seconds; a longer one is taken for a mistake of the upstream.
 LONGEST_REST = 3600.0
 #: Seconds for which the notices of an unlisted upstream are kept: its entry may have expired in
-#: the platform's store and come back.
+#: the platform's store and may be written again.
 UNLISTED_SECONDS = 600.0
 
 
--- a/pondhatch/quarantine/_suspects.py
+++ b/pondhatch/quarantine/_suspects.py
@@ -154,7 +154,10 @@
         return now - suspect.last_crash_at < QUARANTINE_SECONDS
 
     def next_crash_quarantines(self, digest: int) -> bool:
-        """Return whether one more crash quarantines a request, so only one copy may run at once."""
+        """Return whether one more crash quarantines a request.
+
+        If so, only one copy of it may run at a time.
+        """
         return self.crash_count(digest) >= CRASHES_TO_QUARANTINE - 1
 
     def share_crash(self, one: int, other: int) -> bool:
--- a/pondhatch/router/_fleet_key.py
+++ b/pondhatch/router/_fleet_key.py
@@ -66,7 +66,7 @@
     """Write the fleet's key to the platform again if the platform has lost it."""
     written = await platform.create(KEY_KIND, KEY_NAME, {"key": key.decode()})
     if isinstance(written, Accepted):
-        log.warning("The platform had lost the fleet's key; it holds it again.")
+        log.warning("The platform had lost the fleet's key; this router wrote it again.")
         return
     found = await platform.get(KEY_KIND, KEY_NAME)
     if isinstance(found, Found) and _read_key(found.object) not in (None, key.decode()):
@@ -85,6 +85,6 @@
     """Create the object that holds the key, or replace one that holds none."""
     if isinstance(found, Missing):
         return await platform.create(KEY_KIND, KEY_NAME, value)
-    # If it stayed, no router that starts could join the fleet.
+    # If this object stayed, no router that starts could join the fleet.
     log.error("The platform's object for the fleet's key holds no valid key; replacing it.")
     return await platform.update(KEY_KIND, KEY_NAME, value, found.object.version)
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -12,7 +12,7 @@
 upstream. A router that missed all of this learns of a notice from the upstream itself, at the cost
 of one refused request.
 
-While load is managed, an upstream's owner is also told its pace. A pace is valid for less than a
+While load is managed, an upstream's pace is also sent to its owner. A pace is valid for less than a
 second, so it is sent once, and again only with a later answer.
 """
 
--- a/pondhatch/router/_platform_restorer.py
+++ b/pondhatch/router/_platform_restorer.py
@@ -1,8 +1,8 @@
-"""Writes this router's objects again after the platform came back from an older copy.
+"""Writes this router's objects again after the platform was restored from an older copy.
 
 A router learns of that from the list of upstreams, whose position moves to a new era, at the
 platform or at any peer. All routers learn of it within a second, so each first waits for a random
-time, in order not to overload a platform that has just come back.
+time, in order not to overload a platform that has just been restored.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
         if not is_new_era:
             return
         await asyncio.sleep(self._rng.random() * SPREAD_SECONDS)
-        log.info("The platform came back from an older copy; checking this router's objects.")
+        log.info("The platform was restored from an older copy; checking this router's objects.")
         await self._peer_discovery.run()
         # One router of each hall is enough. Without the key, a router that starts would create one
         # of its own.
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -65,8 +65,8 @@
 MIN_AGE_DIFFERENCE_MS = 10_000
 #: Maximum of concurrent pulls: each may keep an answer waiting in memory.
 MAX_CONCURRENT_PULLS = 3
-#: Seconds before a lost watch is retried, at first and at most: a platform that comes back is
-#: not to be overloaded.
+#: Seconds before a lost watch is retried, at first and at most: a platform that recovers must
+#: not be overloaded.
 INITIAL_BACKOFF_SECONDS = 0.2
 MAX_BACKOFF_SECONDS = 2.0
 
@@ -289,8 +289,8 @@
     async def _pull_recent_joins(self) -> None:
         """Pull the whole list of upstreams from a peer that has run longer, for its join times.
 
-        Where all routers start at once, as after a power cut, none knows join times and none is
-        asked.
+        Where all routers start at the same time, as after a power cut, none knows join times and
+        none is asked.
         """
         others = [member for member in self._state.members() if member.name != self._state.name]
         own_start = self._state.gossip.membership.own_record.incarnation
@@ -400,4 +400,8 @@
 
     def _log_if_rejected(self, problem: Rejected | VersionGap | None) -> None:
         if isinstance(problem, Rejected):
-            log.error("Change {} is void: {}.", self._state.configuration.version, problem)
+            log.error(
+                "Change {} was rejected and has no effect: {}.",
+                self._state.configuration.version,
+                problem,
+            )
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -1,4 +1,4 @@
-"""Guards the quarantine of a request that crashes engines and is run by several routers at once.
+"""Guards the quarantine of an engine-crashing request that several routers run concurrently.
 
 It must crash three engines at most, and no other request may be quarantined with it.
 """
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -193,7 +193,7 @@
         self.assertEqual(target.peers, 1)
 
     # Otherwise all requests that wait for the end of the rest, at every router, are sent to the
-    # engine at once.
+    # engine at the same time.
     def test_after_a_rest_grants_start_at_the_load_before_it(self) -> None:
         engine, gate = self.instance(0), self.states["r0"].gate
         for _ in range(4):
--- a/pondhatch/router/tests/test_platform_restorer.py
+++ b/pondhatch/router/tests/test_platform_restorer.py
@@ -1,4 +1,4 @@
-"""Guards objects of routers that a platform loses when it comes back from an older copy."""
+"""Guards objects of routers that a platform loses when it is restored from an older copy."""
 
 from __future__ import annotations
 
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -39,6 +39,7 @@
     Always complete, since there are few halls.
     """
 
+    #: The newest known state of each hall's evacuation, by hall.
     word_by_hall: dict[str, HallEvacuation]
 
 
