--- a/bench/_abandoned_streams.py
+++ b/bench/_abandoned_streams.py
@@ -78,7 +78,7 @@
     if len(runs) != len(closed_at):
         raise RuntimeError(f"{len(runs)} runs of {len(closed_at)} streams")
     pairs = zip(runs, closed_at, strict=True)
-    return [AbandonedStream(at, float(run["at"]), float(run["until"])) for run, at in pairs]
+    return [AbandonedStream(closed, float(run["at"]), float(run["until"])) for run, closed in pairs]
 
 
 def measure_abandoned_streams() -> Iterator[Measure]:
--- a/bench/_chats.py
+++ b/bench/_chats.py
@@ -61,11 +61,11 @@
         for base in bases
         for key in load.keys
     ]
-    by_key = {key: [c for c in clients if c.api_key == key] for key in load.keys}
+    clients_by_key = {key: [c for c in clients if c.api_key == key] for key in load.keys}
 
     async def run_chat(number: int) -> None:
         async with concurrency_limit:
-            choices = by_key[load.keys[number % len(load.keys)]]
+            choices = clients_by_key[load.keys[number % len(load.keys)]]
             await _chat(choices, load, number, random.Random(rng.random()), tally)
 
     await asyncio.gather(*(run_chat(number) for number in range(load.chats)))
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -79,9 +79,9 @@
             gossip.publish(Phase.LIVE, 1, 1, loads)
             self.gossips.append(gossip)
         self._events: list[tuple[float, int, int, int, bytes]] = []
-        self._count = 0
-        self._next_tick = [rng.uniform(0, TICK_INTERVAL) for _ in self.gossips]
-        for index, when in enumerate(self._next_tick):
+        self._sequence = 0
+        self._first_ticks = [rng.uniform(0, TICK_INTERVAL) for _ in self.gossips]
+        for index, when in enumerate(self._first_ticks):
             self._push(when, index, -1, b"")
 
     def run_until(self, end: float) -> None:
@@ -108,8 +108,8 @@
             self._push(self.now + ONE_WAY_DELAY, receiver, sender, datagram.payload)
 
     def _push(self, when: float, receiver: int, source: int, payload: bytes) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (when, self._count, receiver, source, payload))
+        self._sequence += 1
+        heapq.heappush(self._events, (when, self._sequence, receiver, source, payload))
 
 
 def measure(
--- a/bench/_load_polls.py
+++ b/bench/_load_polls.py
@@ -41,18 +41,18 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Forward one connection until it ends."""
         self.traffic.connections += 1
-        to_reader, to_writer = await asyncio.open_connection(self._host, self._port)
+        engine_reader, engine_writer = await asyncio.open_connection(self._host, self._port)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             await asyncio.gather(
-                self._forward(reader, to_writer, 0), self._forward(to_reader, writer, 1)
+                self._forward(reader, engine_writer, 0), self._forward(engine_reader, writer, 1)
             )
 
     async def _forward(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers: int
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers_per_chunk: int
     ) -> None:
         while chunk := await reader.read(65536):
             self.traffic.payload += len(chunk)
-            self.traffic.answers += answers
+            self.traffic.answers += answers_per_chunk
             writer.write(chunk)
         writer.close()
 
@@ -79,9 +79,9 @@
         fleet.apply(ROOT / "bench/fleet.yaml")
         fleet.await_convergence(1)
         traffic = asyncio.run(_count_traffic(fleet))
-    each = traffic.payload / traffic.answers
-    yield Measure("load_question.payload", each, "B a question and its answer")
-    with_headers = each + SEGMENTS * SEGMENT_HEADERS
+    payload_per_poll = traffic.payload / traffic.answers
+    yield Measure("load_question.payload", payload_per_poll, "B a question and its answer")
+    with_headers = payload_per_poll + SEGMENTS * SEGMENT_HEADERS
     yield Measure("load_question.bytes", with_headers, "B, with the headers of four segments")
     yield Measure("load_question.rate", traffic.answers / COUNT_SECONDS, "a second and engine")
     yield Measure("load_question.connections", traffic.connections, f"in {COUNT_SECONDS:.0f} s")
--- a/bench/_policies.py
+++ b/bench/_policies.py
@@ -19,17 +19,17 @@
 import defopt
 
 #: Lines of a day's report, by what they tell.
-_WORTH = re.compile(r"^worth (?P<worth>-?[\d.]+) = whole day (?P<day>[\d.]+)", re.MULTILINE)
-_REFUSED = re.compile(r"^how tries ended:.*?\b503: (?P<refused>\d+)", re.MULTILINE)
-_BROKEN = re.compile(r"^ *(?P<rule>[A-Z]{4,}) at ", re.MULTILINE)
+_WORTH_LINE = re.compile(r"^worth (?P<worth>-?[\d.]+) = whole day (?P<day>[\d.]+)", re.MULTILINE)
+_REFUSED_COUNT = re.compile(r"^how tries ended:.*?\b503: (?P<refused>\d+)", re.MULTILINE)
+_BROKEN_RULE = re.compile(r"^ *(?P<rule>[A-Z]{4,}) at ", re.MULTILINE)
 
 
-class Unplayed(Exception):
+class RunFailed(Exception):
     """A day was not played to its end."""
 
 
 @dataclass(frozen=True)
-class Played:
+class DayResult:
     """What one day of one way came to."""
 
     worth: float
@@ -38,7 +38,7 @@
     #: Answers of 503.
     refused: int
     #: Rules that were broken.
-    broken: tuple[str, ...] = ()
+    broken_rules: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -52,33 +52,33 @@
     seed: int
 
 
-def read_report(text: str) -> Played:
+def read_report(text: str) -> DayResult:
     """Return what a day's report says. Raises Unplayed where it says no worth."""
-    worth = _WORTH.search(text)
+    worth = _WORTH_LINE.search(text)
     if worth is None:
-        raise Unplayed(text.strip().splitlines()[-1] if text.strip() else "no report")
-    refused = _REFUSED.search(text)
-    return Played(
+        raise RunFailed(text.strip().splitlines()[-1] if text.strip() else "no report")
+    refused = _REFUSED_COUNT.search(text)
+    return DayResult(
         worth=float(worth["worth"]),
         earned=float(worth["day"]),
         refused=int(refused["refused"]) if refused else 0,
-        broken=tuple(found["rule"] for found in _BROKEN.finditer(text)),
+        broken_rules=tuple(found["rule"] for found in _BROKEN_RULE.finditer(text)),
     )
 
 
-def table(played_by_run: Mapping[Run, Played]) -> str:
+def format_table(result_by_run: Mapping[Run, DayResult]) -> str:
     """Return a line for each way, deployment and day."""
-    groups: dict[tuple[str, str, str], list[Played]] = {}
-    for run, played in played_by_run.items():
-        groups.setdefault((run.site.stem, Path(run.day).stem, run.way), []).append(played)
+    groups: dict[tuple[str, str, str], list[DayResult]] = {}
+    for run, result in result_by_run.items():
+        groups.setdefault((run.site.stem, Path(run.day).stem, run.way), []).append(result)
     lines = [
         f"{'deployment':24} {'day':28} {'way':16} {'worth':22} {'earned':22} {'503s':>8} broken"
     ]
-    for (site, day, way), found in sorted(groups.items()):
-        worth = _spread([each.worth for each in found])
-        earned = _spread([each.earned for each in found])
-        refused = statistics.mean(each.refused for each in found)
-        broken = " ".join(rule for each in found for rule in each.broken) or "none"
+    for (site, day, way), results in sorted(groups.items()):
+        worth = _format_spread([each.worth for each in results])
+        earned = _format_spread([each.earned for each in results])
+        refused = statistics.mean(each.refused for each in results)
+        broken = " ".join(rule for each in results for rule in each.broken_rules) or "none"
         lines.append(f"{site:24} {day:28} {way:16} {worth:22} {earned:22} {refused:8.0f} {broken}")
     return "\n".join(lines)
 
@@ -110,35 +110,35 @@
     }
     numbers = range(first_seed, first_seed + seeds)
     runs = [
-        Run(name, each_site.resolve(), _day(each_day), seed)
+        Run(name, each_site.resolve(), _resolve_day(each_day), seed)
         for name in folder_by_way
         for each_site in site
         for each_day in day
         for seed in numbers
     ]
-    print(table(_play_all(runs, bench.resolve(), folder_by_way, jobs, why)))
+    print(format_table(_run_all(runs, bench.resolve(), folder_by_way, jobs, why)))
 
 
-def _day(day: str) -> str:
+def _resolve_day(day: str) -> str:
     return str(Path(day).resolve()) if Path(day).exists() else day
 
 
-def _play_all(
+def _run_all(
     runs: Sequence[Run], bench: Path, folder_by_way: Mapping[str, Path], jobs: int, why: str
-) -> dict[Run, Played]:
+) -> dict[Run, DayResult]:
     """Play the runs of one folder one after the other, and folders side by side."""
 
-    def play_way(name: str) -> Iterable[tuple[Run, Played]]:
+    def run_way(name: str) -> Iterable[tuple[Run, DayResult]]:
         return [
-            (run, _play(run, bench, folder_by_way[name], why)) for run in runs if run.way == name
+            (run, _run_day(run, bench, folder_by_way[name], why)) for run in runs if run.way == name
         ]
 
     with ThreadPoolExecutor(jobs) as pool:
-        by_way = list(pool.map(play_way, folder_by_way))
+        by_way = list(pool.map(run_way, folder_by_way))
     return {run: played for found in by_way for run, played in found}
 
 
-def _play(run: Run, bench: Path, folder: Path, why: str) -> Played:
+def _run_day(run: Run, bench: Path, folder: Path, why: str) -> DayResult:
     command = [
         *(str(bench), "run", str(run.site), run.day),
         *("--seed", str(run.seed), "--no-cpu", "--why", f"{why} ({run.way})"),
@@ -146,11 +146,11 @@
     ended = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
     try:
         return read_report(ended.stdout)
-    except Unplayed as error:
-        raise Unplayed(f"{run}: {error}; {ended.stderr.strip()[-200:]}") from error
+    except RunFailed as error:
+        raise RunFailed(f"{run}: {error}; {ended.stderr.strip()[-200:]}") from error
 
 
-def _spread(values: Sequence[float]) -> str:
+def _format_spread(values: Sequence[float]) -> str:
     return f"{statistics.mean(values):.3f} ({min(values):.3f} to {max(values):.3f})"
 
 
@@ -158,7 +158,7 @@
     """Run the comparison as the command line says."""
     try:
         defopt.run(policies, argv=arguments)
-    except Unplayed as error:
+    except RunFailed as error:
         print(f"not played: {error}", file=sys.stderr)
         return 1
     return 0
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -28,7 +28,7 @@
     halls: tuple[str, ...]
     service: str
     model: str
-    plain: str
+    plain_service: str
     plain_upstreams: int
     path: str
     accounts: tuple[str, ...]
@@ -40,7 +40,7 @@
     halls=("recife-1", "recife-2", "recife-3", "recife-4"),
     service="scene-language",
     model="scene-writer",
-    plain="proof-portal",
+    plain_service="proof-portal",
     plain_upstreams=4,
     path="/proofs/launch-deck",
     accounts=("visualisers-boa-viagem", "visualisers-pina", "client-portal"),
@@ -51,7 +51,7 @@
     halls=("suva-1", "suva-2", "lautoka-1"),
     service="photo-description",
     model="defect-describer",
-    plain="archive",
+    plain_service="archive",
     plain_upstreams=3,
     path="/archive/batch",
     accounts=("line-supervisors-suva", "line-supervisors-lautoka", "inspectors-suva"),
@@ -79,7 +79,7 @@
         hall = halls[at % len(halls)]
         fleet.add_backend("engine", f"engine-{at}", user.service, hall)
     for at in range(user.plain_upstreams):
-        fleet.add_backend("plain", f"plain-{at}", user.plain, halls[at % len(halls)])
+        fleet.add_backend("plain", f"plain-{at}", user.plain_service, halls[at % len(halls)])
     fleet.add_routers([halls[at % len(halls)] for at in range(ROUTERS)])
     applied = fleet.apply(ROOT / "examples" / user.example)
     if applied.returncode != 0:
@@ -111,7 +111,7 @@
     )
 
 
-def show(user: User, report: Report) -> None:
+def print_report(user: User, report: Report) -> None:
     """Print a report in readable form."""
     tally = report.tally
     print(f"\n{user.name}: {ROUTERS} routers, {ENGINES} engines, {report.seconds:.1f} s")
@@ -130,19 +130,21 @@
 
 def main() -> int:
     """Run both users' fleets, one after the other."""
-    good = True
+    succeeded = True
     for user in (RENDER_DESK, INSPECTION_TRUST):
         print(f"starting the {user.name}'s fleet ...", flush=True)
         with LocalFleet() as fleet:
             start(fleet, user)
             report = measure(fleet, user)
-            show(user, report)
+            print_report(user, report)
             codes = [fleet.stop(router.process) for router in fleet.routers[:2]]
             print(f"  planned stop            2 routers, exit codes {codes}")
-        plain_good = report.plain_whole == report.plain_sent
-        good = good and not report.tally.bad and plain_good and codes == [0, 0]
-    print("\nall answers whole or honestly refused" if good else "\nsomething broke, see above")
-    return 0 if good else 1
+        plain_succeeded = report.plain_whole == report.plain_sent
+        succeeded = succeeded and not report.tally.bad and plain_succeeded and codes == [0, 0]
+    print(
+        "\nall answers whole or honestly refused" if succeeded else "\nsomething broke, see above"
+    )
+    return 0 if succeeded else 1
 
 
 def _counters(router: Any) -> tuple[int, int]:
--- a/fakes/_engine.py
+++ b/fakes/_engine.py
@@ -112,8 +112,8 @@
         @self.app.route("/events")
         def events(request: Any) -> bytes:
             since = int(request.args.get(b"since", [b"0"])[0])
-            late = time.monotonic() - self.settings.report_lag
-            shown = [e for e in self._events if e["number"] > since and e["at"] <= late]
+            latest = time.monotonic() - self.settings.report_lag
+            shown = [e for e in self._events if e["number"] > since and e["at"] <= latest]
             return json.dumps(shown).encode()
 
         @self.app.route("/runs")
--- a/fakes/_local_fleet.py
+++ b/fakes/_local_fleet.py
@@ -200,31 +200,34 @@
         ports = free_ports(3 * len(halls))
         seeds = [f"{HOST}:{ports[1]}"]
         for index, hall in enumerate(halls):
-            caller_port, peers, admin = ports[3 * index : 3 * index + 3]
+            caller_port, peer_port, admin_port = ports[3 * index : 3 * index + 3]
             name = f"router-{len(self.routers)}"
-            vm = {"address": f"{HOST}:{peers}", "state": "live"}
+            vm = {"address": f"{HOST}:{peer_port}", "state": "live"}
             fetch(f"{self.platform_url}/v1/objects/vm/{name}", vm, "PUT")
             endpoint = {"host": HOST, "port": caller_port, **(caller_settings or {})}
-            peer = {"host": HOST, "port": peers, **(peer_settings or {})}
+            peer = {"host": HOST, "port": peer_port, **(peer_settings or {})}
             router_settings = {"callers": endpoint, "peers": peer, **settings}
-            self._start_router(name, hall, (caller_port, peers, admin), seeds, router_settings)
+            self._start_router(
+                name, hall, (caller_port, peer_port, admin_port), seeds, router_settings
+            )
 
     def start_router_during_outage(self, name: str, hall: str, seed: str) -> None:
         """Start one more router without listing its VM at the platform, which is out."""
-        caller_port, peers, admin = free_ports(3)
+        caller_port, peer_port, admin_port = free_ports(3)
         router_settings = {"callers": {"host": HOST, "port": caller_port}}
-        self._start_router(name, hall, (caller_port, peers, admin), [seed], router_settings)
+        self._start_router(
+            name, hall, (caller_port, peer_port, admin_port), [seed], router_settings
+        )
 
-    def await_convergence(self, configuration: int, upstreams: int | None = None) -> None:
+    def await_convergence(self, version: int, upstream_count: int | None = None) -> None:
         """Wait until all routers know each other, the configuration and the upstreams.
 
         Raises RuntimeError if a router ends by itself, TimeoutError after TIMEOUT_SECONDS.
         """
-        expected_upstreams = len(self.backends) if upstreams is None else upstreams
+        expected_upstreams = len(self.backends) if upstream_count is None else upstream_count
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while not all(
-            self._has_converged(router, configuration, expected_upstreams)
-            for router in self.routers
+            self._has_converged(router, version, expected_upstreams) for router in self.routers
         ):
             ended = [router.name for router in self.routers if router.process.poll() is not None]
             if ended and not self._has_planned_exits:
@@ -255,15 +258,15 @@
         process.send_signal(signal_number)
         return process.wait(timeout=TIMEOUT_SECONDS)
 
-    def _has_converged(self, router: Router, configuration: int, upstreams: int) -> bool:
+    def _has_converged(self, router: Router, version: int, upstream_count: int) -> bool:
         try:
             state = router.state()
         except (OSError, urllib.error.URLError):
             return False
         return (
             len(state["members"]) == len([r for r in self.routers if r.process.poll() is None])
-            and state["configuration"] >= configuration
-            and len(state["upstreams"]) >= upstreams
+            and state["configuration"] >= version
+            and len(state["upstreams"]) >= upstream_count
         )
 
     def _start_router(
@@ -274,13 +277,13 @@
         seeds: list[str],
         settings: dict[str, Any],
     ) -> None:
-        callers, peers, admin = ports
+        caller_port, peer_port, admin_port = ports
         document = {
             "name": name,
             "hall": hall,
-            "callers": {"host": HOST, "port": callers},
-            "peers": {"host": HOST, "port": peers},
-            "admin": {"host": HOST, "port": admin},
+            "callers": {"host": HOST, "port": caller_port},
+            "peers": {"host": HOST, "port": peer_port},
+            "admin": {"host": HOST, "port": admin_port},
             "platform": self.platform_url,
             "fleet_key_file": str(self.folder / "fleet.key"),
             "seeds": seeds,
@@ -292,7 +295,12 @@
         process = self._start("pondhatch", "run", str(path))
         scheme = "https" if "certificate" in document["callers"] else "http"
         router = Router(
-            name, hall, f"{scheme}://{HOST}:{callers}", f"{HOST}:{admin}", peers, process
+            name,
+            hall,
+            f"{scheme}://{HOST}:{caller_port}",
+            f"{HOST}:{admin_port}",
+            peer_port,
+            process,
         )
         self.routers.append(router)
 
--- a/fakes/_machines_engine.py
+++ b/fakes/_machines_engine.py
@@ -162,7 +162,7 @@
         await self._crash_if_asked(request, request.content.read())
         request.content.seek(0)
         received.answered_at = time.monotonic()
-        step = self._set_load_header(request)
+        event_interval = self._set_load_header(request)
         request.setHeader("Attempt-Id", "another" if self.faults.consume("cross") else attempt)
         request.setHeader("Instance-Signature", f"{self._name}.{attempt}")
         if self.faults.consume("echo"):
@@ -175,7 +175,7 @@
         if not request.path.startswith(b"/notes/"):
             run["outcome"] = "gone" if disconnected.is_set() else "whole"
             return b"%s by %s" % (request.content.read() or b"nothing", self._name.encode())
-        run["outcome"] = await self._stream(request, run, disconnected, step)
+        run["outcome"] = await self._stream(request, run, disconnected, event_interval)
         return b""
 
     def _set_load_header(self, request: Any) -> float:
@@ -208,7 +208,7 @@
             os._exit(1)
 
     async def _stream(
-        self, request: Any, run: dict[str, Any], disconnected: asyncio.Event, step: float
+        self, request: Any, run: dict[str, Any], disconnected: asyncio.Event, event_interval: float
     ) -> str:
         request.setHeader("Content-Type", "text/event-stream")
         after = int(request.getHeader("Last-Event-Id") or 0)
@@ -227,7 +227,7 @@
                 run["outcome"] = "paused"
                 await asyncio.sleep(fault.seconds)
             request.write(b"id: %d\ndata: %d\n\n" % (number, number))
-            await asyncio.sleep(step)
+            await asyncio.sleep(event_interval)
         return "whole"
 
 
--- a/fakes/_machines_store.py
+++ b/fakes/_machines_store.py
@@ -91,7 +91,7 @@
             return as_deferred(self._handle_collection(request, kind))
 
         @self.app.route("/objects/<kind>/<name>", methods=["GET", "PUT", "DELETE"])
-        def one(request: Any, kind: str, name: str) -> Deferred[bytes | None]:
+        def item(request: Any, kind: str, name: str) -> Deferred[bytes | None]:
             return as_deferred(self._handle_object(request, kind, name))
 
         @self.app.route("/calls")
--- a/fakes/_platform.py
+++ b/fakes/_platform.py
@@ -101,7 +101,7 @@
             return as_deferred(work)
 
         @self.app.route("/v1/objects/<kind>/<name>", methods=["GET", "PUT", "DELETE"])
-        def one(request: Any, kind: str, name: str) -> Deferred[bytes | None]:
+        def item(request: Any, kind: str, name: str) -> Deferred[bytes | None]:
             return as_deferred(self._handle_object(request, kind, name))
 
         @self.app.route("/calls")
--- a/fakes/_prefix_cache.py
+++ b/fakes/_prefix_cache.py
@@ -46,9 +46,9 @@
 
 
 def _prefixes(messages: Sequence[str]) -> list[tuple[str, int]]:
-    running = hashlib.blake2b(digest_size=8)
+    digest = hashlib.blake2b(digest_size=8)
     found = []
     for message in messages:
-        running.update(message.encode() + b"\0")
-        found.append((running.hexdigest(), tokens_of(message)))
+        digest.update(message.encode() + b"\0")
+        found.append((digest.hexdigest(), tokens_of(message)))
     return found
--- a/fakes/_silent_relay.py
+++ b/fakes/_silent_relay.py
@@ -88,13 +88,13 @@
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        for line in tuple(self._connections):
-            line.close()
+        for connection in tuple(self._connections):
+            connection.close()
 
     def fall_silent(self, acknowledging: bool = False) -> None:
         """Forward nothing more on the connections that are open now."""
-        for line in tuple(self._connections):
-            line.fall_silent(acknowledging)
+        for connection in tuple(self._connections):
+            connection.fall_silent(acknowledging)
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
@@ -120,11 +120,11 @@
     """
     deadline = time.monotonic() + ACKNOWLEDGEMENT_TIMEOUT
     with contextlib.suppress(OSError, ValueError):  # A closed socket has nothing to send.
-        while _unacknowledged(end) > 0 and time.monotonic() < deadline:
+        while _unacknowledged_bytes(end) > 0 and time.monotonic() < deadline:
             time.sleep(POLL_SECONDS)
 
 
-def _unacknowledged(end: socket.socket) -> int:
+def _unacknowledged_bytes(end: socket.socket) -> int:
     answer = fcntl.ioctl(end.fileno(), termios.TIOCOUTQ, bytes(4))
     return int.from_bytes(answer, sys.byteorder)
 
--- a/fakes/tests/test_accepted_configuration.py
+++ b/fakes/tests/test_accepted_configuration.py
@@ -31,7 +31,7 @@
     def test_takes_effect_and_is_in_force_again_after_a_power_loss(self) -> None:
         self.fleet.put_object("config", "main", with_more_keys(20))
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.is_in_force(at), IN_FORCE_SECONDS)  # type: ignore[misc]
+            eventually(lambda router=router: self.is_in_force(router), IN_FORCE_SECONDS)  # type: ignore[misc]
         for router in self.fleet.machine_routers:
             router.process.send_signal(signal.SIGKILL)
         for router in self.fleet.machine_routers:
@@ -39,7 +39,7 @@
         self.fleet.machine_routers.clear()
         restarted = [self.fleet.add_router(hall) for hall in ("hall-1", "hall-2")]
         for router in restarted:
-            eventually(lambda at=router: self.is_in_force(at), RESTART_SECONDS)  # type: ignore[misc]
+            eventually(lambda router=router: self.is_in_force(router), RESTART_SECONDS)  # type: ignore[misc]
 
     def is_in_force(self, router: MachinesRouter) -> bool:
         if not router.is_ready():
--- a/fakes/tests/test_prepared_machines.py
+++ b/fakes/tests/test_prepared_machines.py
@@ -165,13 +165,19 @@
         newer["Tenants"][0]["ApiKeys"] = ["key-9"]
         self.fleet.put_object("config", "main", newer)
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.send_request(at, "/proofs/a", b"x").status == 401, 5)  # type: ignore[misc]
+            eventually(
+                lambda router=router: self.send_request(router, "/proofs/a", b"x").status == 401,  # type: ignore[misc]
+                5,
+            )
             answer = self.send_request(router, "/proofs/a", b"x", Authorization="Bearer key-9")
             self.assertEqual(answer.status, 200)
         restored = with_version(CONFIGURATION, 21)
         self.fleet.put_object("config", "main", restored)
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.send_request(at, "/proofs/a", b"x").status == 200, 5)  # type: ignore[misc]
+            eventually(
+                lambda router=router: self.send_request(router, "/proofs/a", b"x").status == 200,  # type: ignore[misc]
+                5,
+            )
 
     def test_a_draining_engine_gets_no_new_requests(self) -> None:
         leaving = self.engines("portal")[0]
@@ -183,7 +189,7 @@
             return {answer.split()[-1] for answer in answers} <= others
 
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: only_others(at), 5)  # type: ignore[misc]
+            eventually(lambda router=router: only_others(router), 5)  # type: ignore[misc]
         self.fleet.put_engine(leaving, "ready")
 
     def test_traffic_continues_through_an_outage_and_a_compaction_of_the_store(self) -> None:
@@ -196,7 +202,10 @@
         newer["Routes"] = [each for each in newer["Routes"] if each["Name"] != "r-proofs"]
         eventually(lambda: self._put_configuration(newer), 10)
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.send_request(at, "/proofs/a").status == 200, 10)  # type: ignore[misc]
+            eventually(
+                lambda router=router: self.send_request(router, "/proofs/a").status == 200,  # type: ignore[misc]
+                10,
+            )
 
     def _put_configuration(self, configuration: dict[str, Any]) -> bool:
         try:
--- a/fakes/tests/test_silent_connections.py
+++ b/fakes/tests/test_silent_connections.py
@@ -149,7 +149,10 @@
                 newer = with_version(EXTENDED_CONFIGURATION, version)
                 newer["Tenants"][0]["ApiKeys"] = [KEY, f"key-{version}"]
                 self.fleet.put_object("config", "main", newer)
-                eventually(lambda at=version: self._accepts_key(f"key-{at}"), DETECTION_SECONDS)  # type: ignore[misc]
+                eventually(
+                    lambda version=version: self._accepts_key(f"key-{version}"),  # type: ignore[misc]
+                    DETECTION_SECONDS,
+                )
 
     def _accepts_key(self, key: str) -> bool:
         self.assertEqual(self.send_request(self.router, "/proofs/a", b"x").status, 200)
--- a/fakes/tests/test_store_restores.py
+++ b/fakes/tests/test_store_restores.py
@@ -55,7 +55,7 @@
 
     def assert_served_by(self, expected: set[str], seconds: float = SETTLE_SECONDS) -> None:
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.served_by(at) == expected, seconds)  # type: ignore[misc]
+            eventually(lambda router=router: self.served_by(router) == expected, seconds)  # type: ignore[misc]
 
     def test_writes_after_each_of_two_restores_take_effect(self) -> None:
         for turn in range(2):
@@ -86,7 +86,10 @@
         newer["Tenants"][0]["ApiKeys"] = ["key-40"]
         self.fleet.put_object("config", "main", newer)
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.send_request(at, "/proofs/a", b"x").status == 401, 5)  # type: ignore[misc]
+            eventually(
+                lambda router=router: self.send_request(router, "/proofs/a", b"x").status == 401,  # type: ignore[misc]
+                5,
+            )
         self.fleet.object_store.arm("restore", 1, OUTAGE_SECONDS)
         eventually(self.is_store_back)
         until = time.monotonic() + SETTLE_SECONDS
@@ -99,4 +102,7 @@
             time.sleep(0.1)
         self.fleet.put_object("config", "main", with_version(CONFIGURATION, 41))
         for router in self.fleet.machine_routers:
-            eventually(lambda at=router: self.send_request(at, "/proofs/a", b"x").status == 200, 5)  # type: ignore[misc]
+            eventually(
+                lambda router=router: self.send_request(router, "/proofs/a", b"x").status == 200,  # type: ignore[misc]
+                5,
+            )
--- a/fakes/tests/test_upstream_notices.py
+++ b/fakes/tests/test_upstream_notices.py
@@ -72,7 +72,7 @@
         with ThreadPoolExecutor(8) as pool:
             list(
                 pool.map(
-                    lambda at: self.send_request(at, "/notes/a", b"x"),
+                    lambda router: self.send_request(router, "/notes/a", b"x"),
                     self.fleet.machine_routers * 8,
                 )
             )
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -43,15 +43,15 @@
             draw_plan(each["seed"], each["minutes"] * 60, each["routers"], each.get("load", False))
             for each in recorded
         ]
-    broken = [plan.seed for plan in plans if not _is_clean(plan)]
+    broken = [plan.seed for plan in plans if not _run_and_report(plan)]
     print(f"{len(plans) - len(broken)} clean, {len(broken)} broken{_format_seeds(broken)}")
     sys.exit(1 if broken else 0)
 
 
-def _is_clean(plan: Plan) -> bool:
-    records, broken = asyncio.run(run_plan(plan))
-    print(json.dumps({**_summary(plan, records), "broken": broken}), flush=True)
-    return not broken
+def _run_and_report(plan: Plan) -> bool:
+    records, violations = asyncio.run(run_plan(plan))
+    print(json.dumps({**_summary(plan, records), "broken": violations}), flush=True)
+    return not violations
 
 
 def _summary(plan: Plan, records: Records) -> dict[str, object]:
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -69,7 +69,7 @@
         answer = _Answer(self.slow_read_faults > 0 and not route.is_stream)
         with contextlib.suppress(OSError, TimeoutError, h11.ProtocolError):
             async with asyncio.timeout(ANSWER_TIMEOUT):
-                await answer.read(reader, writer, route, attempt_id)
+                await answer.exchange(reader, writer, route, attempt_id)
         if not answer.keeps_connection:
             self._close()
         self._fleet.records.attempts.append(answer.finished_attempt(started))
@@ -102,7 +102,7 @@
         self._is_whole = False
         self._body = bytearray()
 
-    async def read(
+    async def exchange(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
