--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,7 @@
 """Run the measures: ``python -m bench [NAME...]``; without names, all of them.
 
 Each prints JSON lines: name, value, unit, baseline, ratio. ``python -m bench policies --help``
-describes how ways of the code are compared on the users' bench.
+describes the comparison of several checkouts of the code on the users' bench.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the named measures, or compare ways of the code on the users' bench."""
+    """Run the named measures, or compare checkouts of the code on the users' bench."""
     if names[:1] == ["policies"]:
         from bench import _policies
 
--- a/bench/_abandoned_streams.py
+++ b/bench/_abandoned_streams.py
@@ -16,7 +16,7 @@
 
 STREAMS = 60
 TOKENS = 150
-#: Seconds between two tokens; a stream left alone takes 3 s.
+#: Seconds between two tokens; a stream that is not cancelled takes 3 s.
 TOKEN_INTERVAL = 0.02
 #: Range of seconds after which callers leave, drawn uniformly.
 LEAVE_AFTER = (0.1, 2.9)
--- a/bench/_authority.py
+++ b/bench/_authority.py
@@ -1,4 +1,4 @@
-"""How long no orders are given at a planned and at an emergency change of the lease's holder."""
+"""Time without orders when a lease's holder changes, as planned and in an emergency."""
 
 from __future__ import annotations
 
--- a/bench/_chats.py
+++ b/bench/_chats.py
@@ -26,6 +26,7 @@
     refused: dict[str, int] = field(default_factory=dict)
     #: Answers that were wrong, broken, or refused without the statement that nothing ran.
     bad: list[str] = field(default_factory=list)
+    #: Answered turns after the first of a chat, and those of them that found their context.
     returning: int = 0
     context_found: int = 0
 
--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -78,7 +78,7 @@
 
 
 class LocalGrants:
-    """Stands in for the owners at all routers by this router's own owner, without messages."""
+    """Grants of all engines, decided by this router's own owner without messages."""
 
     def __init__(self, state: RouterState) -> None:
         self._owner = LocalOwner(
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -58,10 +58,15 @@
 
 
 class _SimulatedFleet:
+    """Routers that exchange packets in simulated time."""
+
     def __init__(self, routers: int, limits: MembershipLimits, seed: int) -> None:
         self.now = 0.0
+        #: Bytes sent and received by all routers.
         self.bytes = 0
+        #: Processor seconds used by all routers.
         self.processor = 0.0
+        #: Numbers of the routers that neither tick nor receive.
         self.frozen: set[int] = set()
         rng = random.Random(seed)
         seeds = [Address(HOST, FIRST_PORT)]
@@ -78,6 +83,8 @@
             )
             gossip.publish(Phase.LIVE, 1, 1, loads)
             self.gossips.append(gossip)
+        #: Ticks and packets to come, as a heap: (time, sequence number, receiver, sender or -1
+        #: for a tick, payload).
         self._events: list[tuple[float, int, int, int, bytes]] = []
         self._sequence = 0
         self._first_ticks = [rng.uniform(0, TICK_INTERVAL) for _ in self.gossips]
@@ -103,6 +110,7 @@
 
     def send(self, sender: int, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
+            # Counted once as sent and once as received.
             self.bytes += 2 * (len(datagram.payload) + OVERHEAD)
             receiver = datagram.to.port - FIRST_PORT
             self._push(self.now + ONE_WAY_DELAY, receiver, sender, datagram.payload)
--- a/bench/_grants.py
+++ b/bench/_grants.py
@@ -20,8 +20,9 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """What a router had used by a point in time."""
+    """Traffic and processor time that a router had used in total at a point in time."""
 
+    #: In seconds of the monotonic clock.
     at: float
     control_bytes: int
     packets: int
--- a/bench/_policies.py
+++ b/bench/_policies.py
@@ -1,8 +1,8 @@
-"""Several ways of the code, compared on the same days and seeds of the users' bench.
+"""Compares several checkouts of the code on the same days and seeds of the users' bench.
 
-A way is a folder that holds the repository as it is to be played, so that ways may differ in
-anything. Played one after the other or a few at a time; the table holds the mean of each
-figure over the seeds, and the least and the most.
+A way is a named folder with a checkout of the repository, so that ways may differ in anything.
+A way runs its days one after the other; several ways may run concurrently. The table holds the
+mean, minimum and maximum over the seeds of worth and of credit, and the mean number of refusals.
 """
 
 from __future__ import annotations
@@ -18,34 +18,36 @@
 
 import defopt
 
-#: Lines of a day's report, by what they tell.
+#: Lines of a day's report: its result, how its requests ended, and each broken rule.
 _WORTH_LINE = re.compile(r"^worth (?P<worth>-?[\d.]+) = whole day (?P<day>[\d.]+)", re.MULTILINE)
 _REFUSED_COUNT = re.compile(r"^how tries ended:.*?\b503: (?P<refused>\d+)", re.MULTILINE)
 _BROKEN_RULE = re.compile(r"^ *(?P<rule>[A-Z]{4,}) at ", re.MULTILINE)
 
 
 class RunFailed(Exception):
-    """A day was not played to its end."""
+    """A run printed no result, for example because the bench gave it up."""
 
 
 @dataclass(frozen=True)
 class DayResult:
-    """What one day of one way came to."""
+    """Result of one run."""
 
+    #: Score of the day, after prices.
     worth: float
     #: Share of the day's credit that was earned, before prices.
     earned: float
-    #: Answers of 503.
+    #: Number of answers with status 503.
     refused: int
-    #: Rules that were broken.
+    #: Names of the broken rules, one for each time that a rule was broken.
     broken_rules: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
 class Run:
-    """One day to be played."""
+    """One day to run: at one deployment, with one way and seed."""
 
     way: str
+    #: The deployment's site file.
     site: Path
     #: A day's name or its file.
     day: str
@@ -53,7 +55,7 @@
 
 
 def read_report(text: str) -> DayResult:
-    """Return what a day's report says. Raises Unplayed where it says no worth."""
+    """Return the result in a day's report. Raises RunFailed if the report states no worth."""
     worth = _WORTH_LINE.search(text)
     if worth is None:
         raise RunFailed(text.strip().splitlines()[-1] if text.strip() else "no report")
@@ -67,7 +69,7 @@
 
 
 def format_table(result_by_run: Mapping[Run, DayResult]) -> str:
-    """Return a line for each way, deployment and day."""
+    """Return a table with a line for each deployment, day and way."""
     groups: dict[tuple[str, str, str], list[DayResult]] = {}
     for run, result in result_by_run.items():
         groups.setdefault((run.site.stem, Path(run.day).stem, run.way), []).append(result)
@@ -94,16 +96,16 @@
     jobs: int = 2,
     why: str = "Trial: ways compared",
 ) -> None:
-    """Play ways x deployments x days x seeds, and print one table.
+    """Run ways x deployments x days x seeds, and print one table.
 
     :param bench: the users' bench
     :param way: NAME=FOLDER, once for each way
     :param site: a deployment's site file
     :param day: a day's name or file
-    :param seeds: how many, counted up from the first
+    :param seeds: how many seeds, counted up from the first
     :param first_seed: the first seed
-    :param jobs: days played at a time, each in a folder of its own
-    :param why: a line for the journal of each folder
+    :param jobs: ways that run concurrently, each in its own folder
+    :param why: the reason, as a line for the journal of each folder
     """
     folder_by_way = {
         name: Path(folder) for name, _, folder in (each.partition("=") for each in way)
@@ -126,7 +128,7 @@
 def _run_all(
     runs: Sequence[Run], bench: Path, folder_by_way: Mapping[str, Path], jobs: int, why: str
 ) -> dict[Run, DayResult]:
-    """Play the runs of one folder one after the other, and folders side by side."""
+    """Run the days of each folder one after the other, and up to ``jobs`` folders at a time."""
 
     def run_way(name: str) -> Iterable[tuple[Run, DayResult]]:
         return [
@@ -155,10 +157,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the comparison as the command line says."""
+    """Run the comparison with command-line arguments; return the exit code."""
     try:
         defopt.run(policies, argv=arguments)
     except RunFailed as error:
-        print(f"not played: {error}", file=sys.stderr)
+        print(f"run failed: {error}", file=sys.stderr)
         return 1
     return 0
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -1,7 +1,8 @@
-"""What one account's surge costs the others at full engines, limited by the wait queues only.
+"""Effect of one account's surge on the throughput of the others while all engines are full.
 
 Simulates the entry and the owner of one router and engines with random service times, in virtual
-time. No account has a rate limit: limits would end the surge at once.
+time. Only the wait queues limit the surge: no account has a rate limit, which would end it at
+once.
 """
 
 from __future__ import annotations
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -21,15 +21,17 @@
 
 @dataclass(frozen=True)
 class User:
-    """One of the users of the brief, with its fleet and accounts."""
+    """An example user, with its fleet and accounts."""
 
     name: str
+    #: Folder of its configuration, under ``examples``.
     example: str
     halls: tuple[str, ...]
     service: str
     model: str
     plain_service: str
     plain_upstreams: int
+    #: Start of the paths of its plain requests.
     path: str
     accounts: tuple[str, ...]
 
@@ -141,9 +143,7 @@
             print(f"  planned stop            2 routers, exit codes {codes}")
         plain_succeeded = report.plain_whole == report.plain_sent
         succeeded = succeeded and not report.tally.bad and plain_succeeded and codes == [0, 0]
-    print(
-        "\nall answers whole or honestly refused" if succeeded else "\nsomething broke, see above"
-    )
+    print("\nall answers whole or refused as not run" if succeeded else "\nfailures, see above")
     return 0 if succeeded else 1
 
 
--- a/bench/tests/test_policies.py
+++ b/bench/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""What the comparison of ways reads of a day's report, and the table that it makes."""
+"""Reading of a day's report, and the table that compares ways."""
 
 from __future__ import annotations
 
--- a/fakes/_engine.py
+++ b/fakes/_engine.py
@@ -14,7 +14,7 @@
 - ``refuse``: 503, not run
 - ``shed``: 503, not run, and ask for no requests for ``seconds``
 - ``leaving``: announce in a load report that the engine is leaving
-- ``says-leaving``: announce it in an answer
+- ``says-leaving``: announce in an answer that the engine is leaving
 """
 
 from __future__ import annotations
@@ -66,11 +66,12 @@
     """One request that the engine ran; served as JSON on ``/runs``."""
 
     request_id: str
+    #: Tokens of the prompt that were in the prefix cache, and all tokens of the prompt.
     cached: int
     prompt: int
     outcome: str = "running"
+    #: When the engine accepted and when it finished it, in seconds of the monotonic clock.
     at: float = field(default_factory=time.monotonic)
-    #: When the engine finished it, in seconds of the monotonic clock.
     until: float | None = None
 
 
@@ -96,6 +97,7 @@
         self._arrivals = 0
         self._cache = PrefixCache(settings.cache_tokens)
         self.order_book = OrderBook(settings.checks_fencing)
+        #: (time, running requests, queued requests) after each change, oldest first.
         self._loads: deque[tuple[float, int, int]] = deque(maxlen=1000)
         self._events: list[dict[str, Any]] = []
         self._route()
--- a/fakes/_local_fleet.py
+++ b/fakes/_local_fleet.py
@@ -25,7 +25,8 @@
 HOST = "127.0.0.1"
 #: Ports that a fleet listens on, below the ephemeral range of outgoing connections.
 LISTENING_PORTS = range(10_000, 32_000)
-#: Distance between the first ports of two processes, so that concurrent fleets do not collide.
+#: Distance between the first ports that processes with successive ids try, so that concurrent
+#: fleets do not collide.
 PORT_STRIDE = 211
 #: Seconds within which a command ends, a process stops or a fleet converges.
 TIMEOUT_SECONDS = 60.0
@@ -103,6 +104,7 @@
     url: str
     hall: str
     process: subprocess.Popen[bytes]
+    #: Whether the platform lists it as able to resume a broken stream.
     resumes: bool = False
     checks_fencing: bool = False
 
@@ -212,7 +214,7 @@
             )
 
     def start_router_during_outage(self, name: str, hall: str, seed: str) -> None:
-        """Start one more router without listing its VM at the platform, which is out."""
+        """Start one more router without listing its VM at the platform, which is unavailable."""
         caller_port, peer_port, admin_port = free_ports(3)
         router_settings = {"callers": {"host": HOST, "port": caller_port}}
         self._start_router(
@@ -222,7 +224,9 @@
     def await_convergence(self, version: int, upstream_count: int | None = None) -> None:
         """Wait until all routers know each other, the configuration and the upstreams.
 
-        Raises RuntimeError if a router ends by itself, TimeoutError after TIMEOUT_SECONDS.
+        ``version`` is the least configuration version to wait for, ``upstream_count`` the least
+        number of upstreams, by default that of all backends. Raises RuntimeError if a router ends
+        by itself, TimeoutError after TIMEOUT_SECONDS.
         """
         expected_upstreams = len(self.backends) if upstream_count is None else upstream_count
         deadline = time.monotonic() + TIMEOUT_SECONDS
--- a/fakes/_machines_engine.py
+++ b/fakes/_machines_engine.py
@@ -12,11 +12,11 @@
 - ``refuse``: full, not run
 - ``shed``: not run, and ask for no requests for ``seconds``
 - ``leaving``: announce in an answer that the engine is about to end
-- ``cut``: break a stream that began here in the middle
+- ``cut``: break a stream in the middle, unless it resumes an earlier one
 - ``pause``: pause such a stream in the middle for ``seconds``
 - ``stall``: delay an answer by ``seconds``
 - ``cross``: answer under another request's id
-- ``fail``: a 500 of the engine's own
+- ``fail``: answer 500, as for an error of the engine itself
 - ``echo``: repeat the router's request headers in the answer
 - ``slow``: a stream takes 2.5 times as long, and the engine reports this pace with its load
 - ``garble-load``: report an invalid load
@@ -56,7 +56,7 @@
 EVENT_INTERVAL = 0.02
 #: Duration of work at a slow engine, in percent of the usual one.
 SLOW_PACE = 250
-#: A load header with figures that no engine can mean.
+#: A load header with values that no engine can have.
 GARBLED_LOAD = "7,-1,,1e9"
 
 
@@ -67,7 +67,7 @@
     id: str
     #: In seconds of the machine's monotonic clock.
     came_at: float
-    #: When the head of its answer was sent; None if none was.
+    #: When the engine began to answer; None before that, and for refusals that ask for no rest.
     answered_at: float | None = None
     ran: bool = False
     #: Whether the answer announced that the engine leaves, and the seconds of rest it asked for.
--- a/fakes/_machines_fleet.py
+++ b/fakes/_machines_fleet.py
@@ -38,7 +38,7 @@
 
 
 def fill_template(template: str, values: dict[str, Any]) -> str:
-    """Fill a template's placeholders as the platform does, as far as our template uses them.
+    """Fill the kinds of placeholders that the deployed template uses as the platform does.
 
     A placeholder whose name the platform does not know becomes empty.
     """
@@ -138,7 +138,7 @@
         return backend.url.removeprefix("http://")
 
     def restart(self, router: MachinesRouter) -> None:
-        """Start a router whose process has ended again, with its previous settings."""
+        """Restart a router whose process has ended, with its previous settings."""
         path = self.folder / f"{router.name}.yaml"
         router.process = self._start("pondhatch", "run", str(path))
 
@@ -178,7 +178,7 @@
         }
         settings: dict[str, Any] = yaml.safe_load(fill_template(TEMPLATE.read_text(), values))
         settings["log"] = {"level": self.log_level}
-        # Each deployed router has a machine of its own; here routers share one, and need own ports.
+        # Each deployed router has its own machine; here all share one and need different ports.
         settings["metrics"]["port"] = ports.metrics
         return settings
 
--- a/fakes/_machines_store.py
+++ b/fakes/_machines_store.py
@@ -101,6 +101,7 @@
         self.faults.add_route(self.app)
 
     def _is_call_refused(self, request: Any) -> bool:
+        """Count a call and apply the armed faults; return True if the call is refused."""
         self.calls += 1
         if fault := self.faults.consume("outage"):
             self._outage_until = time.monotonic() + fault.seconds
--- a/fakes/_many_routers.py
+++ b/fakes/_many_routers.py
@@ -1,4 +1,4 @@
-"""One router's state in a fleet of hundreds, to measure what each router pays for the others."""
+"""One router's state in a fleet of hundreds, to measure what the others cost it."""
 
 from __future__ import annotations
 
--- a/fakes/_orders.py
+++ b/fakes/_orders.py
@@ -25,6 +25,7 @@
 
     fencing: int
     wanted: DesiredState
+    #: When it took effect, in seconds of the monotonic clock.
     at: float
 
 
--- a/fakes/_platform_in_memory.py
+++ b/fakes/_platform_in_memory.py
@@ -106,5 +106,6 @@
         return StoredObject(stored.kind, stored.name, version, stored.value)
 
     def _is_call_refused(self) -> bool:
+        """Count a call; return whether the fault ``outage`` refuses it."""
         self.calls += 1
         return self.faults.consume("outage") is not None
--- a/fakes/tests/_fleet_case.py
+++ b/fakes/tests/_fleet_case.py
@@ -15,6 +15,7 @@
 from fakes._local_fleet import ROOT, Backend, LocalFleet, Router, fetch
 
 KEY = "example-visualisers-pina"
+#: Faults that ``disarm`` disarms at every stand-in.
 FAULTS = (
     "cut",
     "stall",
--- a/fakes/tests/test_accepted_configuration.py
+++ b/fakes/tests/test_accepted_configuration.py
@@ -1,6 +1,6 @@
 """Router processes apply a configuration that the platform accepts, even an unexpected one.
 
-Guards against the incident told in `pondhatch/platform/tests/test_accepted_configuration.py`.
+Guards against the incident described in `pondhatch/platform/tests/test_accepted_configuration.py`.
 """
 
 from __future__ import annotations
--- a/fakes/tests/test_crashing_requests.py
+++ b/fakes/tests/test_crashing_requests.py
@@ -1,9 +1,9 @@
 """A request that crashes every engine that runs it may end at most three engines.
 
-Guards against routers that forget under which request an engine ended once they have answered
-the caller, and never tell each other. The caller repeated the request under new ids at other
-routers, each attempt went to two engines, and 21 of them ended within 0.04 to 0.12 s of starting
-it, each with up to twenty requests of others.
+Guards against routers that forget, once they have answered the caller, which request an engine
+was running when it ended, and that do not tell each other. The caller repeated the request under
+new ids at other routers, and each attempt went to two engines. 21 engines ended, each within 0.04
+to 0.12 s of starting the request and with up to twenty requests of other callers.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
         ended, answer, took = self.send_repeatedly(body)
         with self.subTest("engines that ended"):
             self.assertLessEqual(ended, MAX_ENDED_ENGINES)
-        with self.subTest("what its caller hears at last"):
+        with self.subTest("last answer to its caller"):
             # The request did run, so the status must not imply that it did not, nor invite a retry.
             self.assertEqual(answer.status, 400)
             self.assertLess(took, REFUSAL_SECONDS)
--- a/fakes/tests/test_intake.py
+++ b/fakes/tests/test_intake.py
@@ -157,7 +157,7 @@
         # Twice as many concurrent requests as the warm engine has slots.
         with ThreadPoolExecutor(16) as pool:
             statuses = set(pool.map(self.final_status, self.fleet.machine_routers * 64))
-        self.assertIsNone(cold.process.poll(), "the cold engine fell over")
+        self.assertIsNone(cold.process.poll(), "the cold engine ended")
         self.assertGreater(self.received_count("i-lang-0"), before)
         self.assertEqual(statuses, {200})
 
--- a/fakes/tests/test_owned_headers.py
+++ b/fakes/tests/test_owned_headers.py
@@ -24,7 +24,7 @@
     ("hold", "h2"),
     ("KV-FROM", "10.9.9.9:80/h3"),
 )
-#: Headers with which an engine would run it, but pin, back up or fetch memory for it.
+#: Headers with which an engine would run a request, but also pin, back up or fetch memory for it.
 MEMORY_HEADERS = (("Pin-Ms", "60000"), ("Kv-Backup", "10.9.9.9:80"), ("kv-fetch", "10.9.9.9:80"))
 #: Method, path and service of a route of each kind; the last is public.
 ROUTES = (
@@ -32,8 +32,6 @@
     ("POST", "/proofs/a", "portal"),
     ("GET", "/x", "portal"),
 )
-
-
 #: Host of a route that sends all paths to a model service.
 MODELS_HOST = "models.example"
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -31,8 +31,8 @@
 
     :param seed: the first seed
     :param seeds: how many seeds, counted up from the first
-    :param minutes: for how long faults begin, in each run
-    :param routers: the most routers that a seed may draw
+    :param minutes: how long faults are started in each run
+    :param routers: the largest number of routers that a seed may draw
     :param load: have the routers manage load, and draw load faults in addition
     :param regressions: run the recorded seeds instead, each of which once broke a promise
     """
@@ -49,6 +49,7 @@
 
 
 def _run_and_report(plan: Plan) -> bool:
+    """Run a plan and print its results as a JSON line; return whether it broke no promise."""
     records, violations = asyncio.run(run_plan(plan))
     print(json.dumps({**_summary(plan, records), "broken": violations}), flush=True)
     return not violations
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -212,7 +212,7 @@
         except (OSError, http.client.HTTPException):
             pass
         time.sleep(STORE_RETRY_PAUSE)
-    raise TimeoutError(f"the store did not take a write in {STORE_WRITE_TIMEOUT} s")
+    raise TimeoutError(f"the store did not confirm a write in {STORE_WRITE_TIMEOUT} s")
 
 
 async def in_thread(call: Callable[[], T]) -> T:
--- a/soak/_records.py
+++ b/soak/_records.py
@@ -44,7 +44,7 @@
     id: str
     engine: str
     arrived_at: float
-    #: When the head of its answer was sent; None if none was.
+    #: When the engine began to answer; None if it did not, or refused without asking for rest.
     answered_at: float | None
     ran: bool
     #: Whether its answer announced that the engine leaves.
