--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -131,7 +131,7 @@
         return await in_thread(lambda: self.machines_fleet.add_engine(name, service, hall))
 
     async def restart(self, router: MachinesRouter) -> None:
-        """Restart a router, and wait until it is ready."""
+        """Restart a router; return once its process is started, before it is ready."""
         self._restarts_by_router[router.name] = self._restarts_by_router.get(router.name, 0) + 1
         await in_thread(lambda: self.machines_fleet.restart(router))
         self.down_routers.discard(router.name)
