--- a/bench/_abandoned_streams.py
+++ b/bench/_abandoned_streams.py
@@ -16,7 +16,7 @@
 
 STREAMS = 60
 TOKENS = 150
-#: Seconds between two tokens; a stream left alone takes 3 s.
+#: Seconds between two tokens; a stream that is not cancelled takes 3 s.
 TOKEN_INTERVAL = 0.02
 #: Range of seconds after which callers leave, drawn uniformly.
 LEAVE_AFTER = (0.1, 2.9)
@@ -78,7 +78,7 @@
     if len(runs) != len(closed_at):
         raise RuntimeError(f"{len(runs)} runs of {len(closed_at)} streams")
     pairs = zip(runs, closed_at, strict=True)
-    return [AbandonedStream(at, float(run["at"]), float(run["until"])) for run, at in pairs]
+    return [AbandonedStream(closed, float(run["at"]), float(run["until"])) for run, closed in pairs]
 
 
 def measure_abandoned_streams() -> Iterator[Measure]:
--- a/bench/_chats.py
+++ b/bench/_chats.py
@@ -26,6 +26,7 @@
     refused: dict[str, int] = field(default_factory=dict)
     #: Answers that were wrong, broken, or refused without the statement that nothing ran.
     bad: list[str] = field(default_factory=list)
+    #: Answered turns after the first of a chat, and those of them that found their context.
     returning: int = 0
     context_found: int = 0
 
@@ -61,11 +62,11 @@
         for base in bases
         for key in load.keys
     ]
-    by_key = {key: [c for c in clients if c.api_key == key] for key in load.keys}
+    clients_by_key = {key: [c for c in clients if c.api_key == key] for key in load.keys}
 
     async def run_chat(number: int) -> None:
         async with concurrency_limit:
-            choices = by_key[load.keys[number % len(load.keys)]]
+            choices = clients_by_key[load.keys[number % len(load.keys)]]
             await _chat(choices, load, number, random.Random(rng.random()), tally)
 
     await asyncio.gather(*(run_chat(number) for number in range(load.chats)))
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -58,10 +58,15 @@
 
 
 class _SimulatedFleet:
+    """Routers that exchange packets in simulated time."""
+
     def __init__(self, routers: int, limits: MembershipLimits, seed: int) -> None:
         self.now = 0.0
+        #: Bytes sent and received by all routers.
         self.bytes = 0
+        #: Processor seconds used by all routers.
         self.processor = 0.0
+        #: Numbers of the routers that neither tick nor receive.
         self.frozen: set[int] = set()
         rng = random.Random(seed)
         seeds = [Address(HOST, FIRST_PORT)]
@@ -78,10 +83,12 @@
             )
             gossip.publish(Phase.LIVE, 1, 1, loads)
             self.gossips.append(gossip)
+        #: Ticks and packets to come, as a heap: (time, sequence number, receiver, sender or -1
+        #: for a tick, payload).
         self._events: list[tuple[float, int, int, int, bytes]] = []
-        self._count = 0
-        self._next_tick = [rng.uniform(0, TICK_INTERVAL) for _ in self.gossips]
-        for index, when in enumerate(self._next_tick):
+        self._sequence = 0
+        self._first_ticks = [rng.uniform(0, TICK_INTERVAL) for _ in self.gossips]
+        for index, when in enumerate(self._first_ticks):
             self._push(when, index, -1, b"")
 
     def run_until(self, end: float) -> None:
@@ -103,13 +110,14 @@
 
     def send(self, sender: int, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
+            # Counted once as sent and once as received.
             self.bytes += 2 * (len(datagram.payload) + OVERHEAD)
             receiver = datagram.to.port - FIRST_PORT
             self._push(self.now + ONE_WAY_DELAY, receiver, sender, datagram.payload)
 
     def _push(self, when: float, receiver: int, source: int, payload: bytes) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (when, self._count, receiver, source, payload))
+        self._sequence += 1
+        heapq.heappush(self._events, (when, self._sequence, receiver, source, payload))
 
 
 def measure(
--- a/fakes/_machines_engine.py
+++ b/fakes/_machines_engine.py
@@ -12,11 +12,11 @@
 - ``refuse``: full, not run
 - ``shed``: not run, and ask for no requests for ``seconds``
 - ``leaving``: announce in an answer that the engine is about to end
-- ``cut``: break a stream that began here in the middle
+- ``cut``: break a stream in the middle, unless it resumes an earlier one
 - ``pause``: pause such a stream in the middle for ``seconds``
 - ``stall``: delay an answer by ``seconds``
 - ``cross``: answer under another request's id
-- ``fail``: a 500 of the engine's own
+- ``fail``: answer 500, as for an error of the engine itself
 - ``echo``: repeat the router's request headers in the answer
 - ``slow``: a stream takes 2.5 times as long, and the engine reports this pace with its load
 - ``garble-load``: report an invalid load
@@ -56,7 +56,7 @@
 EVENT_INTERVAL = 0.02
 #: Duration of work at a slow engine, in percent of the usual one.
 SLOW_PACE = 250
-#: A load header with figures that no engine can mean.
+#: A load header with values that no engine can have.
 GARBLED_LOAD = "7,-1,,1e9"
 
 
@@ -67,7 +67,7 @@
     id: str
     #: In seconds of the machine's monotonic clock.
     came_at: float
-    #: When the head of its answer was sent; None if none was.
+    #: When the engine began to answer; None before that, and for refusals that ask for no rest.
     answered_at: float | None = None
     ran: bool = False
     #: Whether the answer announced that the engine leaves, and the seconds of rest it asked for.
@@ -162,7 +162,7 @@
         await self._crash_if_asked(request, request.content.read())
         request.content.seek(0)
         received.answered_at = time.monotonic()
-        step = self._set_load_header(request)
+        event_interval = self._set_load_header(request)
         request.setHeader("Attempt-Id", "another" if self.faults.consume("cross") else attempt)
         request.setHeader("Instance-Signature", f"{self._name}.{attempt}")
         if self.faults.consume("echo"):
@@ -175,7 +175,7 @@
         if not request.path.startswith(b"/notes/"):
             run["outcome"] = "gone" if disconnected.is_set() else "whole"
             return b"%s by %s" % (request.content.read() or b"nothing", self._name.encode())
-        run["outcome"] = await self._stream(request, run, disconnected, step)
+        run["outcome"] = await self._stream(request, run, disconnected, event_interval)
         return b""
 
     def _set_load_header(self, request: Any) -> float:
@@ -208,7 +208,7 @@
             os._exit(1)
 
     async def _stream(
-        self, request: Any, run: dict[str, Any], disconnected: asyncio.Event, step: float
+        self, request: Any, run: dict[str, Any], disconnected: asyncio.Event, event_interval: float
     ) -> str:
         request.setHeader("Content-Type", "text/event-stream")
         after = int(request.getHeader("Last-Event-Id") or 0)
@@ -227,7 +227,7 @@
                 run["outcome"] = "paused"
                 await asyncio.sleep(fault.seconds)
             request.write(b"id: %d\ndata: %d\n\n" % (number, number))
-            await asyncio.sleep(step)
+            await asyncio.sleep(event_interval)
         return "whole"
 
 
--- a/fakes/_machines_store.py
+++ b/fakes/_machines_store.py
@@ -91,7 +91,7 @@
             return as_deferred(self._handle_collection(request, kind))
 
         @self.app.route("/objects/<kind>/<name>", methods=["GET", "PUT", "DELETE"])
-        def one(request: Any, kind: str, name: str) -> Deferred[bytes | None]:
+        def item(request: Any, kind: str, name: str) -> Deferred[bytes | None]:
             return as_deferred(self._handle_object(request, kind, name))
 
         @self.app.route("/calls")
@@ -101,6 +101,7 @@
         self.faults.add_route(self.app)
 
     def _is_call_refused(self, request: Any) -> bool:
+        """Count a call and apply the armed faults; return True if the call is refused."""
         self.calls += 1
         if fault := self.faults.consume("outage"):
             self._outage_until = time.monotonic() + fault.seconds
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -31,8 +31,8 @@
 
     :param seed: the first seed
     :param seeds: how many seeds, counted up from the first
-    :param minutes: for how long faults begin, in each run
-    :param routers: the most routers that a seed may draw
+    :param minutes: how long faults are started in each run
+    :param routers: the largest number of routers that a seed may draw
     :param load: have the routers manage load, and draw load faults in addition
     :param regressions: run the recorded seeds instead, each of which once broke a promise
     """
@@ -43,15 +43,16 @@
             draw_plan(each["seed"], each["minutes"] * 60, each["routers"], each.get("load", False))
             for each in recorded
         ]
-    broken = [plan.seed for plan in plans if not _is_clean(plan)]
+    broken = [plan.seed for plan in plans if not _run_and_report(plan)]
     print(f"{len(plans) - len(broken)} clean, {len(broken)} broken{_format_seeds(broken)}")
     sys.exit(1 if broken else 0)
 
 
-def _is_clean(plan: Plan) -> bool:
-    records, broken = asyncio.run(run_plan(plan))
-    print(json.dumps({**_summary(plan, records), "broken": broken}), flush=True)
-    return not broken
+def _run_and_report(plan: Plan) -> bool:
+    """Run a plan and print its results as a JSON line; return whether it broke no promise."""
+    records, violations = asyncio.run(run_plan(plan))
+    print(json.dumps({**_summary(plan, records), "broken": violations}), flush=True)
+    return not violations
 
 
 def _summary(plan: Plan, records: Records) -> dict[str, object]:
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -131,7 +131,7 @@
         return await in_thread(lambda: self.machines_fleet.add_engine(name, service, hall))
 
     async def restart(self, router: MachinesRouter) -> None:
-        """Restart a router, and wait until it is ready."""
+        """Restart a router; return once its process is started, before it is ready."""
         self._restarts_by_router[router.name] = self._restarts_by_router.get(router.name, 0) + 1
         await in_thread(lambda: self.machines_fleet.restart(router))
         self.down_routers.discard(router.name)
@@ -212,7 +212,7 @@
         except (OSError, http.client.HTTPException):
             pass
         time.sleep(STORE_RETRY_PAUSE)
-    raise TimeoutError(f"the store did not take a write in {STORE_WRITE_TIMEOUT} s")
+    raise TimeoutError(f"the store did not confirm a write in {STORE_WRITE_TIMEOUT} s")
 
 
 async def in_thread(call: Callable[[], T]) -> T:
