--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -160,7 +160,7 @@
         self._fleet.ended_engines.add(engine.name)
         engine.process.kill()
         await in_thread(engine.process.wait)
-        await in_thread(lambda: self._fleet.machines_fleet.remove("servers", engine.name))
+        await in_thread(lambda: self._fleet.machines_fleet.remove_object("servers", engine.name))
         await self._fleet.add_engine(engine.service)
 
     async def _announce_and_replace(self, engine: Backend) -> None:
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -54,11 +54,11 @@
         text = self._stderr.read().decode(errors="replace")
         return [_error_line(part) for part in text.split(TRACEBACK)[1:]]
 
-    def put(self, kind: str, name: str, spec: Any) -> None:
+    def put_object(self, kind: str, name: str, spec: Any) -> None:
         """Write an object, and retry until the store confirms it."""
         _retry_until_confirmed(functools.partial(super().put_object, kind, name, spec))
 
-    def remove(self, kind: str, name: str) -> None:
+    def remove_object(self, kind: str, name: str) -> None:
         """Remove an object; if it is not there, a try whose answer was lost has removed it."""
         _retry_until_confirmed(functools.partial(super().remove_object, kind, name))
 
@@ -94,7 +94,7 @@
             self.machines_fleet.rules = (*RULES, CONTENTION_RULE)
         await self._add_relay(STORE_NAME)
         await in_thread(self.machines_fleet.__enter__)
-        await in_thread(lambda: self.machines_fleet.put("config", "main", CONFIGURATION))
+        await in_thread(lambda: self.machines_fleet.put_object("config", "main", CONFIGURATION))
         for _ in range(engines):
             for service in SERVICES:
                 await self.add_engine(service)
@@ -141,7 +141,7 @@
         self.configuration_version += 1
         edited = with_version(CONFIGURATION, self.configuration_version)
         edited["Routes"][0]["TimeoutMs"] = 7000 + self.configuration_version % 1000
-        await in_thread(lambda: self.machines_fleet.put("config", "main", edited))
+        await in_thread(lambda: self.machines_fleet.put_object("config", "main", edited))
 
     def record_disturbance(self, kind: str, name: str, begins: float) -> None:
         """Record a disturbance of a process that lasted from ``begins`` until now."""
