--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -526,7 +526,7 @@
         #: Load at other engines as stated in the last grant request, by engine.
         self.seen_elsewhere_by_engine: dict[str, int] = {}
 
-    def _question(self, engine: str, *args: Any, **kwargs: Any) -> GrantRequest:
+    def _new_grant_request(self, engine: str, *args: Any, **kwargs: Any) -> GrantRequest:
         grant_request = super()._new_grant_request(engine, *args, **kwargs)
         self.seen_elsewhere_by_engine[engine] = grant_request.seen_in_flight_elsewhere
         return grant_request
