--- a/pondhatch/configuration/tests/test_publishing.py
+++ b/pondhatch/configuration/tests/test_publishing.py
@@ -105,7 +105,7 @@
         platform.faults.arm("lost-answer")
 
         class OutagePlatform(PlatformInMemory):
-            def _out(self) -> bool:
+            def _is_call_refused(self) -> bool:
                 return platform.faults.consume("outage") is not None
 
         outage_platform = OutagePlatform()
