--- a/pondhatch/cli/_router_commands.py
+++ b/pondhatch/cli/_router_commands.py
@@ -52,7 +52,7 @@
     if reply is None:
         return EXIT_UNREACHABLE
     if reply.status != HTTP_OK:
-        print(f"no request {digest} is quarantined", file=sys.stderr)
+        print(f"no evidence of crashes is held against request {digest}", file=sys.stderr)
         return EXIT_INPUT
     print(f"{digest} may run again")
     return EXIT_DONE
--- a/pondhatch/transport/_admin.py
+++ b/pondhatch/transport/_admin.py
@@ -53,7 +53,8 @@
         lift: Callable[[int], bool],
     ) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        #: Lifts the quarantine of the request with a digest; returns whether there was one.
+        #: Clears any evidence of crashes that is held against the request with a digest; returns
+        #: whether there was any.
         self._lift = lift
         self._state = state
         self._authority = authority
@@ -74,7 +75,7 @@
         return b""
 
     def _answer_lift(self, request: Any) -> bytes:
-        """Lift a quarantine; 404 if the request is not quarantined or the digest is invalid."""
+        """Clear the evidence against a request; 404 if there is none or the digest is invalid."""
         if request.method != b"POST":
             request.setResponseCode(METHOD_NOT_ALLOWED)
             return b""
