--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -239,8 +239,8 @@
         self.lines: list[str] = []
         logger.enable("pondhatch.authority")
         self.addCleanup(logger.disable, "pondhatch.authority")
-        number = logger.add(self.lines.append, level="ERROR", format="{message}")
-        self.addCleanup(logger.remove, number)
+        handler_id = logger.add(self.lines.append, level="ERROR", format="{message}")
+        self.addCleanup(logger.remove, handler_id)
 
     def overwrite_lease(self, simulation: Simulation, value: object) -> None:
         """Overwrite the lease, as an operator could do."""
--- a/pondhatch/configuration/tests/test_routes.py
+++ b/pondhatch/configuration/tests/test_routes.py
@@ -15,8 +15,8 @@
 
 
 def route(host: str, prefix: str, *targets: tuple[str, float]) -> RouteSpec:
-    shares = tuple(RouteTarget(*each) for each in targets or (("s", 1.0),))
-    return RouteSpec(host, prefix, shares)
+    route_targets = tuple(RouteTarget(*each) for each in targets or (("s", 1.0),))
+    return RouteSpec(host, prefix, route_targets)
 
 
 class RouteTableTest(unittest.TestCase):
--- a/pondhatch/kernel/tests/test_tasks.py
+++ b/pondhatch/kernel/tests/test_tasks.py
@@ -11,8 +11,8 @@
 class TasksTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.lines: list[str] = []
-        number = logger.add(self.lines.append, level="ERROR", format="{message}")
-        self.addCleanup(logger.remove, number)
+        handler_id = logger.add(self.lines.append, level="ERROR", format="{message}")
+        self.addCleanup(logger.remove, handler_id)
 
     async def test_a_failed_task_logs_its_name_and_error(self) -> None:
         async def failing() -> None:
--- a/pondhatch/router/tests/test_fleet_key.py
+++ b/pondhatch/router/tests/test_fleet_key.py
@@ -62,7 +62,7 @@
         self.assertEqual(await self.obtain_key(platform, "first"), b"first")
         self.assertEqual(await self.obtain_key(platform, "second"), b"first")
 
-    async def test_an_existing_key_is_read_by_one_cheap_call(self) -> None:
+    async def test_an_existing_key_is_read_by_one_stale_tolerant_call(self) -> None:
         platform = PlatformInMemory()
         await self.obtain_key(platform, "first")
         before = platform.calls, platform.stale_tolerant_calls
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -68,8 +68,8 @@
         peer.apply_change(FIRST)
         meet(state, peer)
         found: list[str] = []
-        number = logger.add(found.append, level="INFO", format="{message}")
-        self.addCleanup(logger.remove, number)
+        handler_id = logger.add(found.append, level="INFO", format="{message}")
+        self.addCleanup(logger.remove, handler_id)
 
         async def pull(member: Member, configuration: int, upstreams: int) -> HeldByPeer | None:
             await asyncio.sleep(seconds)
--- a/pondhatch/router/tests/test_peer_discovery.py
+++ b/pondhatch/router/tests/test_peer_discovery.py
@@ -68,7 +68,7 @@
 
         self.assertTrue(run_virtually(main()))
 
-    def test_of_two_that_start_together_one_sees_the_other(self) -> None:
+    def test_of_two_routers_that_start_together_one_finds_the_other(self) -> None:
         async def main() -> tuple[set[int], set[int]]:
             platform = PlatformInMemory()
             first, second = router("r0"), router("r1")
@@ -104,12 +104,12 @@
 
         for entry in wrong:
             lines: list[str] = []
-            number = logger.add(lines.append, level="ERROR", format="{message}")
+            handler_id = logger.add(lines.append, level="ERROR", format="{message}")
             with self.subTest(entry=entry):
                 self.assertEqual(run_virtually(main(entry)), {5})
                 self.assertEqual(len(lines), 1, lines)
                 self.assertIn("wrong", lines[0])
-            logger.remove(number)
+            logger.remove(handler_id)
 
     def test_a_router_that_moved_replaces_its_address(self) -> None:
         async def main() -> Any:
@@ -122,11 +122,11 @@
 
     def calls_of_a_start(self, platform: PlatformInMemory, port: int) -> tuple[int, int]:
         """Start a router; return the number of its calls, and of the cheap ones among them."""
-        before, cheap_before = platform.calls, platform.stale_tolerant_calls
+        before, stale_tolerant_before = platform.calls, platform.stale_tolerant_calls
         run_virtually(peer_discovery(router("r0"), platform, port).run())
-        return platform.calls - before, platform.stale_tolerant_calls - cheap_before
+        return platform.calls - before, platform.stale_tolerant_calls - stale_tolerant_before
 
-    def test_a_start_after_the_first_makes_one_cheap_call(self) -> None:
+    def test_a_start_after_the_first_makes_one_stale_tolerant_call(self) -> None:
         platform = PlatformInMemory()
         self.assertEqual(self.calls_of_a_start(platform, 1), (3, 1))
         self.assertEqual(self.calls_of_a_start(platform, 1), (1, 1))
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -363,8 +363,8 @@
 
     def setUp(self) -> None:
         self.lines: list[str] = []
-        number = logger.add(self.lines.append, level="ERROR", format="{message}")
-        self.addCleanup(logger.remove, number)
+        handler_id = logger.add(self.lines.append, level="ERROR", format="{message}")
+        self.addCleanup(logger.remove, handler_id)
 
     def router_after_listings(self, *entries: Any) -> RouterState:
         """Return a router that has read a list with these entries, named e0, e1 and so on."""
