--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -276,10 +276,10 @@
             await asyncio.sleep(STARTUP_SECONDS)
             self.overwrite_lease(simulation, None)
             await asyncio.sleep(TIMINGS.renew_every + 1.0)
-            given = len(simulation.executed_orders)
+            order_count = len(simulation.executed_orders)
             simulation.spec = replace(simulation.spec, version=2)
             await asyncio.sleep(30)
-            self.assertEqual(len(simulation.executed_orders), given)
+            self.assertEqual(len(simulation.executed_orders), order_count)
             return holder.orderer.is_holder(), len(self.lines)
 
         self.assertEqual(run_virtually(main()), (False, 1))
@@ -291,10 +291,10 @@
             real_call = getattr(simulation.platform, method)
             errors = [ValueError("an answer that cannot be read")]
 
-            async def failing(*given: Any) -> Any:
+            async def failing(*arguments: Any) -> Any:
                 if errors:
                     raise errors.pop()
-                return await real_call(*given)
+                return await real_call(*arguments)
 
             setattr(simulation.platform, method, failing)
             holder.should_hold = True
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -51,10 +51,10 @@
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.apply_update(update, now), now)
 
-    def settle(self, now: float) -> bool:
+    def end_unconfirmed_evacuations(self, now: float) -> bool:
         """Settle the evacuations once their era has settled; return whether that changed any."""
         before = self.evacuations.halls
-        return self._note_reopened(before, self.evacuations.settle(now), now)
+        return self._note_reopened(before, self.evacuations.end_unconfirmed(now), now)
 
     def _note_reopened(self, before: frozenset[str], changed: bool, now: float) -> bool:
         """Record the halls whose evacuation has ended; return ``changed`` unaltered."""
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -523,9 +523,9 @@
         """Run the periodic work of one round."""
         if self.vanished and self.vanished.forget_old(self.clock()):
             self.invalidate_upstream_caches()
-        if self._upstream_changes.settle(self.clock()):
+        if self._upstream_changes.remove_unconfirmed(self.clock()):
             self.invalidate_upstream_caches()
-        self._invalidate_if_changed(self.halls.settle(self.clock()))
+        self._invalidate_if_changed(self.halls.end_unconfirmed_evacuations(self.clock()))
         self.paces.drop_expired(self.clock())
         if self.notices.drop_expired(self.upstreams.entry_by_name, self.clock()):
             self._intakes.invalidate()
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -175,9 +175,9 @@
             self._reopen_listed_live(leaving)
         return changed
 
-    def settle(self, now: float) -> bool:
+    def remove_unconfirmed(self, now: float) -> bool:
         """Settle the list once its era has settled; return whether that changed it."""
-        return self.era_settling.poll_settled(now) and self.upstreams.settle()
+        return self.era_settling.poll_settled(now) and self.upstreams.remove_unconfirmed()
 
     def _apply_to_list(self, event: WatchEvent) -> bool:
         if event.type == "set":
--- a/pondhatch/router/tests/test_new_eras.py
+++ b/pondhatch/router/tests/test_new_eras.py
@@ -59,22 +59,22 @@
     def test_an_upstream_that_a_new_era_lacks_stays_if_it_is_written_again(self) -> None:
         self.changes.apply_listing(listed(2, 100, a=90), 10.0)
         self.assertEqual(self.state("b"), LIVE)
-        self.assertFalse(self.changes.settle(10.0 + SETTLE_SECONDS / 2))
+        self.assertFalse(self.changes.remove_unconfirmed(10.0 + SETTLE_SECONDS / 2))
         event = WatchEvent("set", position_of(2, 101), "b", value("b"))
         self.changes.apply_event(event, 10.5)
-        self.assertFalse(self.changes.settle(10.0 + SETTLE_SECONDS))
+        self.assertFalse(self.changes.remove_unconfirmed(10.0 + SETTLE_SECONDS))
         self.assertEqual(self.state("b"), LIVE)
 
     def test_an_upstream_that_is_not_written_again_is_removed_once_the_era_has_settled(
         self,
     ) -> None:
         self.changes.apply_listing(listed(2, 100, a=90), 10.0)
-        self.assertTrue(self.changes.settle(10.0 + SETTLE_SECONDS))
+        self.assertTrue(self.changes.remove_unconfirmed(10.0 + SETTLE_SECONDS))
         self.assertEqual((self.state("a"), self.state("b")), (LIVE, REMOVED))
 
     def test_a_removal_in_a_settled_era_takes_effect_at_once(self) -> None:
         self.changes.apply_listing(listed(2, 100, a=90, b=95), 10.0)
-        self.changes.settle(10.0 + SETTLE_SECONDS)
+        self.changes.remove_unconfirmed(10.0 + SETTLE_SECONDS)
         self.changes.apply_listing(listed(2, 110, a=90), 20.0)
         self.assertEqual(self.state("b"), REMOVED)
 
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -119,7 +119,7 @@
         """Return all evacuations as an update for a peer; None if nothing is known here."""
         return EvacuationUpdate(dict(self.evacuation_by_hall)) if self.is_known else None
 
-    def settle(self, now: float) -> bool:
+    def end_unconfirmed(self, now: float) -> bool:
         """End evacuations of an older era that were not written again since.
 
         Does nothing before the era has settled. Returns whether any ended.
--- a/pondhatch/store/_upstreams.py
+++ b/pondhatch/store/_upstreams.py
@@ -234,7 +234,7 @@
         is_same_era = era_of(known.version) == era_of(entry.version)
         return known.upstream.state != LIVE and not is_same_era
 
-    def settle(self) -> bool:
+    def remove_unconfirmed(self) -> bool:
         """Remove upstreams neither written nor listed in this era; return whether any were."""
         era = era_of(self.version)
         unconfirmed = [
--- a/pondhatch/store/tests/test_eras.py
+++ b/pondhatch/store/tests/test_eras.py
@@ -70,9 +70,9 @@
         self.upstreams.apply_update(listing(2, 100, entry("a", 2, 90), entry("b", 2, 95)), True)
         self.assertEqual(set(self.states().values()), {LIVE})
         self.upstreams.set(upstream("c"), position_of(2, 101))
-        self.assertTrue(self.upstreams.settle())
+        self.assertTrue(self.upstreams.remove_unconfirmed())
         self.assertEqual(self.states(), {"a": LIVE, "b": LIVE, "c": LIVE, "d": REMOVED})
-        self.assertFalse(self.upstreams.settle())
+        self.assertFalse(self.upstreams.remove_unconfirmed())
 
     def test_an_upstream_that_left_since_the_copy_is_not_revived(self) -> None:
         self.upstreams.remove("a", position_of(1, 141))
@@ -80,7 +80,7 @@
         copied = [entry(name, 2, 90) for name in "abcd"]
         self.upstreams.apply_update(listing(2, 100, *copied), True)
         self.assertEqual(self.states(), {"a": REMOVED, "b": LEAVING, "c": LIVE, "d": LIVE})
-        self.upstreams.settle()
+        self.upstreams.remove_unconfirmed()
         self.assertEqual(self.states(), {"a": REMOVED, "b": REMOVED, "c": LIVE, "d": LIVE})
 
     def test_writes_of_upstreams_apply_while_the_era_settles(self) -> None:
@@ -106,5 +106,5 @@
         self.assertGreater(self.upstreams.version, held)
         peer.apply_update(self.upstreams.update_since(held), True)
         for each in (self.upstreams, peer):
-            each.settle()
+            each.remove_unconfirmed()
         self.assertEqual(peer.entry_by_name, self.upstreams.entry_by_name)
--- a/pondhatch/store/tests/test_evacuations.py
+++ b/pondhatch/store/tests/test_evacuations.py
@@ -102,8 +102,8 @@
         self.evacuations.apply_listing(listed(position_of(2, 40)), 10.0)
         self.assertEqual(self.evacuations.halls, {"h1", "h2"})
         self.evacuations.apply_event(began("h1", position_of(2, 41)))
-        self.assertFalse(self.evacuations.settle(10.0 + SETTLE_SECONDS / 2))
-        self.assertTrue(self.evacuations.settle(10.0 + SETTLE_SECONDS))
+        self.assertFalse(self.evacuations.end_unconfirmed(10.0 + SETTLE_SECONDS / 2))
+        self.assertTrue(self.evacuations.end_unconfirmed(10.0 + SETTLE_SECONDS))
         self.assertEqual(self.evacuations.halls, {"h1"})
 
     def test_a_peers_older_evacuation_holds_until_the_era_has_settled(
@@ -114,7 +114,7 @@
             EvacuationUpdate({"h1": HallEvacuation(True, position_of(1, 50))}), 10.5
         )
         self.assertEqual(self.evacuations.halls, {"h1"})
-        self.evacuations.settle(10.5 + SETTLE_SECONDS)
+        self.evacuations.end_unconfirmed(10.5 + SETTLE_SECONDS)
         self.assertEqual(self.evacuations.halls, frozenset())
 
     @settings(max_examples=200, deadline=None)
--- a/pondhatch/store/tests/test_upstreams.py
+++ b/pondhatch/store/tests/test_upstreams.py
@@ -16,20 +16,20 @@
 
 class UpstreamListTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.known = UpstreamList()
+        self.upstreams = UpstreamList()
         for at in range(3):
-            self.known.set(upstream(f"e{at}"), at + 1)
+            self.upstreams.set(upstream(f"e{at}"), at + 1)
 
     def test_a_peer_gets_only_the_entries_that_it_lacks(self) -> None:
-        update = self.known.update_since(2)
+        update = self.upstreams.update_since(2)
         self.assertEqual([each.upstream.name for each in update.entries], ["e2"])
         self.assertEqual((update.version, update.whole), (3, False))
 
     def test_removals_reach_peers_that_are_behind(self) -> None:
         peer = UpstreamList()
-        peer.apply_update(self.known.update_since(0))
-        self.known.remove("e1", 9)
-        peer.apply_update(self.known.update_since(3))
+        peer.apply_update(self.upstreams.update_since(0))
+        self.upstreams.remove("e1", 9)
+        peer.apply_update(self.upstreams.update_since(3))
         self.assertIsNone(peer.upstream("e1"))
         self.assertEqual(peer.entry_by_name["e1"].upstream.state, REMOVED)
 
@@ -42,30 +42,30 @@
         self.assertEqual([each.name for each in held.of_service("lang")], ["e3"])
 
     def test_a_removed_upstream_may_come_back(self) -> None:
-        self.known.remove("e1", 9)
-        self.assertFalse(self.known.set(upstream("e1"), 8))
-        self.assertTrue(self.known.set(upstream("e1"), 10))
-        self.assertIsNotNone(self.known.upstream("e1"))
+        self.upstreams.remove("e1", 9)
+        self.assertFalse(self.upstreams.set(upstream("e1"), 8))
+        self.assertTrue(self.upstreams.set(upstream("e1"), 10))
+        self.assertIsNotNone(self.upstreams.upstream("e1"))
 
     def test_a_peer_older_than_the_kept_removals_gets_the_whole_list(self) -> None:
         version = 10
         for at in range(MAX_REMOVED + 5):
-            self.known.set(upstream(f"gone-{at}"), version)
-            self.known.remove(f"gone-{at}", version + 1)
+            self.upstreams.set(upstream(f"gone-{at}"), version)
+            self.upstreams.remove(f"gone-{at}", version + 1)
             version += 2
-        self.assertTrue(self.known.update_since(4).whole)
-        self.assertFalse(self.known.update_since(version - 10).whole)
-        self.assertLessEqual(len(self.known.entry_by_name), MAX_REMOVED + 3)
+        self.assertTrue(self.upstreams.update_since(4).whole)
+        self.assertFalse(self.upstreams.update_since(version - 10).whole)
+        self.assertLessEqual(len(self.upstreams.entry_by_name), MAX_REMOVED + 3)
 
     def test_applying_a_listing_scans_the_whole_list_once(self) -> None:
         entries = tuple(UpstreamEntry(upstream(f"n{at}"), 20 + at) for at in range(50))
         drop = UpstreamList._drop_oldest_removed
         with patch.object(UpstreamList, "_drop_oldest_removed", autospec=True) as dropped:
             dropped.side_effect = drop
-            self.known.apply_update(UpstreamUpdate(80, entries, whole=True))
+            self.upstreams.apply_update(UpstreamUpdate(80, entries, whole=True))
         self.assertEqual(dropped.call_count, 1)
-        self.assertEqual(len(self.known.of_service("lang")), 50)
-        self.assertIsNone(self.known.upstream("e0"))
+        self.assertEqual(len(self.upstreams.of_service("lang")), 50)
+        self.assertIsNone(self.upstreams.upstream("e0"))
 
     @settings(max_examples=200, derandomize=True)
     @given(
