--- a/pondhatch/authority/_lease_facts.py
+++ b/pondhatch/authority/_lease_facts.py
@@ -39,7 +39,7 @@
     valid_until: float = float("-inf")
     #: Time from which engines that ignore fencing numbers may be given orders.
     unfenced_from: float = float("-inf")
-    #: How often the platform was restored from an older copy.
+    #: Number of times that the platform was restored from an older copy.
     era: int = NO_ERA
     #: When this router first learned of the era.
     era_since: float = float("-inf")
--- a/pondhatch/authority/_lease_record.py
+++ b/pondhatch/authority/_lease_record.py
@@ -34,8 +34,9 @@
     clock_margin: float = 1.0
     #: Timeout of an order; no order is sent that could outlast the lease.
     order_timeout: float = 2.0
-    #: Delay after an emergency before a new holder orders engines that ignore fencing numbers:
-    #: by then the last holder's orders in flight have ended.
+    #: Delay before a new holder orders engines that ignore fencing numbers, unless the last holder
+    #: is known to have released the lease. After it, orders of the last holder that were in flight
+    #: have ended.
     unfenced_delay: float = 4.0
 
 
--- a/pondhatch/authority/_orderer.py
+++ b/pondhatch/authority/_orderer.py
@@ -56,7 +56,10 @@
         """Return the configured orders for the service's engines, or None if there are none."""
 
     def platform_era(self) -> int:
-        """Return how often the platform was restored from an older copy, as known to any router."""
+        """Return the highest era of the platform that this router knows, also through its peers.
+
+        The era is the number of times that the platform was restored from an older copy.
+        """
 
     def engines_of(self, service: str) -> tuple[Upstream, ...]:
         """Return the service's engines without those that are leaving."""
--- a/pondhatch/authority/tests/_simulation.py
+++ b/pondhatch/authority/tests/_simulation.py
@@ -44,9 +44,9 @@
 #: Delay of a late order, in seconds; shorter than the holder's timeout of an order.
 ORDER_LATENESS = 1.5
 #: Longest pause, in seconds, that a holder may make between checking its lease and sending an
-#: order. Up to it, an engine that ignores fencing numbers never gets this order after one of the
-#: next holder. It is the time from the last check that allows an order to the first order of the
-#: next holder to such an engine, less the time that a late order travels.
+#: order, so that an engine that ignores fencing numbers never gets this order after one of the next
+#: holder. It is the time from the last check that allows an order to the first order of the next
+#: holder to such an engine, less the travel time of a late order and a margin.
 MAX_SAFE_PAUSE = (
     TIMINGS.clock_margin + TIMINGS.unfenced_delay + TIMINGS.order_timeout - ORDER_LATENESS - 0.1
 )
@@ -204,7 +204,7 @@
 
 
 class SimulatedRouter:
-    """One router with its orderer; a restart makes a new one with the same name."""
+    """One router with its orderer; a restart makes another with the same name and a new seed."""
 
     def __init__(self, name: str, simulation: Simulation, pauses: list[float], seed: int) -> None:
         self.name = name
@@ -244,7 +244,8 @@
     """Return every violation of fencing.
 
     Either routers shared a fencing number, or an engine executed an order with a lower number
-    after one with a higher.
+    after one with a higher. At an engine that ignores fencing numbers, the latter only counts if
+    the order was sent within MAX_SAFE_PAUSE.
     """
     found_violations = []
     routers_by_fencing: dict[int, set[str]] = {}
--- a/pondhatch/configuration/_entry_versions.py
+++ b/pondhatch/configuration/_entry_versions.py
@@ -12,9 +12,9 @@
 
 from pondhatch.configuration._changes import EntryKey
 
-#: Most entries whose last change is kept, about 0.2 KB each and so below 1 MB in all. A day
-#: brings about 6,700 changes, most of them to one entry. Peers that are further behind get a
-#: snapshot.
+#: Maximum number of entries whose last change is kept, about 0.2 KB each and so below 1 MB in all.
+#: A day brings about 6,700 changes, most of them to one entry. Peers that are further behind get
+#: a snapshot.
 MAX_ENTRIES = 4096
 
 
--- a/pondhatch/configuration/_schema.py
+++ b/pondhatch/configuration/_schema.py
@@ -44,12 +44,12 @@
     models: tuple[str, ...] = ()
     #: Path prefix in callers' requests; for kind "plain".
     prefix: Annotated[str, Meta(pattern=r"^/[a-z0-9-]+/$")] | None = None
-    #: Most load of one engine, as a multiple of the service's mean load.
+    #: Maximum load of one engine, as a multiple of the service's mean load.
     load_bound: Annotated[float, Meta(gt=1.0, le=10.0)] = 1.25
     #: Requests that any engine may carry above that multiple. In a nearly idle service the
     #: multiple of a small mean would move chats away from their context without need.
     load_slack: Annotated[int, Meta(ge=0, le=1000)] = 0
-    #: Most requests that one engine handles at once, whatever the mean load.
+    #: Maximum number of requests that one engine handles at once, whatever the mean load.
     engine_slots: Annotated[int, Meta(ge=1, le=100_000)] = 128
     #: Seconds that a returning chat waits for the engine with its context before it uses another.
     context_wait: Annotated[float, Meta(ge=0.0, le=10.0)] = 0.2
@@ -70,8 +70,8 @@
     leaving: tuple[str, ...] = ()
     #: The model that its engines are ordered to hold; for kind "model".
     orders: OrdersSpec | None = None
-    #: Most idle connections that the whole fleet keeps to one engine while load is managed; None
-    #: for no limit.
+    #: Maximum number of idle connections that the whole fleet keeps to one engine while load is
+    #: managed; None for no limit.
     max_connections: Annotated[int, Meta(ge=1)] | None = None
 
 
@@ -83,7 +83,7 @@
     weight: Annotated[float, Meta(ge=0)] = 1.0
 
 
-#: How often a request of a route may run; see ``RouteSpec.repeats``.
+#: Whether a request of a route may run more than once; see ``RouteSpec.repeats``.
 Repeats = Literal["any", "resumed", "never"]
 
 
@@ -103,9 +103,9 @@
     timeout: Annotated[float, Meta(gt=0)] = 120.0
     #: Latency objective, in seconds, for a response or the first event of a stream.
     objective: Annotated[float, Meta(gt=0)] = 1.0
-    #: Most seconds between two events of a stream within its objective; 0 if not specified.
+    #: Maximum seconds between two events of a stream within its objective; 0 if not specified.
     longest_pause: Annotated[float, Meta(ge=0)] = 0.0
-    #: Most engines that one request may be sent to.
+    #: Maximum number of engines that one request may be sent to.
     most_tries: Annotated[int, Meta(ge=1)] = 1
     #: 0 is served first, 9 last; an account's own priority takes precedence.
     priority: Annotated[int, Meta(ge=0, le=9)] = 5
@@ -166,7 +166,7 @@
     services: Annotated[tuple[str, ...], Meta(min_length=1)]
     requests_per_second: Annotated[float, Meta(gt=0, le=100_000)]
     burst: Annotated[int, Meta(ge=1, le=1_000_000)]
-    #: Most requests in flight at once, fleet-wide.
+    #: Maximum number of requests in flight at once, fleet-wide.
     concurrency: Annotated[int, Meta(ge=1, le=1_000_000)]
     #: 0 is served first, 9 last; None leaves it to the route.
     priority: Annotated[int, Meta(ge=0, le=9)] | None = 5
--- a/pondhatch/configuration/_settings.py
+++ b/pondhatch/configuration/_settings.py
@@ -13,8 +13,8 @@
 from pondhatch.configuration._validation import validate
 from pondhatch.configuration._yaml import YamlDocument, load_yaml
 
-#: Most characters in the name of a router or a hall. A gossip packet of at most 65,507 bytes
-#: describes 20 routers, each with both names, and a character takes up to 4 bytes:
+#: Maximum number of characters in the name of a router or a hall. A gossip packet of at most 65,507
+#: bytes describes 20 routers, each with both names, and a character takes up to 4 bytes:
 #: 20 * 2 * 255 * 4 = 40,800.
 MAX_NAME_LENGTH = 255
 #: A name given by the platform. It may have any form, because routers only compare and hash
@@ -72,9 +72,9 @@
 class CallerLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Limits on callers; beyond them a caller gets a 4xx response or is disconnected."""
 
-    #: Most bytes in the body of a chat request.
+    #: Maximum number of bytes in the body of a chat request.
     chat_body_bytes: Annotated[int, Meta(ge=1024, le=64 * 1024 * 1024)] = 4 * 1024 * 1024
-    #: Most bytes of all headers of a request together.
+    #: Maximum number of bytes of all headers of a request together.
     header_bytes: Annotated[int, Meta(ge=1024, le=1024 * 1024)] = 16 * 1024
     #: Seconds within which a request's head must arrive in full.
     header_seconds: Annotated[float, Meta(gt=0, le=600)] = 10.0
@@ -227,14 +227,14 @@
 
     @property
     def held_bytes_bound(self) -> int | None:
-        """Most bytes that the router buffers for callers and engines; None for no bound."""
+        """Maximum bytes that the router buffers for callers and engines; None for no bound."""
         megabytes, share = self.memory.megabytes, self.memory.held_share
         if megabytes is None or share is None:
             return None
         return max(1, int(megabytes * share * MEGABYTE))
 
 
-#: Sections of numbers that the platform fills in.
+#: Sections whose fields are numbers that the platform fills in.
 NUMERIC_SECTIONS = ("retries", "cold", "memory", "vm")
 
 #: Shortest fleet key that is accepted, in bytes.
--- a/pondhatch/configuration/_sources.py
+++ b/pondhatch/configuration/_sources.py
@@ -50,6 +50,7 @@
         async for event in self._platform.watch(CHANGE_KIND, None):
             if event.type == "set":
                 yield read_change(int(event.name), event.value)
+            # Checked after the receiver applied it: if it is still ahead, earlier ones are missing.
             is_ahead = event.type == "set" and int(event.name) > current().version
             if event.type == "bookmark" or is_ahead:
                 configuration = await read_configuration(self._platform, current())
--- a/pondhatch/configuration/_validation.py
+++ b/pondhatch/configuration/_validation.py
@@ -25,8 +25,8 @@
 #: Expectations reported for an unknown key and for a missing one.
 UNKNOWN_KEY = "unknown key; expected one that docs/OPERATIONS.md lists"
 MISSING = "missing; expected a value"
-#: Most characters of a value that a misfit quotes: enough for a URL or two names, and log
-#: lines stay short.
+#: Maximum number of characters of a value that a misfit quotes: enough for a URL or two names, and
+#: log lines stay short.
 MAX_QUOTED_CHARS = 80
 #: Pattern of the names of entries.
 NAME_PATTERN = r"^[a-z0-9][a-z0-9-]{0,62}$"
--- a/pondhatch/kernel/_garbage_collection.py
+++ b/pondhatch/kernel/_garbage_collection.py
@@ -1,4 +1,8 @@
-"""Control of Python's cyclic garbage collector, which is off while a process starts."""
+"""Control of Python's cyclic garbage collector.
+
+It is off while a process starts, since collections over the many objects that imports create would
+slow the start down.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +10,6 @@
 
 
 def enable_garbage_collection() -> None:
-    """Enable the collector and exempt all objects that exist by now from collection."""
+    """Enable the collector and exempt all objects that exist by now, as few are ever freed."""
     gc.freeze()
     gc.enable()
--- a/pondhatch/observing/_line_writer.py
+++ b/pondhatch/observing/_line_writer.py
@@ -1,8 +1,8 @@
 """Writes lines to standard output without ever blocking the process.
 
 Lines are buffered in memory. They are written in chunks that fit a pipe, and only while the
-descriptor is writable. A reader that stops reading costs lines, which are counted, but never
-requests.
+descriptor is writable. If the reader stops reading, lines are dropped and counted, but requests
+are not affected.
 """
 
 from __future__ import annotations
--- a/pondhatch/observing/_log_once.py
+++ b/pondhatch/observing/_log_once.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Hashable
 
-#: Maximum of remembered keys, more than a fleet has invalid entries. Each takes about a hundred
-#: bytes. Beyond the maximum the oldest key is forgotten, so that it may be logged again.
+#: Maximum number of remembered keys, more than a fleet has invalid entries. Each takes about a
+#: hundred bytes. Beyond the maximum the oldest key is forgotten, so that it may be logged again.
 MAX_REMEMBERED = 4096
 
 
--- a/pondhatch/observing/_records.py
+++ b/pondhatch/observing/_records.py
@@ -35,11 +35,12 @@
     upstream: str = ""
     #: Requests in flight there when it was granted, this one included.
     in_flight: int = 0
-    #: The upstream's ceiling at that time: the maximum of requests in flight that its owner grants.
+    #: The upstream's ceiling at that time: the maximum number of requests in flight that its owner
+    #: grants.
     ceiling: int = 0
     #: Upstreams that did not take it, each with the reason.
     passed_over: tuple[tuple[str, str], ...] = ()
-    #: How often its stream was resumed at another upstream.
+    #: Number of times that its stream was resumed at another upstream.
     resumes: int = 0
     #: Milliseconds that it waited for replies of engines' owners, time in queues included.
     asking_ms: int = 0
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -26,11 +26,11 @@
 
 #: First byte of a packet on suspected requests; no membership or grant packet begins with it.
 CRASH_PACKET_PREFIX = b"\x02"
-#: Maximum of pieces of evidence in one packet: with names of 25 bytes it fits into an Ethernet
-#: frame.
+#: Maximum number of pieces of evidence in one packet: with names of 25 bytes it fits into an
+#: Ethernet frame.
 EVIDENCE_PER_PACKET = 24
-#: Seconds between two samples of the known evidence: 0.5 KB/s at most, and a few of them bring a
-#: router what it missed.
+#: Seconds between two samples of the known evidence: 0.5 KB/s at most, and a few samples contain
+#: what a router missed.
 SAMPLE_INTERVAL_SECONDS = 2.0
 #: Seconds before each probe of whether an engine still listens, after a request lost its connection
 #: to it. A process that ends closes its connections before its port, and on a busy VM other
--- a/pondhatch/router/_dump.py
+++ b/pondhatch/router/_dump.py
@@ -22,9 +22,9 @@
 
 #: Kind under which sections register.
 SECTION_KIND = "dump section"
-#: Maximum of accounts in a dump, the busiest first.
+#: Maximum number of accounts in a dump, the busiest first.
 SHOWN_ACCOUNTS = 20
-#: Maximum of suspected requests in a dump.
+#: Maximum number of suspected requests in a dump.
 SHOWN_SUSPECTS = 20
 #: The file in which Linux reports the process's memory, in pages.
 STATM = Path("/proc/self/statm")
--- a/pondhatch/router/_hall_states.py
+++ b/pondhatch/router/_hall_states.py
@@ -52,7 +52,7 @@
         return self._note_reopened(before, self.evacuations.apply_update(update, now), now)
 
     def end_unconfirmed_evacuations(self, now: float) -> bool:
-        """Settle the evacuations once their era has settled; return whether that changed any."""
+        """End evacuations that a settled era lacks; return whether any ended; see Evacuations."""
         before = self.evacuations.halls
         return self._note_reopened(before, self.evacuations.end_unconfirmed(now), now)
 
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -31,7 +31,7 @@
 )
 from pondhatch.placement import winner
 
-#: Maximum of demands or shares in one packet.
+#: Maximum number of demands or shares in one packet.
 MAX_PER_PACKET = 20
 #: Seconds without a request after which an account's counts are dropped.
 ACCOUNT_IDLE_SECONDS = 600.0
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -33,12 +33,12 @@
 
 #: First byte of a notice packet; no packet of another kind begins with it.
 NOTICE_PACKET_PREFIX = b"\x03"
-#: Maximum of notices in one packet: with names of 25 bytes it fits into an Ethernet frame.
+#: Maximum number of notices in one packet: with names of 25 bytes it fits into an Ethernet frame.
 NOTICES_PER_PACKET = 24
 #: Packets about upstreams' rests per round of 0.1 s to routers other than the owner: 5 KB/s at
 #: most. Routers that are left out learn of a rest from the owner's refusals.
 REST_PACKETS_PER_ROUND = 8
-#: Maximum of these packets that may be saved up and sent in one round.
+#: Maximum number of these packets in one round where earlier rounds sent fewer.
 REST_PACKETS_BURST = 80
 
 SendAll = Callable[[Iterable[Datagram]], None]
--- a/pondhatch/router/_pace_reports.py
+++ b/pondhatch/router/_pace_reports.py
@@ -9,8 +9,8 @@
 #: Seconds between two reports of one engine's pace by this router. A pace expires at the owner
 #: sooner, so the owner assumes the usual pace again when the next report is due.
 REPORT_SECONDS = 1.0
-#: Reports per round of 0.1 s, and maximum that may be saved up for one round: 2 KB/s at most. A
-#: report that is left out follows with the engine's next answer.
+#: Reports allowed per round of 0.1 s, and maximum in one round where earlier rounds sent fewer:
+#: 2 KB/s at most. A report that is left out follows with the engine's next answer.
 REPORTS_PER_ROUND = 2
 REPORTS_BURST = 20
 
--- a/pondhatch/router/_peer_discovery.py
+++ b/pondhatch/router/_peer_discovery.py
@@ -50,8 +50,9 @@
     async def run(self) -> None:
         """List this router and find peers, retrying until both have succeeded.
 
-        This takes one cheap call where the router is listed already, since all routers make it at
-        the same moment after a power cut, and two more calls otherwise.
+        Where the router is listed already, this takes one read that may be stale and so is cheap
+        for the platform, since all routers make it at the same moment after a power cut.
+        Otherwise it takes two more calls.
         """
         if self._own_entry is not None:
             # A stale list is good enough: a router on it can be asked, and knows the others.
@@ -63,7 +64,7 @@
         is_listed = self._own_entry is None
         while True:
             is_listed = is_listed or await self._create_entry()
-            # Read after the write, so that of two routers that start together one sees the other.
+            # Read after the write, so that of two routers that start together one finds the other.
             listed = await self._find_peers()
             if listed is not None and (is_listed or await self._update_entry(listed)):
                 return
@@ -103,7 +104,7 @@
         return isinstance(written, Accepted)
 
     async def _update_entry(self, listed: Listed) -> bool:
-        """Update this router's entry if it differs; return whether the entry is right now."""
+        """Update this router's entry if it differs; return whether it is now correct."""
         found = self._own_entry_in(listed)
         if found is None:
             # Not listed yet, or its entry is unreadable.
--- a/pondhatch/router/_platform_restorer.py
+++ b/pondhatch/router/_platform_restorer.py
@@ -1,8 +1,8 @@
 """Writes this router's objects again after the platform was restored from an older copy.
 
-A router learns of that from the list of upstreams, whose position moves to a new era, at the
-platform or at any peer. All routers learn of it within a second, so each first waits for a random
-time, in order not to overload a platform that has just been restored.
+A router learns of the restore from the list of upstreams, as read from the platform or pulled from
+a peer: the list's position moves to a new era. All routers learn of it within a second, so each
+first waits for a random time, in order not to overload a platform that has just been restored.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 #: Seconds between checks for a new era.
 CHECK_SECONDS = 0.5
 #: Seconds over which the routers of a fleet spread their calls. Where nothing was lost, each makes
-#: one cheap call: 235 a second for 470 routers, of the 2,000 that the platform accepts.
+#: one read that may be stale: 235 a second for 470 routers, of the 2,000 that the platform accepts.
 SPREAD_SECONDS = 2.0
 
 
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -67,7 +67,7 @@
 #: Seconds for which load stays managed after a pace was last read. Engines that report a pace do
 #: so in each answer, but a service may get no request for a while.
 PACE_TIMEOUT_SECONDS = 60.0
-#: Minimum of the idle connections to one engine that a router may keep, however many routers
+#: Minimum number of idle connections to one engine that a router may keep, however many routers
 #: share the engine: with fewer, requests that overlap would each open a connection.
 MIN_IDLE_CONNECTIONS = 2
 #: Decisions kept for the state dump.
@@ -257,7 +257,7 @@
         return self.last_served_engines.engine_of(chat)
 
     def is_young(self, engine: str) -> bool:
-        """Return whether an upstream joined lately, and after this router knew the list."""
+        """Return whether an upstream joined lately, and after this router first had the list."""
         return self._upstream_changes.join_times.is_young(engine, self.clock())
 
     def can_resume(self, engine: str) -> bool:
@@ -323,6 +323,8 @@
             self._intakes.invalidate()
         return changed
 
+    # -- targets, notices and load ------------------------------------------
+
     def target(self, engine: str) -> Target | None:
         """Return an upstream as its owner's decisions need it, or None for an unknown one."""
         upstream = self._intakes.upstream(engine)
--- a/pondhatch/router/_state_recorder.py
+++ b/pondhatch/router/_state_recorder.py
@@ -16,8 +16,8 @@
 from pondhatch.placement import Notice
 from pondhatch.router._state import RouterState
 
-#: Maximum of records in one round: a platform that drops all of 2,100 entries must not flood the
-#: log. The records left out are counted in a record of their own.
+#: Maximum number of records in one round: a platform that drops all of 2,100 entries must not flood
+#: the log. The records left out are counted in a record of their own.
 MAX_RECORDS_PER_ROUND = 100
 
 
--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -60,10 +60,10 @@
 #: configurations twice.
 PULL_HEDGE_SECONDS = 0.7
 #: Milliseconds by which a peer must have started earlier than this router for its join times to
-#: be pulled. VMs that start together differ by less, clock skew included, and upstreams that join
-#: within such a time are few of those that count as young for minutes.
+#: be pulled. VMs that start together differ by less, clock skew included. An upstream counts as
+#: young for minutes, so few of the young upstreams joined within this difference.
 MIN_AGE_DIFFERENCE_MS = 10_000
-#: Maximum of concurrent pulls: each may keep an answer waiting in memory.
+#: Maximum number of concurrent pulls: each may keep an answer waiting in memory.
 MAX_CONCURRENT_PULLS = 3
 #: Seconds before a lost watch is retried, at first and at most: a platform that recovers must
 #: not be overloaded.
@@ -371,7 +371,7 @@
         """Return the peers that hold the newest version, of this hall alone where there are any.
 
         A peer that was cut off may hold a version that is newer than this router's but not the
-        newest, and a pull from it costs a call's timeout (2 s). Where three in ten routers are cut
+        newest, and a pull from it costs a call's timeout (2 s). Where 30% of the routers are cut
         off, a router that pulled from any peer that is ahead would fall behind by that long
         repeatedly.
         """
--- a/pondhatch/router/_upstream_changes.py
+++ b/pondhatch/router/_upstream_changes.py
@@ -39,15 +39,15 @@
 
 
 class JoinTimes(msgspec.Struct):
-    """When upstreams joined; those that a starting fleet lists are left out."""
+    """When upstreams joined; those that are listed while the fleet starts are left out."""
 
     #: Join times in the clock's seconds, by the upstream's name.
     _joined_at: dict[str, float] = msgspec.field(default_factory=dict)
-    #: When this router first knew a list of upstreams, in the clock's seconds.
+    #: When this router first had a list of upstreams, in the clock's seconds.
     _listed_at: float = float("inf")
 
     def is_young(self, name: str, now: float) -> bool:
-        """Return whether an upstream joined lately, and after this router knew the list."""
+        """Return whether an upstream joined lately, and after this router first had the list."""
         joined = self._joined_at.get(name)
         return joined is not None and now - joined < YOUNG_SECONDS
 
@@ -86,14 +86,14 @@
 
 
 class EraSettling(msgspec.Struct):
-    """Tracks whether the platform's era still settles, as this router sees it.
+    """Tracks whether the platform's era is still settling, as this router sees it.
 
-    An era settles for ``SETTLE_SECONDS`` after it begins: until then, entries that the platform
-    lost in a restore may be written again.
+    An era is settling for ``SETTLE_SECONDS`` after it begins: until then, entries that the
+    platform lost in a restore may be written again.
     """
 
     _era: int = 0
-    #: When the era has settled, in the clock's seconds; minus infinity where none settles.
+    #: When the era has settled, in the clock's seconds; minus infinity where none is settling.
     _settles_at: float = float("-inf")
 
     def record_position(self, version: Position, now: float) -> None:
@@ -105,7 +105,7 @@
             self._era = era
 
     def is_settling(self, version: Position, now: float) -> bool:
-        """Return whether the era of a position is new or still settles."""
+        """Return whether the era of a position is new or still settling."""
         is_new_era = bool(self._era) and era_of(version) > self._era
         return is_new_era or now < self._settles_at
 
@@ -176,7 +176,7 @@
         return changed
 
     def remove_unconfirmed(self, now: float) -> bool:
-        """Settle the list once its era has settled; return whether that changed it."""
+        """Remove upstreams that a settled era lacks; return whether any were; see UpstreamList."""
         return self.era_settling.poll_settled(now) and self.upstreams.remove_unconfirmed()
 
     def _apply_to_list(self, event: WatchEvent) -> bool:
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -1,9 +1,10 @@
-"""Guards the cost of a change in a large configuration: it must follow from the change's size.
+"""Guards the cost of a change in a large configuration: it must not grow with the configuration.
 
-With 1,700 routes and a change every 1.2 s, whole versions blocked routers: each took 667 ms of
-processor to read, 20 ms to send, 34 ms to apply, and 43 KB. Peers took these routers for silent,
-and some routers used a version more than 3 s old. `ChangeStormTest` in the platform's
-test_configuration.py covers reading, `SilentPeersTest` in test_pulls.py silent peers.
+With 1,700 routes and a change every 1.2 s, routers that handled each version as a whole were
+blocked: a version took 667 ms of CPU time to read, 20 ms to send, 34 ms to apply, and 43 KB. Peers
+treated these routers as silent, and some routers used a version more than 3 s old.
+`ChangeStormTest` in the platform's test_configuration.py covers reading, `SilentPeersTest` in
+test_pulls.py silent peers.
 """
 
 from __future__ import annotations
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -1,7 +1,7 @@
 """Guards the cost of one router's change at the others: it must not grow with the fleet.
 
 When 195 routers restart in turn within half a minute, each sends three changes, so each router gets
-about 600; at 4.3 ms of processor each they took 2.5 s. The tests count steps, not time.
+about 600; at 4.3 ms of CPU time each they took 2.5 s. The tests count calls, not time.
 """
 
 from __future__ import annotations
--- a/pondhatch/router/tests/test_load_switch.py
+++ b/pondhatch/router/tests/test_load_switch.py
@@ -13,7 +13,7 @@
 
 
 def _connect(member: Member) -> KeyHolder:
-    raise AssertionError(f"nobody is called here, not {member}")
+    raise AssertionError(f"no router is called in this test, but {member} was")
 
 
 def _state(switch: str) -> RouterState:
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -1,4 +1,4 @@
-"""Guards the spread of upstreams' notices: a router that misses one sends requests in vain."""
+"""Guards the spread of upstreams' notices: a router that misses one sends refused requests."""
 
 from __future__ import annotations
 
@@ -166,7 +166,7 @@
         self.now = 3.0
         self.assertIsNone(self.closed_reason("r0", engine))
 
-    # When an upstream that refused two in five requests was closed to all routers, its load
+    # When an upstream that refused 40% of its requests was closed to all routers, its load
     # overloaded the others.
     def test_a_rest_with_free_slots_closes_the_upstream_only_at_its_receiver(self) -> None:
         engine = self.instance(0)
--- a/pondhatch/router/tests/test_peer_discovery.py
+++ b/pondhatch/router/tests/test_peer_discovery.py
@@ -121,7 +121,7 @@
         self.assertEqual(run_virtually(main()), "127.0.0.1:2")
 
     def calls_of_a_start(self, platform: PlatformInMemory, port: int) -> tuple[int, int]:
-        """Start a router; return the number of its calls, and of the cheap ones among them."""
+        """Start a router; return the number of its calls, and how many of them allow stale data."""
         before, stale_tolerant_before = platform.calls, platform.stale_tolerant_calls
         run_virtually(peer_discovery(router("r0"), platform, port).run())
         return platform.calls - before, platform.stale_tolerant_calls - stale_tolerant_before
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -508,7 +508,7 @@
     """Guards against lag where a hall's watcher is cut off from the platform alone.
 
     Its peers still reach it, so they rely on it to watch, while a change is to be in force
-    everywhere within 3 s. This occurs where three in ten of 87 routers are cut off from the
+    everywhere within 3 s. This occurs where 30% of 87 routers are cut off from the
     platform, among them the watcher of each hall.
     """
 
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -46,7 +46,7 @@
 class Evacuations(msgspec.Struct):
     """The evacuated halls, which get no work, as one router knows them."""
 
-    #: Whether the platform, or a peer to which they were known, has reported them.
+    #: Whether the platform, or a peer that knew them, has reported them.
     is_known: bool = False
     evacuation_by_hall: dict[str, HallEvacuation] = msgspec.field(default_factory=dict)
     #: Position of the newest listing that this router read.
--- a/pondhatch/store/_position.py
+++ b/pondhatch/store/_position.py
@@ -33,7 +33,7 @@
 
 
 def era_of(position: Position) -> int:
-    """Return the era of a position: how often the store had been restored by then."""
+    """Return the era of a position: the number of restores of the store before it."""
     return position >> REVISION_BITS
 
 
--- a/pondhatch/store/_upstream_reader.py
+++ b/pondhatch/store/_upstream_reader.py
@@ -22,7 +22,7 @@
         self._logged_errors = LogOnce()
 
     def read_listing(self, listed: Listed) -> UpstreamUpdate:
-        """Return a platform listing as an update, with the names of its invalid entries apart."""
+        """Return a platform listing as an update; ``left_out`` names its invalid entries."""
         found = [
             (each, self.read_upstream(each.name, each.version, each.value))
             for each in listed.objects
--- a/pondhatch/store/_vanished.py
+++ b/pondhatch/store/_vanished.py
@@ -39,7 +39,7 @@
         self._vanished_by_id[upstream.id] = (upstream, now)
 
     def discard(self, upstream_id: str) -> None:
-        """Discard an upstream whose entry is back, for any start of it, or is now leaving."""
+        """Discard an upstream whose entry is back, also if it restarted, or is now leaving."""
         self._vanished_by_id.pop(upstream_id, None)
 
     def forget_old(self, now: float) -> bool:
--- a/pondhatch/store/tests/test_starts.py
+++ b/pondhatch/store/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Guards against using the state of an earlier start for an upstream that restarts under its id."""
+"""Guards against applying state of an earlier start to an upstream that restarts with its id."""
 
 from __future__ import annotations
 
