--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -239,8 +239,8 @@
         self.lines: list[str] = []
         logger.enable("pondhatch.authority")
         self.addCleanup(logger.disable, "pondhatch.authority")
-        number = logger.add(self.lines.append, level="ERROR", format="{message}")
-        self.addCleanup(logger.remove, number)
+        handler_id = logger.add(self.lines.append, level="ERROR", format="{message}")
+        self.addCleanup(logger.remove, handler_id)
 
     def overwrite_lease(self, simulation: Simulation, value: object) -> None:
         """Overwrite the lease, as an operator could do."""
@@ -276,10 +276,10 @@
             await asyncio.sleep(STARTUP_SECONDS)
             self.overwrite_lease(simulation, None)
             await asyncio.sleep(TIMINGS.renew_every + 1.0)
-            given = len(simulation.executed_orders)
+            order_count = len(simulation.executed_orders)
             simulation.spec = replace(simulation.spec, version=2)
             await asyncio.sleep(30)
-            self.assertEqual(len(simulation.executed_orders), given)
+            self.assertEqual(len(simulation.executed_orders), order_count)
             return holder.orderer.is_holder(), len(self.lines)
 
         self.assertEqual(run_virtually(main()), (False, 1))
@@ -291,10 +291,10 @@
             real_call = getattr(simulation.platform, method)
             errors = [ValueError("an answer that cannot be read")]
 
-            async def failing(*given: Any) -> Any:
+            async def failing(*arguments: Any) -> Any:
                 if errors:
                     raise errors.pop()
-                return await real_call(*given)
+                return await real_call(*arguments)
 
             setattr(simulation.platform, method, failing)
             holder.should_hold = True
--- a/pondhatch/store/_evacuations.py
+++ b/pondhatch/store/_evacuations.py
@@ -46,7 +46,7 @@
 class Evacuations(msgspec.Struct):
     """The evacuated halls, which get no work, as one router knows them."""
 
-    #: Whether the platform, or a peer to which they were known, has reported them.
+    #: Whether the platform, or a peer that knew them, has reported them.
     is_known: bool = False
     evacuation_by_hall: dict[str, HallEvacuation] = msgspec.field(default_factory=dict)
     #: Position of the newest listing that this router read.
@@ -119,7 +119,7 @@
         """Return all evacuations as an update for a peer; None if nothing is known here."""
         return EvacuationUpdate(dict(self.evacuation_by_hall)) if self.is_known else None
 
-    def settle(self, now: float) -> bool:
+    def end_unconfirmed(self, now: float) -> bool:
         """End evacuations of an older era that were not written again since.
 
         Does nothing before the era has settled. Returns whether any ended.
