--- a/pondhatch/limits/tests/test_limits.py
+++ b/pondhatch/limits/tests/test_limits.py
@@ -47,7 +47,7 @@
                 self.gate.end("a")
         self.assertAlmostEqual(allowed, 25, delta=2)
 
-    def test_a_clock_that_steps_back_gives_nothing_away(self) -> None:
+    def test_a_clock_that_steps_back_refills_nothing(self) -> None:
         for _ in range(5):
             self.begin(10.0)
             self.gate.end("a")
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -82,7 +82,7 @@
 class StartingTogetherTest(unittest.TestCase):
     """Routers that start together; each reads from the platform those listed before it."""
 
-    def test_they_know_each_other_before_any_of_them_has_to_watch(self) -> None:
+    def test_they_know_each_other_before_any_of_them_watches_the_platform(self) -> None:
         for routers in (8, 62):
             with self.subTest(routers=routers):
                 net = SimulatedNetwork(routers, seeds=())
@@ -122,7 +122,7 @@
             statuses = {m.status for core in net.cores for m in core.members(net.now)}
             self.assertEqual(statuses, {Status.ALIVE})
 
-    def test_a_cut_between_halves_heals(self) -> None:
+    def test_a_partition_into_halves_heals(self) -> None:
         net = SimulatedNetwork(8)
         net.run(10)
         net.is_delivered = lambda edge: (edge[0] < 4) == (edge[1] < 4)
--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -132,7 +132,7 @@
         owned = owners(members_with(CAPACITIES), "elsewhere")
         self.assert_in_proportion(owned.values(), capacity_by_router)
 
-    def test_equal_capacities_give_the_owners_of_fleets_without_any(self) -> None:
+    def test_equal_capacities_give_the_owners_of_fleets_without_capacities(self) -> None:
         for capacity in (1.0, 0.5):
             members = members_with([capacity] * 5)
             live = live_by_hall(members)
--- a/pondhatch/placement/_plan.py
+++ b/pondhatch/placement/_plan.py
@@ -125,7 +125,9 @@
 
     def seen_in_flight_elsewhere(self, engine: str) -> int:
         """Return the load of the other engines asked so far: newer than any gossiped total."""
-        return sum(held for other, held in self.in_flight_by_engine.items() if other != engine)
+        return sum(
+            in_flight for other, in_flight in self.in_flight_by_engine.items() if other != engine
+        )
 
     def estimate_in_flight_elsewhere(self, engine: str, engines: int) -> int:
         """Return an estimate of the load of the other engines by the mean seen; 0 for none.
@@ -135,11 +137,13 @@
         since at most half of the engines do (Markov's inequality). So the ceiling of the least
         loaded one may be computed from the mean of the engines seen.
         """
-        held_by_engine = self.in_flight_by_engine
-        seen = [held for name, held in held_by_engine.items() if name in self._at_ceiling]
+        in_flight_by_engine = self.in_flight_by_engine
+        seen = [
+            in_flight for name, in_flight in in_flight_by_engine.items() if name in self._at_ceiling
+        ]
         if len(seen) < MIN_SAMPLES or self._saw_cold:
             return 0
-        own = held_by_engine.get(engine)
+        own = in_flight_by_engine.get(engine)
         if own is None or own > min(seen):
             return 0
         return max(0, sum(seen) * engines // len(seen) - own)
@@ -208,7 +212,9 @@
         """
         self._next_asks, self._remaining, self._ailing = [], [], []
         self.in_flight_by_engine = {
-            name: held for name, held in self.in_flight_by_engine.items() if name in engines
+            name: in_flight
+            for name, in_flight in self.in_flight_by_engine.items()
+            if name in engines
         }
         self._rechecks = [name for name in self._rechecks if name in engines]
         can_ask_last = bool(self.in_flight_by_engine) and not self._has_asked_last
--- a/pondhatch/placement/tests/test_pooled_first.py
+++ b/pondhatch/placement/tests/test_pooled_first.py
@@ -46,7 +46,7 @@
             plan.record_refusal("full")
         self.assertEqual(tuple(asked), plan.order)
 
-    def test_without_any_the_order_stays(self) -> None:
+    def test_without_preferred_engines_the_order_stays(self) -> None:
         plan = Plan("request", ENGINES)
         plan.prefer(())
         self.assertEqual(plan.order, ranked("request", ENGINES))
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -171,13 +171,13 @@
         until = loop.time() + RESUME_TIME_LIMIT
         while self._resumes < MAX_RESUMES and loop.time() < until:
             position = StreamPosition(splitter.events, splitter.last_id)
-            reply = await self._dispatch.resume(self._engine, position)
-            if isinstance(reply, Placed):
+            resumed = await self._dispatch.resume(self._engine, position)
+            if isinstance(resumed, Placed):
                 self._resumes += 1
-                self._engine = reply.engine
-                self._answer = reply.reply.answer
+                self._engine = resumed.engine
+                self._answer = resumed.reply.answer
                 return True
-            if reply is None:
+            if resumed is None:
                 return False
             await asyncio.sleep(RESUME_PAUSE)
         return False
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -364,7 +364,7 @@
         if target is not None and self._remaining_at_start - self._remaining() <= SEEN_LOAD_SECONDS:
             seen = max(
                 grant_request.seen_in_flight_elsewhere,
-                self.plan.estimate_in_flight_elsewhere(engine, target.peers),
+                self.plan.estimate_in_flight_elsewhere(engine, target.open_upstream_count),
             )
         return msgspec.structs.replace(
             grant_request,
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -18,13 +18,15 @@
         #: Returns whether load management is on; without it memory is not checked.
         self._is_load_managed = is_load_managed
 
-    def shortage(self, target: Target, grant_request: GrantRequest, held: int, now: float) -> int:
+    def shortage(
+        self, target: Target, grant_request: GrantRequest, in_flight: int, now: float
+    ) -> int:
         """Return the tokens that an engine lacks for a request; 0 if memory is not checked.
 
         An idle engine takes any request, which would fit no better elsewhere. A resumed stream
         uses memory that the engine has already allocated.
         """
-        if target.memory_tokens is None or grant_request.resuming or held == 0:
+        if target.memory_tokens is None or grant_request.resuming or in_flight == 0:
             return 0
         if not self._is_load_managed():
             return 0
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -258,7 +258,7 @@
         seconds = schedule.next_delay(self._clock(), share, gap, grant_request.queue_count)
         return max(1, round(seconds * MS_PER_SECOND))
 
-    def granted_ahead(self, engine: str, limit: int) -> int:
+    def extra_grants(self, engine: str, limit: int) -> int:
         """Return how many requests to grant beyond an engine's slots while requests wait."""
         return extra_grants(self._release_gap(engine), limit)
 
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -171,8 +171,8 @@
         if isinstance(decision, Full):
             # Reports the present load: the next owner asked counts it as load elsewhere, and
             # requests that ran when the wait began may have ended since.
-            held = self._gate.in_flight(grant_request.engine, self._clock())
-            return _busy(replace(decision, in_flight=held))
+            in_flight = self._gate.in_flight(grant_request.engine, self._clock())
+            return _busy(replace(decision, in_flight=in_flight))
         target = self._target(grant_request)
         if isinstance(target, NotRun):
             # The upstream was closed while the request waited.
@@ -334,16 +334,16 @@
 
     def _cold_refusal(self, target: Target) -> Full:
         """Return the refusal of a cold upstream that is to get no more requests for a moment."""
-        held = self._gate.in_flight(target.name, self._clock())
-        return Full(held, held, is_cold=True)
+        in_flight = self._gate.in_flight(target.name, self._clock())
+        return Full(in_flight, in_flight, is_cold=True)
 
     def _ask_ceiling(self, target: Target, grant_request: GrantRequest) -> GateDecision:
         """Grant a request if an upstream has a slot and memory for it."""
         now = self._clock()
-        held = self._gate.in_flight(target.name, now)
-        short = self._engine_memory.shortage(target, grant_request, held, now)
+        in_flight = self._gate.in_flight(target.name, now)
+        short = self._engine_memory.shortage(target, grant_request, in_flight, now)
         if short > 0:
-            return Full(held, held, short_tokens=short)
+            return Full(in_flight, in_flight, short_tokens=short)
         others = max(
             self._view.elsewhere_in_flight(target.name), grant_request.seen_in_flight_elsewhere
         )
@@ -353,7 +353,7 @@
             now,
             target.load_bound,
             others,
-            target.peers,
+            target.open_upstream_count,
             slots,
             target.load_slack,
             pace,
@@ -370,7 +370,7 @@
         """
         if grant_request.in_time == 0 or not self._view.is_load_managed():
             return target.slots
-        return target.slots + self._queues.granted_ahead(target.name, target.engine_queue)
+        return target.slots + self._queues.extra_grants(target.name, target.engine_queue)
 
     def _pace(self, target: Target, grant_request: GrantRequest) -> int:
         """Return the pace by which an engine's ceiling is lowered for a request.
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -37,7 +37,7 @@
     #: The service's configured bound on its load, as a multiple of the mean load.
     load_bound: float
     #: Number of the service's upstreams that take requests.
-    peers: int
+    open_upstream_count: int
     #: Requests that it can run at once, regardless of the mean load.
     slots: int
     #: Requests that it queues itself beyond its slots.
--- a/pondhatch/router/_state.py
+++ b/pondhatch/router/_state.py
@@ -334,7 +334,9 @@
             url=upstream.url,
             intake=self._intakes.intake(upstream, service, self.clock()),
             load_bound=service.load_bound,
-            peers=self._intakes.count_open_not_resting(upstream.service, self.clock()),
+            open_upstream_count=self._intakes.count_open_not_resting(
+                upstream.service, self.clock()
+            ),
             slots=upstream.slots or service.engine_slots,
             engine_queue=self.engine_queue,
             load_slack=service.load_slack,
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -66,7 +66,7 @@
         self.assertEqual(self.state.live_upstreams("lang"), ("e2",))
         found = {name: self.state.target(name) for name in ("e0", "e2")}
         self.assertTrue(found["e0"] and found["e0"].intake.is_evacuated)
-        self.assertTrue(found["e2"] and found["e2"].peers == 1)
+        self.assertTrue(found["e2"] and found["e2"].open_upstream_count == 1)
 
     def test_an_upstream_that_joins_there_later_gets_no_requests(self) -> None:
         self.evacuate("h2", 11)
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -182,7 +182,9 @@
             self.assertIsNone(self.closed_reason(name, engine))
         target = self.states[owner].target(engine)
         assert target is not None
-        self.assertEqual((target.intake.rest, target.peers), (Rest(for_some_routers=3.0), 3))
+        self.assertEqual(
+            (target.intake.rest, target.open_upstream_count), (Rest(for_some_routers=3.0), 3)
+        )
         self.assertIsNone(target.intake.closed_reason_for_all())
 
     def test_the_others_carry_its_load(self) -> None:
@@ -190,7 +192,7 @@
             self.states["r0"].apply_notice(self.instance(at), Notice(rest=3.0))
         target = self.states["r0"].target(self.instance(2))
         assert target is not None
-        self.assertEqual(target.peers, 1)
+        self.assertEqual(target.open_upstream_count, 1)
 
     # Otherwise all requests that wait for the end of the rest, at every router, are sent to the
     # engine at the same time.
