--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -152,19 +152,19 @@
         #: Largest ratio of an engine's load to its ceiling at the start of a request.
         self.peak_share = 0.0
         self._engines = engines
-        self._total_by_time: list[tuple[float, int]] = []
+        self._timed_totals: list[tuple[float, int]] = []
 
     def start(self, engine: str) -> None:
         now = asyncio.get_running_loop().time()
         self.running[engine] += 1
-        totals = [total for at, total in self._total_by_time if at >= now - self.TOTALS_WINDOW]
+        totals = [total for at, total in self._timed_totals if at >= now - self.TOTALS_WINDOW]
         # The newest total includes this request itself, which its ceiling must not count.
         ceiling = admission_ceiling(BOUND, max([*totals[:-1], totals[-1] - 1]), self._engines)
         self.peak_share = max(self.peak_share, self.running[engine] / ceiling)
 
     def record_total(self) -> None:
         """Record the total of grants; called after each grant."""
-        self._total_by_time.append((asyncio.get_running_loop().time(), self._count_granted()))
+        self._timed_totals.append((asyncio.get_running_loop().time(), self._count_granted()))
 
     def end(self, engine: str) -> None:
         self.running[engine] -= 1
@@ -357,8 +357,8 @@
     #: When a grant was last released, by engine.
     freed_at: dict[str, float] = msgspec.field(default_factory=dict)
 
-    def _grant(self, engine: str, count: EngineCount, held: int, ceiling: int) -> Granted:
-        decision = super()._grant(engine, count, held, ceiling)
+    def _grant(self, engine: str, count: EngineCount, in_flight: int, ceiling: int) -> Granted:
+        decision = super()._grant(engine, count, in_flight, ceiling)
         self.on_grant()
         return decision
 
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -53,7 +53,7 @@
         return True
 
 
-class GrantedAheadTest(unittest.TestCase):
+class ExtraGrantsTest(unittest.TestCase):
     def setUp(self) -> None:
         spill_locations, health = ContextLocations(), Health()
         self.owner = LocalOwner("r0", OneEngineView(), Gate(), spill_locations, lambda: 1.0, health)
