--- a/pondhatch/limits/_bucket.py
+++ b/pondhatch/limits/_bucket.py
@@ -1,7 +1,7 @@
 """Token buckets and concurrency limits of client accounts, without I/O.
 
-``_shares`` computes the part of an account's limits that applies at one router. A new bucket
-starts full, with the account's whole burst.
+``_shares`` computes the part of an account's limits that applies at one router, which changes
+over time. A new bucket starts full, with the burst that applies then.
 """
 
 from __future__ import annotations
@@ -62,6 +62,7 @@
         rate = limits.requests_per_second
         use = self.use_by_account.setdefault(account, AccountUse(float(limits.burst), now))
         refilled = use.tokens + rate * max(0.0, now - use.refilled_at)
+        # Tokens above a burst that was lowered are kept, but none are added.
         use.tokens = min(refilled, max(float(limits.burst), use.tokens))
         use.refilled_at = now
         if use.running >= limits.concurrency:
--- a/pondhatch/limits/tests/test_limits.py
+++ b/pondhatch/limits/tests/test_limits.py
@@ -123,6 +123,7 @@
         self.assertLessEqual(spent, 0.2 * 800 + 56)
 
     def test_a_router_cut_off_for_a_moment_keeps_only_its_own_part(self) -> None:
+        # Half of the slack of 56 is divided among the routers.
         budgets = self.full_budgets(8)
         budgets.set_routers(1, 5.0)
         self.assertEqual(budgets.for_service("lang").max_saved, 3.5)
--- a/pondhatch/limits/tests/test_shares.py
+++ b/pondhatch/limits/tests/test_shares.py
@@ -82,6 +82,7 @@
     def test_the_first_seconds_of_a_surge_are_bounded_by_the_burst_of_each_router(self) -> None:
         routers = Routers(8)
         allowed = sum(routers.run(3, [100.0] * 8))
+        # Without a share, each router applies the whole limits for the first 2 s.
         most = 8 * (FLEET_LIMITS.burst + 2 * FLEET_LIMITS.requests_per_second)
         self.assertLess(allowed, most)
 
--- a/pondhatch/membership/_capacity.py
+++ b/pondhatch/membership/_capacity.py
@@ -1,6 +1,6 @@
 """The capacity of a router relative to others, as a multiple of a usual VM's.
 
-Owning engines, watching the platform and summing up loads all use processor and network. The
+Owning engines, watching the platform and aggregating loads all use processor and network. The
 capacity is a router's weight when one is chosen for these tasks.
 """
 
@@ -9,7 +9,7 @@
 #: Capacity of a router with an unknown VM.
 USUAL_CAPACITY = 1.0
 #: Bounds of a capacity: the smallest router still owns some engines, and none owns nearly all of
-#: them because of a wrong entry.
+#: them because it states a wrong capacity.
 MIN_CAPACITY = 0.1
 MAX_CAPACITY = 10.0
 #: Link speed, in Mbit/s, above which only the processor counts.
--- a/pondhatch/membership/_load_aggregation.py
+++ b/pondhatch/membership/_load_aggregation.py
@@ -28,7 +28,7 @@
 
 #: Routers to which one router forwards the fleet's sum.
 TREE_FANOUT = 4
-#: Seconds between two reports of a router, in a large fleet and at least. While the fleet's load
+#: Maximum and minimum number of seconds between two reports of a router. While the fleet's load
 #: falls, an old sum lets an engine be granted more than its share. Small fleets therefore report
 #: more often, as their reports use little of the network.
 MAX_REPORT_INTERVAL = 1.0
@@ -37,8 +37,6 @@
 LARGE_FLEET_ROUTERS = 32
 #: Seconds after which a report that was not renewed is dropped.
 REPORT_LIFETIME = 4.0
-
-
 #: Seconds for which the last sum of the fleet is used if no newer one comes.
 FLEET_SUM_LIFETIME = 15.0
 #: Seconds for which a new aggregator only receives reports, so that its first sum is complete.
--- a/pondhatch/membership/_rumors.py
+++ b/pondhatch/membership/_rumors.py
@@ -17,10 +17,12 @@
         self._max_rumors = max_rumors
         #: Times that a rumor is sent, as a multiple of the binary logarithm of the fleet's size.
         self._repeats = repeats
+        #: How often the rumor about each router is still to be sent, by short id.
         self._left_by_router: dict[int, int] = {}
 
     def enqueue(self, router: int) -> None:
         """Send the current record or fault of a router from now on."""
+        # The known peers and this router, plus one so that the logarithm is at least 1.
         size = len(self._table.entry_by_id) + 2
         self._left_by_router[router] = math.ceil(self._repeats * math.log2(size))
 
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -207,7 +207,7 @@
 
 
 class FleetLoadTest(unittest.TestCase):
-    """The fleet's load as each owner knows it."""
+    """The fleet's load as each owner knows it; router i has i requests in flight, 66 in all."""
 
     def setUp(self) -> None:
         self.net = SimulatedNetwork(12, halls=3)
--- a/pondhatch/placement/_context.py
+++ b/pondhatch/placement/_context.py
@@ -18,9 +18,9 @@
     """Return the engine that most likely holds a returning chat's context.
 
     A chat that was served by another engine than its home is at the recorded engine. Where the
-    home engine joined a short while ago, the chat's former home is ``settled_engine``, the first
-    engine of its order that did not. Sending the chat there keeps its context, and protects a
-    joining engine from a flood of chats whose context it does not have.
+    home engine joined a short while ago, the chat's former home is ``settled_engine``, the
+    highest-ranked of the chat's engines that joined earlier. Sending the chat there keeps its
+    context, and protects a joining engine from a flood of chats whose context it does not have.
     """
     remembered = locations.engine_of(chat)
     if remembered is not None:
--- a/pondhatch/placement/_engine_paces.py
+++ b/pondhatch/placement/_engine_paces.py
@@ -1,8 +1,8 @@
-"""Current processing speed of engines, as they report it.
+"""Current processing time of engines relative to their usual one, as they report it.
 
 An engine that shares its machine with others may take a multiple of its usual processing time for
-a while. It states this pace, in percent of the usual time, in its answers; the value changes
-within fractions of a second.
+a while. It states this pace, in percent of the usual time, in its answers; a higher pace means a
+slower engine. The value changes within fractions of a second.
 """
 
 from __future__ import annotations
--- a/pondhatch/placement/_forecast.py
+++ b/pondhatch/placement/_forecast.py
@@ -51,6 +51,7 @@
             return ReleaseInterval(now, gap, 1)
         weight = min_weight
         if min_weight == STEADY_GAP_WEIGHT:
+            # The plain mean of the first gaps, until their weight has fallen to the minimum.
             weight = max(min_weight, 1 / (self.gap_count + 1))
         return ReleaseInterval(
             now, self.mean_gap + weight * (gap - self.mean_gap), self.gap_count + 1
--- a/pondhatch/placement/_gate.py
+++ b/pondhatch/placement/_gate.py
@@ -110,6 +110,7 @@
     ) -> GateDecision:
         """Grant or refuse one request.
 
+        ``load_bound`` is the multiple of the service's mean load that an engine may hold;
         ``in_flight_elsewhere`` is the last known total of requests in flight at the service's
         other engines; ``engines`` counts the service's engines, this one included; ``slots`` is
         the limit of one engine whatever the mean, ``slack`` the number of requests allowed above
--- a/pondhatch/placement/_health.py
+++ b/pondhatch/placement/_health.py
@@ -13,12 +13,12 @@
 
 #: Failures in a row after which an upstream counts as down.
 FAILURES_UNTIL_DOWN = 3
-#: Seconds without requests for an upstream that is down, first and at most; doubled with each
-#: failed probe.
+#: Initial and maximum number of seconds without requests for an upstream that is down; doubled
+#: with each failed probe.
 FIRST_PAUSE = 1.0
 LONGEST_PAUSE = 15.0
 #: Longest pause, in seconds, where load is managed: while callers are refused for lack of
-#: capacity, a recovered engine without requests costs more than one probe in two seconds.
+#: capacity, leaving a recovered engine without requests costs more than a probe every two seconds.
 MANAGED_PAUSE = 2.0
 #: Weight of one answer in an upstream's error rate, a moving average over some ten answers.
 ERROR_WEIGHT = 0.1
@@ -27,7 +27,7 @@
 AILING_ERROR_RATE = 0.35
 #: Error rate below which an upstream is healthy and its entry is dropped.
 HEALTHY_ERROR_RATE = 0.01
-#: Seconds for which an ailing upstream is avoided, first and at most; doubled each time.
+#: Initial and maximum number of seconds for which an ailing upstream is avoided; doubled each time.
 FIRST_AILING_PAUSE = 2.0
 LONGEST_AILING_PAUSE = 8.0
 
--- a/pondhatch/placement/_rendezvous.py
+++ b/pondhatch/placement/_rendezvous.py
@@ -20,6 +20,7 @@
 
 @functools.lru_cache(maxsize=NAME_CACHE_SIZE)
 def _hashed_part(name: str) -> bytes:
+    """Return the upstream id in a name, so that an upstream keeps its rank when it restarts."""
     return upstream_id_of(name).encode()
 
 
--- a/pondhatch/placement/_token_counts.py
+++ b/pondhatch/placement/_token_counts.py
@@ -13,11 +13,11 @@
 
 #: Key of the part of a prompt that no other request shares.
 UNSHARED_PART = 0
-#: New tokens of a prompt above which its prefill delays all other requests of the engine.
+#: Uncached tokens of a prompt above which its prefill delays all other requests of the engine.
 LONG_PROMPT_TOKENS = 4096
 #: Maximum number of long prompts that an engine prefills at once while it holds other requests.
 MAX_LONG_PREFILLS = 2
-#: New tokens that an engine prefills in a second.
+#: Uncached prompt tokens that an engine prefills in a second.
 PREFILL_TOKENS_PER_SECOND = 50_000
 #: Seconds since its last use for which a part is assumed to be in an engine's cache; engines
 #: evict the least recently used parts first.
@@ -93,7 +93,8 @@
         Free memory that is reserved for another request is not used. Requests granted after the
         reservation use at most half of the memory that is not reserved. The other half is left to
         long-running requests granted before, so that the reserved memory comes free even if not
-        all of those have ended.
+        all of those have ended. If such a request does not fit, the reserved tokens are added to
+        the result.
         """
         added, current = self.added_tokens(need), self.reservation
         missing = self.used + added - limit
@@ -224,6 +225,7 @@
         if requests == 0:
             return
         mean = sum(count.used for count in self.by_engine.values()) // requests
+        # The time matters only for the parts of a prompt, of which there are none here.
         self.add(engine, request, TokenNeed(mean), 0.0)
 
     def reserve(self, engine: str, reservation: Reservation) -> None:
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -31,8 +31,8 @@
     """Guards against prefilling contexts again when engines are replaced or added.
 
     With 3 of 17 engines replaced and 2 added within 8 s, the engine ranked second may be new
-    itself. Each of 95 contexts of 10,000 tokens, used every 4.5 s, that is sent there is
-    prefilled again at a cost of 0.65 a thousand tokens.
+    itself. A chat that is sent there has its context prefilled again, at a cost of 0.65 per
+    thousand tokens; there are 95 contexts of 10,000 tokens, each used every 4.5 s.
     """
 
     def test_a_chat_keeps_its_engine_however_many_new_engines_rank_above(self) -> None:
--- a/pondhatch/placement/tests/test_forecast.py
+++ b/pondhatch/placement/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Guards against slots that are idle although requests are queued, while grants are sent."""
+"""Guards against slots that are idle while the grant for the next queued request is under way."""
 
 from __future__ import annotations
 
--- a/pondhatch/placement/tests/test_pooled_first.py
+++ b/pondhatch/placement/tests/test_pooled_first.py
@@ -1,4 +1,4 @@
-"""Guards against preferring an engine with a connection that has a higher load than others."""
+"""Guards against preferring an engine for its open connection when its load is higher."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
     def test_engines_with_a_connection_come_first_unless_they_hold_more(self) -> None:
         for loads, mean, expected in (
             ((None, None, None, None), 0.0, ("b", "d")),
-            # b has a higher load than a, or than d and the mean.
+            # b has a higher load than a.
             ((3, 4, None, None), 9.0, ("d",)),
+            # b has a higher load than d and than the mean.
             ((None, 4, None, 2), 2.5, ("d",)),
             ((None, 3, None, 3), 2.5, ("b", "d")),
         ):
--- a/pondhatch/quarantine/_run_claims.py
+++ b/pondhatch/quarantine/_run_claims.py
@@ -1,10 +1,10 @@
 """Which router may run a suspected request whose next run may crash one more engine.
 
-Callers repeat such a request at several routers at the same time, and other requests were lost
-beside it in the same crashes. Each router claims its run, announces the claim to all others, waits
-for the time that a packet takes, and starts when no conflicting claim comes before its own. This
-is Lamport's bakery algorithm, without a coordinator and without replies to wait for. A lost packet
-costs at most one more engine.
+Callers repeat such a request at several routers at the same time, and also the other requests that
+were lost in the same crashes and are suspected too. Each router claims its run, announces the claim
+to all others, waits for the time that a packet takes, and starts when no conflicting claim comes
+before its own. This is Lamport's bakery algorithm, without a coordinator and without replies to
+wait for. A lost packet costs at most one more engine.
 """
 
 from __future__ import annotations
--- a/pondhatch/requests/_crash_guard.py
+++ b/pondhatch/requests/_crash_guard.py
@@ -21,7 +21,8 @@
     async def wait_for_turn(self, remaining: Callable[[], float]) -> Refusal | None:
         """Return why the request may not be sent now, or None if it may.
 
-        A suspected request waits here until no other copy of it runs.
+        A suspected request waits here until no other copy of it runs. ``remaining`` returns the
+        seconds to the caller's deadline.
         """
 
     def is_quarantined(self) -> bool:
--- a/pondhatch/requests/_dispatch.py
+++ b/pondhatch/requests/_dispatch.py
@@ -98,6 +98,7 @@
         self._head = head
         self._need = stated_need(head)
         self._body = body
+        #: Returns the seconds to the caller's deadline.
         self._remaining = remaining
         self._wait_limits = wait_limits
         self._slot_wait = SlotWait(head, wait_limits, remaining, collaborators.run_times)
@@ -222,7 +223,8 @@
     async def note_connection_lost(self, engine: str, lost: Unknown | Broken) -> None:
         """Find out whether the engine crashed during a run that lost its connection.
 
-        A reset or corrupted connection looks the same; a leaving engine shuts down as planned.
+        A crash looks the same as a reset or corrupted connection. A leaving engine is not
+        checked, since it shuts down as planned.
         """
         if not lost.connection_lost:
             return
--- a/pondhatch/requests/_engine_memory.py
+++ b/pondhatch/requests/_engine_memory.py
@@ -23,8 +23,9 @@
     ) -> int:
         """Return the tokens that an engine lacks for a request; 0 if memory is not checked.
 
-        An idle engine takes any request, which would fit no better elsewhere. A resumed stream
-        uses memory that the engine has already allocated.
+        ``in_flight`` is the number of requests in flight at the engine. An idle engine takes any
+        request, which would fit no better elsewhere. A resumed stream uses memory that the engine
+        has already allocated.
         """
         if target.memory_tokens is None or grant_request.resuming or in_flight == 0:
             return 0
--- a/pondhatch/requests/_engine_queues.py
+++ b/pondhatch/requests/_engine_queues.py
@@ -100,7 +100,10 @@
     async def wait(
         self, grant_request: GrantRequest, full: Full, ask: Callable[[], GateDecision]
     ) -> GateDecision:
-        """Wait until granted; return ``full`` if the wait ends first or the queue is full."""
+        """Wait until granted; return ``full`` if the wait ends first or the queue is full.
+
+        A request whose predicted wait is longer than it may wait is refused at once.
+        """
         is_predicted = self._is_managed() and grant_request.in_time > 0
         if not is_predicted and self._exceeds_max_wait(grant_request):
             return full
@@ -229,7 +232,8 @@
             )
             - share
         )
-        # While requests that are in time take all slots, none is left for the late ones.
+        # While requests that are in time take all slots, none is left for the late ones. So each
+        # late one counts with at least the time since the last of them was served.
         return wait + late * max(gap, queue.fair_queue.late_wait())
 
     def _refuse(self, grant_request: GrantRequest, full: Full, predicted: float) -> Full:
--- a/pondhatch/requests/_grant_requests.py
+++ b/pondhatch/requests/_grant_requests.py
@@ -10,7 +10,8 @@
 from pondhatch.placement import Granted
 from pondhatch.requests._outcomes import NotRun
 
-#: Units of ``GrantRequest.max_wait_ms`` in a second, and of ``GrantRequest.weight`` in one share.
+#: Units of ``GrantRequest.max_wait_ms`` in a second, and of ``GrantRequest.weight`` in a weight
+#: of 1.
 MS_PER_SECOND = 1000
 WEIGHT_SCALE = 1000
 #: Seconds for which the in-flight requests seen at other engines may raise an engine's ceiling,
--- a/pondhatch/requests/_owner.py
+++ b/pondhatch/requests/_owner.py
@@ -39,11 +39,11 @@
 from pondhatch.requests._outcomes import AILING, NotRun
 from pondhatch.requests._sending import Target, grantable_target
 
-#: Minimum seconds from a process's start to its first request: grants that a restarted router
-#: got longer ago belong to its earlier process.
+#: Minimum seconds from a process's start to its first request: grants of a restarted router that
+#: are older than this belong to its earlier process.
 MIN_START_SECONDS = 0.5
-#: End reasons of requests that an engine ran. With any other reason the engine freed no slot, or
-#: one whose time in use is no measure of how long requests take.
+#: End reasons of requests that an engine ran. With any other reason the request used no slot of
+#: the engine, or for a time that says nothing about how long requests take.
 RUN_END_REASONS = frozenset(
     {EndReason.ANSWERED, EndReason.CONNECTION_FAILED, EndReason.ENGINE_ERROR}
 )
@@ -306,7 +306,11 @@
     def _ask_gate_again(
         self, target: Target, grant_request: GrantRequest, since: float
     ) -> GateDecision:
-        """Ask the gate again for a queued request; its upstream may have become cold."""
+        """Ask the gate again for a queued request; its upstream may have become cold.
+
+        After ``SEEN_LOAD_SECONDS`` in the queue, the load that the request saw at other engines
+        no longer raises the ceiling.
+        """
         if grant_request.in_time > 0 and self._clock() - since > SEEN_LOAD_SECONDS:
             grant_request = replace(grant_request, seen_in_flight_elsewhere=0)
         decision = self._ask_gate(self._view.target(target.name) or target, grant_request)
@@ -376,7 +380,9 @@
         """Return the pace by which an engine's ceiling is lowered for a request.
 
         A request whose context is at the engine gets the usual ceiling: moving the context to
-        another engine costs it more than a slow engine does, and outlasts the slowness.
+        another engine costs it more than a slow engine does, and outlasts the slowness. With load
+        management, requests that wait for any free slot state ``in_time``; a follow-up that may
+        wait without stating it waits for this engine's context.
         """
         waits_for_context = grant_request.max_wait_ms > 0 and grant_request.in_time == 0
         comes_for_context = grant_request.is_followup and (
--- a/pondhatch/requests/_owner_timeouts.py
+++ b/pondhatch/requests/_owner_timeouts.py
@@ -19,8 +19,8 @@
 #: Minimum seconds of the total wait: its first pause of 10 ms is three round trips between halls of
 #: one region (2.8 ms), and covers an iteration of the owner's event loop.
 MIN_WAIT = 0.04
-#: Spreads beyond the mean within which nearly all replies arrive, as for TCP's retransmission
-#: timeout (RFC 6298).
+#: Nearly all replies arrive within the mean plus this multiple of the spread, as for TCP's
+#: retransmission timeout (RFC 6298).
 SPREAD_FACTOR = 4.0
 #: Weight of the newest reply in the mean and the spread: about four replies show that an owner
 #: has become slow; at ten grant requests per second to each owner they come within a second.
@@ -38,6 +38,7 @@
     """Smoothed times of one owner's latest replies, in seconds."""
 
     mean: float
+    #: Mean absolute deviation from the mean.
     spread: float
     #: When the last reply arrived, in the clock's seconds.
     at: float
--- a/pondhatch/requests/_resting_engines.py
+++ b/pondhatch/requests/_resting_engines.py
@@ -8,7 +8,7 @@
 from pondhatch.requests._entry_view import EntryView
 from pondhatch.requests._outcomes import EngineRefusal, NotRun
 
-#: Codes of engines that ask for no more requests for a while.
+#: Codes of refusals by engines that ask for no more requests for a while.
 RESTING_CODES = frozenset({ClosedReason.RESTING, EngineRefusal.OVERLOADED})
 
 
--- a/pondhatch/requests/_tries.py
+++ b/pondhatch/requests/_tries.py
@@ -64,6 +64,7 @@
         self._body = body
         #: Key by which engines are ranked for the request.
         self._ranking_key = ranking_key
+        #: Returns the seconds to the caller's deadline.
         self._remaining = remaining
         self._watch = watch
         #: Seconds that the request can wait for one owner's reply.
@@ -227,7 +228,7 @@
             if next_owner != name:
                 reply = await self._ask_instead_of_owner(next_owner, grant_request)
         if _is_unreachable(reply) or isinstance(reply, NotOwner):
-            # The engine is not at fault, and may hold the context.
+            # The engine is not at fault and may hold the context, so it is not skipped.
             return self._collaborators.grants.decide_without_owner(grant_request)
         return reply
 
--- a/pondhatch/requests/_wait_limits.py
+++ b/pondhatch/requests/_wait_limits.py
@@ -29,7 +29,11 @@
 
 
 def answer_deadlines(objective: float, streams: bool, longest_pause: float) -> AnswerDeadlines:
-    """Return an answer's deadlines on a route; all times are in seconds."""
+    """Return an answer's deadlines on a route; all times are in seconds.
+
+    ``longest_pause`` is the route's limit for the time between two events of a stream, 0 if it
+    has none.
+    """
     if not streams:
         return AnswerDeadlines(objective)
     first_event = max(
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -471,6 +471,7 @@
             short_id(name),
             self.owner,
             lambda to, packet: fleet.network.send(name, to, packet),
+            # The number of the third grant request wraps around to 0.
             NUMBER_LIMIT - 3,
         )
         self.sides = GrantSides(self.entry, OwnerGrants(self.owner, self._tasks))
--- a/pondhatch/requests/tests/test_engine_queues.py
+++ b/pondhatch/requests/tests/test_engine_queues.py
@@ -52,8 +52,8 @@
 
         self.assertEqual(run_virtually(main()), (Granted(2, 2), 0))
 
-    # A request that left removed the queue entry of another one, and no request was granted the
-    # engine any more.
+    # A request that left the queue removed the entry of another request, and then no waiting
+    # request got a slot of the engine any more.
     def test_a_request_that_joins_as_the_last_ones_leave_is_served(self) -> None:
         async def main() -> tuple[GateDecision, GateDecision, int]:
             engine = FullEngine()
--- a/pondhatch/requests/tests/test_grants.py
+++ b/pondhatch/requests/tests/test_grants.py
@@ -232,6 +232,7 @@
 class WaitingTest(GrantCase):
     def test_a_queued_request_is_granted_although_the_first_reply_is_lost(self) -> None:
         async def main() -> tuple[OwnerReply, OwnerReply, int]:
+            # The first two replies that tell that the second request is queued are lost.
             fleet = Fleet([], ["none", "none", "none", "lost", "none", "lost"], False)
             first = await self.ask(fleet)
             entry = fleet.routers[self.entry].entry
--- a/pondhatch/requests/tests/test_histories.py
+++ b/pondhatch/requests/tests/test_histories.py
@@ -40,7 +40,8 @@
     st.floats(0, 0.3),  # starts after, in seconds
 )
 
-#: Faults of attempts where engines refuse; only engines that are full refuse as "full".
+#: Faults of attempts where engines refuse. "full" is not among them: here engines refuse as
+#: full only if they have no free slot.
 REFUSAL_FAULTS = ("none", "slow", EngineRefusal.BAD_REQUEST, *PERMANENT_REFUSALS)
 
 
--- a/pondhatch/requests/tests/test_owner_load.py
+++ b/pondhatch/requests/tests/test_owner_load.py
@@ -57,6 +57,7 @@
     def setUp(self) -> None:
         spill_locations, health = ContextLocations(), Health()
         self.owner = LocalOwner("r0", OneEngineView(), Gate(), spill_locations, lambda: 1.0, health)
+        # A slot comes free every 4 ms: three within the turnaround of 10 ms, rounded up.
         self.owner._queues._interval_by_engine[ENGINE] = ReleaseInterval(1.0, 0.004, 9)
         self._numbers = iter(range(99))
 
@@ -73,7 +74,7 @@
 
 
 class SlowEngineTest(unittest.TestCase):
-    """An engine at two fifths of its speed; its owner lowers the ceiling."""
+    """An engine at two fifths of its speed runs 3 requests; its owner lowers the ceiling to 2."""
 
     def test_only_a_request_with_its_context_there_gets_the_usual_ceiling(self) -> None:
         """Guards against queued chats that overload an engine which lacks their contexts."""
--- a/pondhatch/requests/tests/test_restart_histories.py
+++ b/pondhatch/requests/tests/test_restart_histories.py
@@ -1,7 +1,7 @@
 """Random histories in which engines restart under their ids while requests run.
 
-Each router learns of a restart with a delay, and until then reaches the new start under the old
-name, since the id and the address are the same.
+Each router learns of a restart with a delay. Until then it reaches the new process under the
+name of the old one, since the id and the address are the same.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from pondhatch.requests.tests._history import PACKET_FAULTS, UPSTREAM_FAULTS, Fleet, violations
 from pondhatch.requests.tests.test_histories import PROFILE, REQUEST
 
-#: Seconds until a router learns of a start: several times a gossip round and a pull.
+#: Seconds until a router learns of a restart: up to several times a gossip round and a pull.
 LEARNING_DELAY = st.floats(0, 0.5)
 
 
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -61,7 +61,10 @@
 
 
 class PlainUpstreams:
-    """Upstreams that run each request for some milliseconds and count running requests."""
+    """Upstreams of a plain service, which run each request for some milliseconds.
+
+    They count running requests.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -279,6 +282,7 @@
             plan.record_owner_full(held, held)
         least = plan.queue_engines(4)[0]
         self.assertEqual(plan.in_flight_by_engine[least], 8)
+        # The 12 engines that were asked have 120 requests in flight.
         self.assertEqual(plan.estimate_in_flight_elsewhere(least, 30), 120 * 30 // 12 - 8)
         self.assertEqual(plan.estimate_in_flight_elsewhere(plan.queue_engines(4)[1], 30), 0)
 
@@ -312,6 +316,7 @@
         self.assertEqual(schedule.next_delay(0.0, 900.0, 0.1, 1), LONGEST_RETRY_AFTER)
 
     def test_the_wait_limit_leaves_time_for_the_run_and_the_first_event(self) -> None:
+        # The stream's first event must come within 4 * 0.6 s.
         plain, stream = answer_deadlines(0.152, False, 0.0), answer_deadlines(0.6, True, 0.1)
         self.assertAlmostEqual(
             wait_limit(plain, 1.0, 0.05, UsualTimes(0.01, 0.1)), 0.9 - GRANT_MARGIN
--- a/pondhatch/requests/tests/test_token_admission.py
+++ b/pondhatch/requests/tests/test_token_admission.py
@@ -206,7 +206,7 @@
 
         reply, waited = run_managed(main())
         self.assertIsInstance(reply, Granted)
-        # The time that the requests take that were running when it arrived.
+        # The requests that were running when it arrived take 0.5 s.
         self.assertLess(waited, 0.7)
 
     def test_a_cancelled_request_keeps_no_memory(self) -> None:
@@ -238,7 +238,8 @@
             successor = winner("e0", fleet.live) or ""
             for router in fleet.routers.values():
                 router.view.owner_override = successor
-            # Granted by the successor at another engine, before it learns of the grants here.
+            # The successor grants one at another engine before it learns of the two grants above,
+            # so its mean is 4,000 tokens.
             numbers.append((await self.ask(fleet, 4_000, successor, "e1"))[1])
             await asyncio.sleep(0.3)
             adopted = self.used(fleet, successor)
--- a/pondhatch/requests/tests/test_upstream_failures.py
+++ b/pondhatch/requests/tests/test_upstream_failures.py
@@ -55,6 +55,7 @@
                 self.assertIsInstance(fleet.history.outcome_by_request["q0"], Whole)
                 found = fleet.history.text_by_request["q0"], len(fleet.history.sends)
                 self.assertEqual(found, (expected, sends))
+                # The violations with "still" are grants that were not released.
                 self.assertEqual([each for each in violations(fleet, {}) if "still" in each], [])
 
     def test_the_retry_goes_to_another_upstream(self) -> None:
