--- a/pondhatch/platform/__init__.py
+++ b/pondhatch/platform/__init__.py
@@ -8,7 +8,7 @@
 from pondhatch.configuration import ConfigurationDocument, ConfigurationSource, ServiceDefaults
 from pondhatch.kernel import REGISTRY, Plugin
 from pondhatch.platform import _names as names
-from pondhatch.platform._callers import ClientDialect
+from pondhatch.platform._callers import PlatformCallerDialect
 from pondhatch.platform._configuration import ConfigurationReader
 from pondhatch.platform._engines import (
     EngineDialect,
@@ -60,7 +60,7 @@
 
     def callers(self, dependencies: CallerDependencies) -> Callers:
         """Return the handler of clients' requests by the operator's routes."""
-        return RoutedCallers(dependencies, ClientDialect())
+        return RoutedCallers(dependencies, PlatformCallerDialect())
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
         """Return whether the rules in force include those for callers competing for capacity."""
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -22,7 +22,7 @@
 _PART = re.compile(r"\s*([0-9a-fA-F]{1,64}):([0-9]{1,9})\s*", re.ASCII)
 
 
-class ClientDialect:
+class PlatformCallerDialect:
     """See CallerDialect."""
 
     def read(self, headers: Headers) -> CallerFacts:
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -132,7 +132,8 @@
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
         """Return the client's headers, and those that only routers may set.
 
-        Headers that the client may not set were dropped on arrival; see ClientDialect.
+        Headers that the client may not set were dropped on arrival; see
+        PlatformCallerDialect.
         """
         router_headers: list[tuple[str, str]] = [
             (names.DEADLINE_MS, str(max(1, int(head.deadline * 1000)))),
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from pondhatch.placement import NO_NOTICE, OPEN, Notice
-from pondhatch.platform._callers import ClientDialect
+from pondhatch.platform._callers import PlatformCallerDialect
 from pondhatch.platform._engines import EngineDialect, decode_engine, decode_evacuation
 from pondhatch.platform.tests._wire import ENGINE
 from pondhatch.requests import (
@@ -48,7 +48,7 @@
         chat=0,
         method="POST",
         path="/notes/1",
-        headers=ClientDialect().forwarded_headers(headers, ignore),
+        headers=PlatformCallerDialect().forwarded_headers(headers, ignore),
         repeatable=False,
         deadline=2.5,
         priority=3,
@@ -197,8 +197,8 @@
                 decode_engine("i-1", entry)
 
 
-class ClientDialectTest(unittest.TestCase):
-    dialect = ClientDialect()
+class PlatformCallerDialectTest(unittest.TestCase):
+    dialect = PlatformCallerDialect()
 
     def test_reads_the_facts_of_a_request(self) -> None:
         facts = self.dialect.read(HEADERS)
--- a/pondhatch/platform/tests/test_header_owners.py
+++ b/pondhatch/platform/tests/test_header_owners.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pondhatch.platform import _names
-from pondhatch.platform._callers import ClientDialect
+from pondhatch.platform._callers import PlatformCallerDialect
 from pondhatch.platform._engines import EngineDialect
 from pondhatch.platform._header_owners import OWNERS
 from pondhatch.platform.tests._wire import (
@@ -34,7 +34,7 @@
         self.dropped: list[str] = []
 
     def to_engine(self, *headers: tuple[str, str]) -> Headers:
-        return ClientDialect().forwarded_headers(headers, self.dropped.append)
+        return PlatformCallerDialect().forwarded_headers(headers, self.dropped.append)
 
     def to_caller(self, *headers: tuple[str, str]) -> Headers:
         return EngineDialect().answer_headers(headers, self.dropped.append)
--- a/pondhatch/transport/tests/test_header_bytes.py
+++ b/pondhatch/transport/tests/test_header_bytes.py
@@ -24,20 +24,20 @@
 
     def __init__(self) -> None:
         self.connections: list[Any] = []
-        self.wires: list[upstream.Transport] = []
+        self.transports: list[upstream.Transport] = []
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
         connection = factory.buildProtocol(IPv4Address("TCP", host, port))
-        wire = upstream.Transport()  # type: ignore[no-untyped-call]
+        transport = upstream.Transport()  # type: ignore[no-untyped-call]
         self.connections.append(connection)
-        self.wires.append(wire)
-        connection.makeConnection(wire)
+        self.transports.append(transport)
+        connection.makeConnection(transport)
 
     def sent(self) -> bytes:
-        return b"".join(wire.value() for wire in self.wires)  # type: ignore[no-untyped-call]
+        return b"".join(transport.value() for transport in self.transports)  # type: ignore[no-untyped-call]
 
     def left_open(self) -> int:
-        return sum(not wire.aborted for wire in self.wires)
+        return sum(not transport.aborted for transport in self.transports)
 
 
 class HttpRoutedTest(RoutedCallersTest):
--- a/pondhatch/transport/tests/test_held_bytes.py
+++ b/pondhatch/transport/tests/test_held_bytes.py
@@ -30,7 +30,7 @@
 CHUNK = b"400\r\n" + b"x" * 1024 + b"\r\n"
 
 
-class SlowWire(FileDescriptor):
+class SlowTransport(FileDescriptor):
     """A transport whose other side reads only on ``take_all``."""
 
     aborted = False
@@ -65,40 +65,40 @@
         http = HttpUpstreams(HttpClient(self.reactor), EngineDialect(), held=self.held)
         self.upstreams.send = http.send  # type: ignore[method-assign]
         #: The channel and transport of each caller that reads slowly.
-        self.slow: list[tuple[Any, SlowWire]] = []
+        self.slow: list[tuple[Any, SlowTransport]] = []
 
     async def read_slowly(self, key: str) -> int:
         """Start an answer that its caller does not read; return the engine connection's index."""
         first, self.channel = self.channel, self.channel.site.buildProtocol(None)
         self.channel.callLater = self.clock.callLater
-        wire = SlowWire()
-        self.channel.makeConnection(wire)
-        self.slow.append((self.channel, wire))
+        transport = SlowTransport()
+        self.channel.makeConnection(transport)
+        self.slow.append((self.channel, transport))
         await self.ask_engine(key)
         self.channel = first
-        at = len(self.reactor.connections) - 1
-        self.reactor.connections[at].dataReceived(ANSWER_HEAD.encode() + b"x" * FIRST)
+        index = len(self.reactor.connections) - 1
+        self.reactor.connections[index].dataReceived(ANSWER_HEAD.encode() + b"x" * FIRST)
         await self.settle()
-        await self.send_next(at)
-        return at
+        await self.send_next(index)
+        return index
 
     async def ask_engine(self, key: str) -> None:
         lines = (POST, "Host: desk.example", "Attempt-Id: 9c41", key, "Content-Length: 3", "", "")
         await self.send("\r\n".join(lines).encode() + b"abc")
 
-    async def send_next(self, at: int) -> None:
-        self.reactor.connections[at].dataReceived(b"x" * NEXT)
+    async def send_next(self, index: int) -> None:
+        self.reactor.connections[index].dataReceived(b"x" * NEXT)
         await self.settle()
 
     async def read_all(self) -> None:
         """Have every slow caller read all that is buffered for it."""
         for _ in range(4):
-            for _, wire in self.slow:
-                wire.take_all()
+            for _, transport in self.slow:
+                transport.take_all()
             await self.settle()
 
-    def is_paused(self, at: int) -> bool:
-        return bool(self.reactor.wires[at].producerState == "paused")
+    def is_paused(self, index: int) -> bool:
+        return bool(self.reactor.transports[index].producerState == "paused")
 
     async def status_of_request(self, key: str) -> bytes:
         """Return the status of a request whose caller reads at once."""
@@ -132,11 +132,11 @@
         self.assertIn(b"Retry-After: 1.000", self.response)
         metrics.count.assert_called_once_with("held.refused")
         self.assertEqual(await self.status_of_request(ROSA), b"200")
-        for at in (others, *engines):
-            await self.send_next(at)
-        self.assertEqual([self.is_paused(at) for at in engines], [True, True])
+        for index in (others, *engines):
+            await self.send_next(index)
+        self.assertEqual([self.is_paused(index) for index in engines], [True, True])
         self.assertFalse(self.is_paused(others))
-        self.assertFalse(any(wire.aborted for _, wire in self.slow))
+        self.assertFalse(any(transport.aborted for _, transport in self.slow))
         await self.read_all()
         self.assertEqual((self.held.total, self.held.bytes_by_account), (0, {}))
         self.assertFalse(any(map(self.is_paused, engines)))
@@ -156,15 +156,15 @@
         for _ in range(4):
             await self.read_slowly(PINA)
         self.assertGreater(self.held.total, 4 * (FIRST + NEXT))
-        for at, (channel, _) in enumerate(self.slow[:2]):
+        for index, (channel, _) in enumerate(self.slow[:2]):
             await self.lose(channel)
-            self.assertTrue(self.reactor.wires[at].aborted)
+            self.assertTrue(self.reactor.transports[index].aborted)
         self.assertGreater(self.held.total, 2 * (FIRST + NEXT))
         for connection in self.reactor.connections[2:]:
             await self.lose(connection)
         await self.read_all()
         self.assertEqual((self.held.total, self.callers.in_flight), (0, 0))
-        self.assertTrue(all(wire.aborted for _, wire in self.slow[2:]))
+        self.assertTrue(all(transport.aborted for _, transport in self.slow[2:]))
 
     async def test_bytes_are_released_when_a_request_body_is_lost(self) -> None:
         for sent, length in ((b"abc", 6), (b"abcdef", 6)):
@@ -239,16 +239,16 @@
         self.assertEqual(self.state.held_bytes.total, 0)
 
     async def test_bytes_buffered_for_an_engine_count_until_the_connection_is_lost(self) -> None:
-        held, wire = HeldBytes(), SlowWire()
+        held, transport = HeldBytes(), SlowTransport()
         connection: Any = Connection(lambda _: None)
-        connection.makeConnection(wire)
+        connection.makeConnection(transport)
         body: Any = mock.Mock(length=3 * FIRST, read=mock.AsyncMock(return_value=b"x" * FIRST))
-        connection._write = lambda event: wire.write(event.data)
+        connection._write = lambda event: transport.write(event.data)
         sending = asyncio.ensure_future(connection.send_body(body, held.counter("pina")))
         for expected in (FIRST, FIRST):
             await asyncio.sleep(0)
             self.assertEqual(held.total, expected)
-            wire.take_all()
+            transport.take_all()
         await asyncio.sleep(0)
         self.assertEqual(held.total, FIRST)
         sending.cancel()
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -48,7 +48,7 @@
                 client = HttpClient(reactor)
                 with self.assertRaises((h11.LocalProtocolError, UnicodeEncodeError)):
                     await client.send(ADDRESS, Request("GET", "/", headers), EMPTY_BODY, False)
-                self.assertEqual((len(reactor.wires), reactor.left_open()), (1, 0))
+                self.assertEqual((len(reactor.transports), reactor.left_open()), (1, 0))
 
     async def test_a_reused_connection_is_closed_too(self) -> None:
         reactor = Reactor()
@@ -57,7 +57,7 @@
         reactor.connections[0].dataReceived(COMPLETE_RESPONSE)
         with self.assertRaises(h11.LocalProtocolError):
             await client.send(ADDRESS, Request("GET", "/", ()), EMPTY_BODY, True)
-        self.assertEqual((len(reactor.wires), reactor.left_open()), (1, 0))
+        self.assertEqual((len(reactor.transports), reactor.left_open()), (1, 0))
 
 
 class AccountNameTest(HttpRoutedTest):
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -25,7 +25,7 @@
 from pondhatch.membership import Alive, Gossip, MembershipLimits, Phase, short_id
 from pondhatch.observing import NoMetrics, Record
 from pondhatch.placement import Granted
-from pondhatch.platform._callers import ClientDialect
+from pondhatch.platform._callers import PlatformCallerDialect
 from pondhatch.platform._configuration import decode_configuration
 from pondhatch.platform.tests._wire import CONFIGURATION
 from pondhatch.requests import (
@@ -199,7 +199,7 @@
             random.Random(1),
             starting,
         )
-        self.callers = RoutedCallers(parts, ClientDialect())
+        self.callers = RoutedCallers(parts, PlatformCallerDialect())
         self.clock = Clock()
         site: Any = CallerSite(self.callers.resource(), CallerLimits)  # type: ignore[arg-type]
         self.channel: Any = site.buildProtocol(IPv4Address("TCP", "10.9.9.9", 4000))
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -37,7 +37,7 @@
         return await super().ask(owner, question, bearable)
 
 
-class Wire(Connection):
+class CallerConnection(Connection):
     """A caller's connection, which twisted would create from a listening port."""
 
     def getPeer(self) -> IPv4Address:
@@ -80,8 +80,8 @@
         self.addCleanup(self.theirs.close)
         self.theirs.setblocking(False)
         self.reactor = ManualReactor(self.clock)
-        new_wire: Any = Wire
-        self.connection = new_wire(ours, self.channel, self.reactor)
+        new_connection: Any = CallerConnection
+        self.connection = new_connection(ours, self.channel, self.reactor)
         self.addCleanup(ours.close)
         self.connection.connected = True
         self.channel.makeConnection(self.connection)
