--- a/pondhatch/cli/tests/test_periodic_jobs.py
+++ b/pondhatch/cli/tests/test_periodic_jobs.py
@@ -34,9 +34,9 @@
 
     def run_with(self, failing: str) -> dict[str, int]:
         """Run a router's jobs, one of which fails; return how often each was called."""
-        parts = mock.MagicMock()
+        components = mock.MagicMock()
         process: Any = RouterProcess.__new__(RouterProcess)
-        process.state = parts.state
+        process.state = components.state
         for name in (
             "_state_recorder",
             "_grant_exchange",
@@ -45,17 +45,17 @@
             "_connections",
             "_gossip_port",
         ):
-            setattr(process, name, getattr(parts, name))
-        _nested_attribute(parts, failing).side_effect = ValueError(f"in {failing}")
+            setattr(process, name, getattr(components, name))
+        _nested_attribute(components, failing).side_effect = ValueError(f"in {failing}")
 
         async def main() -> None:
-            parts.state.clock = asyncio.get_running_loop().time
+            components.state.clock = asyncio.get_running_loop().time
             task = asyncio.ensure_future(process._new_periodic_jobs().run())
             await asyncio.sleep(RUN_SECONDS)
             task.cancel()
 
         run_virtually(main())
-        return {name: _nested_attribute(parts, name).call_count for name in JOBS}
+        return {name: _nested_attribute(components, name).call_count for name in JOBS}
 
     def test_a_failing_job_does_not_stop_the_others(self) -> None:
         for failing in JOBS:
--- a/pondhatch/standard/tests/test_upstreams.py
+++ b/pondhatch/standard/tests/test_upstreams.py
@@ -9,7 +9,7 @@
 HEAD = RequestHead("r.1", "a", "s", 7, "POST", "/", (), True, 10.0, 5)
 
 
-class JudgeTest(unittest.TestCase):
+class ClassifyTest(unittest.TestCase):
     def test_classifies_an_answer_by_its_head(self) -> None:
         rows: tuple[tuple[int, dict[str, str], AnswerKind | EngineRefusal], ...] = (
             (200, {"x-request-id": "r.1"}, AnswerKind.ANSWERED),
--- a/pondhatch/transport/tests/test_caller_heads.py
+++ b/pondhatch/transport/tests/test_caller_heads.py
@@ -42,8 +42,8 @@
         site: Any = CallerSite(echo, lambda: self.limits)
         self.channel: Any = site.buildProtocol(IPv4Address("TCP", "10.9.9.9", 4000))
         self.channel.callLater = self.clock.callLater
-        self.wire = Transport()  # type: ignore[no-untyped-call]
-        self.channel.makeConnection(self.wire)
+        self.transport = Transport()  # type: ignore[no-untyped-call]
+        self.channel.makeConnection(self.transport)
 
     def send(self, *headers: str, part: int = CONFIGURED_BYTES) -> bytes:
         """Send a request in parts; return the response."""
@@ -51,20 +51,20 @@
         for at in range(0, len(raw), part):
             self.channel.dataReceived(raw[at : at + part])
         self.clock.advance(0)
-        response: bytes = self.wire.value()  # type: ignore[no-untyped-call]
-        self.wire.clear()  # type: ignore[no-untyped-call]
+        response: bytes = self.transport.value()  # type: ignore[no-untyped-call]
+        self.transport.clear()  # type: ignore[no-untyped-call]
         return response
 
     def assert_served(self, response: bytes) -> None:
         self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
-        self.assertFalse(self.wire.disconnecting)
+        self.assertFalse(self.transport.disconnecting)
 
     def assert_refused(self, response: bytes) -> None:
         self.assertTrue(response.startswith(b"HTTP/1.1 431"), response)
         self.assertEqual(response.count(b"HTTP/1.1"), 1, response)
         self.assertIn(b"Connection: close", response)
         self.clock.advance(LINGER_SECONDS)
-        self.assertTrue(self.wire.disconnecting)
+        self.assertTrue(self.transport.disconnecting)
 
     def test_one_long_line_within_the_limit_is_accepted(self) -> None:
         for part in (CONFIGURED_BYTES, 1000):
@@ -98,5 +98,5 @@
         self.limits = CallerLimits(header_bytes=1024)
         self.channel.dataReceived(b"X-Long: " + b"a" * 2048 + b"\r\n\r\n")
         self.clock.advance(0)
-        response: bytes = self.wire.value()  # type: ignore[no-untyped-call]
+        response: bytes = self.transport.value()  # type: ignore[no-untyped-call]
         self.assert_served(response)
--- a/pondhatch/transport/tests/test_caller_idle.py
+++ b/pondhatch/transport/tests/test_caller_idle.py
@@ -38,8 +38,8 @@
     def connect(self) -> None:
         self.channel = self.site.buildProtocol(IPv4Address("TCP", "10.9.9.9", 4000))
         self.channel.callLater = self.clock.callLater
-        self.wire = Transport()  # type: ignore[no-untyped-call]
-        self.channel.makeConnection(self.wire)
+        self.transport = Transport()  # type: ignore[no-untyped-call]
+        self.channel.makeConnection(self.transport)
 
     def set_idle_limit(self, seconds: float) -> None:
         self.limits = replace(CallerLimits(), idle_seconds=seconds)
@@ -48,9 +48,9 @@
         """Assert that the connection is closed after this time, and not earlier."""
         # In steps, as a timer that is started at the end of a step counts from there.
         self.clock.pump([STEP_SECONDS] * round((seconds - 0.1) / STEP_SECONDS))
-        self.assertFalse(self.wire.disconnecting, "closed early")
+        self.assertFalse(self.transport.disconnecting, "closed early")
         self.clock.advance(0.2)
-        self.assertTrue(self.wire.disconnecting, "left open")
+        self.assertTrue(self.transport.disconnecting, "left open")
 
     async def serve(self, body: bytes = b"") -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",)))]
@@ -78,7 +78,7 @@
         self.upstreams.replies = [AnswerStarted(EndlessAnswer((b"ye",), headers=UNFRAMED))]
         await self.ask("POST /x HTTP/1.1", body=b"a" * PAUSING_BYTES)
         self.clock.advance(10 * IDLE_SECONDS)
-        self.assertFalse(self.wire.disconnecting)
+        self.assertFalse(self.transport.disconnecting)
 
 
 class InForceTest(CallerIdleTest):
--- a/pondhatch/transport/tests/test_gone_callers.py
+++ b/pondhatch/transport/tests/test_gone_callers.py
@@ -32,11 +32,11 @@
         self.may_reply = asyncio.Event()
         self._holds_from = holds_from
 
-    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
         self.request_count += 1
         if self.request_count >= self._holds_from:
             await self.may_reply.wait()
-        return await super().ask(owner, question, bearable)
+        return await super().ask(owner, grant_request, max_wait)
 
 
 class CancellableAnswer(EndlessAnswer):
--- a/pondhatch/transport/tests/test_listen_probe.py
+++ b/pondhatch/transport/tests/test_listen_probe.py
@@ -42,12 +42,12 @@
         self.reactor.factories[-1].clientConnectionFailed(CONNECTOR, Failure(error))
 
     async def test_only_a_refused_connection_shows_that_nothing_listens(self) -> None:
-        for error, ended in ((ConnectionRefusedError(), True), (TimeoutError(), False)):
+        for error, is_refused in ((ConnectionRefusedError(), True), (TimeoutError(), False)):
             probe = await self.start_probe()
             self.fail(error)
-            self.assertEqual(await probe, ended)
+            self.assertEqual(await probe, is_refused)
 
-    async def test_an_upstream_that_takes_connections_has_not_ended(self) -> None:
+    async def test_an_upstream_that_accepts_connections_does_not_refuse_them(self) -> None:
         probe = await self.start_probe()
         self.reactor.factories[-1].clientConnectionLost(CONNECTOR, Failure(ConnectionLost()))
         self.assertFalse(await probe)
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -165,7 +165,7 @@
                     response = await self.begin(line, header, *more)
                     self.assertTrue(response.startswith(b"HTTP/1.1 400"), response)
                     self.assertEqual(response.count(b"HTTP/1.1"), 1, response)
-                    self.assertTrue(self.wire.disconnecting)
+                    self.assertTrue(self.transport.disconnecting)
                     self.assertEqual(self.reactor.connections, [])
 
 
--- a/pondhatch/transport/tests/test_openai_callers.py
+++ b/pondhatch/transport/tests/test_openai_callers.py
@@ -55,7 +55,7 @@
         await super().asyncSetUp()
         self.state.apply_configuration(_fleet())
         self.state.apply_listed_evacuations(Listed(1, ()))
-        parts = CallerDependencies(
+        dependencies = CallerDependencies(
             self.state,
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
@@ -65,7 +65,7 @@
             random.Random(1),
             StartupWait(self.state),
         )
-        self.openai = OpenAiCallers(parts)
+        self.openai = OpenAiCallers(dependencies)
         resource: Any = self.openai.resource()
         self.site: Any = CallerSite(resource, CallerLimits)
         self.connect()
@@ -74,8 +74,8 @@
         """Open a new connection."""
         self.channel = self.site.buildProtocol(IPv4Address("TCP", "10.9.9.9", 4000))
         self.channel.callLater = self.clock.callLater
-        self.wire = Transport()  # type: ignore[no-untyped-call]
-        self.channel.makeConnection(self.wire)
+        self.transport = Transport()  # type: ignore[no-untyped-call]
+        self.channel.makeConnection(self.transport)
 
     async def send_get(self, key: str = KEYS[0]) -> bytes:
         return await self.ask("GET /portal/x HTTP/1.1", f"Authorization: Bearer {key}")
@@ -109,7 +109,7 @@
 
     def assert_cut(self, response: bytes) -> None:
         self.assertNotIn(LAST_CHUNK, response)
-        self.assertTrue(self.wire.aborted)
+        self.assertTrue(self.transport.aborted)
 
     async def test_an_unfinished_answer_is_cut_when_the_router_ends(self) -> None:
         self.upstreams.replies = [AnswerStarted(EndlessAnswer((b"ye",), headers=UNFRAMED))]
@@ -135,7 +135,7 @@
         self.upstreams.replies = [AnswerStarted(Answer((b"yes!",), headers=UNFRAMED))]
         response = await self.send_get()
         self.assertTrue(response.endswith(LAST_CHUNK), response)
-        self.assertFalse(self.wire.aborted)
+        self.assertFalse(self.transport.aborted)
 
 
 class KeyedTest(OpenAiCallersTest):
--- a/pondhatch/transport/tests/test_queued_callers.py
+++ b/pondhatch/transport/tests/test_queued_callers.py
@@ -17,9 +17,9 @@
         """Guards against all refused callers retrying at once after the same fixed delay."""
         requests: list[GrantRequest] = []
 
-        async def ask(owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
-            requests.append(question)
-            is_first = question.queue_count > 1 and question.engine == "i-2"
+        async def ask(owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
+            requests.append(grant_request)
+            is_first = grant_request.queue_count > 1 and grant_request.engine == "i-2"
             return Busy(9, 9, False, 4000, 1234 if is_first else 1300)
 
         self.state.load_management = "on"
@@ -29,8 +29,10 @@
         self.assertIn(b"Retry-After: 1.234", response)
         self.assertEqual(msgspec.to_builtins(self.record_list.records[0])["predicted_ms"], 4000)
         self.assertIn(mock.call("queue.refused-at-arrival"), count.mock_calls)
-        queue_requests = [question for question in requests if question.queue_count == 2]
-        self.assertEqual({question.engine for question in queue_requests}, {"i-2", "i-3"})
-        for question in queue_requests:
-            self.assertAlmostEqual(question.max_wait_ms, 870, delta=50)
-            self.assertGreater(question.in_time, 0)
+        queue_requests = [
+            grant_request for grant_request in requests if grant_request.queue_count == 2
+        ]
+        self.assertEqual({grant_request.engine for grant_request in queue_requests}, {"i-2", "i-3"})
+        for grant_request in queue_requests:
+            self.assertAlmostEqual(grant_request.max_wait_ms, 870, delta=50)
+            self.assertGreater(grant_request.in_time, 0)
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -113,22 +113,22 @@
         self.context_at: str | None = None
         self._number = 0
 
-    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
-        elsewhere = self.context_at not in (None, question.engine)
+    async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
+        elsewhere = self.context_at not in (None, grant_request.engine)
         if (
             self.context_at is not None
             and elsewhere
-            and question.is_home
-            and not question.is_forced
+            and grant_request.is_home
+            and not grant_request.is_forced
         ):
             return ContextElsewhere(self.context_at)
-        return Busy(9, 9) if question.engine in self.full else Granted(1, 9)
+        return Busy(9, 9) if grant_request.engine in self.full else Granted(1, 9)
 
-    def decide_without_owner(self, question: GrantRequest) -> OwnerReply:
+    def decide_without_owner(self, grant_request: GrantRequest) -> OwnerReply:
         return Busy(9, 9)
 
-    def release(self, number: int, ended: EndReason) -> None:
-        self.released.append(ended)
+    def release(self, number: int, end_reason: EndReason) -> None:
+        self.released.append(end_reason)
 
     def next_number(self) -> int:
         self._number += 1
@@ -189,7 +189,7 @@
         starting = StartupWait(self.state)
         # The router's startup wait is over, except in the tests of its start.
         self.state.clock = lambda: STARTUP_SECONDS
-        parts = CallerDependencies(
+        dependencies = CallerDependencies(
             self.state,
             Collaborators(self.grants, self.upstreams),
             lambda: self.limits,
@@ -199,13 +199,13 @@
             random.Random(1),
             starting,
         )
-        self.callers = RoutedCallers(parts, PlatformCallerDialect())
+        self.callers = RoutedCallers(dependencies, PlatformCallerDialect())
         self.clock = Clock()
         site: Any = CallerSite(self.callers.resource(), CallerLimits)  # type: ignore[arg-type]
         self.channel: Any = site.buildProtocol(IPv4Address("TCP", "10.9.9.9", 4000))
         self.channel.callLater = self.clock.callLater
-        self.wire = Transport()  # type: ignore[no-untyped-call]
-        self.channel.makeConnection(self.wire)
+        self.transport = Transport()  # type: ignore[no-untyped-call]
+        self.channel.makeConnection(self.transport)
 
     async def send(self, raw: bytes) -> None:
         self.channel.dataReceived(raw)
@@ -217,8 +217,8 @@
             await asyncio.sleep(0)
 
     def written(self) -> bytes:
-        value: bytes = self.wire.value()  # type: ignore[no-untyped-call]
-        self.wire.clear()  # type: ignore[no-untyped-call]
+        value: bytes = self.transport.value()  # type: ignore[no-untyped-call]
+        self.transport.clear()  # type: ignore[no-untyped-call]
         return value
 
     async def ask(self, line: str, *headers: str, body: bytes = b"") -> bytes:
@@ -382,7 +382,7 @@
         self.upstreams.replies = [AnswerStarted(Answer((), is_complete=False))]
         response = await self.ask("POST /proofs/a HTTP/1.1", KEY, body=b"abc")
         self.assertTrue(response.startswith(b"HTTP/1.1 502"), response)
-        self.assertFalse(self.wire.aborted)
+        self.assertFalse(self.transport.aborted)
         self.assertEqual(len(self.upstreams.sent), 1)
 
     async def test_a_request_is_refused_after_the_allowed_number_of_attempts(self) -> None:
@@ -394,7 +394,7 @@
     async def test_an_answer_cut_midway_cuts_the_caller_connection(self) -> None:
         self.upstreams.replies = [AnswerStarted(Answer((b"ye",), is_complete=False))]
         await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(self.wire.aborted)
+        self.assertTrue(self.transport.aborted)
 
     async def test_a_cut_answer_without_length_gets_no_last_chunk(self) -> None:
         unframed: Headers = (("Instance-Signature", "3e"),)
@@ -402,7 +402,7 @@
             AnswerStarted(Answer((b"ye",), is_complete=False, headers=unframed))
         ]
         response = await self.ask("GET /x HTTP/1.1")
-        self.assertTrue(self.wire.aborted)
+        self.assertTrue(self.transport.aborted)
         self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
 
     async def test_an_upstream_error_response_is_forwarded_unchanged(self) -> None:
@@ -574,13 +574,13 @@
         self.upstreams.replies = [AnswerStarted(EndlessAnswer((b"ye",), headers=unframed))]
         self.assertTrue((await self.ask("GET /x HTTP/1.1")).endswith(b"2\r\nye\r\n"))
         self.assertEqual(await self.end(), b"")
-        self.assertTrue(self.wire.aborted)
+        self.assertTrue(self.transport.aborted)
 
     async def test_a_request_without_an_answer_is_cut_without_a_response(self) -> None:
         self.upstreams.may_reply = asyncio.Event()
         await self.ask("GET /x HTTP/1.1")
         self.assertEqual(await self.end(), b"")
-        self.assertTrue(self.wire.aborted)
+        self.assertTrue(self.transport.aborted)
 
 
 class RaisingAnswer(Answer):
@@ -609,7 +609,7 @@
                 self.upstreams.replies = [AnswerStarted(RaisingAnswer(error))]
                 response = await self.ask("GET /x HTTP/1.1")
                 self.assertTrue(response.endswith(b"2\r\nye\r\n"), response)
-                self.assertTrue(self.wire.aborted)
+                self.assertTrue(self.transport.aborted)
 
 
 class HeldStartup(StartupWait):
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -32,9 +32,9 @@
         super().__init__()
         self.may_reply = asyncio.Event()
 
-    async def ask(self, owner: str, question: GrantRequest, bearable: float) -> OwnerReply:
+    async def ask(self, owner: str, grant_request: GrantRequest, max_wait: float) -> OwnerReply:
         await self.may_reply.wait()
-        return await super().ask(owner, question, bearable)
+        return await super().ask(owner, grant_request, max_wait)
 
 
 class CallerConnection(Connection):
