--- a/pondhatch/platform/__init__.py
+++ b/pondhatch/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The adapter to the users' prepared machines: names, formats and calls, but no decisions."""
+"""The adapter to the platform of the interface "prepared-machines": names, formats and calls.
+
+It makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +62,7 @@
         )
 
     def callers(self, dependencies: CallerDependencies) -> Callers:
-        """Return the handler of clients' requests by the operator's routes."""
+        """Return the handler of callers' requests by the operator's routes."""
         return RoutedCallers(dependencies, PlatformCallerDialect())
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
--- a/pondhatch/platform/_callers.py
+++ b/pondhatch/platform/_callers.py
@@ -1,4 +1,4 @@
-"""The headers of clients' requests, and of answers that the router itself gives."""
+"""The headers of callers' requests, and of answers that the router itself gives."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from pondhatch.router import bearer_key
 from pondhatch.transport import CallerFacts, NoteDropped
 
-#: Statuses that ask the client to retry later.
+#: Statuses that ask the caller to retry later.
 RETRYABLE_STATUSES = (429, 503)
 #: A count of tokens; a longer number is invalid, and would take time to convert.
 _COUNT = re.compile(r"\s*([0-9]{1,9})\s*", re.ASCII)
-#: One part of a prompt: its id in hex, and its tokens.
+#: One part of a prompt: its id in hex, and its number of tokens.
 _PART = re.compile(r"\s*([0-9a-fA-F]{1,64}):([0-9]{1,9})\s*", re.ASCII)
 
 
@@ -26,7 +26,7 @@
     """See CallerDialect."""
 
     def read(self, headers: Headers) -> CallerFacts:
-        """Return what a client's headers state about its request."""
+        """Return what a caller's headers state about its request."""
         value_by_name = {name.lower(): value for name, value in headers}
         deadline_ms = value_by_name.get(names.DEADLINE_MS.lower(), "")
         prompt, _, max_answer = value_by_name.get(names.TOKENS.lower(), "").partition(",")
@@ -45,7 +45,7 @@
         )
 
     def forwarded_headers(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return those of a client's headers that it may send to an engine."""
+        """Return those of a caller's headers that it may send to an engine."""
         return OWNERS.from_caller(headers, note)
 
     def is_router_only_call(self, path: str, prefix: str) -> bool:
@@ -89,7 +89,7 @@
 
 
 def _answer_tokens(hint: int, limit: int) -> int:
-    """Return the expected tokens of an answer: the client's estimate, capped at the limit.
+    """Return the expected tokens of an answer: the caller's estimate, capped at the limit.
 
     Without an estimate, the answer may grow to the limit.
     """
@@ -97,7 +97,7 @@
 
 
 def _part_tokens(parts: str) -> list[int]:
-    """Return the tokens of each part of a prompt that can be read."""
+    """Return the number of tokens of each part of a prompt that can be read."""
     return [int(match[2]) for part in parts.split(",") if (match := _PART.fullmatch(part))]
 
 
--- a/pondhatch/platform/_configuration.py
+++ b/pondhatch/platform/_configuration.py
@@ -35,7 +35,7 @@
 UNLIMITED_RATE = 100_000.0
 UNLIMITED_COUNT = 1_000_000
 
-#: Ends of the product's scale of priorities.
+#: Ends of pondhatch's scale of priorities.
 MOST_URGENT = 0
 LEAST_URGENT = 9
 
@@ -209,7 +209,7 @@
 
 
 def _clamp_priority(priority: int) -> int:
-    """Clamp a priority to the product's scale; the platform's scale extends beyond it."""
+    """Clamp a priority to pondhatch's scale; the platform's scale extends beyond it."""
     return min(max(priority, MOST_URGENT), LEAST_URGENT)
 
 
--- a/pondhatch/platform/_engines.py
+++ b/pondhatch/platform/_engines.py
@@ -42,7 +42,7 @@
     """The entry of an engine that takes work, written by itself; unknown fields are ignored."""
 
     service: Name
-    #: "IP:port"; the list of upstreams sends no requests to an address of another form.
+    #: "IP:port"; an engine with an address of another form gets no requests.
     address: Name
     zone: str
     #: Version of its software.
@@ -59,7 +59,7 @@
 
 
 def decode_engine(name: str, value: Any) -> dict[str, Any]:
-    """Convert an engine's entry to the format of the product's list of upstreams.
+    """Convert an engine's entry to the format of pondhatch's list of upstreams.
 
     Anyone with write access to the store may have written it, so it counts as an engine only if
     all its fields are valid. Only a draining engine may have malformed fields: it must get no new
@@ -130,10 +130,9 @@
         self._unreadable_throttle = LogThrottle(UNREADABLE_LOG_SECONDS)
 
     def request_headers(self, head: RequestHead, target: Target) -> Headers:
-        """Return the client's headers, and those that only routers may set.
+        """Return the caller's headers, and those that only routers may set.
 
-        Headers that the client may not set were dropped on arrival; see
-        PlatformCallerDialect.
+        Headers that the caller may not set were dropped on arrival; see PlatformCallerDialect.
         """
         router_headers: list[tuple[str, str]] = [
             (names.DEADLINE_MS, str(max(1, int(head.deadline * 1000)))),
@@ -179,7 +178,7 @@
         return Notice(is_leaving, rest, rest > 0 and load.has_free_slots, load.pace)
 
     def answer_headers(self, headers: Headers, note: NoteDropped) -> Headers:
-        """Return the headers of an answer that an engine may send to a client."""
+        """Return the headers of an answer that an engine may send to a caller."""
         return OWNERS.from_upstream(headers, note)
 
     def last_event(self, head: RequestHead) -> bytes | None:
@@ -188,7 +187,7 @@
 
 
 def _without_last_event_id(headers: Headers) -> Headers:
-    """Return headers without the client's position in a stream, as the router has read further."""
+    """Return headers without the caller's position in a stream, as the router has read further."""
     name = names.LAST_EVENT_ID.lower()
     return tuple(pair for pair in headers if pair[0].lower() != name)
 
--- a/pondhatch/platform/_entries.py
+++ b/pondhatch/platform/_entries.py
@@ -121,7 +121,7 @@
         self.unreadable: list[Edit] = []
         self._kind = kind
         self._shape = shape
-        #: Converts an entry to the product's format.
+        #: Converts an entry to pondhatch's format.
         self._convert = convert
         self._cache = cache
 
@@ -132,7 +132,7 @@
 
     @property
     def edits(self) -> list[Edit]:
-        """All entries, in the product's format."""
+        """All entries, in pondhatch's format."""
         return [*self.edit_by_name.values(), *self.unreadable]
 
     def _add(self, value: Any) -> None:
--- a/pondhatch/platform/_header_owners.py
+++ b/pondhatch/platform/_header_owners.py
@@ -1,4 +1,4 @@
-"""Who may set which header of the prepared machines."""
+"""Which side may set which of the platform's headers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pondhatch.transport import HeaderOwners, Owner
 
 #: The owner of every header that the platform defines; a test checks that none is missing. A
-#: header that is not listed belongs to the client and is forwarded.
+#: header that is not listed belongs to the caller and is forwarded.
 OWNERS = HeaderOwners(
     {
         names.ATTEMPT_ID: Owner.CALLER,
@@ -14,7 +14,7 @@
         names.TOKENS: Owner.CALLER,
         names.PROMPT_PARTS: Owner.CALLER,
         names.LENGTH_HINT: Owner.CALLER,
-        # A client may resume a broken stream; the router's own position takes precedence.
+        # A caller may resume a broken stream; the router's own position takes precedence.
         names.LAST_EVENT_ID: Owner.CALLER,
         # Replaced by the remaining time, and by the name of the key's account.
         names.DEADLINE_MS: Owner.CALLER_TO_ROUTER,
--- a/pondhatch/platform/_names.py
+++ b/pondhatch/platform/_names.py
@@ -1,4 +1,4 @@
-"""Wire names of the users' prepared machines. No code outside this folder uses them.
+"""The platform's names of headers, calls and objects. No code outside this folder uses them.
 
 A test enforces that with the names listed here, so names that are only forwarded are listed too.
 """
@@ -7,9 +7,9 @@
 
 from types import MappingProxyType
 
-#: Id of one attempt of a client; answers echo it.
+#: Id of one attempt of a caller; answers echo it.
 ATTEMPT_ID = "Attempt-Id"
-#: Milliseconds for which the sender, a client or a router, waits for the answer.
+#: Milliseconds for which the sender, a caller or a router, waits for the answer.
 DEADLINE_MS = "Deadline-Ms"
 #: Parts of a prompt in order, as ID:TOKENS separated by commas; the last one is not shared
 #: with other requests.
@@ -44,7 +44,7 @@
 MODEL = "Model"
 #: Tokens of the prompt, and the maximum of the answer.
 TOKENS = "Token-Usage"
-#: The client's estimate of the answer's length, in tokens.
+#: The caller's estimate of the answer's length, in tokens.
 LENGTH_HINT = "Length-Hint"
 #: Id of one start of an engine.
 ENGINE = "Instance-Id"
--- a/pondhatch/platform/_store.py
+++ b/pondhatch/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's object store, adapted to the product's Platform interface."""
+"""The platform's object store, adapted to pondhatch's Platform interface."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
         return Listed(version, tuple(self.objects), frozenset(left_out), is_whole)
 
 
-#: Converts an object's name and stored value to the product's value. Raises
+#: Converts an object's name and stored value to pondhatch's value. Raises
 #: msgspec.ValidationError.
 Decode = Callable[[str, Any], Any]
 
@@ -87,7 +87,7 @@
 
     def __init__(self, calls: StoreCalls, decode_by_kind: Mapping[str, tuple[str, Decode]]) -> None:
         self._calls = EraCalls(calls)
-        #: The store's name of a kind and its decoder, by the product's name of the kind.
+        #: The store's name of a kind and its decoder, by pondhatch's name of the kind.
         self._decode_by_kind = decode_by_kind
         self._logged = LogOnce()
 
@@ -232,7 +232,7 @@
         return f"/objects/{store_kind}/{quote(name, safe='')}" if name else f"/objects/{store_kind}"
 
     def _convert(self, kind: str, entry: Any, era: int) -> StoredObject:
-        """Return an object in the product's format. Raises msgspec.ValidationError."""
+        """Return an object in pondhatch's format. Raises msgspec.ValidationError."""
         store_object = msgspec.convert(entry, StoreObject)
         _, decode = self._decode_by_kind.get(kind, (kind, _unchanged))
         value = store_object.spec if store_object.spec is not None else store_object.status
--- a/pondhatch/platform/tests/test_dialects.py
+++ b/pondhatch/platform/tests/test_dialects.py
@@ -40,7 +40,7 @@
 
 
 def head(headers: Headers = HEADERS, **changes: Any) -> RequestHead:
-    """Return a request's head as the router builds it from a client's headers."""
+    """Return a request's head as the router builds it from a caller's headers."""
     plain = RequestHead(
         request_id="own",
         account="pina",
--- a/pondhatch/standard/_callers.py
+++ b/pondhatch/standard/_callers.py
@@ -75,7 +75,8 @@
         self._request_runner = RequestRunner(dependencies, self._answers)
         #: Requests whose callers are still connected.
         self._connected_requests = 0
-        #: Cleared by a stopping router. Not read here: the router's state refuses requests at once.
+        #: Cleared by a stopping router. Not read here: admit() refuses requests
+        #: as soon as the router drains.
         self.accepts_requests = True
         self.app = Klein()
         self._add_routes()
@@ -185,6 +186,7 @@
     async def _prepare_plain(
         self, request: CallerRequest, account: Account, held_counter: HeldCounter
     ) -> AdmittedRequest | NotRun:
+        # Checks whether the account may start another request, whatever its body's size.
         limited = held_counter.try_set(0)
         if limited is not None:
             return self._memory_refusal(limited)
--- a/pondhatch/transport/_caller_dialect.py
+++ b/pondhatch/transport/_caller_dialect.py
@@ -25,7 +25,7 @@
     prompt_tokens: int = 0
     #: Expected tokens of the answer; 0 if not stated.
     answer_tokens: int = 0
-    #: Parts of the prompt that other requests share, each as an id and its tokens.
+    #: Parts of the prompt that other requests share, each as an id and its number of tokens.
     prompt_parts: tuple[tuple[int, int], ...] = ()
 
 
--- a/pondhatch/transport/_dead_peers.py
+++ b/pondhatch/transport/_dead_peers.py
@@ -12,8 +12,8 @@
 
 #: Milliseconds after which a connection with unacknowledged bytes is closed. By then the system
 #: has sent them three times (at 0, 0.2 and 0.6 s), so a path that loses some packets does not
-#: count as dead. The shortest route timeout at the users' sites is 1.5 s, which leaves a third
-#: of it for another engine.
+#: count as dead. The shortest route timeout that operators configure is 1.5 s, of which this
+#: leaves a third for another engine.
 UNACKNOWLEDGED_MS = 1000
 #: Seconds of silence before the first probe and between probes; the system's minimum.
 PROBE_SECONDS = 1
--- a/pondhatch/transport/_parts.py
+++ b/pondhatch/transport/_parts.py
@@ -93,6 +93,7 @@
                 else:
                     self._sink = sink
                     await self._wait_for_wake()
+                    # _forward() has detached a sink that became slow.
                     is_ready = self._sink is not None
                     self._sink = None
                 if not is_ready:
--- a/pondhatch/transport/_peer_tls.py
+++ b/pondhatch/transport/_peer_tls.py
@@ -20,7 +20,7 @@
 
 
 def peer_tls(router: str, peers: PeerEndpoint) -> PeerTls | None:
-    """Return the contexts, or None if no files are configured. Raises ConfigurationError."""
+    """Return the contexts, or None unless all files are named. Raises ConfigurationError."""
     if peers.certificate is None or peers.private_key is None or peers.authority is None:
         return None
     try:
--- a/pondhatch/transport/_store_calls.py
+++ b/pondhatch/transport/_store_calls.py
@@ -16,9 +16,8 @@
 #: Timeout of a call in seconds; a healthy store answers in milliseconds.
 CALL_SECONDS = 2.0
 #: Maximum calls per second of one router; further calls are delayed. A watcher makes one call a
-#: second while nothing changes, and one for each separate change. The store at the users' sites
-#: accepts 2,000 calls a second from the whole fleet, in which one or two routers of each hall
-#: watch.
+#: second while nothing changes, and one for each separate change. The platform's store accepts
+#: 2,000 calls a second from the whole fleet, in which one or two routers of each hall watch.
 CALLS_PER_SECOND = 10.0
 #: Maximum number of calls in a burst.
 BURST_CALLS = 20
--- a/pondhatch/transport/tests/test_caller_channel.py
+++ b/pondhatch/transport/tests/test_caller_channel.py
@@ -97,6 +97,8 @@
 
 
 class EagerWriteTest(unittest.IsolatedAsyncioTestCase):
+    """Guards writes of which the socket takes a part at once and the reactor sends the rest."""
+
     async def test_bytes_keep_their_order_on_a_slow_connection(self) -> None:
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
