--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -224,7 +224,7 @@
         """
         limits = self.limits()
         self.totalHeadersSize = self.MAX_LENGTH = limits.header_bytes
-        self._head_timer = self.callLater(limits.header_seconds, self._head_too_slow)
+        self._head_timer = self.callLater(limits.header_seconds, self._refuse_slow_head)
 
     def _refuse_large_head(self) -> None:
         """Answer that the head is too large, and discard the rest of it."""
@@ -234,7 +234,7 @@
         self.stop_accepting()
         self.loseConnection()
 
-    def _head_too_slow(self) -> None:
+    def _refuse_slow_head(self) -> None:
         self._head_timer = None
         self.transport.write(HEAD_TOO_SLOW)
         super().loseConnection()
