--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -53,6 +53,7 @@
     _head_timer: Any = None
     #: Runs while reading from the caller is paused.
     _close_check_timer: Any = None
+    #: Set once received bytes are ignored and the connection closes after its answer.
     _is_closing = False
     #: Set when the connection is aborted; its loss is reported one turn of the loop later.
     is_aborted = False
@@ -235,6 +236,7 @@
         self.loseConnection()
 
     def _refuse_slow_head(self) -> None:
+        """Answer that the head took too long, and close."""
         self._head_timer = None
         self.transport.write(HEAD_TOO_SLOW)
         super().loseConnection()
--- a/pondhatch/transport/_http_connection.py
+++ b/pondhatch/transport/_http_connection.py
@@ -125,7 +125,7 @@
         self._writable.set()
 
     def stopProducing(self) -> None:
-        """Called by the transport when it is lost; the sending task is cancelled elsewhere."""
+        """Called by the transport when it is lost; connectionLost() ends the sending task."""
 
     def abort(self) -> None:
         """Reset the connection at once, which shows the other side that its caller left."""
--- a/pondhatch/transport/_request_runner.py
+++ b/pondhatch/transport/_request_runner.py
@@ -311,7 +311,7 @@
     def _write_record(
         self, admitted_request: AdmittedRequest, dispatch: Dispatch, code: str, timings: _Timings
     ) -> None:
-        """Write the record of the request's end to the decision log."""
+        """Write the record of the request's end; see Records."""
         self._records.write(
             RequestEnded(
                 id=admitted_request.head.caller_id or admitted_request.head.request_id,
