--- a/pondhatch/platform/__init__.py
+++ b/pondhatch/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The adapter to the users' prepared machines: names, formats and calls, but no decisions."""
+"""The adapter to the platform of the interface "prepared-machines": names, formats and calls.
+
+It makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from pondhatch.configuration import ConfigurationDocument, ConfigurationSource, ServiceDefaults
 from pondhatch.kernel import REGISTRY, Plugin
 from pondhatch.platform import _names as names
-from pondhatch.platform._callers import ClientDialect
+from pondhatch.platform._callers import PlatformCallerDialect
 from pondhatch.platform._configuration import ConfigurationReader
 from pondhatch.platform._engines import (
     EngineDialect,
@@ -59,8 +62,8 @@
         )
 
     def callers(self, dependencies: CallerDependencies) -> Callers:
-        """Return the handler of clients' requests by the operator's routes."""
-        return RoutedCallers(dependencies, ClientDialect())
+        """Return the handler of callers' requests by the operator's routes."""
+        return RoutedCallers(dependencies, PlatformCallerDialect())
 
     def asks_for_load_management(self, rules: Collection[str]) -> bool:
         """Return whether the rules in force include those for callers competing for capacity."""
--- a/pondhatch/transport/_caller_channel.py
+++ b/pondhatch/transport/_caller_channel.py
@@ -53,6 +53,7 @@
     _head_timer: Any = None
     #: Runs while reading from the caller is paused.
     _close_check_timer: Any = None
+    #: Set once received bytes are ignored and the connection closes after its answer.
     _is_closing = False
     #: Set when the connection is aborted; its loss is reported one turn of the loop later.
     is_aborted = False
@@ -224,7 +225,7 @@
         """
         limits = self.limits()
         self.totalHeadersSize = self.MAX_LENGTH = limits.header_bytes
-        self._head_timer = self.callLater(limits.header_seconds, self._head_too_slow)
+        self._head_timer = self.callLater(limits.header_seconds, self._refuse_slow_head)
 
     def _refuse_large_head(self) -> None:
         """Answer that the head is too large, and discard the rest of it."""
@@ -234,7 +235,8 @@
         self.stop_accepting()
         self.loseConnection()
 
-    def _head_too_slow(self) -> None:
+    def _refuse_slow_head(self) -> None:
+        """Answer that the head took too long, and close."""
         self._head_timer = None
         self.transport.write(HEAD_TOO_SLOW)
         super().loseConnection()
