--- a/pondhatch/router/_sync.py
+++ b/pondhatch/router/_sync.py
@@ -338,7 +338,11 @@
             self._pending_peers.discard(peer.name)
         seconds = self._state.clock() - started_at
         if pulled is None:
-            log.warning("Router {}, which is ahead, gave nothing in {:.2f} s.", peer.name, seconds)
+            log.warning(
+                "The pull from router {}, which is ahead, failed after {:.2f} s.",
+                peer.name,
+                seconds,
+            )
             return False
         if seconds > SLOW_PULL_SECONDS:
             log.info("Router {}, which is ahead, took {:.2f} s to answer.", peer.name, seconds)
--- a/pondhatch/router/tests/test_lag.py
+++ b/pondhatch/router/tests/test_lag.py
@@ -91,5 +91,6 @@
             self.log_lines(1.25, lost=False), ["Router r1, which is ahead, took 1.25 s to answer."]
         )
         self.assertEqual(
-            self.log_lines(2.0, lost=True), ["Router r1, which is ahead, gave nothing in 2.00 s."]
+            self.log_lines(2.0, lost=True),
+            ["The pull from router r1, which is ahead, failed after 2.00 s."],
         )
