--- a/pondhatch/cli/_hall_commands.py
+++ b/pondhatch/cli/_hall_commands.py
@@ -78,7 +78,8 @@
     if hall not in {upstream.hall for upstream in live}:
         known_halls = ", ".join(sorted({upstream.hall for upstream in live})) or "none"
         print(
-            f"HALL: no upstream stands in {hall!r}; expected one of: {known_halls}", file=sys.stderr
+            f"HALL: no live upstream is in {hall!r}; expected one of: {known_halls}",
+            file=sys.stderr,
         )
         return EXIT_INPUT
     evacuations = Evacuations()
@@ -128,7 +129,7 @@
     remaining = Counter(each.service for each in live if each.hall not in evacuated_halls)
     print(f"{hall} is {'evacuated' if in_force else 'open'}:")
     for service, count in sorted(upstreams_in_hall.items()):
-        effect = "get nothing more" if in_force else "are used again"
-        print(f"  {service}: {count} upstreams {effect}, {remaining[service]} carry it")
+        effect = "get no new requests" if in_force else "are used again"
+        print(f"  {service}: {count} upstreams {effect}, {remaining[service]} available")
         if not remaining[service]:
-            print(f"  {service}: nobody is left, its requests are refused")
+            print(f"  {service}: no upstream is left, its requests are refused")
--- a/pondhatch/cli/tests/test_hall_commands.py
+++ b/pondhatch/cli/tests/test_hall_commands.py
@@ -38,12 +38,12 @@
     async def test_an_evacuation_shows_what_is_left_and_is_written(self) -> None:
         code, output = await self.run_command("h1")
         self.assertEqual((code, await self.evacuated_halls()), (EXIT_DONE, {"h1"}))
-        self.assertIn("lang: 2 upstreams get nothing more, 1 carry it", output)
+        self.assertIn("lang: 2 upstreams get no new requests, 1 available", output)
 
     async def test_a_service_left_without_upstreams_is_shown(self) -> None:
         await self.run_command("h1")
         _, output = await self.run_command("h2")
-        self.assertIn("lang: nobody is left", output)
+        self.assertIn("lang: no upstream is left", output)
 
     async def test_a_dry_run_writes_nothing(self) -> None:
         code, output = await self.run_command("h1", dry_run=True)
@@ -54,7 +54,7 @@
         await self.run_command("h1")
         code, output = await self.run_command("h1", in_force=False)
         self.assertEqual((code, await self.evacuated_halls()), (EXIT_DONE, frozenset()))
-        self.assertIn("2 upstreams are used again, 3 carry it", output)
+        self.assertIn("2 upstreams are used again, 3 available", output)
         found = await self.platform.list(EVACUATION_KIND)
         assert isinstance(found, Listed)
         self.assertEqual([each.value for each in found.objects], [{IN_FORCE: False}])
@@ -62,7 +62,7 @@
     async def test_a_hall_without_upstreams_is_refused(self) -> None:
         code, output = await self.run_command("h9")
         self.assertEqual((code, await self.evacuated_halls()), (EXIT_INPUT, frozenset()))
-        self.assertIn("HALL: no upstream stands in 'h9'; expected one of: h1, h2", output)
+        self.assertIn("HALL: no live upstream is in 'h9'; expected one of: h1, h2", output)
 
     async def test_an_unreachable_platform_and_a_lost_reply_have_different_exit_codes(self) -> None:
         self.platform.faults.arm("outage", 1)
