--- a/pondhatch/cli/_shutdown.py
+++ b/pondhatch/cli/_shutdown.py
@@ -17,11 +17,11 @@
 
 #: Seconds between checks whether a step of the shutdown is done.
 POLL_SECONDS = 0.05
-#: Maximum of seconds to release the leases. If the platform is unreachable for that long, the next
-#: holder has to wait until they expire.
+#: Maximum number of seconds to release the leases. If the platform is unreachable for that long,
+#: the next holder has to wait until they expire.
 STEP_DOWN_SECONDS = 3.0
-#: Minimum of seconds for which a draining router still accepts requests, so that all others
-#: learn that it is draining before it refuses any.
+#: Minimum number of seconds for which a draining router still accepts requests, so that all
+#: others learn that it is draining before it refuses any.
 MIN_ACCEPT_SECONDS = 1.0
 
 
--- a/pondhatch/requests/_delivery.py
+++ b/pondhatch/requests/_delivery.py
@@ -58,11 +58,11 @@
 
 
 class _AnswerStart:
-    """Begins the caller's answer when the first chunk arrives; see PartSink."""
+    """Begins the caller's answer when the first part arrives; see PartSink."""
 
     def __init__(self, sink: PartSink, begin: Callable[[], None]) -> None:
         self.has_begun = False
-        #: The longest time between two chunks so far, in seconds.
+        #: The longest time between two parts so far, in seconds.
         self.longest_pause = 0.0
         self._last_at: float | None = None
         self._sink = sink
@@ -91,7 +91,7 @@
 class Delivery:
     """Delivers one answer to its caller.
 
-    Nothing is sent to the caller before the first chunk: if an answer breaks off before
+    Nothing is sent to the caller before the first part: if an answer breaks off before
     that, the request runs again if it may, or is refused as if no answer had begun.
     """
 
@@ -117,7 +117,7 @@
 
     @property
     def longest_pause(self) -> float:
-        """The longest time between two delivered chunks, in seconds."""
+        """The longest time between two delivered parts, in seconds."""
         return self._answer_start.longest_pause
 
     async def run(self) -> Delivered:
@@ -132,7 +132,7 @@
             self._answer.cancel()
 
     async def _deliver(self) -> Broken | None:
-        """Deliver chunks as they arrive; return how the answer broke off, or None if complete."""
+        """Deliver parts as they arrive; return how the answer broke off, or None if complete."""
         try:
             await self._answer.stream_to(self._sink)
         except AnswerLost as lost:
--- a/pondhatch/requests/_messages.py
+++ b/pondhatch/requests/_messages.py
@@ -72,13 +72,13 @@
 
 
 class BodySource(Protocol):
-    """A request's body, read once, in chunks."""
+    """A request's body, read once, in parts."""
 
     #: Length in bytes, or None if not known in advance.
     length: int | None
 
     async def read(self) -> bytes:
-        """Return the next chunk, or b"" at the end. Raises CallerGone."""
+        """Return the next part, or b"" at the end. Raises CallerGone."""
 
 
 class ReplayableBody:
@@ -102,10 +102,10 @@
 
 
 class PartSink(Protocol):
-    """Accepts an answer's chunks, with backpressure from the caller's connection."""
+    """Accepts an answer's parts, with backpressure from the caller's connection."""
 
     def write(self, part: bytes) -> bool:
-        """Write a chunk; False asks the writer to await ``ready``. Raises CallerGone."""
+        """Write a part; False asks the writer to await ``ready``. Raises CallerGone."""
 
     async def ready(self) -> None:
         """Return once more may be written. Raises CallerGone."""
@@ -118,7 +118,7 @@
     headers: Headers
 
     async def stream_to(self, sink: PartSink) -> None:
-        """Write every chunk to a sink as it arrives, up to the answer's end.
+        """Write every part to a sink as it arrives, up to the answer's end.
 
         Raises AnswerLost, and what the sink raises.
         """
--- a/pondhatch/requests/_sending.py
+++ b/pondhatch/requests/_sending.py
@@ -149,7 +149,7 @@
         self.headers: Headers = answer.headers
 
     async def stream_to(self, sink: PartSink) -> None:
-        """Write every chunk to a sink; see AnswerStream."""
+        """Write every part to a sink; see AnswerStream."""
         ended = EndReason.NEUTRAL
         try:
             await self._answer.stream_to(sink)
