--- a/bench/_abandoned_streams.py
+++ b/bench/_abandoned_streams.py
@@ -63,7 +63,7 @@
     rng = random.Random(1)
     delays = [rng.uniform(*LEAVE_AFTER) for _ in range(STREAMS)]
     closed_at = await asyncio.gather(
-        *(_abandon_stream(base, at, each) for at, each in enumerate(delays))
+        *(_abandon_stream(base, index, each) for index, each in enumerate(delays))
     )
     await asyncio.sleep(SETTLE_SECONDS)
     return closed_at
--- a/bench/_chats.py
+++ b/bench/_chats.py
@@ -132,7 +132,7 @@
 def is_whole(text: str, messages: list[Any], tokens: int = ANSWER_TOKENS) -> bool:
     """Return whether a text is the stand-in engine's whole answer to these messages."""
     words = text.split()
-    expected = [f"{len(messages)}.{at}." for at in range(tokens)]
+    expected = [f"{len(messages)}.{index}." for index in range(tokens)]
     return len(words) == tokens and all(
         word.startswith(prefix) for word, prefix in zip(words, expected, strict=True)
     )
--- a/bench/_connections.py
+++ b/bench/_connections.py
@@ -28,7 +28,7 @@
 
 
 async def _memory_with_streams(base: str, pid: int, count: int) -> int:
-    streams = [asyncio.ensure_future(stream_events(base, at, TOKENS)) for at in range(count)]
+    streams = [asyncio.ensure_future(stream_events(base, index, TOKENS)) for index in range(count)]
     await asyncio.sleep(4)
     memory = resident_kb(pid)
     await asyncio.gather(*streams)
--- a/bench/_decisions.py
+++ b/bench/_decisions.py
@@ -117,16 +117,16 @@
     """Return the state of one router in a fleet of ``routers``, with 110 engines in its hall."""
     own = Alive(short_id("self"), 1, Phase.LIVE, "self", "10.0.0.1", 7000, "hall-0")
     gossip = Gossip(own, MembershipLimits(), random.Random(1))
-    for at in range(routers - 1):
-        name = f"router-{at}"
-        alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{at % 11}")
+    for index in range(routers - 1):
+        name = f"router-{index}"
+        alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{index % 11}")
         gossip.membership.table.apply_alive(alive, 0.0)
 
     state = RouterState("self", "hall-0", gossip, time.monotonic, lambda _: EmptyKeyHolder())
     state.apply_configuration(configuration_with_accounts(10))
-    for at in range(ENGINES):
-        upstream = Upstream(f"engine-{at}", "lang", "http://10.0.0.1:1", "hall-0")
-        state.upstreams.set(upstream, at + 1)
+    for index in range(ENGINES):
+        upstream = Upstream(f"engine-{index}", "lang", "http://10.0.0.1:1", "hall-0")
+        state.upstreams.set(upstream, index + 1)
     state.invalidate_upstream_caches()
     state.refresh_members()
     return state
@@ -137,9 +137,9 @@
     budget = RetryBudget()
     collaborators = Collaborators(LocalGrants(state), InstantUpstreams())
     started = time.perf_counter()
-    for at in range(DECISIONS):
+    for index in range(DECISIONS):
         head = RequestHead(
-            request_id=str(at),
+            request_id=str(index),
             account="account-1",
             service="lang",
             chat=rng.getrandbits(64),
--- a/bench/_fleet_size.py
+++ b/bench/_fleet_size.py
@@ -71,7 +71,7 @@
         for index in range(engines):
             hall = f"recife-{index % HALLS + 1}"
             fleet.add_backend("engine", f"engine-{index}", "scene-language", hall)
-        fleet.add_routers([f"recife-{at % HALLS + 1}" for at in range(routers)])
+        fleet.add_routers([f"recife-{number % HALLS + 1}" for number in range(routers)])
         fleet.apply(ROOT / "bench/fleet.yaml")
         fleet.await_convergence(1)
         time.sleep(5)
--- a/bench/_gossip.py
+++ b/bench/_gossip.py
@@ -147,7 +147,7 @@
 
 
 def _load_known(gossip: Gossip, now: float) -> int:
-    return sum(gossip.in_flight_elsewhere(f"service-{at}", now) for at in range(19))
+    return sum(gossip.in_flight_elsewhere(f"service-{index}", now) for index in range(19))
 
 
 def _version_spread_seconds(fleet: _SimulatedFleet) -> float:
@@ -180,7 +180,9 @@
     while fleet.now - started < 120:
         fleet.run_until(fleet.now + 0.5)
         views = [
-            gossip.members(fleet.now) for at, gossip in enumerate(fleet.gossips) if at != frozen
+            gossip.members(fleet.now)
+            for index, gossip in enumerate(fleet.gossips)
+            if index != frozen
         ]
         if not any(member.name == name for view in views for member in view):
             break
--- a/bench/_grants.py
+++ b/bench/_grants.py
@@ -46,8 +46,10 @@
 
 
 async def _send_requests(base: str) -> None:
-    for at in range(0, REQUESTS, CONCURRENCY):
-        await asyncio.gather(*(stream_events(base, at + each, 1) for each in range(CONCURRENCY)))
+    for offset in range(0, REQUESTS, CONCURRENCY):
+        await asyncio.gather(
+            *(stream_events(base, offset + each, 1) for each in range(CONCURRENCY))
+        )
 
 
 def measure_grants() -> Iterator[Measure]:
--- a/bench/_large_fleets.py
+++ b/bench/_large_fleets.py
@@ -62,8 +62,8 @@
 def _seconds_per_call(work: Callable[[int], None], times: int) -> float:
     """Return the mean processor seconds of a call, over ``times`` calls."""
     begun = time.process_time()
-    for at in range(times):
-        work(at)
+    for index in range(times):
+        work(index)
     return (time.process_time() - begun) / times
 
 
--- a/bench/_memory.py
+++ b/bench/_memory.py
@@ -22,14 +22,14 @@
     return tuple(
         Edit(
             "account",
-            f"account-{at}",
+            f"account-{index}",
             {
                 "template": "studio",
-                "key_hashes": [hashlib.sha256(str(at).encode()).hexdigest()],
-                "parameters": {"rate": 1.0 + at % 50},
+                "key_hashes": [hashlib.sha256(str(index).encode()).hexdigest()],
+                "parameters": {"rate": 1.0 + index % 50},
             },
         )
-        for at in range(count)
+        for index in range(count)
     )
 
 
@@ -52,7 +52,7 @@
 def _spilled_chats(count: int) -> ContextLocations:
     locations = ContextLocations(limit=count)
     rng = random.Random(1)
-    names = [f"engine-{at}" for at in range(110)]
+    names = [f"engine-{index}" for index in range(110)]
     for _ in range(count):
         locations.remember(rng.getrandbits(64), rng.choice(names))
     return locations
@@ -60,18 +60,20 @@
 
 def _upstreams(count: int) -> UpstreamList:
     found = UpstreamList()
-    for at in range(count):
-        name = f"engine-{at}"
-        found.set(Upstream(name, f"service-{at % 19}", f"http://10.0.0.1:{at}", "hall-1"), at + 1)
+    for index in range(count):
+        name = f"engine-{index}"
+        found.set(
+            Upstream(name, f"service-{index % 19}", f"http://10.0.0.1:{index}", "hall-1"), index + 1
+        )
     return found
 
 
 def _peers(count: int) -> Gossip:
     own = Alive(1, 1, Phase.LIVE, "self", "10.0.0.1", 7000, "hall-0")
     gossip = Gossip(own, MembershipLimits(), random.Random(1))
-    for at in range(count):
-        name = f"router-{at}"
-        alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{at % 11}")
+    for index in range(count):
+        name = f"router-{index}"
+        alive = Alive(short_id(name), 1, Phase.LIVE, name, "10.0.0.1", 7000, f"hall-{index % 11}")
         gossip.membership.table.apply_alive(alive, 0.0)
     gossip.members(0.0)
     return gossip
--- a/bench/_placement.py
+++ b/bench/_placement.py
@@ -204,14 +204,14 @@
 def run(policy: Policy, in_flight: int, bound: float, seed: int = 1) -> Figures:
     """Run one policy at a constant number of requests in flight."""
     rng = random.Random(seed)
-    names = [f"engine-{at}" for at in range(ENGINES)]
+    names = [f"engine-{index}" for index in range(ENGINES)]
     simulation = Simulation({name: Engine(name) for name in names}, bound, rng)
     idle = list(range(ENGINES * CHATS_PER_ENGINE))
     seen = simulation.seen
     ends: list[tuple[float, int, str]] = []
     replacement_times = [
-        WARM_UP + (RUN_SECONDS - WARM_UP) * (at + 1) / (REPLACED_SHARE * ENGINES + 1)
-        for at in range(round(REPLACED_SHARE * ENGINES))
+        WARM_UP + (RUN_SECONDS - WARM_UP) * (index + 1) / (REPLACED_SHARE * ENGINES + 1)
+        for index in range(round(REPLACED_SHARE * ENGINES))
     ]
     skews: list[float] = []
     context_found = returning = above_ceiling = starts = 0
--- a/bench/_quarantine.py
+++ b/bench/_quarantine.py
@@ -33,8 +33,8 @@
 def _full_suspects() -> Suspects:
     """Return a full table of suspects: each engine crashed under 64 requests."""
     suspects = Suspects()
-    for at in range(MAX_SUSPECTS):
-        suspects.add(Evidence(at, f"i-{at // REQUESTS_PER_ENGINE:010x}", 0), 0.0)
+    for index in range(MAX_SUSPECTS):
+        suspects.add(Evidence(index, f"i-{index // REQUESTS_PER_ENGINE:010x}", 0), 0.0)
     for engine in range(3):
         suspects.add(Evidence(0, f"i-{engine:010x}", 0), 0.0)
     return suspects
--- a/bench/_relay.py
+++ b/bench/_relay.py
@@ -47,7 +47,9 @@
 
 
 async def _run_streams(base: str, tokens: int) -> tuple[int, list[float]]:
-    results = await asyncio.gather(*(stream_events(base, at, tokens) for at in range(STREAMS)))
+    results = await asyncio.gather(
+        *(stream_events(base, index, tokens) for index in range(STREAMS))
+    )
     return sum(events for events, _ in results), sorted(first for _, first in results)
 
 
--- a/bench/_surge.py
+++ b/bench/_surge.py
@@ -175,7 +175,7 @@
             running.append(asyncio.ensure_future(request(account, number)))
         await asyncio.gather(*running)
 
-    rates = {f"a{at}": RATE * (surge_factor if at == 0 else 1) for at in range(ACCOUNTS)}
+    rates = {f"a{index}": RATE * (surge_factor if index == 0 else 1) for index in range(ACCOUNTS)}
     await asyncio.gather(*(send(account, rate) for account, rate in rates.items()))
     return answered
 
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -77,12 +77,12 @@
 def start(fleet: LocalFleet, user: User) -> None:
     """Start a user's processes and apply its configuration."""
     halls = user.halls
-    for at in range(ENGINES):
-        hall = halls[at % len(halls)]
-        fleet.add_backend("engine", f"engine-{at}", user.service, hall)
-    for at in range(user.plain_upstreams):
-        fleet.add_backend("plain", f"plain-{at}", user.plain_service, halls[at % len(halls)])
-    fleet.add_routers([halls[at % len(halls)] for at in range(ROUTERS)])
+    for index in range(ENGINES):
+        hall = halls[index % len(halls)]
+        fleet.add_backend("engine", f"engine-{index}", user.service, hall)
+    for index in range(user.plain_upstreams):
+        fleet.add_backend("plain", f"plain-{index}", user.plain_service, halls[index % len(halls)])
+    fleet.add_routers([halls[index % len(halls)] for index in range(ROUTERS)])
     applied = fleet.apply(ROOT / "examples" / user.example)
     if applied.returncode != 0:
         raise RuntimeError(applied.stderr)
@@ -97,7 +97,9 @@
     started = time.monotonic()
     tally = asyncio.run(send_chats([router.callers for router in fleet.routers], load))
     plain_sent = 40
-    plain_whole = sum(_is_plain_answer_whole(fleet, user, keys[0], at) for at in range(plain_sent))
+    plain_whole = sum(
+        _is_plain_answer_whole(fleet, user, keys[0], index) for index in range(plain_sent)
+    )
     seconds = time.monotonic() - started
     rates = [
         (sum(_counters(router)) - sum(old)) / seconds
--- a/fakes/_many_routers.py
+++ b/fakes/_many_routers.py
@@ -25,8 +25,8 @@
         self.state = RouterState("r0", hall_of(0), gossip, lambda: 0.0, _no_key_holder)
         listed = tuple(listed_upstream(number, hall_of(number)) for number in range(upstreams))
         self.state.apply_listed_upstreams(Listed(upstreams, listed))
-        for at in range(1, routers):
-            self.receive_member(at, 1)
+        for index in range(1, routers):
+            self.receive_member(index, 1)
 
     def receive_member(self, number: int, incarnation: int, phase: Phase = Phase.LIVE) -> None:
         """Receive another router's record of itself, then run the router's periodic work."""
--- a/pondhatch/configuration/_entry_versions.py
+++ b/pondhatch/configuration/_entry_versions.py
@@ -34,11 +34,15 @@
         # Drops whole versions, oldest first, so that every change after ``since`` stays known.
         oldest_first = sorted(versions.values())
         since = oldest_first[len(versions) - MAX_ENTRIES - 1]
-        kept = {key: at for key, at in versions.items() if at > since}
+        kept = {
+            key: entry_version for key, entry_version in versions.items() if entry_version > since
+        }
         return EntryVersions(since, kept)
 
     def changed_since(self, version: int) -> frozenset[EntryKey] | None:
         """Return the entries that changed after a version, or None if it is before ``since``."""
         if version < self.since:
             return None
-        return frozenset(key for key, at in self.version_by_entry.items() if at > version)
+        return frozenset(
+            key for key, entry_version in self.version_by_entry.items() if entry_version > version
+        )
--- a/pondhatch/configuration/_templates.py
+++ b/pondhatch/configuration/_templates.py
@@ -131,7 +131,7 @@
         nested = [_references(value, (*path, key)) for key, value in body.items()]
         return [found for each in nested for found in each]
     if isinstance(body, list):
-        nested = [_references(value, (*path, at)) for at, value in enumerate(body)]
+        nested = [_references(value, (*path, index)) for index, value in enumerate(body)]
         return [found for each in nested for found in each]
     if isinstance(body, str) and body.startswith(REFERENCE_MARK):
         return [(path, body[len(REFERENCE_MARK) :])]
--- a/pondhatch/configuration/_validation.py
+++ b/pondhatch/configuration/_validation.py
@@ -91,7 +91,8 @@
         return _validate_mapping(inner, data, path, misfits)
     if origin is tuple and isinstance(data, list | tuple):
         items = [
-            _validate_part(inner[0], each, (*path, at), misfits) for at, each in enumerate(data)
+            _validate_part(inner[0], each, (*path, index), misfits)
+            for index, each in enumerate(data)
         ]
         _validate_value(constraints, items, path, misfits)
         return tuple(items)
--- a/pondhatch/configuration/_yaml.py
+++ b/pondhatch/configuration/_yaml.py
@@ -52,7 +52,7 @@
         if isinstance(node, yaml.MappingNode):
             return self._mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
-            return [self.build(item, (*path, at)) for at, item in enumerate(node.value)]
+            return [self.build(item, (*path, index)) for index, item in enumerate(node.value)]
         return self._scalar(node, path)
 
     def _mapping(self, node: yaml.MappingNode, path: FieldPath) -> dict[str, Any]:
--- a/pondhatch/membership/_full_sync.py
+++ b/pondhatch/membership/_full_sync.py
@@ -39,8 +39,8 @@
         own_record = self._dissemination.own_record
         rumors = [own_record, *(entry.rumor() for entry in self._table)]
         size = self._limits.sync_part_rumors
-        parts = [tuple(rumors[at : at + size]) for at in range(0, len(rumors), size)]
+        parts = [tuple(rumors[offset : offset + size]) for offset in range(0, len(rumors), size)]
         return [
-            datagram_to(address, FullSyncPart(own_record.router, wants_reply and at == 0, part))
-            for at, part in enumerate(parts)
+            datagram_to(address, FullSyncPart(own_record.router, wants_reply and index == 0, part))
+            for index, part in enumerate(parts)
         ]
--- a/pondhatch/router/_crash_evidence_exchange.py
+++ b/pondhatch/router/_crash_evidence_exchange.py
@@ -222,5 +222,5 @@
 
 def _in_packets(evidence: Sequence[Evidence]) -> Iterator[tuple[Evidence, ...]]:
     """Yield evidence in batches that each fit into a packet."""
-    for at in range(0, len(evidence), EVIDENCE_PER_PACKET):
-        yield tuple(evidence[at : at + EVIDENCE_PER_PACKET])
+    for offset in range(0, len(evidence), EVIDENCE_PER_PACKET):
+        yield tuple(evidence[offset : offset + EVIDENCE_PER_PACKET])
--- a/pondhatch/router/_limits.py
+++ b/pondhatch/router/_limits.py
@@ -133,6 +133,6 @@
 def _in_packets(sender: str, demands: list[Demand]) -> list[LimitDemands]:
     wire = [LimitDemand(each.account, each.rate, each.running) for each in demands]
     return [
-        LimitDemands(sender, tuple(wire[at : at + MAX_PER_PACKET]))
-        for at in range(0, len(wire), MAX_PER_PACKET)
+        LimitDemands(sender, tuple(wire[offset : offset + MAX_PER_PACKET]))
+        for offset in range(0, len(wire), MAX_PER_PACKET)
     ]
--- a/pondhatch/router/_notice_exchange.py
+++ b/pondhatch/router/_notice_exchange.py
@@ -175,8 +175,10 @@
         self._send_packets(wire_notices, to)
 
     def _send_packets(self, notices: list[WireNotice], to: list[Member]) -> None:
-        for at in range(0, len(notices), NOTICES_PER_PACKET):
-            payload = NOTICE_PACKET_PREFIX + self._encoded(notices[at : at + NOTICES_PER_PACKET])
+        for offset in range(0, len(notices), NOTICES_PER_PACKET):
+            payload = NOTICE_PACKET_PREFIX + self._encoded(
+                notices[offset : offset + NOTICES_PER_PACKET]
+            )
             self._send(Datagram(member.address, payload) for member in to)
 
     def _encoded(self, notices: list[WireNotice]) -> bytes:
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -36,7 +36,7 @@
     :param load: have the routers manage load, and draw load faults in addition
     :param regressions: run the recorded seeds instead, each of which once broke a promise
     """
-    plans = [draw_plan(seed + at, minutes * 60, routers, load) for at in range(seeds)]
+    plans = [draw_plan(seed + index, minutes * 60, routers, load) for index in range(seeds)]
     if regressions:
         recorded = tomllib.loads(REGRESSIONS.read_text())["run"]
         plans = [
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -22,7 +22,9 @@
 #: Least share of the requests after the recovery that must be served.
 MIN_SERVED_SHARE = 0.9
 OK = 200
-WHOLE_STREAM = b"".join(b"id: %d\ndata: %d\n\n" % (at, at) for at in range(1, STREAM_EVENTS + 1))
+WHOLE_STREAM = b"".join(
+    b"id: %d\ndata: %d\n\n" % (number, number) for number in range(1, STREAM_EVENTS + 1)
+)
 
 
 def whole_answers(records: Records) -> list[str]:
