--- a/fakes/tests/_fleet_case.py
+++ b/fakes/tests/_fleet_case.py
@@ -54,11 +54,11 @@
     @classmethod
     def setUpClass(cls) -> None:
         cls.fleet = cls.enterClassContext(LocalFleet(log_level="ERROR"))
-        for at in range(cls.ENGINES):
-            hall = cls.HALLS[at % len(cls.HALLS)]
+        for index in range(cls.ENGINES):
+            hall = cls.HALLS[index % len(cls.HALLS)]
             cls.fleet.add_backend(
                 "engine",
-                f"engine-{at}",
+                f"engine-{index}",
                 "scene-language",
                 hall,
                 cls.RESUMES,
@@ -111,7 +111,9 @@
 
     def is_whole_answer(self, text: str, tokens: int = 16) -> bool:
         words = text.split()
-        return [word.rsplit(".", 1)[0] for word in words] == [f"1.{at}" for at in range(tokens)]
+        return [word.rsplit(".", 1)[0] for word in words] == [
+            f"1.{index}" for index in range(tokens)
+        ]
 
     def call_plain(
         self, path: str, body: bytes | None = None, router: int = 0, **headers: Any
--- a/fakes/tests/test_accepted_configuration.py
+++ b/fakes/tests/test_accepted_configuration.py
@@ -21,7 +21,7 @@
 def with_more_keys(version: int) -> dict[str, Any]:
     """Return a configuration with an account of 17 keys, a new account and a new route."""
     newer = with_version(CONFIGURATION, version)
-    newer["Tenants"][1]["ApiKeys"] = [f"rosa-{at}" for at in range(17)]
+    newer["Tenants"][1]["ApiKeys"] = [f"rosa-{index}" for index in range(17)]
     newer["Tenants"].append({"Name": "nova", "ApiKeys": ["key-nova"]})
     newer["Routes"].append({**newer["Routes"][2], "Name": "r-new", "Host": "new.example"})
     return newer
--- a/fakes/tests/test_callers.py
+++ b/fakes/tests/test_callers.py
@@ -274,8 +274,8 @@
             base = f"{router.callers}/v1"
             self.assertTrue(base.startswith("https://"))
             client = openai.OpenAI(base_url=base, api_key=KEY, max_retries=0, http_client=http)
-            for at in range(4):
-                messages: Any = [{"role": "user", "content": f"tls {at}"}]
+            for index in range(4):
+                messages: Any = [{"role": "user", "content": f"tls {index}"}]
                 stream: Any = client.chat.completions.create(
                     model="scene-writer", messages=messages, stream=True
                 )
--- a/fakes/tests/test_end_to_end.py
+++ b/fakes/tests/test_end_to_end.py
@@ -25,9 +25,9 @@
     @classmethod
     def setUpClass(cls) -> None:
         cls.fleet = cls.enterClassContext(LocalFleet(log_level="ERROR"))
-        for at in range(3):
+        for index in range(3):
             cls.fleet.add_backend(
-                "engine", f"engine-{at}", "scene-language", f"recife-{at % 2 + 1}"
+                "engine", f"engine-{index}", "scene-language", f"recife-{index % 2 + 1}"
             )
         cls.fleet.add_backend("plain", "portal-0", "proof-portal", "recife-1")
         cls.fleet.add_routers(["recife-1", "recife-1", "recife-2"])
--- a/fakes/tests/test_engine_entries.py
+++ b/fakes/tests/test_engine_entries.py
@@ -67,7 +67,7 @@
 
 class UnknownEntryTest(EntriesCase):
     def test_invalid_entries_of_unknown_engines_change_nothing(self) -> None:
-        for at, spec in enumerate(("no table", None, [1, 2], {"Service": "portal"}, 7)):
-            self.fleet.put_object("servers", f"i-nobody-{at}", spec)
+        for index, spec in enumerate(("no table", None, [1, 2], {"Service": "portal"}, 7)):
+            self.fleet.put_object("servers", f"i-nobody-{index}", spec)
         self.fleet.add_engine("i-portal-2", "portal", HALLS[0])
         eventually(lambda: self.serving_engines() == {"i-portal-0", "i-portal-1", "i-portal-2"})
--- a/fakes/tests/test_faults.py
+++ b/fakes/tests/test_faults.py
@@ -15,7 +15,7 @@
 from fakes.tests._fleet_case import FleetCase
 
 #: Prefixes of the words in the answer to a single message.
-WORD_PREFIXES = [f"1.{at}" for at in range(16)]
+WORD_PREFIXES = [f"1.{index}" for index in range(16)]
 
 
 class EngineFaultTest(FleetCase):
@@ -43,7 +43,7 @@
     def test_a_crossed_answer_is_dropped_and_the_request_run_elsewhere(self) -> None:
         for engine in self.engines[:1]:
             engine.arm("cross", count=1)
-        texts = [self.stream(f"cross {at}") for at in range(6)]
+        texts = [self.stream(f"cross {index}") for index in range(6)]
         self.assertTrue(all(self.is_whole_answer(text) for text in texts), texts)
 
     def test_a_late_answer_never_reaches_the_next_request_of_a_connection(self) -> None:
@@ -51,15 +51,15 @@
             for pause in (0.0, 0.01, 0.05, 0.07):
                 with self.subTest(fault=fault, pause=pause):
                     self.arm_all(fault, count=3, seconds=pause)
-                    texts = [self.stream(f"{fault} {pause} {at}") for at in range(8)]
+                    texts = [self.stream(f"{fault} {pause} {index}") for index in range(8)]
                     self.assertTrue(all(self.is_whole_answer(text) for text in texts), texts)
 
     def test_garbled_bytes_within_an_answer_are_an_explicit_error(self) -> None:
-        for at in range(4):
+        for index in range(4):
             self.arm_all("garble", count=1)
             received: list[str] = []
             with self.assertRaisesRegex(openai.APIError, "engine-"):
-                self.stream_into(received, f"garble {at}")
+                self.stream_into(received, f"garble {index}")
             words = "".join(received).split()
             self.assertEqual(
                 [word.rsplit(".", 1)[0] for word in words], WORD_PREFIXES[: len(words)]
@@ -67,7 +67,7 @@
 
     def test_a_refusal_moves_the_request_on(self) -> None:
         self.engines[0].arm("refuse", count=3)
-        texts = [self.stream(f"refuse {at}") for at in range(6)]
+        texts = [self.stream(f"refuse {index}") for index in range(6)]
         self.assertTrue(all(self.is_whole_answer(text) for text in texts), texts)
 
     def test_a_caller_that_goes_away_ends_the_engines_work(self) -> None:
@@ -105,7 +105,7 @@
             for pause in (0.05, 0.07):
                 with self.subTest(fault=fault, pause=pause):
                     self.arm_all(fault, count=2, seconds=pause)
-                    texts = [self.stream(f"alone {fault} {pause} {at}") for at in range(12)]
+                    texts = [self.stream(f"alone {fault} {pause} {index}") for index in range(12)]
                     self.assertTrue(all(self.is_whole_answer(text) for text in texts), texts)
 
 
@@ -142,9 +142,11 @@
     def test_a_stream_survives_the_loss_of_the_owning_router(self) -> None:
         engine = self.engines[0].name
         owner = self.owner_of(engine)
-        entry = next(at for at, r in enumerate(self.fleet.routers) if r is not owner)
+        entry = next(index for index, r in enumerate(self.fleet.routers) if r is not owner)
         content = next(
-            f"owned {at}" for at in range(200) if self.runs_at(f"owned {at}", engine, entry)
+            f"owned {index}"
+            for index in range(200)
+            if self.runs_at(f"owned {index}", engine, entry)
         )
         texts: list[str] = []
         caller = threading.Thread(
@@ -166,7 +168,9 @@
     def test_a_stream_survives_an_owning_router_that_freezes(self) -> None:
         entry, frozen = self.fleet.routers[0], self.fleet.routers[1]
         engine = next(e.name for e in self.engines if self.owner_of(e.name) is frozen)
-        content = next(f"cold {at}" for at in range(200) if self.runs_at(f"cold {at}", engine, 0))
+        content = next(
+            f"cold {index}" for index in range(200) if self.runs_at(f"cold {index}", engine, 0)
+        )
         texts: list[str] = []
         caller = threading.Thread(target=lambda: texts.append(self.stream(content, 0, 300)))
         caller.start()
@@ -203,7 +207,9 @@
     def test_a_keyed_call_runs_once_however_often_it_is_sent(self) -> None:
         sent: Any = {"X_Call_Id": "keyed", "Idempotency_Key": "k-1"}
         first = self.call_plain("/proofs/log", b"caption", **sent)
-        repeats = [self.call_plain("/proofs/log", b"caption", at % 2, **sent) for at in range(4)]
+        repeats = [
+            self.call_plain("/proofs/log", b"caption", index % 2, **sent) for index in range(4)
+        ]
         self.assertEqual({each.body for each in repeats}, {first.body})
         self.assertEqual({each.headers["X-Pondhatch-Replayed"] for each in repeats}, {"true"})
         self.assertEqual(self.call_counts()["keyed"], 1)
@@ -248,7 +254,7 @@
     def assert_gets_no_work(self, engine: int) -> None:
         time.sleep(3)
         before = len(self.runs(self.engines[engine]))
-        texts = [self.stream(f"leaving {engine} {at}", at % 2) for at in range(25)]
+        texts = [self.stream(f"leaving {engine} {index}", index % 2) for index in range(25)]
         self.assertTrue(all(self.is_whole_answer(text) for text in texts))
         self.assertEqual(len(self.runs(self.engines[engine])), before)
 
@@ -290,8 +296,8 @@
 
     def gets_work(self, engine: int) -> bool:
         before = len(self.runs(self.engines[engine]))
-        for at in range(20):
-            self.stream(f"again {engine} {at}")
+        for index in range(20):
+            self.stream(f"again {engine} {index}")
         return len(self.runs(self.engines[engine])) > before
 
 
@@ -304,9 +310,11 @@
         texts: list[str] = []
         callers = [
             threading.Thread(
-                target=lambda at=at: texts.append(self.stream(f"drain {at}", at % 3, 900))
+                target=lambda index=index: texts.append(
+                    self.stream(f"drain {index}", index % 3, 900)
+                )
             )
-            for at in range(12)
+            for index in range(12)
         ]
         for caller in callers:
             caller.start()
--- a/fakes/tests/test_prepared_machines.py
+++ b/fakes/tests/test_prepared_machines.py
@@ -17,7 +17,9 @@
 from pondhatch.platform.tests._wire import CONFIGURATION
 
 KEY = "key-1"
-WHOLE_STREAM = b"".join(b"id: %d\ndata: %d\n\n" % (at, at) for at in range(1, STREAM_EVENTS + 1))
+WHOLE_STREAM = b"".join(
+    b"id: %d\ndata: %d\n\n" % (number, number) for number in range(1, STREAM_EVENTS + 1)
+)
 
 
 @dataclass(frozen=True)
@@ -37,9 +39,9 @@
         fleet = MachinesFleet(log_level="ERROR")
         cls.fleet = cls.enterClassContext(fleet)
         cls.fleet.put_object("config", "main", CONFIGURATION)
-        for at in range(2):
+        for index in range(2):
             for service in ("lang", "portal"):
-                cls.fleet.add_engine(f"i-{service}-{at}", service, HALLS[at])
+                cls.fleet.add_engine(f"i-{service}-{index}", service, HALLS[index])
         for hall in HALLS:
             cls.fleet.add_router(hall)
         eventually(lambda: all(router.is_ready() for router in cls.fleet.machine_routers))
--- a/fakes/tests/test_recovery.py
+++ b/fakes/tests/test_recovery.py
@@ -25,7 +25,7 @@
 
     def start_load(self, entries: list[int], chats: int = 40) -> tuple[threading.Thread, Tally]:
         """Start chats through some routers; the tally is complete when the thread ends."""
-        bases = [self.fleet.routers[at].callers for at in entries]
+        bases = [self.fleet.routers[index].callers for index in entries]
         load = ChatLoad("scene-writer", (KEY,), chats=chats, turns=4, concurrency=8, pause=0.5)
         tally = Tally()
 
@@ -41,8 +41,8 @@
     def test_routers_killed_together_leave_no_answer_broken(self) -> None:
         thread, tally = self.start_load([1, 3, 5])
         time.sleep(2)
-        for at in (0, 2):
-            self.fleet.routers[at].process.kill()
+        for index in (0, 2):
+            self.fleet.routers[index].process.kill()
         thread.join(120)
         self.assertEqual(tally.bad, [])
         self.assertLessEqual(set(tally.refused), ALLOWED_CODES)
--- a/fakes/tests/test_silent_connections.py
+++ b/fakes/tests/test_silent_connections.py
@@ -47,9 +47,9 @@
         cls.fleet.object_store.url = f"http://{cls.store_relay.address}"
         cls.fleet.put_object("config", "main", EXTENDED_CONFIGURATION)
         cls.relays = []
-        for at in range(2):
+        for index in range(2):
             for service in ("lang", "portal"):
-                engine = cls.fleet.add_engine(f"i-{service}-{at}", service, HALLS[at])
+                engine = cls.fleet.add_engine(f"i-{service}-{index}", service, HALLS[index])
                 cls.relays.append(cls.relay_to(engine.url))
                 listed = replace(engine, url=f"http://{cls.relays[-1].address}")
                 cls.fleet.put_engine(listed, "ready")
--- a/fakes/tests/test_store_restores.py
+++ b/fakes/tests/test_store_restores.py
@@ -36,8 +36,8 @@
         """Have the store save a copy, take more writes, and restore the copy."""
         self.fleet.object_store.arm("copy", 1)
         self.fleet.put_object("servers", "touch", {})
-        for at in range(CHANGES_AFTER_COPY):
-            self.fleet.put_engine(self.engines("portal")[0], "ready", Slots=9 + at % 2)
+        for index in range(CHANGES_AFTER_COPY):
+            self.fleet.put_engine(self.engines("portal")[0], "ready", Slots=9 + index % 2)
         self.fleet.object_store.arm("restore", 1, OUTAGE_SECONDS)
         eventually(self.is_store_back)
 
--- a/fakes/tests/test_upstream_notices.py
+++ b/fakes/tests/test_upstream_notices.py
@@ -101,8 +101,8 @@
     def is_used(self, engine: int) -> bool:
         """Return whether an engine runs one of eight chats."""
         before = self.run_count(engine)
-        for at in range(8):
-            self.stream(f"chat {at} of {before}", router=at % 2)
+        for index in range(8):
+            self.stream(f"chat {index} of {before}", router=index % 2)
         return self.run_count(engine) > before
 
     def test_an_engine_that_announces_leaving_or_rest_gets_no_chat(self) -> None:
@@ -111,12 +111,14 @@
                 # It is used again once it reports that it stays.
                 self.eventually(lambda: self.is_used(0), REPORT_SECONDS)
                 self.engines[0].arm(fault, UNLIMITED, seconds)
-                for at in range(8):
-                    self.stream(f"{fault} {at}", router=at % 2)
+                for index in range(8):
+                    self.stream(f"{fault} {index}", router=index % 2)
                 # From now on the engine itself would accept requests.
                 self.engines[0].arm(fault, 0)
                 time.sleep(PROPAGATION_SECONDS)
                 before = self.run_count(0)
-                texts = [self.stream(f"after {fault} {at}", router=at % 2) for at in range(8)]
+                texts = [
+                    self.stream(f"after {fault} {index}", router=index % 2) for index in range(8)
+                ]
                 self.assertTrue(all(self.is_whole_answer(text) for text in texts), texts)
                 self.assertEqual(self.run_count(0), before)
--- a/pondhatch/authority/tests/test_authority.py
+++ b/pondhatch/authority/tests/test_authority.py
@@ -388,7 +388,7 @@
                 for name, each in zip(NAMES, pauses, strict=True)
             ]
             routers[0].should_hold = True
-            for at, (after, kind, index) in enumerate(events, 1):
+            for number, (after, kind, index) in enumerate(events, 1):
                 simulation.platform.save_copy()
                 await asyncio.sleep(after)
                 if kind == "drill":
@@ -399,11 +399,11 @@
                     routers[index].should_hold = kind == "want"
                 if kind == "kill":
                     routers[index].kill()
-                    routers[index] = SimulatedRouter(NAMES[index], simulation, [], at)
+                    routers[index] = SimulatedRouter(NAMES[index], simulation, [], number)
             simulation.platform_faults.clear()
             simulation.order_faults.clear()
-            for at, router in enumerate(routers):
-                router.should_hold = at == 0
+            for number, router in enumerate(routers):
+                router.should_hold = number == 0
                 router.pauses.stop()
             simulation.spec = replace(simulation.spec, version=simulation.spec.version + 1)
             await asyncio.sleep(RECOVERY_SECONDS)
--- a/pondhatch/cli/tests/test_hall_commands.py
+++ b/pondhatch/cli/tests/test_hall_commands.py
@@ -16,9 +16,14 @@
 class HallCommandsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.platform = PlatformInMemory()
-        for at, hall in enumerate(("h1", "h1", "h2")):
-            value = {"name": f"e{at}", "service": "lang", "url": "http://10.0.0.1:80", "hall": hall}
-            await self.platform.create(UPSTREAM_KIND, f"e{at}", value)
+        for index, hall in enumerate(("h1", "h1", "h2")):
+            value = {
+                "name": f"e{index}",
+                "service": "lang",
+                "url": "http://10.0.0.1:80",
+                "hall": hall,
+            }
+            await self.platform.create(UPSTREAM_KIND, f"e{index}", value)
 
     async def run_command(
         self, hall: str, in_force: bool = True, dry_run: bool = False
--- a/pondhatch/configuration/tests/test_differences.py
+++ b/pondhatch/configuration/tests/test_differences.py
@@ -120,7 +120,7 @@
         versions = EntryVersions(1)
         per_version = 1000
         for version in range(2, 12):
-            names = [f"{version}-{at}" for at in range(per_version)]
+            names = [f"{version}-{index}" for index in range(per_version)]
             versions = versions.with_changed([("route", name) for name in names], version)
             self.assertLessEqual(len(versions.version_by_entry), MAX_ENTRIES)
         self.assertEqual(versions.since, 7)
@@ -128,6 +128,6 @@
         self.assertEqual(len(versions.changed_since(7) or ()), 4 * per_version)
 
     def test_a_version_above_the_bound_drops_all_versions_before_it(self) -> None:
-        many = [("route", str(at)) for at in range(MAX_ENTRIES + 1)]
+        many = [("route", str(index)) for index in range(MAX_ENTRIES + 1)]
         versions = EntryVersions(1).with_changed(many, 2)
         self.assertEqual((versions.since, dict(versions.version_by_entry)), (2, {}))
--- a/pondhatch/configuration/tests/test_publishing.py
+++ b/pondhatch/configuration/tests/test_publishing.py
@@ -62,10 +62,10 @@
 
     async def test_an_unreadable_change_does_not_block_later_ones(self) -> None:
         rows: tuple[Any, ...] = ({"version": "two"}, None, msgspec.to_builtins(change(7, "x")))
-        for at, value in enumerate(rows):
-            version = 2 + 2 * at
+        for index, value in enumerate(rows):
+            version = 2 + 2 * index
             await self.platform.create(CHANGE_KIND, change_object_name(version), value)
-            later = change(version + 1, f"ana{at}")
+            later = change(version + 1, f"ana{index}")
             self.assertEqual(await publish(self.platform, later, no_pause), Published(version + 1))
         configuration = await self.configuration()
         self.assertEqual(configuration.version, 7)
@@ -179,7 +179,7 @@
             elif isinstance(outcome, LostRace | NotWritten):
                 refused.append(own.change_id)
 
-        await asyncio.gather(*(operate(at, author) for at, author in enumerate(authors)))
+        await asyncio.gather(*(operate(index, author) for index, author in enumerate(authors)))
         platform.faults.by_name.clear()
         final = await read_configuration(platform, FleetConfiguration())
         assert isinstance(final, FleetConfiguration)
--- a/pondhatch/configuration/tests/test_routes.py
+++ b/pondhatch/configuration/tests/test_routes.py
@@ -53,14 +53,14 @@
     def test_services_are_chosen_in_proportion_to_the_weights(self) -> None:
         found = RouteTable.of({"r": route("a", "/", ("x", 1), ("y", 3))}).find("a", "/")
         assert isinstance(found, Route)
-        drawn = [found.choose_service(at / 1000) for at in range(1000)]
+        drawn = [found.choose_service(index / 1000) for index in range(1000)]
         self.assertEqual((drawn.count("x"), drawn.count("y")), (250, 750))
         self.assertEqual(found.choose_service(1.0), "y")
 
     def test_a_target_of_weight_zero_gets_no_requests(self) -> None:
         found = RouteTable.of({"r": route("a", "/", ("x", 1), ("y", 0))}).find("a", "/")
         assert isinstance(found, Route)
-        drawn = [found.choose_service(at / 1000) for at in range(1001)]
+        drawn = [found.choose_service(index / 1000) for index in range(1001)]
         self.assertEqual(drawn.count("x"), 1001)
 
     def test_an_unusable_route_does_not_fall_back_to_a_shorter_prefix(self) -> None:
--- a/pondhatch/limits/tests/test_rate_limiter.py
+++ b/pondhatch/limits/tests/test_rate_limiter.py
@@ -20,4 +20,4 @@
         self.assertEqual(waits, [0.0, 0.0, 0.0, 0.1])
 
     def test_callers_at_the_rate_never_wait(self) -> None:
-        self.assertEqual([self.limiter.reserve(at * 0.1) for at in range(100)], [0.0] * 100)
+        self.assertEqual([self.limiter.reserve(index * 0.1) for index in range(100)], [0.0] * 100)
--- a/pondhatch/membership/tests/test_gossip.py
+++ b/pondhatch/membership/tests/test_gossip.py
@@ -50,7 +50,7 @@
         self.stopped: set[int] = set()
         self.is_delivered: Callable[[Edge], bool] = lambda edge: True
         self.largest_payload = 0
-        self.cores = [self.new_core(at, 1) for at in range(routers)]
+        self.cores = [self.new_core(index, 1) for index in range(routers)]
 
     def new_core(self, at: int, incarnation: int) -> Gossip:
         name = f"r{at}"
@@ -62,9 +62,9 @@
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_SECONDS)):
             self.now += TICK_SECONDS
-            for at, core in enumerate(self.cores):
-                if at not in self.stopped:
-                    self.deliver(at, core.tick(self.now))
+            for index, core in enumerate(self.cores):
+                if index not in self.stopped:
+                    self.deliver(index, core.tick(self.now))
 
     def deliver(self, sender: int, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
@@ -87,11 +87,11 @@
             with self.subTest(routers=routers):
                 net = SimulatedNetwork(routers, seeds=())
                 net.run(TICK_SECONDS)
-                addresses = [Address("127.0.0.1", 7000 + at) for at in range(routers)]
-                for at, core in enumerate(net.cores):
-                    core.add_seeds(addresses[: at + 1])
+                addresses = [Address("127.0.0.1", 7000 + index) for index in range(routers)]
+                for index, core in enumerate(net.cores):
+                    core.add_seeds(addresses[: index + 1])
                 net.run(PEER_DISCOVERY_SECONDS - TICK_SECONDS)
-                known = [len(net.members_seen_by(at)) for at in range(routers)]
+                known = [len(net.members_seen_by(index)) for index in range(routers)]
                 self.assertGreaterEqual(min(known), 0.8 * routers)
 
 
@@ -99,20 +99,20 @@
     def test_all_find_each_other_through_one_seed(self) -> None:
         net = SimulatedNetwork(30)
         net.run(10)
-        for at in range(30):
-            self.assertEqual(len(net.members_seen_by(at)), 30)
+        for index in range(30):
+            self.assertEqual(len(net.members_seen_by(index)), 30)
 
     def test_a_frozen_router_is_removed_by_all_and_returns(self) -> None:
         net = SimulatedNetwork(8)
         net.run(10)
         net.stopped.add(3)
         net.run(6)
-        for at in set(range(8)) - {3}:
-            self.assertNotIn("r3", net.members_seen_by(at))
+        for index in set(range(8)) - {3}:
+            self.assertNotIn("r3", net.members_seen_by(index))
         net.stopped.clear()
         net.run(6)
-        for at in range(8):
-            self.assertEqual(len(net.members_seen_by(at)), 8)
+        for index in range(8):
+            self.assertEqual(len(net.members_seen_by(index)), 8)
 
     def test_nobody_is_suspected_in_a_quiet_fleet(self) -> None:
         net = SimulatedNetwork(40)
@@ -211,16 +211,16 @@
 
     def setUp(self) -> None:
         self.net = SimulatedNetwork(12, halls=3)
-        for at, core in enumerate(self.net.cores):
-            core.publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, at),))
+        for index, core in enumerate(self.net.cores):
+            core.publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, index),))
         self.net.run(12)
 
     def load_elsewhere(self, at: int) -> int:
         return self.net.cores[at].in_flight_elsewhere("s", self.net.now)
 
     def test_every_router_knows_the_load_of_all_others(self) -> None:
-        for at in range(12):
-            self.assertEqual(self.load_elsewhere(at), 66 - at)
+        for index in range(12):
+            self.assertEqual(self.load_elsewhere(index), 66 - index)
 
     def test_a_lost_aggregator_is_replaced_and_its_load_leaves_the_sum(self) -> None:
         order = aggregation_order("h1", self.net.cores[1].members(self.net.now))
@@ -228,11 +228,11 @@
         self.net.stopped.add(aggregator)
         self.net.run(16)
         survivors = set(range(12)) - {aggregator}
-        for at in survivors:
-            self.assertEqual(self.load_elsewhere(at), 66 - at - aggregator)
+        for index in survivors:
+            self.assertEqual(self.load_elsewhere(index), 66 - index - aggregator)
 
     def test_a_hall_cut_off_keeps_its_own_sum(self) -> None:
-        cut_off = {at for at in range(12) if at % 3 == 0}
+        cut_off = {index for index in range(12) if index % 3 == 0}
         self.net.is_delivered = lambda edge: (edge[0] in cut_off) == (edge[1] in cut_off)
         self.net.run(20)
         self.assertEqual(self.load_elsewhere(3), sum(cut_off) - 3)
@@ -247,14 +247,14 @@
     def test_a_fall_of_the_load_is_known_within_a_second_in_a_small_fleet(self) -> None:
         self.net.cores[5].publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, 0),))
         self.net.run(1.3)
-        for at in set(range(12)) - {5}:
-            self.assertEqual(self.load_elsewhere(at), 66 - at - 5)
+        for index in set(range(12)) - {5}:
+            self.assertEqual(self.load_elsewhere(index), 66 - index - 5)
 
     def test_a_new_load_is_known_within_two_seconds(self) -> None:
         self.net.cores[5].publish(Phase.LIVE, 0, 0, (ServiceLoad(short_id("s"), 2, 500),))
         self.net.run(2.2)
-        for at in set(range(12)) - {5}:
-            self.assertEqual(self.load_elsewhere(at), 66 - at - 5 + 500)
+        for index in set(range(12)) - {5}:
+            self.assertEqual(self.load_elsewhere(index), 66 - index - 5 + 500)
 
 
 class SealTest(unittest.TestCase):
@@ -274,8 +274,8 @@
 
     def test_an_engine_is_owned_in_its_hall(self) -> None:
         hall_by_name = {member.name: member.hall for member in self.members}
-        for at in range(20):
-            owner = owner_of(f"engine-{at}", "h1", live_by_hall(self.members))
+        for index in range(20):
+            owner = owner_of(f"engine-{index}", "h1", live_by_hall(self.members))
             self.assertEqual(hall_by_name[owner] if owner else None, "h1")
 
     def test_a_hall_without_routers_is_served_by_the_others(self) -> None:
@@ -287,7 +287,7 @@
         net.cores[1].publish(Phase.DRAINING, 0, 0, ())
         net.run(8)
         members = net.cores[0].members(net.now)
-        owners = {owner_of(f"e{at}", "h1", live_by_hall(members)) for at in range(20)}
+        owners = {owner_of(f"e{index}", "h1", live_by_hall(members)) for index in range(20)}
         self.assertEqual(owners, {"r3"})
 
     def test_each_hall_has_one_watcher_on_which_all_agree(self) -> None:
--- a/pondhatch/membership/tests/test_weighted_ownership.py
+++ b/pondhatch/membership/tests/test_weighted_ownership.py
@@ -36,7 +36,7 @@
 from pondhatch.membership.tests.test_gossip import SimulatedNetwork
 
 CAPACITIES = (0.5, 0.7, 1.0, 1.0, 1.3, 1.6, 1.9, 2.2)
-ENGINES = tuple(f"engine-{at}" for at in range(2100))
+ENGINES = tuple(f"engine-{index}" for index in range(2100))
 ANY_ADDRESS = Address("127.0.0.1", 9)
 
 
@@ -76,8 +76,8 @@
 
 def members_with(capacities: Iterable[float]) -> list[Member]:
     return [
-        Member(f"r{at}", Address("127.0.0.1", 7000 + at), "h0", Phase.LIVE, capacity=capacity)
-        for at, capacity in enumerate(capacities)
+        Member(f"r{index}", Address("127.0.0.1", 7000 + index), "h0", Phase.LIVE, capacity=capacity)
+        for index, capacity in enumerate(capacities)
     ]
 
 
@@ -102,7 +102,7 @@
     def test_when_the_largest_dies_its_engines_go_to_the_others_in_proportion(self) -> None:
         net = CapacityNetwork(len(CAPACITIES), halls=1)
         net.run(10)
-        capacity_by_router = {f"r{at}": capacity for at, capacity in enumerate(CAPACITIES)}
+        capacity_by_router = {f"r{index}": capacity for index, capacity in enumerate(CAPACITIES)}
         before = owners(net.cores[0].members(net.now))
         self.assert_in_proportion(before.values(), capacity_by_router)
         net.stopped.add(CAPACITIES.index(max(CAPACITIES)))
@@ -128,7 +128,7 @@
             self.assertTrue(all(changed in pair for pair in moved))
 
     def test_a_hall_without_routers_is_shared_by_all_others_in_proportion(self) -> None:
-        capacity_by_router = {f"r{at}": capacity for at, capacity in enumerate(CAPACITIES)}
+        capacity_by_router = {f"r{index}": capacity for index, capacity in enumerate(CAPACITIES)}
         owned = owners(members_with(CAPACITIES), "elsewhere")
         self.assert_in_proportion(owned.values(), capacity_by_router)
 
@@ -136,7 +136,7 @@
         for capacity in (1.0, 0.5):
             members = members_with([capacity] * 5)
             live = live_by_hall(members)
-            owned = [owner_of(f"e{at}", "h0", live) for at in range(8)]
+            owned = [owner_of(f"e{index}", "h0", live) for index in range(8)]
             self.assertEqual(owned, ["r1", "r3", "r2", "r4", "r4", "r2", "r3", "r2"])
             self.assertEqual(watchers("h0", members), ("r2",))
             order = [member.name for member in aggregation_order("h0", members)]
@@ -145,10 +145,10 @@
     def test_a_hall_is_watched_and_summed_up_by_a_small_router_less_often(self) -> None:
         members = members_with((0.1, 2.0, 2.0))
         chosen: Counter[str] = Counter()
-        for at in range(400):
-            hall = [replace(member, hall=f"h{at}") for member in members]
-            chosen[watchers(f"h{at}", hall)[0]] += 1
-            chosen[aggregation_order(f"h{at}", hall)[0].name] += 1
+        for index in range(400):
+            hall = [replace(member, hall=f"h{index}") for member in members]
+            chosen[watchers(f"h{index}", hall)[0]] += 1
+            chosen[aggregation_order(f"h{index}", hall)[0].name] += 1
         self.assert_in_proportion(chosen.elements(), {"r0": 0.1, "r1": 2.0, "r2": 2.0})
 
 
--- a/pondhatch/observing/tests/test_line_writer.py
+++ b/pondhatch/observing/tests/test_line_writer.py
@@ -38,7 +38,7 @@
     def test_lines_are_written_whole_and_in_order(self) -> None:
         for index in range(2000):
             self.writer.add(b"line %d" % index)
-        self.assertEqual(self.read_all(), [b"line %d" % at for at in range(2000)])
+        self.assertEqual(self.read_all(), [b"line %d" % number for number in range(2000)])
 
     def test_nothing_is_written_before_a_flush(self) -> None:
         self.writer.add(b"one")
--- a/pondhatch/placement/tests/test_context.py
+++ b/pondhatch/placement/tests/test_context.py
@@ -6,7 +6,7 @@
 
 from pondhatch.placement import ContextLocations, Plan, context_engine
 
-ENGINES = tuple(f"e{at}" for at in range(17))
+ENGINES = tuple(f"e{index}" for index in range(17))
 
 
 class ContextTest(unittest.TestCase):
@@ -37,7 +37,7 @@
 
     def test_a_chat_keeps_its_engine_however_many_new_engines_rank_above(self) -> None:
         for count in (1, 2, 5):
-            newcomers = {f"new{at}" for at in range(count)}
+            newcomers = {f"new{index}" for index in range(count)}
             for chat in range(200):
                 before = Plan(str(chat), ENGINES).home
                 plan = Plan(str(chat), (*ENGINES, *newcomers))
--- a/pondhatch/placement/tests/test_plan.py
+++ b/pondhatch/placement/tests/test_plan.py
@@ -7,7 +7,7 @@
 from pondhatch.placement import Ask, ContextLocations, Exhausted, Plan, ranked, winner
 from pondhatch.placement._plan import MAX_AILING_SKIPPED
 
-ENGINES = tuple(f"engine-{at}" for at in range(10))
+ENGINES = tuple(f"engine-{index}" for index in range(10))
 
 
 class PlanTest(unittest.TestCase):
@@ -129,8 +129,8 @@
 class RendezvousTest(unittest.TestCase):
     def test_a_lost_engine_moves_only_its_own_chats(self) -> None:
         rest = ENGINES[:-1]
-        for at in range(300):
-            before, after = winner(str(at), ENGINES), winner(str(at), rest)
+        for index in range(300):
+            before, after = winner(str(index), ENGINES), winner(str(index), rest)
             if before != ENGINES[-1]:
                 self.assertEqual(before, after)
 
--- a/pondhatch/placement/tests/test_weighted_rendezvous.py
+++ b/pondhatch/placement/tests/test_weighted_rendezvous.py
@@ -14,8 +14,8 @@
     winner,
 )
 
-NAMES = tuple(f"r{at}" for at in range(9))
-KEYS = tuple(f"key-{at}" for at in range(2000))
+NAMES = tuple(f"r{index}" for index in range(9))
+KEYS = tuple(f"key-{index}" for index in range(2000))
 
 
 class WeightedRendezvousTest(unittest.TestCase):
--- a/pondhatch/platform/tests/test_accepted_configuration.py
+++ b/pondhatch/platform/tests/test_accepted_configuration.py
@@ -44,7 +44,7 @@
         self.assertIn("lang", configuration.service_by_name)
 
     def test_no_bound_of_the_router_rejects_an_entry(self) -> None:
-        keys = [f"many-{at}" for at in range(200)]
+        keys = [f"many-{index}" for index in range(200)]
         route = {**ADDED_ROUTE, "Name": "r-other", "PathPrefix": "/other/"}
         shares = [{"Service": "lang", "Weight": 0}, {"Service": "portal", "Weight": 1}]
         rows: tuple[dict[str, Any], ...] = (
--- a/pondhatch/platform/tests/test_configuration.py
+++ b/pondhatch/platform/tests/test_configuration.py
@@ -35,9 +35,9 @@
         decode_configuration(CONFIGURATION, DEFAULTS)
         many = copy.deepcopy(CONFIGURATION)
         many["Routes"] += [
-            {**route, "Name": f"{route['Name']}-{at}", "PathPrefix": f"/{at}/"}
+            {**route, "Name": f"{route['Name']}-{index}", "PathPrefix": f"/{index}/"}
             for route in CONFIGURATION["Routes"]
-            for at in range(100)
+            for index in range(100)
         ]
         with patch("msgspec.structs.fields", side_effect=AssertionError) as fields:
             snapshot = decode_configuration(many, DEFAULTS)
@@ -63,8 +63,8 @@
         fewer = copy.deepcopy(CONFIGURATION)
         del fewer["Routes"][0], fewer["Tenants"][0]
         nobody = {**copy.deepcopy(CONFIGURATION), "Tenants": None}
-        for at, value in enumerate((twice, fewer, nobody, CONFIGURATION, twice)):
-            with self.subTest(at=at):
+        for index, value in enumerate((twice, fewer, nobody, CONFIGURATION, twice)):
+            with self.subTest(index=index):
                 self.assertEqual(reader.decode(value), decode_configuration(value, DEFAULTS))
 
 
@@ -98,7 +98,7 @@
     def test_weights_split_a_routes_requests(self) -> None:
         route = self.configuration.routes.find("desk.example", "/briefs/")
         assert isinstance(route, Route)
-        drawn = [route.choose_service(at / 100) for at in range(100)]
+        drawn = [route.choose_service(index / 100) for index in range(100)]
         self.assertEqual(drawn.count("lang"), 90)
 
     def test_only_the_hashes_of_keys_are_kept(self) -> None:
--- a/pondhatch/platform/tests/test_malformed_entries.py
+++ b/pondhatch/platform/tests/test_malformed_entries.py
@@ -245,10 +245,10 @@
         self.state.apply_listed_upstreams(Listed(6, (kept,), frozenset({"i-1"})))
 
     def test_a_malformed_entry_gets_no_new_requests_and_stays_listed(self) -> None:
-        for at in range(3):
-            with self.subTest(way=at):
+        for index in range(3):
+            with self.subTest(way=index):
                 self.setUp()
-                self.ways_to_learn()[at]()
+                self.ways_to_learn()[index]()
                 self.assertEqual(self.available(), ["i-2"])
                 self.assertIsNotNone(self.state.upstreams.upstream("i-1"))
 
--- a/pondhatch/quarantine/tests/test_suspects.py
+++ b/pondhatch/quarantine/tests/test_suspects.py
@@ -125,8 +125,8 @@
 
     def test_beyond_the_limit_the_oldest_are_evicted_and_the_quarantined_last(self) -> None:
         suspects = suspects_from(crashes(CAUSE, "a", "b", "c"))
-        for at in range(MAX_SUSPECTS + 10):
-            suspects.add(Evidence(100 + at, f"e{at}", 0), 1.0)
+        for index in range(MAX_SUSPECTS + 10):
+            suspects.add(Evidence(100 + index, f"e{index}", 0), 1.0)
         self.assertEqual(len(suspects.suspect_by_digest), MAX_SUSPECTS)
         self.assertTrue(suspects.is_quarantined(CAUSE, 1.0))
         self.assertNotIn(100, suspects.suspect_by_digest)
--- a/pondhatch/requests/tests/_history.py
+++ b/pondhatch/requests/tests/_history.py
@@ -109,7 +109,7 @@
 
 def answer_of(request: str) -> bytes:
     """Return the complete answer to a request."""
-    events = [f"data: {request} {at}\n\n" for at in range(EVENTS)]
+    events = [f"data: {request} {index}\n\n" for index in range(EVENTS)]
     return ("".join(events) + "data: [DONE]\n\n").encode()
 
 
@@ -322,8 +322,8 @@
         fault = self._script.next()
         copies = {"lost": 0, "twice": 2}.get(fault, 1)
         payload = encode_grant_packet(packet)
-        for at in range(copies):
-            delay = 0.01 + 0.02 * at + DELAY_BY_FAULT.get(fault, 0.0)
+        for index in range(copies):
+            delay = 0.01 + 0.02 * index + DELAY_BY_FAULT.get(fault, 0.0)
             asyncio.get_running_loop().call_later(delay, self._deliver, sender, to, payload)
 
     def _deliver(self, sender: str, to: str, payload: bytes) -> None:
--- a/pondhatch/requests/tests/test_intake_histories.py
+++ b/pondhatch/requests/tests/test_intake_histories.py
@@ -91,7 +91,7 @@
             fleet = Fleet([], [], False)
             fleet.intake_by_engine = dict.fromkeys(fleet.engines, EVACUATED)
             began = asyncio.get_running_loop().time()
-            await asyncio.gather(*(fleet.request(at, True, False) for at in range(3)))
+            await asyncio.gather(*(fleet.request(index, True, False) for index in range(3)))
             took = asyncio.get_running_loop().time() - began
             return took, list(fleet.history.outcome_by_request.values()), len(fleet.history.sends)
 
@@ -147,7 +147,7 @@
         async def history(cold: int) -> int:
             fleet = Fleet([], [], False)
             fleet.intake_by_engine = dict.fromkeys(fleet.engines[:cold], COLD)
-            sent = [fleet.request_later(at, True, False, at * 0.1) for at in range(30)]
+            sent = [fleet.request_later(index, True, False, index * 0.1) for index in range(30)]
             await asyncio.gather(*sent)
             return len(sends_to(fleet, "e0"))
 
--- a/pondhatch/requests/tests/test_keys.py
+++ b/pondhatch/requests/tests/test_keys.py
@@ -69,10 +69,10 @@
 
     def test_kept_answers_are_bounded_in_bytes(self) -> None:
         large = KeptAnswer(200, (), b"x" * 65536)
-        for at in range(300):
-            self.table.claim(f"k{at}", record(f"q{at}"), 0.0)
-            done = KeyRecord("POST /log 1", "r0", f"q{at}", "done", large)
-            self.table.settle(f"k{at}", done, 0.0)
+        for index in range(300):
+            self.table.claim(f"k{index}", record(f"q{index}"), 0.0)
+            done = KeyRecord("POST /log 1", "r0", f"q{index}", "done", large)
+            self.table.settle(f"k{index}", done, 0.0)
         self.assertEqual(self.table.kept_bytes, 128 * 65536)
         self.assertEqual(len(self.table.record_by_key), 128)
 
--- a/pondhatch/requests/tests/test_owner_timeouts.py
+++ b/pondhatch/requests/tests/test_owner_timeouts.py
@@ -81,8 +81,8 @@
 
     def test_an_owner_with_varying_reply_times_gets_a_longer_wait(self) -> None:
         scattered = OwnerTimeouts()
-        for at in range(20):
-            scattered.note_reply("r1", 0.002 if at % 2 else 0.03, 0.0)
+        for index in range(20):
+            scattered.note_reply("r1", 0.002 if index % 2 else 0.03, 0.0)
         wait = sum(scattered.send_pauses("r1", INITIAL_WAIT, 0.0))
         self.assertGreater(wait, 2 * MIN_WAIT)
 
--- a/pondhatch/requests/tests/test_service_queue.py
+++ b/pondhatch/requests/tests/test_service_queue.py
@@ -242,7 +242,10 @@
             fleet.upstreams.slots = dict.fromkeys(fleet.engines, 1)
             after = (0.0, 0.25, 0.25, 0.25)
             await asyncio.gather(
-                *(fleet.request_later(at, False, False, each) for at, each in enumerate(after))
+                *(
+                    fleet.request_later(index, False, False, each)
+                    for index, each in enumerate(after)
+                )
             )
             return fleet.history.refused_despite_free_slot
 
@@ -276,7 +279,7 @@
     """Load rises from zero, while the totals that owners know are a second old."""
 
     def test_the_least_loaded_engine_uses_the_mean_of_the_engines_seen(self) -> None:
-        plan = Plan("c", [f"e{at}" for at in range(30)])
+        plan = Plan("c", [f"e{index}" for index in range(30)])
         for held in (9, 10, 11, 9, 10, 11, 9, 10, 11, 8, 10, 12):
             self.assertIsInstance(plan.next_step(), Ask)
             plan.record_owner_full(held, held)
@@ -289,7 +292,7 @@
     def test_a_cold_engine_or_too_few_engines_give_no_mean(self) -> None:
         for engines, is_cold in ((7, False), (9, True)):
             with self.subTest(engines=engines):
-                plan = Plan("c", [f"e{at}" for at in range(engines)])
+                plan = Plan("c", [f"e{index}" for index in range(engines)])
                 while isinstance(ask := plan.next_step(), Ask) and not ask.is_last:
                     plan.record_owner_full(9, 9, is_cold)
                 self.assertEqual(plan.estimate_in_flight_elsewhere(plan.queue_engines(1)[0], 30), 0)
--- a/pondhatch/requests/tests/test_upstream_failures.py
+++ b/pondhatch/requests/tests/test_upstream_failures.py
@@ -72,8 +72,8 @@
             fleet = Fleet([FAILED, "none"] * enough, [], False)
             fleet.same_chat = True
             home = ranked("7", fleet.engines)[0]
-            for at in range(enough):
-                await fleet.request(3 * at, True, gives_up=False)
+            for index in range(enough):
+                await fleet.request(3 * index, True, gives_up=False)
             return fleet, home
 
         fleet, home = run_virtually(main())
@@ -85,8 +85,8 @@
     ) -> None:
         async def main() -> Fleet:
             fleet = Fleet([FAILED] * 400, [], False)
-            for at in range(100):
-                await fleet.request(at, True, gives_up=False)
+            for index in range(100):
+                await fleet.request(index, True, gives_up=False)
             return fleet
 
         # Each request here has its own budget of five retries.
--- a/pondhatch/router/tests/test_change_storms.py
+++ b/pondhatch/router/tests/test_change_storms.py
@@ -34,7 +34,7 @@
     document["Version"] = version
     route = document["Routes"][0]
     document["Routes"] += [
-        {**route, "Name": f"r-{at}", "Host": f"desk{at}.example"} for at in range(ROUTES)
+        {**route, "Name": f"r-{index}", "Host": f"desk{index}.example"} for index in range(ROUTES)
     ]
     return document
 
--- a/pondhatch/router/tests/test_crash_evidence_exchange.py
+++ b/pondhatch/router/tests/test_crash_evidence_exchange.py
@@ -70,8 +70,8 @@
         self.loop = asyncio.get_running_loop()
         self.tasks = Tasks()
         self.members = tuple(
-            Member(f"r{at}", Address("10.0.0.1", at), "h1", Phase.LIVE)
-            for at in range(self.routers)
+            Member(f"r{index}", Address("10.0.0.1", index), "h1", Phase.LIVE)
+            for index in range(self.routers)
         )
         self.guards = [self.new_guard(member) for member in self.members]
         for _ in range(self.engines):
@@ -216,7 +216,7 @@
                 await asyncio.sleep(pause)
 
         callers = [repeat_crashing_request() for _ in range(copies)]
-        callers += [repeat_other(100 + at) for at in range(others_count)]
+        callers += [repeat_other(100 + index) for index in range(others_count)]
         await asyncio.gather(*callers)
         rounds.cancel()
         self.assertLessEqual(len(simulation.crash_digests), CRASHES_TO_QUARANTINE)
@@ -235,8 +235,8 @@
     async def run_with_packet_loss(self, seed: int) -> None:
         simulation = Simulation(6, 9, random.Random(seed), loss=0.2)
         rounds = asyncio.ensure_future(simulation.run_rounds())
-        for at in range(3):
-            await simulation.attempt(at, CRASHING_REQUEST)
+        for index in range(3):
+            await simulation.attempt(index, CRASHING_REQUEST)
         await asyncio.sleep(10 * SAMPLE_INTERVAL_SECONDS)
         rounds.cancel()
         for guard in simulation.guards:
@@ -285,8 +285,8 @@
     def test_a_router_that_starts_receives_the_evidence_of_others(self) -> None:
         async def history() -> None:
             simulation = Simulation(4, 9, random.Random(1))
-            for at in range(2):
-                await simulation.attempt(at, CRASHING_REQUEST)
+            for index in range(2):
+                await simulation.attempt(index, CRASHING_REQUEST)
             simulation.guards[3] = simulation.new_guard(simulation.members[3])
             for guard in simulation.guards[:3]:
                 guard._state._members = simulation.members[:3]
--- a/pondhatch/router/tests/test_grant_exchange.py
+++ b/pondhatch/router/tests/test_grant_exchange.py
@@ -73,9 +73,9 @@
         self.state.apply_change(FIRST)
         meet(self.state, peer)
         self.peer = peer
-        engines = (f"e{at}" for at in range(100))
-        for at, name in enumerate(engines):
-            self.state.upstreams.set(Upstream(name, "lang", "http://x", "h1"), at + 1)
+        engines = (f"e{index}" for index in range(100))
+        for index, name in enumerate(engines):
+            self.state.upstreams.set(Upstream(name, "lang", "http://x", "h1"), index + 1)
         self.state.invalidate_upstream_caches()
         names = (name for name in self.state.upstreams.entry_by_name)
         self.engine = next(name for name in names if self.state.owner_name(name) == "r1")
--- a/pondhatch/router/tests/test_halls.py
+++ b/pondhatch/router/tests/test_halls.py
@@ -39,8 +39,8 @@
         self.state.clock = lambda: self.now
         self.state.halls.region_by_hall = REGIONS
         self.state.apply_change(with_cold_pace(13.0))
-        for at, hall in enumerate(HALLS):
-            self.set_upstream(at, at + 1, hall=hall)
+        for index, hall in enumerate(HALLS):
+            self.set_upstream(index, index + 1, hall=hall)
         self.state.apply_listed_evacuations(Listed(10, ()))
 
     def set_upstream(self, at: int, version: int, **fields: Any) -> None:
@@ -74,7 +74,7 @@
         self.assertEqual(self.state.live_upstreams("lang"), ("e0", "e1"))
 
     def test_closed_home_names_the_engine_and_why_it_is_closed(self) -> None:
-        chats = [str(at) for at in range(30)]
+        chats = [str(index) for index in range(30)]
         homes = {chat: self.state.closed_home("lang", chat, None) for chat in chats}
         self.assertEqual(set(homes.values()), {None})
         self.evacuate("h1", 11)
@@ -152,11 +152,11 @@
 
     def test_the_share_of_cold_grants_stays_when_peers_become_unreachable(self) -> None:
         self.now = NO_COLD_GRANTS_SECONDS
-        for at in range(1, 4):
-            meet(self.state, router(f"r{at}"))
+        for index in range(1, 4):
+            meet(self.state, router(f"r{index}"))
         self.state.tick()
-        for at in range(1, 4):
-            self.state.note_unreachable(f"r{at}")
+        for index in range(1, 4):
+            self.state.note_unreachable(f"r{index}")
         self.state.tick()
         self.assertEqual(self.state.cold_pacer.fleet_share, 0.25)
 
--- a/pondhatch/router/tests/test_large_fleets.py
+++ b/pondhatch/router/tests/test_large_fleets.py
@@ -29,7 +29,7 @@
         self.owner_by_engine = self.owners()
 
     def owners(self) -> dict[str, str | None]:
-        return {f"e{at}": self.state.owner_name(f"e{at}") for at in range(UPSTREAMS)}
+        return {f"e{index}": self.state.owner_name(f"e{index}") for index in range(UPSTREAMS)}
 
     def test_a_change_of_one_router_rebuilds_one_member(self) -> None:
         with mock.patch.object(members_module, "_member", wraps=members_module._member) as made:
--- a/pondhatch/router/tests/test_new_eras.py
+++ b/pondhatch/router/tests/test_new_eras.py
@@ -18,8 +18,8 @@
 
 def listed(era: int, revision: int, **revision_by_name: int) -> Listed:
     objects = tuple(
-        StoredObject("upstream", name, position_of(era, at), value(name))
-        for name, at in revision_by_name.items()
+        StoredObject("upstream", name, position_of(era, entry_revision), value(name))
+        for name, entry_revision in revision_by_name.items()
     )
     return Listed(position_of(era, revision), objects)
 
--- a/pondhatch/router/tests/test_notice_exchange.py
+++ b/pondhatch/router/tests/test_notice_exchange.py
@@ -42,8 +42,8 @@
         gossip = Gossip(own, MembershipLimits(), random.Random(1))
         state = RouterState(name, "h1", gossip, lambda: self.now, lambda member: UncalledPeer())
         state.apply_change(FIRST)
-        for at, engine in enumerate(ENGINES):
-            self.set_upstream(state, engine, at + 1)
+        for index, engine in enumerate(ENGINES):
+            self.set_upstream(state, engine, index + 1)
         state.apply_listed_evacuations(Listed(10, ()))
         return state
 
@@ -188,8 +188,8 @@
         self.assertIsNone(target.intake.closed_reason_for_all())
 
     def test_the_others_carry_its_load(self) -> None:
-        for at in range(2):
-            self.states["r0"].apply_notice(self.instance(at), Notice(rest=3.0))
+        for index in range(2):
+            self.states["r0"].apply_notice(self.instance(index), Notice(rest=3.0))
         target = self.states["r0"].target(self.instance(2))
         assert target is not None
         self.assertEqual(target.open_upstream_count, 1)
@@ -221,8 +221,10 @@
         self.assertEqual(self.deliver(), [owner])
 
     def test_packets_about_many_rests_are_bounded(self) -> None:
-        for at in range(2000):
-            self.exchange_by_name["r0"].receive_notice(self.instance(at % 3), Notice(rest=3.0 + at))
+        for index in range(2000):
+            self.exchange_by_name["r0"].receive_notice(
+                self.instance(index % 3), Notice(rest=3.0 + index)
+            )
         without_owners = len(self.sent) - 2000
         self.assertLess(without_owners, 10 * REST_PACKETS_PER_ROUND + 1)
 
--- a/pondhatch/router/tests/test_pace_reports.py
+++ b/pondhatch/router/tests/test_pace_reports.py
@@ -29,8 +29,8 @@
         return target.pace
 
     def test_only_the_owner_gets_a_report_once_a_second(self) -> None:
-        for at in range(25):
-            self.now = at / 10
+        for index in range(25):
+            self.now = index / 10
             self.exchange_by_name[self.entry].receive_notice(self.engine, SLOW)
             self.exchange_by_name[self.entry].tick()
         self.assertEqual(self.deliver(), [self.owner] * 3)
@@ -52,10 +52,10 @@
 
     def test_reports_of_many_slow_engines_are_bounded(self) -> None:
         reports = self.exchange_by_name[self.entry]._pace_reports
-        for at in range(1000):
-            if reports.is_due(f"e{at}", 250, 0.0):
-                reports.note_reported(f"e{at}", 0.0)
-            if at % 100 == 99:
+        for index in range(1000):
+            if reports.is_due(f"e{index}", 250, 0.0):
+                reports.note_reported(f"e{index}", 0.0)
+            if index % 100 == 99:
                 reports.tick(0.0)
         self.assertEqual(len(reports._reported_at_by_engine), REPORTS_BURST + 9 * REPORTS_PER_ROUND)
 
--- a/pondhatch/router/tests/test_pulls.py
+++ b/pondhatch/router/tests/test_pulls.py
@@ -98,7 +98,7 @@
 
     def seconds_behind_with_silent_peers(self, silent: int, peers: int) -> tuple[float, int]:
         """Return the seconds until the router has a change, and the most concurrent pulls."""
-        holders = [self.peer_with_change(f"r{at + 1}") for at in range(peers)]
+        holders = [self.peer_with_change(f"r{index + 1}") for index in range(peers)]
         for each in holders:
             meet(self.state, each)
         asked: list[str] = []
--- a/pondhatch/router/tests/test_slow_engines.py
+++ b/pondhatch/router/tests/test_slow_engines.py
@@ -53,7 +53,7 @@
 from pondhatch.store import Listed, WatchEvent
 
 ROUTERS = ("r0", "r1", "r2")
-ENGINES = tuple(f"e{at}" for at in range(8))
+ENGINES = tuple(f"e{index}" for index in range(8))
 SLOTS = 48
 SERVICE = Edit(
     "service",
@@ -201,7 +201,7 @@
 
     def __init__(self) -> None:
         self.address_by_name = {
-            name: Address("127.0.0.1", 7000 + at) for at, name in enumerate(ROUTERS)
+            name: Address("127.0.0.1", 7000 + index) for index, name in enumerate(ROUTERS)
         }
         self.engines = Engines(ENGINES[0])
         self.are_notices_lost = False
--- a/pondhatch/router/tests/test_state_recorder.py
+++ b/pondhatch/router/tests/test_state_recorder.py
@@ -129,8 +129,8 @@
         self.assertEqual(self.new_records(), [("platform", "store", "answering", 0)])
 
     def test_records_of_one_round_are_bounded_and_the_rest_counted(self) -> None:
-        for at in range(MAX_RECORDS_PER_ROUND + 20):
-            self.set_upstream(f"e{at}", at + 1)
+        for index in range(MAX_RECORDS_PER_ROUND + 20):
+            self.set_upstream(f"e{index}", index + 1)
         found = self.new_records()
         self.assertEqual(len(found), MAX_RECORDS_PER_ROUND + 1)
         self.assertEqual(found[-1], ("records", "", "20 left out", 0))
@@ -162,7 +162,7 @@
         self.assertEqual(run_virtually(main()), ("outage", ""))
 
     def test_a_router_that_stops_watching_clears_the_platform_error(self) -> None:
-        states = [router(f"r{at}") for at in range(2)]
+        states = [router(f"r{index}") for index in range(2)]
         for state, peer in (states, states[::-1]):
             meet(state, peer)
         state = next(each for each in states if not each.is_watcher())
--- a/pondhatch/router/tests/test_sync.py
+++ b/pondhatch/router/tests/test_sync.py
@@ -136,8 +136,8 @@
             return None
 
         state = router("r0", started=100_000)
-        for at, started in enumerate(starts, 1):
-            meet(state, router(f"r{at}", started=started))
+        for number, started in enumerate(starts, 1):
+            meet(state, router(f"r{number}", started=started))
         await self.run_for(new_peer_sync(state, pull), PEER_DISCOVERY_SECONDS + 0.2)
         return asked
 
@@ -171,8 +171,10 @@
     def configuration_at(self, version: int) -> FleetConfiguration:
         configuration = FleetConfiguration().with_change(FIRST)
         assert isinstance(configuration, FleetConfiguration)
-        for at in range(2, version + 1):
-            following = configuration.with_change(change(at, account(f"a{at}")))
+        for change_version in range(2, version + 1):
+            following = configuration.with_change(
+                change(change_version, account(f"a{change_version}"))
+            )
             assert isinstance(following, FleetConfiguration)
             configuration = following
         return configuration
@@ -371,8 +373,8 @@
 
         async def main() -> RouterState:
             platform = PlatformInMemory()
-            for at, entry in enumerate(entries):
-                await platform.create("upstream", f"e{at}", entry)
+            for index, entry in enumerate(entries):
+                await platform.create("upstream", f"e{index}", entry)
             state = router("r0")
             sync = new_sync(state, platform, None)
             sync._peers_discovered.set()
@@ -434,7 +436,8 @@
                 state = router("r0")
                 entries = ({**ENTRY, "name": "e0", "url": url}, {**ENTRY, "name": "e1"})
                 objects = [
-                    StoredObject("upstream", f"e{at}", 1, each) for at, each in enumerate(entries)
+                    StoredObject("upstream", f"e{index}", 1, each)
+                    for index, each in enumerate(entries)
                 ]
                 state.apply_listed_upstreams(Listed(1, tuple(objects)))
                 self.assertEqual([e.name for e in state.upstreams.of_service("lang")], ["e1"])
@@ -468,7 +471,7 @@
 
     def run_beside_a_peer(self, watches: bool) -> tuple[int, int, int]:
         """Return the version soon after the start, and the number of watches then and later."""
-        states = [router(f"r{at}") for at in range(2)]
+        states = [router(f"r{index}") for index in range(2)]
         for state, peer in (states, states[::-1]):
             meet(state, peer)
         own = next(state for state in states if state.is_watcher() == watches)
@@ -601,16 +604,16 @@
         self.assertEqual(self.upstreams_open_to_new_work(), ["e1", "e2"])
 
     def test_upstreams_that_reported_leaving_are_closed_when_they_lapse(self) -> None:
-        for at, name in enumerate(("e0", "e1")):
+        for index, name in enumerate(("e0", "e1")):
             leaving = msgspec.to_builtins(Upstream(name, "lang", "http://x", "h1", LEAVING))
-            self.state.apply_upstream_event(WatchEvent("set", 2 + at, name, leaving))
+            self.state.apply_upstream_event(WatchEvent("set", 2 + index, name, leaving))
         self.apply_listing(5)
         self.assertEqual(self.upstreams_open_to_new_work(), [])
 
 
 class RolesTest(unittest.TestCase):
     def test_one_router_of_a_hall_watches(self) -> None:
-        states = [router(f"r{at}") for at in range(4)]
+        states = [router(f"r{index}") for index in range(4)]
         for state in states:
             for peer in states:
                 if peer is not state:
@@ -618,7 +621,7 @@
         self.assertEqual(sum(state.is_watcher() for state in states), 1)
 
     def test_owners_agree_and_keys_have_two_holders(self) -> None:
-        states = [router(f"r{at}") for at in range(4)]
+        states = [router(f"r{index}") for index in range(4)]
         for state in states:
             for peer in states:
                 if peer is not state:
--- a/pondhatch/store/tests/test_starts.py
+++ b/pondhatch/store/tests/test_starts.py
@@ -36,7 +36,9 @@
 
 
 def listed(version: int, *starts: tuple[str, int]) -> Listed:
-    objects = [StoredObject("upstream", name, version, value(name, at)) for name, at in starts]
+    objects = [
+        StoredObject("upstream", name, version, value(name, start)) for name, start in starts
+    ]
     return Listed(version, tuple(objects))
 
 
@@ -95,8 +97,8 @@
         for name in ("e0", "e1"):
             self.state.apply_upstream_event(WatchEvent("removed", 5, name))
         self.assertEqual(len(self.state.live_upstreams("lang")), 2)
-        for at, name in enumerate(("e0", "e1")):
-            self.state.apply_upstream_event(set_event(6 + at, name, 200))
+        for index, name in enumerate(("e0", "e1")):
+            self.state.apply_upstream_event(set_event(6 + index, name, 200))
         self.assertFalse(self.state.vanished)
         self.assertEqual(
             set(self.state.live_upstreams("lang")),
@@ -140,7 +142,7 @@
 
 class HomesTest(unittest.TestCase):
     def test_a_restarted_engine_keeps_its_chats(self) -> None:
-        ids = [f"e{at}" for at in range(9)]
+        ids = [f"e{index}" for index in range(9)]
         before = [name_of_start(each, 100) for each in ids]
         after = [name_of_start("e4", 200) if each == "e4~100" else each for each in before]
         for chat in map(str, range(200)):
--- a/pondhatch/store/tests/test_upstreams.py
+++ b/pondhatch/store/tests/test_upstreams.py
@@ -17,8 +17,8 @@
 class UpstreamListTest(unittest.TestCase):
     def setUp(self) -> None:
         self.upstreams = UpstreamList()
-        for at in range(3):
-            self.upstreams.set(upstream(f"e{at}"), at + 1)
+        for index in range(3):
+            self.upstreams.set(upstream(f"e{index}"), index + 1)
 
     def test_a_peer_gets_only_the_entries_that_it_lacks(self) -> None:
         update = self.upstreams.update_since(2)
@@ -35,8 +35,8 @@
 
     def test_a_listing_removes_missing_entries_even_at_its_newest_entrys_version(self) -> None:
         held = UpstreamList()
-        for at in (1, 2):
-            held.set(Upstream(f"e{at}", "lang", "http://x", "h1"), at)
+        for number in (1, 2):
+            held.set(Upstream(f"e{number}", "lang", "http://x", "h1"), number)
         newest = UpstreamEntry(Upstream("e3", "lang", "http://x", "h1"), 5)
         held.apply_update(UpstreamUpdate(5, (newest,), whole=True))
         self.assertEqual([each.name for each in held.of_service("lang")], ["e3"])
@@ -49,16 +49,16 @@
 
     def test_a_peer_older_than_the_kept_removals_gets_the_whole_list(self) -> None:
         version = 10
-        for at in range(MAX_REMOVED + 5):
-            self.upstreams.set(upstream(f"gone-{at}"), version)
-            self.upstreams.remove(f"gone-{at}", version + 1)
+        for index in range(MAX_REMOVED + 5):
+            self.upstreams.set(upstream(f"gone-{index}"), version)
+            self.upstreams.remove(f"gone-{index}", version + 1)
             version += 2
         self.assertTrue(self.upstreams.update_since(4).whole)
         self.assertFalse(self.upstreams.update_since(version - 10).whole)
         self.assertLessEqual(len(self.upstreams.entry_by_name), MAX_REMOVED + 3)
 
     def test_applying_a_listing_scans_the_whole_list_once(self) -> None:
-        entries = tuple(UpstreamEntry(upstream(f"n{at}"), 20 + at) for at in range(50))
+        entries = tuple(UpstreamEntry(upstream(f"n{index}"), 20 + index) for index in range(50))
         drop = UpstreamList._drop_oldest_removed
         with patch.object(UpstreamList, "_drop_oldest_removed", autospec=True) as dropped:
             dropped.side_effect = drop
--- a/pondhatch/store/tests/test_vanished.py
+++ b/pondhatch/store/tests/test_vanished.py
@@ -23,8 +23,8 @@
         for gone, listed, doubted in rows:
             with self.subTest(gone=gone, listed=listed):
                 vanished = VanishedUpstreams()
-                for at in range(gone):
-                    vanished.add(upstream(f"e{at}"), 10.0)
+                for index in range(gone):
+                    vanished.add(upstream(f"e{index}"), 10.0)
                 vanished.add(upstream("p0", "portal"), 10.0)
                 self.assertEqual(len(vanished.in_doubt("lang", listed)), doubted)
 
@@ -37,15 +37,15 @@
 
     def test_a_later_removal_leaves_the_group_in_doubt(self) -> None:
         vanished = VanishedUpstreams()
-        for at in range(3):
-            vanished.add(upstream(f"e{at}"), 10.0 + at / 20)
+        for index in range(3):
+            vanished.add(upstream(f"e{index}"), 10.0 + index / 20)
         vanished.add(upstream("e3"), 11.0)
         self.assertEqual({each.name for each in vanished.in_doubt("lang", 1)}, {"e0", "e1", "e2"})
 
     def test_upstreams_that_do_not_return_in_time_are_gone(self) -> None:
         vanished = VanishedUpstreams()
-        for at in range(3):
-            vanished.add(upstream(f"e{at}"), 10.0)
+        for index in range(3):
+            vanished.add(upstream(f"e{index}"), 10.0)
         vanished.discard("e0")
         self.assertFalse(vanished.forget_old(10.0 + RETURN_SECONDS - 0.1))
         self.assertEqual(len(vanished.in_doubt("lang", 1)), 2)
--- a/pondhatch/transport/tests/test_caller_channel.py
+++ b/pondhatch/transport/tests/test_caller_channel.py
@@ -111,11 +111,11 @@
         channel.transport = transport
         sent = b""
         received = b""
-        for at in range(150):
-            part = bytes([at % 251]) * 4001
+        for index in range(150):
+            part = bytes([index % 251]) * 4001
             channel.writeSequence([part[:1], part[1:]])
             sent += part
-            if at % 50 == 49:
+            if index % 50 == 49:
                 received += _receive_available(theirs)
                 transport.doWrite()
         while len(received) < len(sent):
--- a/pondhatch/transport/tests/test_caller_heads.py
+++ b/pondhatch/transport/tests/test_caller_heads.py
@@ -48,8 +48,8 @@
     def send(self, *headers: str, part: int = CONFIGURED_BYTES) -> bytes:
         """Send a request in parts; return the response."""
         raw = "\r\n".join(("GET /x HTTP/1.1", "Host: desk.example", *headers, "", "")).encode()
-        for at in range(0, len(raw), part):
-            self.channel.dataReceived(raw[at : at + part])
+        for offset in range(0, len(raw), part):
+            self.channel.dataReceived(raw[offset : offset + part])
         self.clock.advance(0)
         response: bytes = self.transport.value()  # type: ignore[no-untyped-call]
         self.transport.clear()  # type: ignore[no-untyped-call]
@@ -73,12 +73,12 @@
                 self.assert_served(self.send(long, part=part))
 
     def test_many_headers_within_the_limit_are_accepted(self) -> None:
-        many = [f"X-{at}: 1" for at in range(TWISTED_DEFAULT_HEADERS + 100)]
+        many = [f"X-{index}: 1" for index in range(TWISTED_DEFAULT_HEADERS + 100)]
         self.assert_served(self.send(*many))
 
     def test_a_head_beyond_the_limit_is_refused_with_one_response(self) -> None:
         long = "X-Long: " + "a" * CONFIGURED_BYTES
-        many = [f"X-{at}: {'a' * 1000}" for at in range(CONFIGURED_BYTES // 1000 + 1)]
+        many = [f"X-{index}: {'a' * 1000}" for index in range(CONFIGURED_BYTES // 1000 + 1)]
         for headers in ([long], many):
             for part in (2 * CONFIGURED_BYTES, 1000):
                 with self.subTest(headers=len(headers), part=part):
--- a/pondhatch/transport/tests/test_connection_reuse.py
+++ b/pondhatch/transport/tests/test_connection_reuse.py
@@ -81,9 +81,9 @@
             {**each, "MaxConnections": most_connections} for each in CONFIGURATION["Services"]
         ]
         self.state = state_of({**CONFIGURATION, "Services": services})
-        for at in range(4, ENGINES + 2):
-            entry = Upstream(f"i-{at}", "lang", f"http://10.0.0.{at}:80", "hall-1")
-            self.state.upstreams.set(entry, at + 1)
+        for index in range(4, ENGINES + 2):
+            entry = Upstream(f"i-{index}", "lang", f"http://10.0.0.{index}:80", "hall-1")
+            self.state.upstreams.set(entry, index + 1)
         self.state.invalidate_upstream_caches()
         self.state.load_management = load_management
         self.metrics = PrometheusMetrics("r0")
@@ -237,7 +237,7 @@
 
         async def main() -> int:
             router = Router(load_management, most_connections=100)
-            router.state._live_routers = tuple(f"r{at}" for at in range(routers))
+            router.state._live_routers = tuple(f"r{index}" for index in range(routers))
             await asyncio.gather(*(router.ask(number) for number in range(600)))
             return max(len(idle) for idle in router.client._idle_by_address.values())
 
--- a/pondhatch/transport/tests/test_http_client.py
+++ b/pondhatch/transport/tests/test_http_client.py
@@ -79,8 +79,8 @@
                 with self.subTest(raw=raw, size=size):
                     wire = Wire()
                     exchange = wire.begin()
-                    for at in range(0, len(raw), size):
-                        wire.connection.dataReceived(raw[at : at + size])
+                    for offset in range(0, len(raw), size):
+                        wire.connection.dataReceived(raw[offset : offset + size])
                     self.assertEqual((await exchange.head).status, 200)
                     self.assertEqual(await read_content(exchange), b"hello")
                     self.assertEqual(wire.kept, [wire.connection])
--- a/pondhatch/transport/tests/test_lost_exchanges.py
+++ b/pondhatch/transport/tests/test_lost_exchanges.py
@@ -173,11 +173,13 @@
     """An engine entry without a valid address fails no request that another engine can run."""
 
     async def test_its_requests_go_to_another_engine(self) -> None:
-        for at, url in enumerate(("http://nowhere", "http://10.0.0.9:0", "http://10.0.0.9:70000")):
+        for index, url in enumerate(
+            ("http://nowhere", "http://10.0.0.9:0", "http://10.0.0.9:70000")
+        ):
             for engine in ("i-2", "i-3"):
                 with self.subTest(url=url, engine=engine):
                     await self.asyncSetUp()
-                    revision = 100 + 10 * at + int(engine[-1])
+                    revision = 100 + 10 * index + int(engine[-1])
                     entry = Upstream(engine, "portal", url, "hall-1")
                     self.state.upstreams.set(entry, revision)
                     self.state.invalidate_upstream_caches()
--- a/pondhatch/transport/tests/test_routed_callers.py
+++ b/pondhatch/transport/tests/test_routed_callers.py
@@ -161,9 +161,9 @@
     nobody: Any = None
     state = RouterState("r0", "hall-1", gossip, lambda: 0.0, lambda member: nobody)
     state.refresh_members()
-    for at, service in enumerate(("lang", "lang", "portal", "portal")):
+    for index, service in enumerate(("lang", "lang", "portal", "portal")):
         state.upstreams.set(
-            Upstream(f"i-{at}", service, f"http://10.0.0.{at}:80", "hall-1"), at + 1
+            Upstream(f"i-{index}", service, f"http://10.0.0.{index}:80", "hall-1"), index + 1
         )
     state.invalidate_upstream_caches()
     put_in_force(state, configuration)
--- a/pondhatch/transport/tests/test_unread_callers.py
+++ b/pondhatch/transport/tests/test_unread_callers.py
@@ -105,8 +105,8 @@
     async def post(self, sent: bytes, length: int) -> None:
         head = f"POST /portal/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEYS[0]}\r\n"
         self.theirs.sendall(f"{head}Content-Length: {length}\r\n\r\n".encode())
-        for at in range(0, len(sent), HIGH_WATER // 4):
-            self.theirs.sendall(sent[at : at + HIGH_WATER // 4])
+        for offset in range(0, len(sent), HIGH_WATER // 4):
+            self.theirs.sendall(sent[offset : offset + HIGH_WATER // 4])
             await self.read_available()
 
     async def leave(self) -> None:
--- a/pondhatch/transport/tests/test_wire.py
+++ b/pondhatch/transport/tests/test_wire.py
@@ -19,10 +19,14 @@
     edits = tuple(
         Edit(
             "route",
-            f"desk-{at}",
-            {"host": f"desk{at}.example", "path_prefix": f"/r{at * 7919}/", "targets": [target]},
+            f"desk-{index}",
+            {
+                "host": f"desk{index}.example",
+                "path_prefix": f"/r{index * 7919}/",
+                "targets": [target],
+            },
         )
-        for at in range(routes)
+        for index in range(routes)
     )
     return wire.PullReply(Update(snapshot=Snapshot(7, edits)), UpstreamUpdate(3, (), whole=True))
 
--- a/soak/tests/test_checks.py
+++ b/soak/tests/test_checks.py
@@ -76,7 +76,7 @@
     def test_resting_engines(self) -> None:
         asked = arrival("a", ran=False, rest_seconds=3.0)
         for times, breaks in (((10.2, 10.3, 10.4), False), ((11.0, 11.0, 12.9), True)):
-            later = {f"b{at}": when for at, when in enumerate(times)}
+            later = {f"b{index}": when for index, when in enumerate(times)}
             attempts = [refusal("a"), *(attempt(name, STREAM, at) for name, at in later.items())]
             arrivals = [asked, *(arrival(name, at) for name, at in later.items())]
             with self.subTest(times=times):
@@ -98,7 +98,7 @@
         self.assertEqual(self.violated_checks(versions=after_restart), set())
 
     def test_recovery(self) -> None:
-        tail = [*(attempt(f"a{at}", at=21.0) for at in range(8)), refusal("b"), refusal("c")]
+        tail = [*(attempt(f"a{index}", at=21.0) for index in range(8)), refusal("b"), refusal("c")]
         late = [replace(each, sent_at=21.0) for each in tail]
         self.assertEqual(self.violated_checks(attempts=late, recovery_deadline=20.0), {"recovery"})
         self.assertEqual(
